--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -13,14 +13,14 @@
 
 const testTick = 50 * time.Millisecond
 
-// A shop has places that customers compete for by an account, and nothing else.
+// A shop simulates slots that customers compete for by the ranks of an account.
 type shop struct {
 	account Account
 	at      time.Duration
 	places  int
 	runs    []shopRun
-	served  map[string]time.Duration // of places
-	wants   map[string]int           // items that wait
+	served  map[string]time.Duration // slot time
+	wants   map[string]int           // waiting items
 }
 
 type shopRun struct {
@@ -28,7 +28,7 @@
 	end      time.Duration
 }
 
-// step lets a tick pass, and gives the places that are free to items of a length.
+// step advances by a tick and gives free slots to items of the given length.
 func (sh *shop) step(length time.Duration) {
 	sh.at += testTick
 	sh.runs = slices.DeleteFunc(sh.runs, func(ru shopRun) bool { return ru.end <= sh.at })
@@ -69,8 +69,8 @@
 	return uses
 }
 
-// next returns whose item goes next: of equals the one with the most items, as a
-// customer that asks for more has more of them that are due first.
+// next returns the customer whose item goes next. Of equal ranks it is the one with the most
+// waiting items.
 func (sh *shop) next() (string, bool) {
 	best := ""
 	for _, customer := range slices.Sorted(maps.Keys(sh.wants)) {
@@ -89,7 +89,7 @@
 	return &shop{places: places, served: map[string]time.Duration{}, wants: map[string]int{}}
 }
 
-// fill keeps items of customers waiting.
+// fill sets the numbers of waiting items.
 func (sh *shop) fill(wants map[string]int) { maps.Copy(sh.wants, wants) }
 
 func TestCustomersThatAllWaitGetTheirWeights(t *testing.T) {
@@ -108,7 +108,7 @@
 }
 
 func TestMemoryCountsWhereItIsTheMost(t *testing.T) {
-	// Few places with most of the memory are as much as many places.
+	// A few slots with most of the memory count as much as many slots.
 	var ac Account
 	uses := map[string]Use{"long": {Places: 0.2, Memory: 0.8, Waits: true}, "short": {Places: 0.7, Memory: 0.1, Waits: true}}
 	for range 20 {
@@ -119,10 +119,8 @@
 }
 
 func TestUnusedPartIsLentAndNotOwed(t *testing.T) {
-	// Symptom: a customer that was away for an hour has all engines to itself for as
-	// long after its return.
-	// Sequence: one customer works alone; a second one comes.
-	// Cause: what was not used was taken for owed.
+	// Guards against crediting unused time: a customer must not monopolize the engines after
+	// a long absence.
 	sh := newShop(12)
 	for sh.at < time.Hour {
 		sh.fill(map[string]int{"stays": 100})
@@ -139,9 +137,8 @@
 }
 
 func TestCustomerThatWasAheadIsAheadOnItsReturn(t *testing.T) {
-	// Symptom: a customer gets more than its part by asking for nothing now and then.
-	// Sequence: it is far ahead, has nothing for a moment and comes back.
-	// Cause: what it had was forgotten as soon as it left.
+	// A customer must not get more than its share by pausing now and then: its usage is
+	// remembered.
 	var ac Account
 	large, small := Use{Places: 0.9, Waits: true, Wants: 2}, Use{Places: 0.1, Waits: true, Wants: 2}
 	for range 40 {
@@ -178,10 +175,8 @@
 }
 
 func TestRecall(t *testing.T) {
-	// Symptom: after a change of scheduler the customer that had far more than its
-	// part gets all that becomes free once more.
-	// Sequence: one customer is far ahead; the scheduler changes.
-	// Cause: the next scheduler's account began with all customers equal.
+	// Guards against an account that starts with all customers equal after a change of
+	// scheduler.
 	var ac, next Account
 	uses := map[string]Use{"large": {Places: 0.9, Waits: true, Wants: 3}, "small": {Places: 0.1, Waits: true, Wants: 3}}
 	for range 40 {
@@ -196,9 +191,8 @@
 	assert.Assert(t, next.Standings()["large"].Ahead <= mostClaim)
 }
 
-// Customers, weights, places, lengths of items and times of asking at random, at small
-// size: whoever waits gets a place in time, no one that waits is further behind than may
-// be claimed, and the order of two customers that both wait does not flap.
+// For random loads, every waiting customer gets a slot in bounded time, no waiting customer's
+// lead exceeds mostClaim, and the order of two waiting customers doesn't flap.
 func TestExploreAccount(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
@@ -230,8 +224,7 @@
 					if wants[customer] == 0 || sh.held(customer) > 0 || sh.served[customer] > before[customer] {
 						waitedSince[customer] = sh.at
 					}
-					// All that one may claim before others, in time of places, and the items
-					// that run meanwhile.
+					// The claims of the others, in slot time, and the items that run meanwhile.
 					bound := time.Duration((mostClaim+foresight+1)*total/weights[customer]*float64(time.Second)) + 4*length
 					if waited := sh.at - waitedSince[customer]; waited > bound {
 						rt.Fatalf("%s waited for %s", customer, waited)
@@ -242,7 +235,7 @@
 					first = now
 				}
 			}
-			// The order turns with what is served, which takes some time.
+			// The order may change only as fast as slots are served.
 			if wants[customers[0]] > 8 && wants[customers[1]] > 8 && turns[customers[0]]+turns[customers[1]] > 2+ticks/4 {
 				rt.Fatalf("order turned %v times in %d ticks", turns, ticks)
 			}
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// demandOf returns what an entry sees of a service with ten places.
+// demandOf returns an entry's demand for a service with ten slots.
 func demandOf(short bool, customers map[string]Demand) map[string]ServiceDemand {
 	return map[string]ServiceDemand{"desk": {Customers: customers, Places: 10, Short: short}}
 }
@@ -37,10 +37,8 @@
 }
 
 func TestBoundsDoNotComeAndGo(t *testing.T) {
-	// Symptom: endpoints refuse requests for a while every few seconds.
-	// Sequence: bounds keep a customer's requests from endpoints, which refuse none any
-	// more; the bounds are lifted, and the customer floods them again.
-	// Cause: only refusals of endpoints counted as want of places.
+	// Guards against oscillation: bounds stop the refusals of endpoints, which must not lift
+	// the bounds while customers still ask for too much.
 	var di Division
 	bounded := func(customers map[string]Demand) map[string]map[string]ServiceDemand {
 		demands := demandOf(false, customers)
@@ -57,9 +55,8 @@
 }
 
 func TestFewPlacesGoRound(t *testing.T) {
-	// Symptom: callers of some entries are refused for as long as places are short.
-	// Sequence: there are fewer places than entries, and they are divided again and again.
-	// Cause: what didn't come out even went to the same entries each time.
+	// With fewer slots than entries, the remainder of the division rotates, so that no entry
+	// stays without slots.
 	var di Division
 	entries := map[string]map[string]ServiceDemand{}
 	for i := range 30 {
@@ -80,10 +77,7 @@
 }
 
 func TestEntryAloneNeitherRefusesAllNorLetsAllThrough(t *testing.T) {
-	// Symptom: an entry that hears from no one refuses all of a customer, or none.
-	// Sequence: endpoints are short of places; the entry divides them by itself, as one of few
-	// entries and as one of many.
-	// Cause: its part of the places was taken for none, or for all of them.
+	// An isolated entry takes its own fraction of the slots, and at least one for each customer.
 	var di Division
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 9}}
 	bounds := di.Alone(demandOf(true, seen), nil, 5)
@@ -93,8 +87,8 @@
 	assert.Equal(t, bounds.Of("large", "desk"), 1)
 }
 
-// Over all entries no customer gets more than is divided, and one that wants no more than
-// its part has no bound.
+// For random demands, no customer gets more than the slots in total, and one within its share
+// is unbounded.
 func TestExploreDivision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var di Division
--- a/fairshare/fill_test.go
+++ b/fairshare/fill_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// No more is given than there is or is wanted, nothing that is wanted is left over, and
-// no one has less than its part and less than it wants.
+// Fill never gives more than the whole or the wants, leaves nothing that is wanted, and gives
+// each customer at least the lesser of its share and its wants.
 func TestFillGivesEachItsPart(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(rt, "whole")
--- a/fairshare/recent_test.go
+++ b/fairshare/recent_test.go
@@ -8,8 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A customer took three quarters of the places for ten seconds and left. It is seen for a
-// minute, and then forgotten.
+// A customer that left is included for RecentTime, and then dropped.
 func TestRecent(t *testing.T) {
 	var re Recent
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -11,7 +11,7 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// stepOf returns a step with groups of the seconds of work given, in items of a second.
+// stepOf returns a step with a group for each number of seconds of work, in items of a second.
 func stepOf(trainer string, left time.Duration, seconds ...int) *Step {
 	st := &Step{Due: 8 * time.Second, Left: left, Trainer: trainer, Wanted: len(seconds)}
 	for _, se := range seconds {
@@ -20,7 +20,7 @@
 	return st
 }
 
-// inTime returns for which groups of a step room is kept, as one character each.
+// inTime returns a character for each group of a step: x if capacity is reserved for it.
 func inTime(st *Step) string {
 	text := ""
 	for _, gr := range st.Groups {
@@ -44,7 +44,7 @@
 		name   string
 		steps  []*Step
 		places float64
-		want   []string // by step, groups in the order of their work
+		want   []string // by step, groups ordered by work
 	}{
 		{"room for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
 		{"room for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
@@ -66,13 +66,12 @@
 	}
 }
 
-// The load rocks around what the room bears: a step comes, and a moment later half of
-// it is done. The order must not change with each.
+// Overload mode must not toggle while the load varies around the threshold.
 func TestCrowdedHasHysteresis(t *testing.T) {
 	var pl Planner
 	changes, was := 0, false
 	for i := range 100 {
-		work := 10 // of 16, of which more than half are crowded
+		work := 10 // of 16, above the threshold
 		if i%2 == 0 {
 			work = 8
 		}
@@ -86,8 +85,7 @@
 	assert.Assert(t, !pl.Crowded())
 }
 
-// Symptom: one of many trainers gets nothing in time for as long as the load lasts. Its
-// steps are handed in just after those of others, which take all of the room each time.
+// Guards against starving a trainer whose steps always come after those of others.
 func TestTrainerThatHadNothingGoesFirst(t *testing.T) {
 	var pl Planner
 	first, second := stepOf("first", 8*time.Second, 8), stepOf("second", 8*time.Second, 8)
@@ -109,14 +107,12 @@
 	assert.Assert(t, longest <= starvedAfter*8*time.Second+time.Second, "waited %s", longest)
 }
 
-// Symptom: a trainer's step goes before all others though it had a step in time a moment
-// before. It trained for half a minute, or its customer was held by an operator, and
-// asked for nothing meanwhile.
+// Time in which a trainer waits for nothing doesn't count as starvation.
 func TestPauseIsNoHunger(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
-		pause, waited time.Duration // without a step, and with one that is unserved
-		want          bool          // it goes first
+		pause, waited time.Duration // without a step, and with one that isn't served
+		want          bool          // the trainer goes first
 	}{
 		{"just back", 30 * time.Second, 0, false},
 		{"waited as long as others wait", 30 * time.Second, 10 * time.Second, false},
@@ -145,9 +141,8 @@
 	}
 }
 
-// Symptom: steps that had the room are late, and so are those that come after them. Events:
-// groups end, the load falls below where it is over, and the order goes back to time to
-// spare. Cause: a group that is waited for still has no room.
+// Overload mode lasts while a wanted group has no capacity, even if the load falls below the
+// threshold: least-slack order would make late steps displace those that are in time.
 func TestCrowdedUntilAllHaveRoom(t *testing.T) {
 	pl := Planner{Lingers: true}
 	st := stepOf("a", 8*time.Second, 6, 6)
@@ -164,14 +159,14 @@
 	hasty.Lingers = false
 	hasty.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
 	assert.Assert(t, !hasty.Crowded(), "others wait that ask for little")
-	st.Left = -time.Second // what is late has no room to lose
+	st.Left = -time.Second // a late step doesn't prolong the overload
 	pl.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
 	pl.Plan([]*Step{st}, 2, begin.Add(5*time.Second))
 	assert.Assert(t, !pl.Crowded())
 }
 
-// Any steps: each group has a position of its own, those in time come first, and their
-// work fits into the room until their steps are due.
+// For random steps, positions are unique, groups in time come first, and their work fits into
+// the capacity until their steps are due.
 func TestPlansOfAnySteps(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 2000 {
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// planPlainly does what Plan does, and compares each step with each other one for each group.
+// planPlainly is a reference implementation of Plan in quadratic time per group.
 func planPlainly(pl *Planner, steps []*Step, places float64, now time.Time) {
 	var work, due time.Duration
 	for _, st := range steps {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// drawSteps draws steps of which many are alike, twice.
+// drawSteps draws steps, many of them similar, and returns them with a deep copy.
 func drawSteps(t *rapid.T) (steps, twins []*Step) {
 	seconds := rapid.SampledFrom([]int{-1, 0, 1, 2, 2, 5, 8})
 	for i := range rapid.IntRange(0, 6).Draw(t, "steps") {
@@ -110,7 +110,7 @@
 	return lines
 }
 
-// Symptom: a shorter way to the plan gives other groups the room.
+// Guards against optimizations of Plan that change its result.
 func TestPlansAsAPlainPlanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		way := rapid.SampledFrom([]Way{HandedIn, Cheapest, Alike, BySpare}).Draw(t, "way")
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -15,15 +15,15 @@
 	"wisteriacroft/runner"
 )
 
-// A simCustomer is a customer of a replay with trainers of a dozen engines' load each.
+// A simCustomer is a customer of a replay.
 type simCustomer struct {
-	away     func(at time.Duration) bool // it asks for nothing; nil means never
+	away     func(at time.Duration) bool // reports whether it is inactive; nil means never
 	name     string
 	trainers int
 }
 
-// compete replays customers before some engines, and returns which part of the groups
-// that each asked for were in time. Each is called at every tick and may be nil.
+// compete replays customers that share engines, and returns by customer the fraction of
+// requested groups in time. The function each is called at every tick and may be nil.
 func compete(engines int, customers []simCustomer, seed uint64, each func(re *replay, at time.Duration)) map[string]float64 {
 	var trainers []*simTrainer
 	away := map[*simTrainer]func(at time.Duration) bool{}
@@ -56,7 +56,7 @@
 	return got
 }
 
-// meanOf returns the mean part of groups in time of a customer over some luck.
+// meanOf returns a customer's mean fraction of groups in time over as many seeds as luck.
 func meanOf(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
 	parts := make([]float64, luck)
@@ -71,8 +71,7 @@
 	return total / float64(luck)
 }
 
-// Load pattern: a customer asks for ten times its part. The others' groups in time fall
-// by a tenth at most against a day on which it asks for its part.
+// A customer at ten times its share may reduce the other's groups in time by at most a tenth.
 func TestCustomerAtTenTimesItsPart(t *testing.T) {
 	const luck = 24
 	beside, before := 0.0, 0.0
@@ -89,8 +88,8 @@
 	assert.Assert(t, beside >= 0.9*before)
 }
 
-// Load pattern: many small customers, each within its part, beside one that asks for far
-// more. None has under a quarter of the mean.
+// Many small customers within their shares beside a large one: none gets less than a quarter
+// of the mean.
 func TestManySmallCustomersBesideALargeOne(t *testing.T) {
 	customers := []simCustomer{{name: "large", trainers: 12}}
 	for i := range 6 {
@@ -113,8 +112,7 @@
 	}
 }
 
-// Load pattern: a customer that was away for most of the day comes back with as much as
-// another that stayed. It gets as much as that one, and not all.
+// A customer that returns after inactivity gets as much as one that stayed, not everything.
 func TestCustomerThatComesBack(t *testing.T) {
 	gone := func(at time.Duration) bool { return at < dayLength/2 }
 	for seed := range uint64(3) {
@@ -135,8 +133,8 @@
 	}
 }
 
-// crowd returns a table on which a large customer has all places while a small one
-// waits for two seconds, as of the end of that time.
+// crowd returns a table on which a large customer has held all slots for two seconds while a
+// small one waited, and the time at the end of it.
 func crowd(t *testing.T) (ta *Table, end time.Time) {
 	t.Helper()
 	ta = tableOf(t, 1, "a")
@@ -154,11 +152,7 @@
 }
 
 func TestChangeOfSchedulerKeepsCustomersParts(t *testing.T) {
-	// Symptom: after a change of scheduler the customer that had far more than its
-	// part has the engines to itself once more.
-	// Sequence: a large customer is ahead of a small one; the scheduler dies, and the
-	// next one reads what was kept with the last write.
-	// Cause: what customers have had was in the memory of the scheduler alone.
+	// Guards against losing the customers' usage accounts when another scheduler takes over.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
@@ -189,9 +183,7 @@
 }
 
 func TestUnreadableAccountBeginsAnew(t *testing.T) {
-	// Symptom: no scheduler ever places anything again.
-	// Sequence: what is kept of customers' parts is cut off or of another release.
-	// Cause: reading it failed for good, and with it reading the steps.
+	// An account that can't be decoded must not keep a scheduler from reading the steps.
 	var me keyvalue.Memory
 	sc := schedulerOf(me.Client())
 	_, err := me.Client().Put(t.Context(), accountKey, []byte{0xff, 1}, 0, 0)
@@ -229,7 +221,7 @@
 	assert.Equal(t, len(ta.share.due(begin.Add(time.Hour))), 0)
 }
 
-// Six customers before 1,100 engines that are full, each with as many items waiting.
+// Six customers on 1,100 full engines, each with thousands of waiting items.
 func BenchmarkShare(b *testing.B) {
 	ta := NewTable(1, nil)
 	var infos []EngineInfo
@@ -257,14 +249,13 @@
 	}
 }
 
-// Load pattern: two customers ask for far more than their parts, and one for less. The one
-// that asks for less goes first; of the others none goes first for a step that the other
-// one has just had the room for.
+// Under overload, a customer within its share goes first. A lead of less than one step's
+// work doesn't change the order of the others.
 func TestRanksWhileTheRoomIsShort(t *testing.T) {
 	rm := NewTable(1, nil).room("service")
 	rm.withinPart = map[string]bool{"small": true}
 	ranks := map[string]int{"large": ranksOfAStep - 1, "other": 0, "small": 3, "far ahead": ranksOfAStep}
-	assert.DeepEqual(t, rm.rank(ranks), ranks) // while there is room
+	assert.DeepEqual(t, rm.rank(ranks), ranks) // no overload yet
 	step := &overload.Step{Due: time.Second, Groups: []*overload.Group{{Work: time.Minute}}, Wanted: 1}
 	rm.planner.Plan([]*overload.Step{step}, 1, begin)
 	assert.DeepEqual(t, rm.rank(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -15,22 +15,22 @@
 	"wisteriacroft/runner"
 )
 
-// A heavyLoad is trainers that ask for more than their engines can do.
+// A heavyLoad describes trainers that ask for more than their engines can do.
 type heavyLoad struct {
 	name    string
-	factors []float64 // of the engines' pace
+	factors []float64 // of the engines' time per event
 	sheet   simSheet
 	shapes  []shape
 }
 
-// A shape is how a trainer's steps look at a load of one.
+// A shape is the size of a trainer's steps at a load factor of 1.
 type shape struct {
 	groups, size, maxEvents int
 	lesson                  time.Duration
 }
 
-// heavyLoads returns three trainers before 47 engines, three before 46 engines of which a
-// third take 2.4 times as long, and four before 38 of which a third are slower.
+// heavyLoads returns three trainers with 47 engines, three with 46 engines of which a third
+// take 2.4 times as long, and four with 38 engines of which a third are slower.
 func heavyLoads() []heavyLoad {
 	even := simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}
 	tight := simSheet{eventTokens: 77, maxEvents: 152, prompt: 276, slots: 8, tokens: 32564}
@@ -45,7 +45,7 @@
 	}
 }
 
-// unevenFactors returns the pace of engines of which two thirds are fast.
+// unevenFactors returns factors of engines of which two thirds are fast.
 func unevenFactors(count int) []float64 {
 	fas := factors(count)
 	for i := range fas {
@@ -54,7 +54,7 @@
 	return fas
 }
 
-// newReplay returns a replay of the heavyLoad's steps, so many times as large.
+// newReplay returns a replay of the load with steps larger by the factor times.
 func (hl *heavyLoad) newReplay(times float64, way overload.Way) *replay {
 	var trainers []*simTrainer
 	for i, sh := range hl.shapes {
@@ -68,8 +68,8 @@
 	return re
 }
 
-// run replays the heavyLoad, and returns how many groups were in time and how many were
-// scheduled, and the least part of them that a trainer got.
+// run replays the load. It returns how many groups were in time, how many were requested,
+// and the smallest fraction in time of any trainer.
 func (hl *heavyLoad) run(times float64, way overload.Way) (inTime, owed int, least float64) {
 	re := hl.newReplay(times, way)
 	re.play(dayLength, nil)
@@ -82,17 +82,17 @@
 	return inTime, owed, least
 }
 
-// ways are the orders that were weighed.
+// ways are the overload policies to compare.
 var ways = []struct {
 	name string
 	way  overload.Way
 }{{"standing", overload.BySpare}, {"handed-in", overload.HandedIn}, {"cheapest", overload.Cheapest}, {"alike", overload.Alike}}
 
-// TestStepsBeyondTheRoom replays steps of two and a half and of four times the usual
-// size. By their time to spare alone, all items end at once, and late.
+// TestStepsBeyondTheRoom replays overload. Guards against least-slack placement under
+// overload, by which all items end at about the same time, and late.
 func TestStepsBeyondTheRoom(t *testing.T) {
 	times := []float64{1, 2.5, 4}
-	const main = 2 // ways that are replayed below four times the usual size, too
+	const main = 2 // these first policies are also replayed at lower load
 	var lines []string
 	var wg sync.WaitGroup
 	served := map[string]int{}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Symptom: after a change of scheduler, other groups get the places than before it, and
-// what was begun for the former ones is of no use.
+// A new scheduler must plan capacity for the same groups as its predecessor, or the work
+// started for them would be wasted.
 func TestSuccessorPlansAlike(t *testing.T) {
 	steps := []*Step{stepOf("first", 4, 4, 4, 4, 4, 4, 4), stepOf("second", 4, 4, 4, 4, 4)}
 	for _, st := range steps {
@@ -155,12 +155,11 @@
 		return text
 	}
 	before := plan(1, steps)
-	slices.Reverse(steps) // they may be read in any order
+	slices.Reverse(steps) // a scheduler may read them in any order
 	assert.Equal(t, plan(2, steps), before)
 }
 
-// A configuration that names no due time asks for no room: whatever is open, the order
-// stays as it is.
+// Steps without a due time never cause overload mode.
 func TestStepsWithoutADueTimeAreNotCrowded(t *testing.T) {
 	for due, want := range map[time.Duration]bool{0: false, 7500 * time.Millisecond: true} {
 		ta := tableOf(t, 1, "a")
@@ -172,7 +171,7 @@
 	}
 }
 
-// largeLoad is six trainers before so many engines, whose steps grow with these.
+// largeLoad returns six trainers whose step sizes are proportional to the number of engines.
 func largeLoad(engines int) *heavyLoad {
 	hl := &heavyLoad{factors: factors(engines), sheet: simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
@@ -181,9 +180,8 @@
 	return hl
 }
 
-// BenchmarkTick is ticks at some engines and six trainers of whose steps most items wait:
-// placing while runs go on, end and begin, and all that a tick decides then; placing when
-// nothing has changed, and of it the plan alone.
+// BenchmarkTick times ticks with six trainers most of whose items wait: placement and whole
+// ticks under changing load, placement without changes, and planning alone.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{46, 300, 1100} {
 		for _, wa := range ways[:2] {
@@ -228,10 +226,8 @@
 	}
 }
 
-// Load pattern: engines of another make take three times as long for a token, and trainers
-// ask for several times what they can do. By a time of a token that is taken for granted,
-// a step seems to be a third of the work that it is, and is not called crowded until all
-// are late.
+// Engines that take three times the default time per token, under overload. With the default
+// time, work would be underestimated and the overload detected too late.
 func TestEnginesOfAnotherMake(t *testing.T) {
 	sheet := simSheet{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
 	hl := heavyLoad{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
@@ -246,8 +242,8 @@
 	golden.Assert(t, text, "other-make.golden")
 }
 
-// What a token takes is learned from the engines only once they differ from the usual by
-// more than their load explains.
+// The time per token is measured only if engines differ from the default by more than their
+// load explains.
 func TestTokenTime(t *testing.T) {
 	var ga tokenGauge
 	usual := usualTokenTime * 64
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -10,9 +10,7 @@
 	"wisteriacroft/runner"
 )
 
-// Load pattern: thousands of engines, of which most run nothing, beside a few steps. Ten
-// looks a second at each took a scheduler more time than it has; its reward calls, its
-// runs and its answers to its standbys were late.
+// Guards against a scheduler overloaded by exchanges with thousands of idle engines.
 func TestIdleEnginesAreLookedAtLessOften(t *testing.T) {
 	for _, tc := range []struct {
 		engines int
@@ -53,7 +51,7 @@
 	}
 }
 
-// BenchmarkSetEngines is a look at 2,700 engines.
+// BenchmarkSetEngines updates a table of 2,700 engines.
 func BenchmarkSetEngines(b *testing.B) {
 	ta := NewTable(1, nil)
 	var infos []EngineInfo
--- a/step/fixture_test.go
+++ b/step/fixture_test.go
@@ -12,7 +12,7 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// tableOf returns a table of an epoch with engines that have been heard from.
+// tableOf returns a table with engines whose attendants have responded.
 func tableOf(t *testing.T, epoch uint64, engines ...string) *Table {
 	t.Helper()
 	ta := NewTable(epoch, nil)
@@ -31,8 +31,8 @@
 	ta.SetEngines(infos, now)
 }
 
-// hear makes an engine's attendant answer, at version 1 unless the answer says
-// more.
+// hear delivers an exchange response of an engine's attendant, with version 1 of the weights
+// unless the response reports versions.
 func hear(ta *Table, id string, re runner.ExchangeResponse, now time.Time) {
 	re.Boot, re.Reachable = "boot", true
 	if re.Report.Versions == nil {
@@ -47,7 +47,7 @@
 	ta.Heard(id, rq, re, now)
 }
 
-// stepOf returns a step with groups of the sizes given.
+// stepOf returns a step with groups of the given sizes.
 func stepOf(id string, sizes ...int) *Step {
 	st := &Step{
 		Accepted: begin, Due: 7500 * time.Millisecond, Groups: len(sizes), ID: id, MaxAttempts: 2, MinVersion: 1,
@@ -71,7 +71,7 @@
 	return evs
 }
 
-// keyOf returns the run of a step's item, which must be placed.
+// keyOf returns the engine and key of an item's run, which must exist.
 func keyOf(t *testing.T, ta *Table, step string, item int) (engine string, key runner.Key) {
 	t.Helper()
 	ir := ta.steps[step].items[item]
--- a/step/gauge_test.go
+++ b/step/gauge_test.go
@@ -9,9 +9,8 @@
 )
 
 func TestTokenGauge(t *testing.T) {
-	// Symptom: engines are filled beyond their memory, and stop their newest runs.
-	// Sequence: a deployment's events hold 80 tokens, where another's hold 62.
-	// Cause: one number was taken for all.
+	// Guards against overfilled engines: the number of tokens per event differs between
+	// deployments and is estimated from hints.
 	rng := rand.New(rand.NewPCG(1, 1))
 	var ga tokenGauge
 	assert.Equal(t, ga.eventTokens(), usualEventTokens)
@@ -36,11 +35,8 @@
 }
 
 func TestTokenGaugeByBounds(t *testing.T) {
-	// Symptom: a step's last read is renewed, or its results are listed, just before its
-	// end, and its trainer looks half a second later.
-	// Sequence: items end, some early with equal lengths by chance, some at their bound.
-	// Cause: the end of the longest item was expected by hints, which are off by a half,
-	// a second after it came.
+	// Items that end at their token limit give the exact tokens per event, which hints give
+	// only roughly. Early ends of equal length must not be mistaken for the limit.
 	rng := rand.New(rand.NewPCG(1, 1))
 	var ga tokenGauge
 	end := func(events int) {
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -14,7 +14,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-// writeListed lists results of a step in chunks, as a scheduler does.
+// writeListed writes results of a step in chunks, as a scheduler does.
 func writeListed(t *testing.T, ke *Keeper, chunks [][]Result) {
 	t.Helper()
 	for number, results := range chunks {
@@ -59,12 +59,8 @@
 }
 
 func TestNewSchedulerPlacesBeforeItReadsTexts(t *testing.T) {
-	// Symptom: after a loss of all power, engines stand idle for 0.2 to 0.3 s more, once
-	// there is a scheduler again.
-	// Sequence: several steps are half listed when the power fails. The next scheduler
-	// takes the lease and reads what is kept of them.
-	// Cause: it read the texts of all results, some megabytes, of which it needed to know
-	// only which items they are of.
+	// A new scheduler reads only the names of listed items before it places the others, not
+	// megabytes of result texts.
 	var me keyvalue.Memory
 	writeListed(t, &Keeper{Client: me.Client()}, chunksOf(2, 1))
 	size := 0
@@ -84,8 +80,8 @@
 }
 
 func TestReadOfWhatAnEarlierSchedulerListed(t *testing.T) {
-	// What a position holds never changes, whoever listed it, from wherever a trainer reads,
-	// before and after its step has ended, and while the texts are fetched.
+	// The result at a position never changes: for any scheduler, any start of a read, before
+	// and after the step ends, and while the texts are loaded.
 	for _, tt := range []struct {
 		name          string
 		marks, filled bool
@@ -144,7 +140,7 @@
 				}
 				ta.End("s")
 				check(4)
-				ta.steps["s"].results = nil // as when they leave memory
+				ta.steps["s"].results = nil // as if evicted from memory
 				check(4)
 			})
 		})
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -9,8 +9,8 @@
 	"wisteriacroft/runner"
 )
 
-// crowded returns a table whose engine a, of 10,000 tokens, holds 9,000 in runs
-// of the prompts given, beside the empty engine b of a pace.
+// crowded returns a table with two engines: a, with memory for 10,000 tokens, runs items with
+// the given prompts, and b is empty and has the given time per event.
 func crowded(t *testing.T, pace time.Duration, prompts ...int) (*Table, []*itemRow) {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
@@ -37,10 +37,8 @@
 }
 
 func TestPatientRunLeavesCrowdedEngine(t *testing.T) {
-	// Symptom: the longest item of a step moves three times, and is late.
-	// Sequence: an engine fills up with long items and new short ones.
-	// Cause: the run that held most had to leave, which is the one that the step
-	// waits for, and it went to engines that are slower all day.
+	// An engine short of memory moves the run with the most slack, not the largest, which
+	// is usually the last one of its step, and not to a slower engine.
 	const usual = 40 * time.Millisecond
 	ta, irs := crowded(t, usual, 4000, 3000, 2000, 100)
 	irs[0].item.Hint, irs[1].item.Hint, irs[2].item.Hint = 900, 100, 800
@@ -60,9 +58,7 @@
 }
 
 func TestComingRunsCount(t *testing.T) {
-	// Symptom: runs leave an engine as soon as they have come.
-	// Sequence: the runs of several full engines see one empty engine at once.
-	// Cause: what was on its way there was not counted.
+	// Incoming runs count as load of the target engine, so that it isn't overfilled.
 	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
 	ta.move(irs[0], ta.engines["a"], memoryReason, begin)
 	assert.Equal(t, irs[0].target, "b")
@@ -73,10 +69,8 @@
 }
 
 func TestPaceOfFullEngineIsNoReasonToMove(t *testing.T) {
-	// Symptom: three runs leave a full engine for an empty one at the same tick,
-	// which is then as full, and go on from there.
-	// Sequence: engines of one pace, of which one has been empty for a while.
-	// Cause: the pace that each showed last was compared, whatever it ran then.
+	// Guards against runs that move back and forth: engines are compared at equal load, not
+	// by the last reported pace.
 	ta, irs := crowded(t, 40*time.Millisecond, 2000, 2000, 2000, 2000)
 	for i, ir := range irs {
 		ir.events = events(1, minMoveEvents+1, 1)
@@ -90,20 +84,15 @@
 }
 
 func TestLoadsAtOnce(t *testing.T) {
-	// Load pattern: four trainers name a version every few seconds, each before 38
-	// engines. The store of weights serves 8 loads at full speed, of which 7 were made:
-	// steps began on the few engines that had their weights.
+	// A fifth of the engines, rounded to the nearest, loads weights at the same time.
 	for engines, loads := range map[int]int{4: 2, 11: 2, 12: 2, 38: 8, 46: 9, 47: 9, 50: 10} {
 		assert.Equal(t, loadsAtOnce(engines), loads, "%d engines", engines)
 	}
 }
 
 func TestMovedRunIsHeardAtOnce(t *testing.T) {
-	// Symptom: a step's longest item makes nothing for a tenth of a second and more each
-	// time it is moved.
-	// Sequence: a run is asked to stop; it ends within milliseconds.
-	// Cause: the scheduler heard of it with its next exchange, and placed the item at its
-	// next tick.
+	// The exchange waits for the end of a stopping run, and the item is restarted at once
+	// rather than at the next tick.
 	ta := tableOf(t, 1, "a", "b")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -15,12 +15,12 @@
 	"wisteriacroft/runner"
 )
 
-// A twinTable is two tables to which the same happens: one places as schedulers do, the
-// other plainly.
+// A twinTable applies the same events to two tables: one places items as schedulers do, the
+// other by the reference implementation.
 type twinTable struct {
 	engines []EngineInfo
 	holds   int64 // versions of what is held
-	light   bool  // most places stand empty, so that runs have where to move
+	light   bool  // most slots are free, so that runs can move
 	now     time.Time
 	serial  int
 	tables  [2]*Table
@@ -37,7 +37,7 @@
 	twinCustomers = []string{"", "large", "small"}
 )
 
-// drawStep hands a step in, of which items may have come before.
+// drawStep submits a step, whose items may have been in earlier steps.
 func (tw *twinTable) drawStep(t *rapid.T) {
 	st := &Step{
 		Accepted: tw.now, Customer: rapid.SampledFrom(twinCustomers).Draw(t, "customer"), ID: fmt.Sprint("step-", tw.serial),
@@ -50,7 +50,7 @@
 	if tw.light {
 		items = (items + 3) / 4
 	}
-	first := tw.serial % 3 * 5 // groups come again under their names
+	first := tw.serial % 3 * 5 // group names recur in later steps
 	for i := range items {
 		group := i * groups / items
 		if interleaved {
@@ -72,7 +72,7 @@
 	tw.both(func(ta *Table) { ta.Accept(st, Kept{}, false, tw.now) })
 }
 
-// drawEngines changes what engines there are.
+// drawEngines changes the set of engines and their properties.
 func (tw *twinTable) drawEngines(t *rapid.T) {
 	for i := range tw.engines {
 		if rapid.IntRange(0, 3).Draw(t, "same") > 0 {
@@ -92,7 +92,7 @@
 	tw.both(func(ta *Table) { ta.SetEngines(infos, tw.now) })
 }
 
-// drawAnswers makes most attendants answer.
+// drawAnswers delivers exchange responses of most attendants.
 func (tw *twinTable) drawAnswers(t *rapid.T) {
 	for _, en := range tw.tables[0].sorted {
 		if rapid.IntRange(0, 3).Draw(t, "answers") > 0 {
@@ -101,7 +101,7 @@
 	}
 }
 
-// drawAnswer makes an engine's attendant answer.
+// drawAnswer delivers an exchange response of one engine's attendant.
 func (tw *twinTable) drawAnswer(t *rapid.T, en *engineRow) {
 	re := runner.ExchangeResponse{Boot: "boot", Reachable: rapid.IntRange(0, 9).Draw(t, "reachable") > 0}
 	re.Report = runner.Report{
@@ -144,7 +144,7 @@
 	})
 }
 
-// drawGauge has a model's events turn out to hold another number of tokens.
+// drawGauge changes the observed number of tokens per event of a model.
 func (tw *twinTable) drawGauge(t *rapid.T) {
 	model, tokens := rapid.SampledFrom(twinModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
 	tw.both(func(ta *Table) {
@@ -193,12 +193,12 @@
 	}
 }
 
-// pass lets time pass in which runs make nothing.
+// pass advances the time without any events.
 func (tw *twinTable) pass(t *rapid.T) {
 	tw.now = tw.now.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "passes")) * 600 * time.Millisecond)
 }
 
-// tick places in each of the tables in its way, after what else a tick decides.
+// tick runs all systems of a tick on both tables, each with its own placement.
 func (tw *twinTable) tick() {
 	tw.now = tw.now.Add(tickEvery)
 	for i, ta := range tw.tables {
@@ -217,8 +217,8 @@
 	}
 }
 
-// compare fails unless both tables have placed alike, and know of engines' memory what a
-// sum of all runs says.
+// compare fails unless both tables have the same placements, and the cached sums of engines'
+// memory match a full recount.
 func (tw *twinTable) compare(t *rapid.T) {
 	lines := [2][]string{}
 	for i, ta := range tw.tables {
@@ -246,8 +246,8 @@
 	}
 }
 
-// Symptom: what is kept between ticks to make placing cheap goes stale with some event,
-// and items go to other engines, or in another order, than a look at everything says.
+// Guards against stale caches: placement with state kept between ticks must equal a full
+// recomputation after any sequence of events.
 func TestPlacesAsAPlainLookDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tw := &twinTable{now: begin, tables: [2]*Table{NewTable(1, nil), NewTable(1, nil)}}
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// plainCounts counts customers' items by looking at each.
+// plainCounts counts customers' items without cached summaries.
 func plainCounts(ta *Table, now time.Time) map[useKey]useCount {
 	counts := map[useKey]useCount{}
 	for _, sr := range ta.order {
@@ -27,7 +27,7 @@
 	return counts
 }
 
-// plainEndsIn tells when a step is expected to end by looking at each item.
+// plainEndsIn returns when a step is expected to end, without cached summaries.
 func plainEndsIn(ta *Table, sr *stepRow, now time.Time) time.Duration {
 	groups := map[string]time.Duration{}
 	for _, ir := range sr.items {
@@ -53,8 +53,7 @@
 	return max(must, others[min(missing, len(others))-1])
 }
 
-// plainLeaving finds the runs of a step that would do better elsewhere by looking at each
-// item.
+// plainLeaving returns the runs of a step that should move, without cached summaries.
 func plainLeaving(ta *Table, sr *stepRow, now time.Time) []leave {
 	var les []leave
 	for _, ir := range sr.items {
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/overload"
 )
 
-// placePlainly does what Place does with nothing kept from one tick to the next: each item
-// that waits is looked at, and each engine that has a place for each of them.
+// placePlainly is the reference implementation of Place: it keeps no state between ticks and
+// compares every waiting item with every engine that has a free slot.
 func placePlainly(ta *Table, now time.Time) {
 	if ta.listening(now) {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// A plainPlacing knows of which engines a run is about to end. One that gave back a place
-// in this round isn't looked at again in it.
+// A plainPlacing records which engines have a run about to end. The flag of an engine that
+// released a reserved slot isn't updated again in the same round.
 type plainPlacing struct{ released, soon map[*engineRow]bool }
 
 func (pp *plainPlacing) release(ta *Table, ir *itemRow) {
@@ -177,7 +177,7 @@
 	slices.SortStableFunc(irs, func(a, b *itemRow) int {
 		service := a.step.step.Service
 		if order := cmp.Compare(service, b.step.step.Service); order != 0 {
-			return order // they don't wait for the same places
+			return order // services don't compete for slots
 		}
 		ranks := ta.rooms[service].rank(waiting)
 		order := cmp.Compare(ranks[a.step.step.Customer], ranks[b.step.step.Customer])
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -7,12 +7,11 @@
 	"wisteriacroft/runner"
 )
 
-// A replay plays a load against a Table in steps of a tick: engines that make
-// tokens at a pace that depends on what they run, attendants that answer each
-// second tick, and trainers that ask for steps and end them.
+// A replay simulates a load on a Table tick by tick: engines, attendants that respond every
+// second tick, and trainers.
 type replay struct {
-	baseline bool // no run is moved, and the freest engine is taken
-	known    bool // engines' paces are known as they change
+	baseline bool // runs aren't moved, and the engine with the most free slots is chosen
+	known    bool // the table gets the exact pace of each engine
 	engines  []*simEngine
 	now      time.Time
 	sheet    simSheet
@@ -20,18 +19,16 @@
 	trainers []*simTrainer
 }
 
-// A simSheet is what a deployment's sheet says of its engines and items.
+// A simSheet holds the properties of a deployment's engines and items.
 type simSheet struct {
-	eventTokens int // tokens of an event
+	eventTokens int // tokens per event
 	maxEvents   int // of the longest item
-	prompt      int // tokens of a prompt
-	slots       int // of an engine
-	tokens      int // memory of an engine
+	prompt      int // tokens per prompt
+	slots       int // per engine
+	tokens      int // memory per engine
 }
 
-// The sheets of the deployments: one trainer before a dozen engines, four
-// before 46, two before 62, whose items are long and short, four before 50 with little
-// memory, and four before 38, of which a third are slower and one asks for wide groups.
+// The deployments to simulate, from a dozen to 62 engines.
 var (
 	smallSheet = simSheet{eventTokens: 64, maxEvents: 195, prompt: 271, slots: 12, tokens: 46422}
 	grownSheet = simSheet{eventTokens: 80, maxEvents: 149, prompt: 1016, slots: 8, tokens: 43562}
@@ -41,7 +38,7 @@
 	tightSheet = simSheet{eventTokens: 80, maxEvents: 154, prompt: 276, slots: 8, tokens: 31632}
 )
 
-// newReplay returns a replay of a sheet with an engine for each factor.
+// newReplay returns a replay with an engine for each factor.
 func newReplay(sheet simSheet, factors []float64, trainers []*simTrainer) *replay {
 	re := &replay{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), sheet: sheet, table: NewTable(1, nil), trainers: trainers}
 	for i, factor := range factors {
@@ -60,8 +57,8 @@
 	return re
 }
 
-// loadTime returns how long a load takes that begins now: the store of weights
-// serves a fifth of the engines at full speed.
+// loadTime returns how long a weight load that starts now takes: the weight store serves a
+// fifth of the engines at full speed.
 func (re *replay) loadTime() time.Duration {
 	loading := 1
 	for _, se := range re.engines {
@@ -72,11 +69,11 @@
 	return time.Duration(float64(simLoad) * max(1, float64(loading)*5/float64(len(re.engines))))
 }
 
-// playing bounds the loads that are played at once. Taking all processors for a minute,
-// they made the tests of real processes late that run beside them.
+// playing limits concurrent replays, which would otherwise take the processors from tests of
+// real processes.
 var playing = make(chan struct{}, 4)
 
-// play plays a load for a time.
+// play runs the replay for the given time, and calls each, if not nil, at every tick.
 func (re *replay) play(length time.Duration, each func(at time.Duration)) {
 	playing <- struct{}{}
 	defer func() { <-playing }()
@@ -97,7 +94,7 @@
 	}
 }
 
-// hear lets engines go on for a tick, and half of the attendants answer.
+// hear advances the engines by a tick and delivers responses of half of the attendants.
 func (re *replay) hear(tick int) {
 	var infos []EngineInfo
 	for _, se := range re.engines {
@@ -114,7 +111,7 @@
 	}
 }
 
-// decideBefore is what a tick decides before it places items.
+// decideBefore runs the systems that precede placement.
 func (re *replay) decideBefore() {
 	ta := re.table
 	ta.Silence(re.now)
@@ -130,7 +127,7 @@
 	}
 }
 
-// decideAfter is what a tick decides after it has placed items.
+// decideAfter runs the systems that follow placement.
 func (re *replay) decideAfter() {
 	ta := re.table
 	ta.Weights(re.now)
@@ -139,7 +136,7 @@
 	}
 }
 
-// readOn lets trainers ask for steps, and read what is listed.
+// readOn lets trainers submit steps and read results.
 func (re *replay) readOn() {
 	for _, tr := range re.trainers {
 		tr.ask(re)
@@ -147,7 +144,7 @@
 	}
 }
 
-// tellPaces tells the table the pace of each engine as it is.
+// tellPaces sets the exact base pace of each engine in the table.
 func (re *replay) tellPaces() {
 	bases := map[string][]time.Duration{}
 	for _, se := range re.engines {
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -10,8 +10,8 @@
 	"wisteriacroft/runner"
 )
 
-// twoServices returns a table with engines of two places each of two services, "service"
-// and "other", and a step at the first of items that take a second and more.
+// twoServices returns a table with engines of the services "service" and "other", two slots
+// each, and a step for the first whose items take a second or more.
 func twoServices(t *testing.T, engines, others, items int) *Table {
 	t.Helper()
 	ta := NewTable(1, nil)
@@ -50,11 +50,8 @@
 }
 
 func TestFreeRoomOfOneServiceIsNotAnothers(t *testing.T) {
-	// Symptom: all groups of a step are late, and none of them goes first.
-	// Sequence: a step asks for far more than its service's engines can end; another
-	// service, which has steps open too, has many engines free.
-	// Cause: the places of all services were added up, and room was kept for groups in
-	// places that can't run them.
+	// Guards against planning a step's groups into slots of engines of another service,
+	// which can't run them.
 	ta := twoServices(t, 1, 20, 30)
 	st := stepOf("t", 1)
 	st.Service = "other"
@@ -65,10 +62,8 @@
 }
 
 func TestCrowdedServiceCrowdsNoOther(t *testing.T) {
-	// Symptom: steps of a service with places to spare run in the order of hand-in, its
-	// engines load the weights of all models, and its runs are refused their moves.
-	// Sequence: a step asks another service for far more than it can do.
-	// Cause: one load was told of all services together.
+	// An overloaded service must not put another service, which has free slots, into
+	// overload mode.
 	ta := twoServices(t, 1, 4, 300)
 	st := stepOf("t", 1)
 	st.Service = "other"
@@ -89,8 +84,7 @@
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
-// The load of one service rises and falls between the bounds while another's comes and
-// goes: each is crowded by what it was itself.
+// The hysteresis of overload detection is kept for each service on its own.
 func TestServicesRememberWhetherTheyWereCrowded(t *testing.T) {
 	ta := twoServices(t, 1, 1, 30)
 	ta.planRoom(begin)
@@ -106,8 +100,7 @@
 	assert.Assert(t, rooms["other"].Load > 0)
 }
 
-// A customer that has steps at another service alone doesn't keep items from being sent
-// ahead: they take nothing from it.
+// A customer with steps at another service only doesn't prevent items from being sent ahead.
 func TestCustomersOfOtherServicesDontCompete(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
 	ta.steps["s"].step.Customer = "large"
@@ -121,7 +114,7 @@
 	assert.Assert(t, ta.sendsAhead("service"))
 }
 
-// Each service has figures of its own, and none any more once it had no step for a while.
+// Each service has its own metrics, which are unregistered after it had no steps for a while.
 func TestRoomsAreMeasuredByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
 	ta.planRoom(begin)
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -8,9 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// shares replays two trainers' worth of customers: one with few groups, and one that asks
-// for ten times as much as the engines bear beside it. It returns the part of the small
-// one's groups that were in time, and of all.
+// shares replays a small customer with one trainer beside a large one with ten. It returns
+// the fraction of groups in time of the small customer, and of both together.
 func shares(seed uint64, anyShare bool) (small, all float64) {
 	trainers := []*simTrainer{newTrainer(smallSheet, "small", 10, 4, 500*time.Millisecond, seed)}
 	for i := range 10 {
@@ -33,8 +32,8 @@
 	return float64(trainers[0].inTime) / float64(int(dayLength/trainers[0].every)*trainers[0].target), float64(inTime) / float64(owed)
 }
 
-// One customer asks for ten times what another does, and for more than the engines
-// bear. The other one's steps must not be late for it.
+// A customer that asks for more than the engines can do must not delay the steps of a small
+// customer.
 func TestSmallCustomerBesideALargeOne(t *testing.T) {
 	var small, all, smallBefore, allBefore float64
 	const luck = 4
--- a/step/simengine_test.go
+++ b/step/simengine_test.go
@@ -9,9 +9,8 @@
 	"wisteriacroft/runner"
 )
 
-// A simEngine makes tokens as the engines of the deployments do, by their
-// sheet: 0.592 ms for a step of all runs, 1.72 us more for each run and 1.63 us
-// for each thousand tokens of context.
+// A simEngine simulates an engine: a decoding step of all runs takes 0.592 ms, 1.72 us for
+// each run and 1.63 us for each thousand tokens of context.
 type simEngine struct {
 	id       string
 	factor   float64 // slower by
@@ -67,7 +66,7 @@
 	return count
 }
 
-// pace is the time of one event.
+// pace returns the time per event.
 func (se *simEngine) pace() time.Duration {
 	step := 0.592 + 0.00172*float64(se.alive()) + 0.00163*se.context()/1000
 	return time.Duration(step * float64(se.sheet.eventTokens) * se.factor * float64(time.Millisecond))
@@ -86,11 +85,11 @@
 		if ru.state != runner.Running {
 			continue
 		}
-		// What comes beyond the places waits for the end of another run.
+		// Runs beyond the slots wait for another run to end.
 		if active++; active > se.sheet.slots {
 			break
 		}
-		// Out of memory, the newest runs wait until older ones have ended.
+		// Without memory, the newest runs wait until older ones have ended.
 		if held += se.holds(ru); held > float64(se.sheet.tokens) {
 			continue
 		}
@@ -119,7 +118,7 @@
 				ru.length, ru.model = length, tr.model
 			}
 		}
-		// Reading the prompt and what was made elsewhere takes time.
+		// Prefill of the prompt and of the prior events takes time.
 		read := float64(se.sheet.prompt + len(la.Prior)*se.sheet.eventTokens)
 		ru.made = -read / 307 / (float64(se.pace()) / float64(time.Millisecond))
 		if !se.loading.IsZero() && se.model == ru.model || se.alive() > se.sheet.slots {
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// A simTrainer asks for steps as the deployments' trainers do: step k once
-// version k is named, allowing k-1 and newer, two steps at a time at most.
+// A simTrainer simulates a trainer: it submits step k once version k is published, allows
+// versions from k-1 on, and has at most two steps open.
 type simTrainer struct {
-	carry    []string // groups that come again
+	carry    []string // groups to request again
 	customer string
 	due      time.Duration
 	every    time.Duration
 	exact    bool // hints are right
 	groups   int
 	lengths  map[string]int
-	lesson   time.Duration // that training takes
+	lesson   time.Duration // of training on one step
 	model    string
 	names    map[string][]Item // items by group
 	next     int
@@ -30,11 +30,11 @@
 	size     int
 	start    time.Time
 	target   int
-	trains   []time.Time // when the versions after steps that ended are named: one step is trained on after the other
+	trains   []time.Time // publication times of the next versions; steps are trained on one by one
 
 	inTime, asked int
 	took          []time.Duration
-	tails         []time.Duration // of each step, from its last result to its end
+	tails         []time.Duration // by step, from its last result to its end
 }
 
 type simStep struct {
@@ -48,13 +48,12 @@
 	reader simReader
 }
 
-// A simReader reads a step's results as the deployments' trainers do: a read waits
-// for a result for a second, its answer takes some time on its way, and the next
-// look comes half a second after the read was begun, or with the answer if that
-// comes later.
+// A simReader simulates how a trainer polls results: a read waits up to readWait for a
+// result, the response takes some time to arrive, and the next poll comes readEvery after
+// the start of the read or with the response, whichever is later.
 type simReader struct {
 	begun    time.Time // of the read
-	held     bool      // it waits for results
+	held     bool      // the read waits for results
 	lookAt   time.Time
 	release  func(now time.Time)
 	arriving int // results on their way
@@ -65,17 +64,14 @@
 const (
 	readEvery = 500 * time.Millisecond
 	readWait  = time.Second
-	// submitTime is what passes between a trainer's submission and the scheduler's
-	// learning of it.
+	// submitTime is the delay from a trainer's submission to the scheduler.
 	submitTime = 100 * time.Millisecond
-	// answerTime and answerRate are what an answer takes: 700 KB take 80 to 250 ms
-	// through entries of 0.8 and 0.144 cores.
+	// answerTime and answerRate are the latency and the bandwidth of responses.
 	answerTime = 20 * time.Millisecond
 	answerRate = 5 << 20 // bytes a second
 )
 
-// advance moves the answer of a read on, and reports whether the trainer looks at
-// what it has now.
+// advance progresses a read, and reports whether the trainer polls now.
 func (ss *simStep) advance(now time.Time) bool {
 	rd := &ss.reader
 	if rd.held {
@@ -101,14 +97,13 @@
 	return !now.Before(rd.lookAt)
 }
 
-// readOn begins a read.
+// readOn starts a read.
 func (ss *simStep) readOn(now time.Time) {
 	ss.reader = simReader{begun: now, held: true, release: ss.row.hold(now, readWait)}
 }
 
 func (tr *simTrainer) length() int {
-	// Lognormal with a mean of 27 events; 8 of 100 last five times as long. The
-	// longest are some 7 times the mean.
+	// Lognormal with a mean of 27 events; 8 percent are five times as long.
 	events := float64(tr.sheet.maxEvents) / 195 * 20 * math.Exp(0.78*tr.rng.NormFloat64())
 	if tr.rng.Float64() < 0.08 {
 		events *= 5
@@ -122,7 +117,7 @@
 		id := fmt.Sprintf("%s-%d", name, i)
 		length := tr.length()
 		tr.lengths[id] = length
-		noise := math.Exp(0.5 * tr.rng.NormFloat64()) // drawn for exact hints too, so that lengths are the same
+		noise := math.Exp(0.5 * tr.rng.NormFloat64()) // also drawn for exact hints, so that lengths stay the same
 		if tr.exact {
 			noise = 1
 		}
@@ -135,7 +130,7 @@
 	return its
 }
 
-// ask submits the step that is due, if its version is named.
+// ask submits the next step if it is due and its version is published.
 func (tr *simTrainer) ask(re *replay) {
 	when := tr.start.Add(time.Duration(tr.next) * tr.every)
 	if re.now.Before(when) || uint64(tr.next) > tr.named {
@@ -166,7 +161,7 @@
 	tr.next++
 }
 
-// look reads each open step, and ends those that are whole or out of time.
+// look reads each open step, and ends those that are complete or timed out.
 func (tr *simTrainer) look(re *replay) {
 	for len(tr.trains) > 0 && !re.now.Before(tr.trains[0]) {
 		tr.trains = tr.trains[1:]
@@ -202,7 +197,7 @@
 	return true
 }
 
-// learn trains on a step that has ended, after those that ended before.
+// learn schedules the training on a step that has ended, after earlier ones.
 func (tr *simTrainer) learn(now time.Time) {
 	begun := now
 	if len(tr.trains) > 0 {
@@ -211,8 +206,8 @@
 	tr.trains = append(tr.trains, begun.Add(tr.lesson))
 }
 
-// whole returns how many groups have been read whole, and how many of those that
-// were asked for before.
+// whole returns how many groups have been read completely, and how many of these had been
+// requested before.
 func (ss *simStep) whole(size int) (whole, first int) {
 	for name, count := range ss.readGroups() {
 		if count == size {
@@ -236,7 +231,7 @@
 
 func groupOf(item string) string { return item[:strings.LastIndex(item, "-")] }
 
-// lastDone returns when the last result that is listed was whole.
+// lastDone returns when the last listed item was completed.
 func (sr *stepRow) lastDone() time.Time {
 	var last time.Time
 	for _, ir := range sr.items {
@@ -247,7 +242,7 @@
 	return last
 }
 
-// carryOver keeps the groups that were not read whole for later steps.
+// carryOver keeps incompletely read groups for later steps.
 func (tr *simTrainer) carryOver(ss *simStep) {
 	read := ss.readGroups()
 	for _, it := range ss.step.Items {
@@ -258,8 +253,7 @@
 	slices.Sort(tr.carry)
 }
 
-// newTrainer returns a trainer of groups of a size; 9 of 10 groups, rounded up,
-// make a step.
+// newTrainer returns a trainer that waits for 90 percent of its groups, rounded up.
 func newTrainer(sheet simSheet, model string, groups, size int, lesson time.Duration, seed uint64) *simTrainer {
 	return &simTrainer{
 		due: 7500 * time.Millisecond, every: 4 * time.Second, groups: groups, lengths: map[string]int{},
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -11,9 +11,7 @@
 )
 
 func TestItemRestsAfterItsEnginesEnded(t *testing.T) {
-	// Each engine that ran an item ended at once. The item was placed again each
-	// time, with one "run given up ... broken: read the answer: EOF" after the
-	// other, until no engine was left for the rest of its step.
+	// An item that crashes its engines must be quarantined before it takes down all of them.
 	for _, tc := range []struct {
 		name  string
 		ended bool
@@ -38,13 +36,13 @@
 				}}}, at)
 			}
 			assert.Equal(t, runs, tc.runs)
-			keyOf(t, ta, "s", 1) // the other item runs all the while
+			keyOf(t, ta, "s", 1) // the other item still runs
 		})
 	}
 }
 
 func TestItemStaysAtRestUnderTheNextScheduler(t *testing.T) {
-	// The scheduler is lost, or the item's group comes again in a later step.
+	// Strikes are kept for the next scheduler and for later steps with the same item.
 	shared := &quarantine.Table{}
 	for _, step := range []string{"s", "t"} {
 		ta := tableOf(t, 1, "a", "b", "c")
@@ -62,8 +60,8 @@
 	}
 }
 
-// hearAll lets all attendants answer: runs make an event each and end after length of
-// them, but for those of engines that end now.
+// hearAll delivers responses of all attendants: each run makes one event and completes after
+// length events, unless ends reports that its engine has ended.
 func hearAll(ta *Table, ids []string, now time.Time, length int, ends func(en *engineRow) bool) {
 	for _, id := range ids {
 		en := ta.engines[id]
@@ -85,10 +83,8 @@
 	}
 }
 
-// Two items of a step of forty ended each engine that they reached, in a fleet of eight
-// that started again within seconds. Every engine ran five items at once, so that those
-// beside them looked as suspect: the two took six engines each before they were barred,
-// and others that had done nothing rested with them.
+// Items that crash their engines are tried alone, so that each takes at most three engines
+// and the items beside it aren't quarantined.
 func TestItemsThatEndTheirEnginesAreTriedAlone(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
@@ -121,13 +117,8 @@
 	}
 }
 
-// Half of all engines crash a moment after a step has begun, and again 0.5 s after its
-// items went on elsewhere: all of them are young both times. Taken for suspects, they
-// were tried one after the other on one engine of twelve, and the last ones were at no
-// engine for 12 s:
-//
-//	 4.17 engine ended under an item  item=0feacfd84955016a strikes=2 young=true others=4
-//	16.10 step ended                  listed=171 total=208
+// Guards against crashes of many engines that turn all items of a step into suspects, which
+// would then be tried one after the other.
 func TestCrashesOfManyEnginesHoldNoItemBack(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
@@ -152,8 +143,7 @@
 	}
 }
 
-// Half of all engines crash at once, twice in a row, under items that are not to blame.
-// None of these may wait.
+// Crashes of half of the engines at once make no item a suspect.
 func TestWavesOfCrashesMakeNoSuspects(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -29,9 +29,8 @@
 }
 
 func TestResume(t *testing.T) {
-	// Symptom: an item begins again, or its text has a hole.
-	// Sequence: an engine breaks a run after three events; another goes on.
-	// Cause: the text that was made was thrown away, or not told to the next.
+	// Guards against losing the generated text, or a part of it, when a run breaks and
+	// another engine resumes the item.
 	ta := tableOf(t, 1, "a", "b")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
@@ -47,9 +46,8 @@
 }
 
 func TestVersionsOfAText(t *testing.T) {
-	// Symptom: a trainer gets a sample that is older than it allows.
-	// Sequence: an item goes on under another version, or was made by an old one.
-	// Cause: the version at the launch was taken for that of every event.
+	// Guards against samples older than the trainer allows: the version is checked for
+	// every event, not only at launch.
 	for _, tc := range []struct {
 		name     string
 		single   bool
@@ -93,7 +91,7 @@
 }
 
 func TestGivenUpItems(t *testing.T) {
-	// Symptom: an item runs for ever, or is given up while it may still be done.
+	// Guards against items that run for ever, and items abandoned too early.
 	for _, tc := range []struct {
 		name   string
 		states []runner.State
@@ -137,10 +135,10 @@
 	assert.DeepEqual(t, ta.Forget(time.Minute, begin.Add(time.Hour)), []string{"s"})
 }
 
-// Symptom: a scheduler's memory grows with each step that has ended, for as long as it is
-// readable. Cause: the order in which its items waited still held them, with their texts.
+// Guards against a memory leak: the wait queue and the group order of a step that has ended
+// must not reference its items.
 func TestEndedStepsLetGoOfTheirItems(t *testing.T) {
-	for _, due := range []time.Duration{0, 7500 * time.Millisecond} { // without and with room planned
+	for _, due := range []time.Duration{0, 7500 * time.Millisecond} { // without and with planned capacity
 		ta := tableOf(t, 1, "a")
 		st := stepOf("s", 100, 100)
 		st.Due = due
@@ -163,10 +161,8 @@
 }
 
 func TestMovesKeepTheirPlace(t *testing.T) {
-	// Symptom: a run goes to and fro between slow engines, and is late.
-	// Sequence: an engine turns slow, its run is stopped, and items that waited
-	// take the place for which it was.
-	// Cause: nothing kept the place while the run stopped.
+	// Guards against losing the target slot of a moved run to a waiting item while the
+	// run stops.
 	ta := tableOf(t, 1, "a", "b", "c")
 	long := stepOf("s", 1)
 	long.Items[0].Tokens = 8000
@@ -201,8 +197,8 @@
 }
 
 func TestEnginesAreSharedByWork(t *testing.T) {
-	// Load pattern: three trainers with models of their own share the engines;
-	// baseline: each engine loads every version of each, and is never done.
+	// Three models share the engines in proportion to their work. Without shares every
+	// engine would load every version of every model.
 	ta := NewTable(1, nil)
 	var ids []string
 	for i := range 10 {
@@ -234,9 +230,8 @@
 }
 
 func TestOldResultsLeaveMemory(t *testing.T) {
-	// Symptom: a scheduler runs out of memory after half a minute of four trainers.
-	// Sequence: steps end one after the other, and all their results are held.
-	// Cause: nothing but the end of the time for which they can be read freed them.
+	// Guards against unbounded memory: results of ended steps beyond cachedResults bytes
+	// are dropped before their retention period ends.
 	ta := tableOf(t, 1, "a")
 	for i := range 4 {
 		id := fmt.Sprint("step-", i)
@@ -255,10 +250,8 @@
 }
 
 func TestNoModelIsStarvedOfLoads(t *testing.T) {
-	// Symptom: the steps of one trainer wait 4 s for engines and take 12 s.
-	// Sequence: four trainers name versions in turns, faster than the store of
-	// weights serves all engines.
-	// Cause: loads were given out in the order of the models' names.
+	// Guards against starving the model that sorts last when versions are published
+	// faster than the weight store can serve all engines.
 	ta := NewTable(1, nil)
 	var ids []string
 	models := []string{"a", "b", "c", "d"}
@@ -270,7 +263,7 @@
 		hear(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}}}, begin)
 	}
 	loads := map[string]int{}
-	for round := range 40 { // four loads in each, of twenty that the versions ask for
+	for round := range 40 { // four loads each; the versions need twenty
 		if round%4 == 0 {
 			for _, model := range models {
 				ta.SetVersion(model, uint64(2+round/4))
@@ -290,10 +283,7 @@
 }
 
 func TestLoadingEngineBeginsOtherModels(t *testing.T) {
-	// Symptom: items wait while engines with free places load weights.
-	// Sequence: an engine loads one model's version; another model's step comes.
-	// Cause: an engine that loads was taken for one that begins nothing, though
-	// only the runs of the model that it loads must wait.
+	// An engine that loads weights of one model still starts runs of other models.
 	ta := tableOf(t, 1, "a")
 	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
 	ta.SetVersion("other", 2)
@@ -309,10 +299,8 @@
 }
 
 func TestLengthOfAGroupThatWasNotRead(t *testing.T) {
-	// Symptom: a step is late by an item of which it is known how long it is.
-	// Sequence: an item becomes whole, its step ends before the trainer has read
-	// it, and its group comes again in a step that may not have its text.
-	// Cause: only groups that were not whole were noted.
+	// The length of an item is also remembered if its group was complete but not read
+	// before the step ended: the group may come again in a later step.
 	for _, listed := range []bool{false, true} {
 		ta := tableOf(t, 1, "a")
 		ta.Accept(stepOf("s", 1), Kept{}, false, begin)
--- a/step/work_test.go
+++ b/step/work_test.go
@@ -10,7 +10,7 @@
 	"wisteriacroft/quarantine"
 )
 
-// Work that is open is that of items which wait or run, due with their steps.
+// Open work includes waiting and running items, due with their steps.
 func TestOpenWork(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	first, second := stepOf("s", 2), stepOf("t", 1)
@@ -28,9 +28,8 @@
 }
 
 func TestWorkThatMustNotBeginAsksForNothing(t *testing.T) {
-	// Symptom: endpoints are ordered and stand idle.
-	// Sequence: an operator holds a step, or an item is quarantined.
-	// Cause: all that waits was counted as work that an endpoint could do.
+	// Guards against scaling up for items that can't start: those held by an operator or
+	// quarantined.
 	for name, stop := range map[string]func(t *testing.T, ta *Table){
 		"held": func(t *testing.T, ta *Table) {
 			ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
@@ -54,7 +53,7 @@
 	}
 }
 
-// An item that runs keeps its endpoint, held or not.
+// A running item counts as open work even if it is held.
 func TestHeldWorkThatRunsIsCounted(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
