--- a/listing/listing_test.go
+++ b/listing/listing_test.go
@@ -8,11 +8,8 @@
 )
 
 func TestDecide(t *testing.T) {
-	// Symptom: a step ends up to 1.3 s after its last result, and groups that are
-	// whole before they are due come late.
-	// Sequence: some results are listed just before the last ones, and answer the
-	// read that waits; the trainer reads on half a second later.
-	// Cause: results were listed every two seconds, whatever the trainer did.
+	// Guards against listing at fixed intervals, without regard to pending reads: the trainer gets the last results,
+	// or groups that are due, one read later than necessary.
 	const due = 7500 * time.Millisecond
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	read := func(age time.Duration) []Read { return []Read{{Begun: now.Add(-age), Wait: time.Second}} }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -14,7 +14,7 @@
 
 const second = time.Second
 
-// stepOf returns a step of one group for each of its items.
+// stepOf returns a step with the items in open, each in its own group unless set.
 func stepOf(id, customer string, age time.Duration, open ...ItemRow) StepRow {
 	sr := StepRow{Open: open, Service: "llm", Step: Step{Age: age, Customer: customer, Due: 8 * second, ID: id, Model: "m", Wanted: len(open)}}
 	for i := range sr.Open {
@@ -41,7 +41,7 @@
 	return ItemRow{Left: takes, Turn: turn, Wait: why}
 }
 
-// TestReasons asks which steps will be late and why.
+// TestReasons checks lateness, expected end and reason of a step.
 func TestReasons(t *testing.T) {
 	engines := []Engine{
 		{ID: "fast", Places: 2, Runs: 2, Service: "llm", State: Serving},
@@ -78,7 +78,7 @@
 	}
 }
 
-// A step waits for as many groups as it wants, not for all.
+// A step needs as many groups as wanted, not all of them.
 func TestGroupsBeyondThoseWanted(t *testing.T) {
 	sr := stepOf("s", "", second, runs("a", second), runs("a", 2*second), runs("a", 30*second))
 	sr.Wanted = 2
@@ -95,8 +95,8 @@
 	assert.Equal(t, got.Reason, ToBeListed)
 }
 
-// crowd returns steps at four times the room: one customer's ten steps before those of
-// three others, while one engine is slow and one is drained.
+// crowd returns an overload situation: ten steps of one customer are ahead of those of three others, and of four
+// engines one is slow, one drained and one silent.
 func crowd() Situation {
 	si := Situation{
 		Engines: []Engine{
@@ -131,15 +131,14 @@
 	return si
 }
 
-// TestCrowd shows an operator who took the room, and whose steps pay for it.
+// TestCrowd checks that the overview shows which customer uses the capacity and whose steps are late.
 func TestCrowd(t *testing.T) {
 	data, err := json.MarshalIndent(Summarize(crowd(), 0), "", "  ")
 	assert.NilError(t, err)
 	golden.Assert(t, string(data)+"\n", "crowd.golden")
 }
 
-// An overview stays small, however many steps and engines there are, and leaves out the
-// least troubled.
+// The overview is bounded in size and omits the least troubled rows.
 func TestBounds(t *testing.T) {
 	si := crowd()
 	for i := range 2 * MaxRows {
--- a/step/archive_test.go
+++ b/step/archive_test.go
@@ -14,13 +14,9 @@
 )
 
 func TestManyReadOldResults(t *testing.T) {
-	// Symptom: steps can't be read any more at the end of a day, for 5 s and longer.
-	// Sequence: steps have ended and left memory; twenty trainers read them from the
-	// start at once.
-	// Cause: each answer fetched and decoded the step's whole listing, so that the
-	// scheduler did nothing but collect garbage, and reads that timed out were
-	// repeated.
-	for _, before := range []bool{false, true} { // the step ended before the term
+	// Guards against concurrent readers of an ended step each fetching and decoding all of its results, until reads
+	// time out. Each chunk is fetched at most once.
+	for _, before := range []bool{false, true} { // whether the step ended before the term
 		t.Run(fmt.Sprintf("ended before the term %v", before), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
@@ -35,7 +31,7 @@
 				ta := NewTable(1, nil)
 				ta.Accept(stepOf("s", 5), Kept{Listed: chunks}, before, begin)
 				ta.End("s")
-				ta.steps["s"].results = nil // as when they leave memory
+				ta.steps["s"].results = nil // as after eviction from memory
 				te := &term{epoch: 1, ready: true, table: ta}
 				sc := &Scheduler{Keeper: ke, Log: quiet(), term: te}
 				me.SetFaults(keyvalue.Faults{Delay: 10 * time.Millisecond})
@@ -51,8 +47,7 @@
 	}
 }
 
-// readAll reads a step as trainers do: from the position after the last result
-// until nothing comes.
+// readAll pages through a step's results as trainers do, until an empty page, and returns the item IDs.
 func readAll(t *testing.T, sc *Scheduler) []string {
 	t.Helper()
 	var items []string
@@ -70,9 +65,7 @@
 }
 
 func TestReaderThatLeavesTakesNoneAlong(t *testing.T) {
-	// Symptom: a reader gets an error though the key-value service answers.
-	// Sequence: two readers wait for one chunk; the first one's time is up.
-	// Cause: the fetch ended with the one that had begun it.
+	// Guards against a shared fetch being canceled, for all readers, when the reader that started it times out.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		ke := &Keeper{Client: me.Client()}
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -10,12 +10,8 @@
 )
 
 func TestLittleTextIsLostWithAllPower(t *testing.T) {
-	// Symptom: after a loss of all power the longest items go on from a second before it,
-	// and from up to two seconds at some engines.
-	// Sequence: an item has been under way for some seconds, at the usual pace, when the
-	// power fails.
-	// Cause: text was kept each second, and only if a run had as many new events as it
-	// makes in just that time; one that had one fewer waited for a second more.
+	// Guards against a run that generates slightly more slowly than usual missing every other checkpoint, so that a
+	// power failure loses the text of up to two intervals.
 	for _, pace := range []time.Duration{36 * time.Millisecond, 49 * time.Millisecond, 53 * time.Millisecond} {
 		ta := tableOf(t, 1, "a")
 		ta.Accept(stepOf("s", 1), Kept{}, false, begin)
@@ -41,8 +37,7 @@
 }
 
 func TestShortTextIsNotKept(t *testing.T) {
-	// Most items end soon. Keeping the text of each that has just begun would cost more than
-	// making it again.
+	// Most items end soon: checkpointing runs that have just started would cost more than generating them again.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -10,10 +10,8 @@
 )
 
 func TestEndedStepsAreCut(t *testing.T) {
-	// Symptom: it takes a new scheduler a second until the steps under way go on.
-	// Sequence: a dozen steps have ended in the last half minute; the scheduler is
-	// lost, and its successor reads all steps.
-	// Cause: those that had ended were kept with the bodies of all their items.
+	// Guards against a slow failover: a new scheduler reads all stored steps, including the item bodies of ended ones
+	// unless these are removed when a step ends.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	ta := tableOf(t, 1, "a", "b")
@@ -30,7 +28,7 @@
 	ta.steps["open"].items[1].events = events(1, checkpointEvents, 1)
 	up := ta.Update(begin)
 	assert.Equal(t, len(up.Cuts), 1)
-	for range 2 { // it may be repeated
+	for range 2 { // the write is idempotent
 		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, up)
 		assert.NilError(t, err)
 	}
@@ -61,7 +59,8 @@
 }
 
 func TestCutOfALargeStep(t *testing.T) {
-	// The values beyond the first go, and a step that is dropped is not cut any more.
+	// Truncating a step that is stored in several values deletes all but the first. A step that has been dropped is
+	// no longer truncated.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	st := stepOf("s", 1)
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -10,7 +10,7 @@
 	"wisteriacroft/runner"
 )
 
-// sheetOf returns a sheet that holds some targets, newer than another.
+// sheetOf returns a sheet with holds on the targets, one version newer than after.
 func sheetOf(t *testing.T, after *hold.Sheet, targets ...hold.Target) *hold.Sheet {
 	t.Helper()
 	var sh *hold.Sheet
@@ -23,8 +23,7 @@
 }
 
 func TestHeldStep(t *testing.T) {
-	// Load pattern: one customer's steps take the places that another one's need. An
-	// operator holds the first until the second is through.
+	// An operator holds one customer so that another one's step can run first.
 	ta := tableOf(t, 1, "a")
 	first, second := stepOf("s", 2), stepOf("t", 2)
 	first.Customer, second.Customer = "bakery", "mill"
@@ -43,15 +42,12 @@
 	ta.SetHolds(sheetOf(t, sh), begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
-	ta.SetHolds(sh, begin) // news that was overtaken
+	ta.SetHolds(sh, begin) // an outdated sheet
 	assert.Equal(t, ta.heldItems(), 0)
 }
 
 func TestNoRoomIsKeptForWhatIsHeld(t *testing.T) {
-	// Symptom: steps are taken for late, and runs are refused their moves, while half of
-	// the places are free.
-	// Sequence: an operator holds the customer that asks for most.
-	// Cause: room was planned for what doesn't begin.
+	// Guards against capacity being reserved for held items, which cannot start, while other steps count as late.
 	ta := tableOf(t, 1, "a")
 	large, small := stepOf("s", 40, 40, 40), stepOf("t", 1)
 	large.Customer, small.Customer = "bakery", "mill"
@@ -66,11 +62,8 @@
 }
 
 func TestHeldRunGoesOn(t *testing.T) {
-	// Symptom: an operator holds a step, and what it had made is thrown away or never
-	// ends.
-	// Sequence: an item of the step runs; the step is held; the item's engine goes away.
-	// Cause: an item that has begun was taken for new work as soon as it had to wait for
-	// another engine.
+	// Guards against a held step losing a started item whose engine is removed: the item has text, so it resumes
+	// elsewhere despite the hold.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 3), Kept{}, false, begin)
 	ta.Place(begin)
@@ -87,7 +80,7 @@
 }
 
 func TestHeldResultsAreListed(t *testing.T) {
-	// A hold keeps items from beginning, and not what is whole from being listed.
+	// A hold prevents items from starting, but not the listing of complete results.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1, 1), Kept{}, false, begin)
 	ta.Place(begin)
@@ -100,7 +93,7 @@
 }
 
 func TestHeldItemIsGivenUpInTime(t *testing.T) {
-	// A hold doesn't lengthen how long a trainer waits: the route's bound counts.
+	// A hold doesn't extend the route's limit on how long a trainer waits.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1)
 	st.MaxWait = 10 * time.Second
@@ -113,10 +106,7 @@
 }
 
 func TestMovingHeldRunKeepsItsPlace(t *testing.T) {
-	// Symptom: a run without an event stops for good.
-	// Sequence: it is moved off an engine that shows nothing, and its step is held
-	// before it begins at the other one.
-	// Cause: between the two engines it looked like an item that never began.
+	// Guards against an item without events getting stuck if its step is held while the item moves between engines.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -35,7 +35,7 @@
 	ke := &Keeper{Client: me.Client()}
 	large := stepOf("s", 3)
 	for i := range large.Items {
-		large.Items[i].Body = make([]byte, partSize) // more than one value holds
+		large.Items[i].Body = make([]byte, partSize) // forces several values
 	}
 	assert.NilError(t, ke.Accept(t.Context(), large))
 	assert.NilError(t, ke.Accept(t.Context(), large))
@@ -58,9 +58,7 @@
 }
 
 func TestUpdateIsAppliedOnce(t *testing.T) {
-	// Symptom: an item stands at two positions.
-	// Sequence: results are written, the answer is lost, they are written again.
-	// Cause: the repeat was taken for other results, at the next positions.
+	// Guards against an item being listed at two positions when a write whose response was lost is retried.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	fence := keyvalue.Expectation{Key: "lease"}
@@ -76,10 +74,7 @@
 }
 
 func TestOldSchedulerCannotWrite(t *testing.T) {
-	// Symptom: a position changes after it was read.
-	// Sequence: a scheduler's write is delayed past its lease; its successor has
-	// written other results at the same position.
-	// Cause: the write did not depend on the lease.
+	// Guards against a delayed write of a scheduler that has lost its lease replacing results of its successor.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	_, err := me.Client().Put(t.Context(), "lease", []byte("successor"), 0, 0)
@@ -108,14 +103,12 @@
 }
 
 func TestAcceptAnswers(t *testing.T) {
-	// Symptom: a step runs that its trainer was told would not.
-	// Sequence: the service is away, or loses answers, while a step is handed in.
-	// Cause: a write without an answer was taken for one that failed.
+	// Guards against a step being refused although its write, whose response was lost, took effect.
 	for _, tc := range []struct {
 		name   string
 		faults func(me *keyvalue.Memory)
 		want   error
-		least  time.Duration // until the answer
+		least  time.Duration // minimum time until Accept returns
 	}{
 		{"service is there", func(*keyvalue.Memory) {}, nil, 0},
 		{"answers are lost", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{LoseAnswers: true}) }, nil, 0},
@@ -154,10 +147,8 @@
 }
 
 func TestCutOffDoorRefusesSoon(t *testing.T) {
-	// Symptom: a trainer's step is accepted 5 s late.
-	// Sequence: it is handed in at an entry that is cut off, which tries for
-	// seconds; the trainer gives up there and meets another such entry.
-	// Cause: an entry that knows that it can keep nothing did not say so.
+	// Guards against an isolated entry retrying for seconds instead of failing fast, so that the trainer can try
+	// another one.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
@@ -183,11 +174,8 @@
 }
 
 func TestCutOffDoorWaitsOutTheEndOfAnOutage(t *testing.T) {
-	// Symptom: the steps of all trainers are refused for good in an outage.
-	// Sequence: the service goes away and the scheduler's instance is lost; each
-	// trainer asks five entries, a second after each other.
-	// Cause: every entry took itself for cut off and refused at once, also within
-	// the second in which the service came back.
+	// Guards against all entries refusing steps at once in an outage in which the scheduler is lost too, when all of
+	// them seem isolated: they retry for a short time.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
@@ -199,10 +187,7 @@
 }
 
 func TestCutOffDoorDoesNotDenyWhatItSent(t *testing.T) {
-	// Symptom: a step runs that its trainer was told would not.
-	// Sequence: a write gets no answer, and then the entry is cut off.
-	// Cause: the refusal of an entry that is cut off was given for a step that
-	// may be kept.
+	// Guards against a definite refusal of a step that an earlier, unanswered write may have stored.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Delay: time.Minute})
@@ -215,9 +200,7 @@
 }
 
 func TestReadsWithoutAScheduler(t *testing.T) {
-	// Symptom: a reader is told that its step does not exist.
-	// Sequence: the scheduler is gone and no other has taken over yet.
-	// Cause: what no scheduler knows was taken for what does not exist.
+	// Guards against existing steps being reported as unknown while no scheduler is active.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		ke := &Keeper{Client: me.Client()}
@@ -243,12 +226,7 @@
 }
 
 func TestReadWhileTheTermEnds(t *testing.T) {
-	// Symptom: a reader is told that there is nothing at a position that it has
-	// read before.
-	// Sequence: a step has ended and its results are dropped from memory; a reader
-	// asks for them again, and while they are read the scheduler retires.
-	// Cause: the answer was taken from the table, which takes nothing in once its
-	// term is over.
+	// Guards against an empty answer for stored results when the scheduler's term ends while they are being fetched.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
@@ -273,9 +251,7 @@
 }
 
 func TestIntakeForgetsDroppedSteps(t *testing.T) {
-	// Symptom: a scheduler's memory grows with each step for as long as it runs.
-	// Sequence: steps are accepted, end, and are dropped when no one reads them.
-	// Cause: what follows the steps kept every one that it had ever seen.
+	// Guards against a memory leak: the intake releases a step when its keys are removed.
 	var me keyvalue.Memory
 	ke := &Keeper{Client: me.Client()}
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 1)))
@@ -291,11 +267,8 @@
 }
 
 func TestUpdateFitsOneTransaction(t *testing.T) {
-	// Symptom: from a change of scheduler on, nothing is listed for the rest of the
-	// day, while items go on being placed and weights loaded.
-	// Sequence: a new scheduler has results and text of eight steps to write at
-	// once, and keys of ended steps to remove.
-	// Cause: the write was larger than the service takes, and was repeated as it was.
+	// Guards against an update with more entries than a transaction may have: it would be retried unchanged forever,
+	// and nothing more would be listed.
 	var me keyvalue.Memory
 	ta := tableOf(t, 1, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	for i := range 10 {
@@ -337,7 +310,7 @@
 }
 
 func TestTransactionThatIsTooLarge(t *testing.T) {
-	// What the service would refuse is refused here, with a definite outcome.
+	// The client rejects a transaction that the service would refuse, so that its outcome is known.
 	var me keyvalue.Memory
 	tx := keyvalue.Transaction{Deletes: make([]string, keyvalue.MaxTransaction+1)}
 	_, err := me.Client().Transact(t.Context(), tx)
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -13,18 +13,16 @@
 )
 
 func TestDueResults(t *testing.T) {
-	// Symptom: a step whose groups are all whole ends half a second late.
-	// Sequence: its last but one result is listed and read; the last one follows
-	// before the trainer reads again.
-	// Cause: each result was listed on its own, up to the last moment.
+	// Guards against listing results one by one near the end of a step: the trainer would need another read for the
+	// last of them.
 	const second = time.Second
 	for _, tc := range []struct {
 		name     string
-		target   int           // of three groups
-		whole    int           // groups that are whole, the first ones
-		again    int           // groups that were asked for before, the last ones
-		since    time.Duration // the oldest result's age
-		listedAt time.Duration // of the last write, after the step's start
+		target   int           // groups the trainer waits for, of three
+		whole    int           // number of leading groups that are complete
+		again    int           // number of trailing groups that an earlier step requested too
+		since    time.Duration // age of the oldest result
+		listedAt time.Duration // time of the last write, from the start of the step
 		due      bool
 	}{
 		{"nothing is whole", 3, 0, 0, 0, 0, false},
@@ -56,13 +54,13 @@
 	}
 }
 
-// twoLarge returns a table with a step of two items, of which the first is whole
-// and has as much text as a listing is worth.
+// twoLarge returns a table with a step of two items. The first is complete and has enough text to be listed for a
+// read that is about to end.
 func twoLarge(t *testing.T, now time.Time) (*Table, *stepRow) {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1, 1)
-	st.Items[1].Hint, st.Items[1].Tokens = 4000, 8000 // it runs for seconds
+	st.Items[1].Hint, st.Items[1].Tokens = 4000, 8000 // runs for seconds
 	ta.Accept(st, Kept{}, false, now)
 	ta.Place(now)
 	end(ta, t, "s", 0, runner.Complete, []runner.Event{{Data: make([]byte, 300<<10), ID: 1, Version: 1}}, now)
@@ -70,11 +68,7 @@
 }
 
 func TestOneListingForARead(t *testing.T) {
-	// Symptom: a trainer's next read finds five results, and the last ones of its step
-	// 4 ms later; it looks twice more.
-	// Sequence: a read is answered because it ends; before its own goroutine has taken
-	// note, the next listing is decided on.
-	// Cause: the read still counted as waiting, and as about to end.
+	// Guards against a second listing for a read that has been answered but not yet removed by its own goroutine.
 	ta, sr := twoLarge(t, begin)
 	release := sr.hold(begin, time.Second)
 	late := begin.Add(950 * time.Millisecond)
@@ -88,14 +82,12 @@
 }
 
 func TestReadJoinsWhatIsWritten(t *testing.T) {
-	// Symptom: a step ends a second after its last result.
-	// Sequence: results are listed; while the last ones are being written, 1 ms before
-	// they are, the trainer's next read comes and is answered with the first ones.
-	// Cause: what was about to be there was left to two more looks.
+	// Guards against a read returning some results while the last ones are being written: the trainer would have to
+	// read again.
 	for _, tc := range []struct {
 		name    string
-		takes   time.Duration // the write
-		wait    time.Duration // that the reader allows
+		takes   time.Duration // duration of the write
+		wait    time.Duration // wait time of the read
 		results int
 		answer  time.Duration
 	}{
@@ -131,8 +123,7 @@
 }
 
 func TestLastItemsAreWatched(t *testing.T) {
-	// Load pattern: a step waits for its last items. Only the attendants that run them
-	// are to tell of their ends at once.
+	// When a step waits for its last items, only the attendants that run them are asked to report their ends at once.
 	ta, sr := twoLarge(t, begin)
 	rq, _ := ta.Request("a")
 	assert.Equal(t, rq.Await, time.Duration(0))
@@ -153,11 +144,8 @@
 }
 
 func TestTrainerThatReadsOn(t *testing.T) {
-	// Symptom: a step ends a second after its last result, after a change of scheduler.
-	// Sequence: the scheduler lists as many groups as the trainer asked for; the trainer
-	// also waits for a group that it asked for before, and reads on.
-	// Cause: a step of which all that is waited for was listed was listed nothing more
-	// until a read ended.
+	// Guards against late listing after a failover: a trainer that reads on after its target was listed waits for a
+	// group of an earlier step, which the new scheduler has no record of.
 	now := begin
 	ta := tableOf(t, 1, "a", "b")
 	st := stepOf("s", 1, 1, 1)
@@ -177,8 +165,7 @@
 }
 
 func TestEndOfItemsThatAreScored(t *testing.T) {
-	// A text that waits for its score is expected to be listed as soon as others were,
-	// not to run as long again.
+	// The expected remaining time of an item that waits for its score is the usual time of a reward call.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
 	ta.Place(begin)
@@ -189,11 +176,7 @@
 }
 
 func TestWhatEndsStepsIsListedFirst(t *testing.T) {
-	// Symptom: a step ends half a second after an outage, though all that its trainer
-	// waits for had long been whole.
-	// Sequence: results of several steps become whole while nothing can be listed; one
-	// step lacks nothing more, another one has megabytes and lacks an item.
-	// Cause: all went into one write, which took as long as its megabytes.
+	// Guards against the final results of a step sharing a write with megabytes of another step that is not complete.
 	ta := tableOf(t, 1, "a", "b", "c")
 	ta.Accept(stepOf("large", 3), Kept{}, false, begin)
 	ta.Accept(stepOf("small", 1), Kept{}, false, begin)
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -11,22 +11,21 @@
 	"gotest.tools/v3/golden"
 )
 
-// A pattern is a load and what befalls it.
+// A pattern is a workload and the engine failures during it.
 type pattern struct {
 	name     string
-	factors  []float64 // of the engines' pace
+	factors  []float64 // time per event of each engine, relative to the usual
 	groups   int
 	size     int
 	trainers int // 0 means one
 	sheet    simSheet
-	lesson   time.Duration // that training takes; 0 means half a second
-	short    int           // groups of a trainer of short items beside the others
-	wide     int           // groups of 16 of a further trainer beside the others
+	lesson   time.Duration // training time between steps; 0 means half a second
+	short    int           // groups of an additional trainer with short items
+	wide     int           // groups, of 16 items each, of another additional trainer
 	each     func(re *replay, at time.Duration)
 }
 
-// mixedFactors returns the pace of engines of which each third is 1.3 times
-// slower.
+// mixedFactors returns the factors of engines of which every third is 1.3 times slower.
 func mixedFactors(count int) []float64 {
 	fas := factors(count)
 	for i := 2; i < count; i += 3 {
@@ -35,8 +34,7 @@
 	return fas
 }
 
-// newReplay returns a replay of the pattern. Trainers beyond the first have
-// models of their own.
+// newReplay returns a replay of the pattern. Each trainer has its own model.
 func (pa *pattern) newReplay(seed uint64) *replay {
 	var trainers []*simTrainer
 	if pa.short > 0 {
@@ -51,8 +49,7 @@
 	return newReplay(pa.sheet, pa.factors, trainers)
 }
 
-// thirdSlower returns the pace of engines of which a third in a row is 1.27 times
-// slower.
+// thirdSlower returns the factors of engines of which the last third is 1.27 times slower.
 func thirdSlower(count int) []float64 {
 	fas := factors(count)
 	for i := range fas {
@@ -64,7 +61,7 @@
 	return fas
 }
 
-// factors returns the pace of engines, all alike.
+// factors returns the factors of engines of equal speed.
 func factors(count int) []float64 {
 	fas := make([]float64, count)
 	for i := range fas {
@@ -73,17 +70,17 @@
 	return fas
 }
 
-// A policy is one under which a load is replayed.
+// A policy selects how items are placed in a replay.
 type policy string
 
-// The policies.
+// Placement policies.
 const (
-	baseline policy = "baseline" // the freest engine takes an item, and keeps it
-	chosen   policy = "chosen"
-	known    policy = "known" // the chosen one, and it knows how long each item is and how fast each engine
+	baseline policy = "baseline" // the engine with the most free slots, without moves
+	chosen   policy = "chosen"   // the production policy
+	known    policy = "known"    // the production policy with exact item lengths and engine speeds
 )
 
-// patterns are the loads that placing was made for.
+// patterns returns the workloads that placement is tested with.
 func patterns() []pattern {
 	even := factors(12)
 	mixed := mixedFactors(11)
@@ -145,21 +142,20 @@
 	}
 }
 
-// dayLength is how long a load is replayed: eight steps on schedule
-// and the time of the last one.
+// dayLength is the simulated time of a replay: eight scheduled steps and the run time of the last one.
 const dayLength = 36 * time.Second
 
-// seeds is how many trainers' luck each load is replayed with.
+// seeds is the number of random seeds that each workload is replayed with.
 var seeds = flag.Int("load-seeds", 4, "seeds of each load that is replayed")
 
-// An outcome is what came of a load under a policy.
+// An outcome holds the results of a workload under a policy.
 type outcome struct {
-	asked, scheduled int // steps
-	inTime, owed     int // groups
+	asked, scheduled int // steps started, and steps planned
+	inTime, owed     int // groups completed in time, and groups wanted
 	took, tails      []time.Duration
 }
 
-// run replays the pattern with a seed.
+// run replays the pattern with one seed.
 func (pa *pattern) run(seed uint64, po policy) outcome {
 	re := pa.newReplay(seed)
 	re.known = po == known
@@ -188,7 +184,7 @@
 	return oc
 }
 
-// runAll replays the pattern with all seeds, and returns a line of the table.
+// runAll replays the pattern with all seeds and returns its line of the golden table.
 func (pa *pattern) runAll(po policy) string {
 	outcomes := make([]outcome, *seeds)
 	var wg sync.WaitGroup
@@ -209,8 +205,8 @@
 		float64(all.asked)/float64(all.scheduled), len(all.took), mean(all.took).Seconds(), mean(all.tails).Seconds())
 }
 
-// TestLoad replays loads at their worst, and holds what the policy makes of
-// them against a baseline and a bound.
+// TestLoad replays peak workloads and compares the results of the production policy, of a baseline, and of an upper
+// bound with the golden table.
 func TestLoad(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%-50s %-9s %8s %7s %7s %8s %8s\n", "load", "policy", "in-time", "asked", "steps", "mean", "tail")
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -17,8 +17,7 @@
 	"wisteriacroft/runner"
 )
 
-// swallowing returns a client of a service that takes calls and never answers
-// them while silent.
+// swallowing returns a client whose calls hang until their context ends while silent is set.
 func swallowing(me *keyvalue.Memory, silent *atomic.Bool) *keyvalue.Client {
 	cl := me.Client()
 	follow, transact := cl.FollowFunc, cl.TransactFunc
@@ -73,11 +72,8 @@
 }
 
 func TestStepsAfterASilentOutage(t *testing.T) {
-	// Symptom: steps that are accepted after an outage begin 1.2 s later.
-	// Sequence: the key-value service falls silent for 6 s; right after its return
-	// a step is accepted.
-	// Cause: the scheduler's call from before the return waited out its time, as no
-	// answer to it would ever come.
+	// Guards against a call from before the end of an outage, which is never answered, delaying the steps that are
+	// accepted right after it until the call times out.
 	for offset := range 5 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -103,9 +99,7 @@
 }
 
 func TestRewardCallsEndWithTheirStep(t *testing.T) {
-	// Symptom: a reward call reaches an endpoint seconds after its step's end, or
-	// after another scheduler has taken over.
-	// Sequence: a call waits for its answer; its step ends, or the term does.
+	// Guards against reward calls that continue after the end of their step or of the scheduler's term.
 	for _, what := range []string{"step", "term"} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -146,18 +140,15 @@
 }
 
 func TestResultsAfterASilentOutage(t *testing.T) {
-	// Symptom: results are listed half a second after an outage, though steps are
-	// accepted right after it.
-	// Sequence: the key-value service falls silent while results wait, and returns.
-	// Cause: the write that was under way at its return waited out its time, and then
-	// paused, though another call had been answered meanwhile.
+	// Guards against an unanswered write delaying the listing of results after an outage, until it times out and its
+	// retry pause is over, although another call has succeeded.
 	for offset := range 8 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			var me keyvalue.Memory
 			var silent atomic.Bool
 			cl := swallowing(&me, &silent)
-			var answered atomic.Int64 // the first call after the return, in nanoseconds
+			var answered atomic.Int64 // time of the first answer after the outage, in Unix nanoseconds
 			follow := cl.FollowFunc
 			cl.FollowFunc = func(ctx context.Context, prefix string, after int64, wait time.Duration) (keyvalue.Changes, error) {
 				ch, err := follow(ctx, prefix, after, wait)
@@ -190,7 +181,7 @@
 				listed = len(te.table.steps["s"].results)
 				sc.mu.Unlock()
 			}
-			if first := answered.Load(); first > 0 { // else the write was the first
+			if first := answered.Load(); first > 0 { // otherwise the write was answered first
 				assert.Assert(t, time.Since(time.Unix(0, first)) < 20*time.Millisecond)
 			}
 			cancel()
@@ -200,14 +191,8 @@
 }
 
 func TestResultsAfterALapse(t *testing.T) {
-	// Symptom: results that had long been whole are listed a second after an outage,
-	// and their readers are sent away first.
-	// Sequence: the key-value service falls silent until the scheduler's lease has run
-	// out; results become whole meanwhile, and a trainer waits for them; the service
-	// returns.
-	// Cause: the scheduler learned of the return by its next renewal alone, and then
-	// began anew: it read what was kept and heard all attendants, and dropped its
-	// readers, though no one had held the lease between.
+	// Guards against a full restart of the scheduler, which drops its readers and delays listing, when its lease
+	// expires in an outage and no other process acquires it.
 	for offset := range 12 {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -13,12 +13,11 @@
 	"wisteriacroft/runner"
 )
 
-// TestWhatItemsWaitFor brings one thing about that keeps a step's items from an engine,
-// and asks what an operator is told.
+// TestWhatItemsWaitFor checks the reason that an overview gives for each condition that prevents placement.
 func TestWhatItemsWaitFor(t *testing.T) {
 	for name, tc := range map[string]struct {
 		prepare func(ta *Table, st *Step)
-		away    time.Duration // since the service answered
+		away    time.Duration // time since the last answer of the key-value service
 		want    load.Reason
 	}{
 		"free":                     {func(*Table, *Step) {}, 0, load.ToBePlaced},
@@ -68,7 +67,7 @@
 	assert.Equal(t, si.Steps[0].Open[0].Wait, load.HeldBack)
 }
 
-// TestSituation plays a step from its acceptance to its listing and looks at it midway.
+// TestSituation checks the overview of a step with listed, running and waiting items.
 func TestSituation(t *testing.T) {
 	ta := tableOf(t, 7, "a", "b")
 	st := stepOf("s", 2, 2, 2)
@@ -99,8 +98,7 @@
 }
 
 func TestLoadIsLogged(t *testing.T) {
-	// Load pattern: one customer's steps take all places, and another one's wait. Its
-	// trainer complains a day later.
+	// The log must show, for a later inquiry, that one customer's steps took all slots while another one's waited.
 	ta := tableOf(t, 1, "a")
 	lines := map[string][]map[string]any{}
 	ta.log = func(event string, fields map[string]any) { lines[event] = append(lines[event], fields) }
@@ -130,7 +128,7 @@
 	assert.Equal(t, len(lines["load of customer"]), loadLines)
 }
 
-// BenchmarkLogLoad makes the lines of the load, every few seconds beside placing.
+// BenchmarkLogLoad measures the periodic logging of the load, during which placement waits.
 func BenchmarkLogLoad(b *testing.B) {
 	ta := loadedTable(1100, 6)
 	now := begin.Add(time.Second)
@@ -139,8 +137,8 @@
 	}
 }
 
-// BenchmarkSituation copies what an overview is made of, while all places are taken and as
-// many items wait: the time for which placing waits for it.
+// BenchmarkSituation measures copying the data of an overview, during which placement waits, with all slots in use
+// and as many items waiting.
 func BenchmarkSituation(b *testing.B) {
 	ta := loadedTable(1100, 6)
 	now := begin.Add(time.Second)
@@ -149,7 +147,7 @@
 	}
 }
 
-// BenchmarkOverview makes the overview of the same.
+// BenchmarkOverview measures summarizing the data that BenchmarkSituation copies.
 func BenchmarkOverview(b *testing.B) {
 	si := loadedTable(1100, 6).Situation(0, begin.Add(time.Second))
 	for b.Loop() {
@@ -157,7 +155,7 @@
 	}
 }
 
-// loadedTable returns a table with full engines and as many items that wait.
+// loadedTable returns a table with all engine slots in use and as many items waiting.
 func loadedTable(engines, trainers int) *Table {
 	const slots = 16
 	ta := NewTable(1, nil)
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -10,12 +10,12 @@
 	"wisteriacroft/runner"
 )
 
-// reportOf returns an attendant's answer with a report of an engine's start.
+// reportOf returns an attendant's response that reports an engine's incarnation and weights version.
 func reportOf(born incarnation.Number, version uint64) runner.ExchangeResponse {
 	return runner.ExchangeResponse{Report: runner.Report{Incarnation: born, Versions: map[string]uint64{"model": version}}}
 }
 
-// enter takes an engine's entry in.
+// enter updates the table with an engine's directory entry.
 func enter(ta *Table, born incarnation.Number, version uint64) {
 	ta.SetEngines([]EngineInfo{{
 		ID: "a", Incarnation: born, Service: "service", Slots: 2, Versions: map[string]uint64{"model": version},
@@ -23,12 +23,8 @@
 }
 
 func TestEngineIsBornAgain(t *testing.T) {
-	// Symptom: an engine that started again under its ID gets no work for seconds, or
-	// for good; or items are sent for a version that it does not hold.
-	// Sequence: an engine is slow, failed a run and was replaced at its address; it
-	// starts again under its ID. Its entry and its attendant's report tell of it, in
-	// any order, and copies of older ones come after.
-	// Cause: what was believed went with the ID.
+	// Guards against state of an engine's former process, such as slow, replaced or loaded versions, being applied to
+	// its restart under the same ID, whatever the order of directory entries and reports.
 	for _, tc := range []struct {
 		name string
 		tell func(ta *Table)
@@ -59,7 +55,7 @@
 }
 
 func TestStartThatIsNotKnown(t *testing.T) {
-	// A report or entry without a start changes nothing of what is believed.
+	// A report or directory entry without an incarnation doesn't reset the state of the engine.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 5)
 	hear(ta, "a", reportOf(10, 5), begin)
@@ -73,10 +69,7 @@
 }
 
 func TestRunsOfAFormerStart(t *testing.T) {
-	// Symptom: an item is never whole.
-	// Sequence: an engine starts again under its ID; its entry tells of it first, and
-	// its attendant falls silent.
-	// Cause: an engine that was never heard of does not count as silent.
+	// Guards against an item being stuck on an engine that restarted and whose attendant never responds again.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 1)
 	hear(ta, "a", reportOf(10, 1), begin)
@@ -89,7 +82,7 @@
 }
 
 func TestEngineMovesUnderItsID(t *testing.T) {
-	// An engine that starts again elsewhere is asked there.
+	// After a restart at another address, exchanges use the new address.
 	ta := NewTable(1, nil)
 	ta.SetEngines([]EngineInfo{{Address: "one", ID: "a", Incarnation: 10}}, begin)
 	ta.SetEngines([]EngineInfo{{Address: "two", ID: "a", Incarnation: 20}}, begin)
--- a/step/revival_test.go
+++ b/step/revival_test.go
@@ -9,10 +9,8 @@
 )
 
 func TestCallsAreNotBrokenOffInTurns(t *testing.T) {
-	// Symptom: two callers make call after call and none comes to its end.
-	// Sequence: after an outage one is answered and tells the other, whose new call is
-	// answered and tells the first, which has just begun another.
-	// Cause: whatever was under way was broken off, however young.
+	// Guards against a livelock in which two callers cancel each other's new calls: only calls older than
+	// swallowedAfter are canceled.
 	synctest.Test(t, func(t *testing.T) {
 		var re revival
 		old, cancelOld := re.bound(t.Context())
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -15,7 +15,7 @@
 
 var errSilent = errors.New("no whole answer")
 
-// scored gives each item of a step a reward call of its own.
+// scored adds a reward call to each item of a step.
 func scored(st *Step) *Step {
 	for i := range st.Items {
 		st.Items[i].Reward = &forward.Call{Host: "desk", ID: "call-" + st.Items[i].ID, Path: "/score"}
@@ -23,12 +23,12 @@
 	return st
 }
 
-// at locates all calls at one service.
+// at returns a locate function that maps all calls to one service.
 func at(places int) func(*forward.Call) plainService {
 	return func(*forward.Call) plainService { return plainService{name: "desk", places: places} }
 }
 
-// wholeTexts returns a table with a step of one group whose texts are whole.
+// wholeTexts returns a table with a step whose texts are all complete.
 func wholeTexts(t *testing.T, st *Step) *Table {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
@@ -53,9 +53,7 @@
 }
 
 func TestNoResultWithoutItsScore(t *testing.T) {
-	// Symptom: a trainer learns from a sample that has no score.
-	// Sequence: the text of a sample is whole, and its reward call is under way.
-	// Cause: a whole text was all that a result needed.
+	// Guards against listing a result whose text is complete but whose score is pending.
 	ta := wholeTexts(t, scored(stepOf("s", 2)))
 	irs := ta.startRewards(at(6), begin)
 	assert.Equal(t, len(irs), 2)
@@ -69,10 +67,7 @@
 }
 
 func TestLostOnlyForFailures(t *testing.T) {
-	// Symptom: a sample is lost though no endpoint ever failed its call.
-	// Sequence: its call is refused, cut or not answered many times; or fails, at
-	// one endpoint or at several, among other answers.
-	// Cause: every call without a score counted.
+	// Guards against abandoning an item for refused or unanswered reward calls: only failures count.
 	refused := forward.Reply{MaxAttempts: 3, NotRun: true}
 	silent := forward.Reply{Err: errSilent, MaxAttempts: 3}
 	failed := forward.Reply{Failures: 1, MaxAttempts: 3, Status: 500}
@@ -104,9 +99,7 @@
 }
 
 func TestCallsPause(t *testing.T) {
-	// Symptom: endpoints that refuse for want of places get ten times the calls.
-	// Sequence: a call is refused again and again.
-	// Cause: it was made again at once.
+	// Guards against retrying refused reward calls without backoff.
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	calls := 0
 	for now := begin; now.Before(begin.Add(5 * time.Second)); now = now.Add(10 * time.Millisecond) {
@@ -119,10 +112,8 @@
 }
 
 func TestCallsLeavePlacesToCallers(t *testing.T) {
-	// Load pattern: all texts of two steps become whole at once; six places are
-	// shared with live callers. Without a bound, 12 calls would wait in front of
-	// whoever calls then. The step with the least time left goes first, and in it
-	// the group that lacks the fewest items.
+	// Guards against reward calls occupying all slots of a plain service, which live callers share. The step with the
+	// least time left goes first, and within it the group with the fewest open items.
 	ta := tableOf(t, 1, "a", "b", "c", "d", "e", "f")
 	older, newer := scored(stepOf("older", 3, 2)), scored(stepOf("newer", 1))
 	older.Due -= time.Second
@@ -154,9 +145,7 @@
 }
 
 func TestCallWithoutRouteWaits(t *testing.T) {
-	// Symptom: a sample is lost because its route was taken out of the
-	// configuration for a moment; or the log fills up.
-	// Sequence: no route leads the call anywhere; later one does.
+	// Guards against abandoning an item, or flooding the log, while no route matches its reward call.
 	lines := 0
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	ta.log = func(event string, _ map[string]any) {
@@ -173,22 +162,18 @@
 }
 
 func TestEndEndsCalls(t *testing.T) {
-	// Symptom: a reward call reaches an endpoint seconds after its step's end.
-	// Sequence: a step ends while calls are due and under way.
+	// Guards against reward calls being sent, or their answers applied, after the end of their step.
 	ta := wholeTexts(t, scored(stepOf("s", 2)))
 	irs := ta.startRewards(at(2), begin)
 	assert.Equal(t, len(irs), 1)
 	ta.End("s")
 	assert.Equal(t, len(ta.startRewards(at(2), begin.Add(time.Minute))), 0)
-	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin) // an answer that was under way
+	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin) // an answer in flight
 	assert.Equal(t, irs[0].state, scoring)
 }
 
 func TestScoreOfAnEarlierStep(t *testing.T) {
-	// Symptom: a sample bears the score of another call.
-	// Sequence: a group that was not whole comes again in a later step; its text
-	// may be used, and its reward call is the same or another one.
-	// Cause: the score was taken over with the text.
+	// Guards against reusing a score from an earlier step for a different reward call.
 	for _, tc := range []struct {
 		name   string
 		min    uint64
@@ -222,12 +207,8 @@
 }
 
 func TestSuccessorScoresAnew(t *testing.T) {
-	// Symptom: after the death of a scheduler a sample is never listed, is made
-	// again though its text was whole, or bears a score of a text that is gone.
-	// Sequence: the scheduler dies with the text whole, its call under way, or its
-	// score there and not listed; its successor dies too.
-	// Cause: a score lay in the scheduler's memory alone, and the text's end with
-	// it.
+	// Guards against losing or regenerating a complete text that is not scored, or not listed, when the scheduler
+	// fails twice: the attendant holds the text, and the successor sends the reward call again.
 	for _, calls := range []string{"none", "under way", "answered"} {
 		t.Run(calls, func(t *testing.T) {
 			ta := wholeTexts(t, scored(stepOf("s", 1)))
@@ -260,13 +241,10 @@
 }
 
 func TestScoreOutlivesTheScheduler(t *testing.T) {
-	// Symptom: after the death of a scheduler, texts wait for 2.5 s for their scores
-	// while all calls of a step are made again at once.
-	// Sequence: texts have their scores and wait to be listed; the scheduler dies.
-	// Cause: scores lay in its memory alone.
+	// Guards against repeating all reward calls after a failover: attendants hold the scores until they are listed.
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	irs := ta.startRewards(at(6), begin)
-	hear(ta, "a", runner.ExchangeResponse{}, begin) // tells of the end
+	hear(ta, "a", runner.ExchangeResponse{}, begin) // acknowledges the end
 	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
 	rq, _ := ta.Request("a")
 	key := ta.steps["s"].items[0].run.key
@@ -287,8 +265,7 @@
 }
 
 func TestAttendantDiesBeforeTheScore(t *testing.T) {
-	// Symptom: a whole text is made again.
-	// Sequence: the attendant that holds it is gone before its score is there.
+	// Guards against regenerating a complete text when its attendant is removed before the score arrives.
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	ta.SetEngines(nil, begin)
 	irs := ta.startRewards(at(6), begin)
@@ -299,10 +276,7 @@
 }
 
 func TestWholeTextsAreKept(t *testing.T) {
-	// Symptom: after a loss of power, items that only lacked their scores are made
-	// from the start.
-	// Sequence: all plain endpoints are away for seconds; all instances lose power.
-	// Cause: only runs that were under way were kept.
+	// Guards against checkpoints that omit complete texts whose scores are pending.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
 	ta.Place(begin)
@@ -322,10 +296,7 @@
 }
 
 func TestScoresTakeTime(t *testing.T) {
-	// Symptom: the last item of a step is late by the time of its reward call.
-	// Sequence: two items wait for a place, of which one is to be scored; scores
-	// have taken 2 s of late.
-	// Cause: both seemed to have the same time to spare.
+	// Guards against ignoring the duration of the reward call in an item's slack.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 2)
 	st.Items[1].Reward = &forward.Call{Host: "desk", ID: "call", Path: "/"}
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// overloaded returns a table of one engine with two places, and a step of as many items
-// of the hint given as take twice the time that the step may.
+// overloaded returns a table of one engine with two slots, and a step whose items, of the given hint, take longer
+// than its due time allows.
 func overloaded(t *testing.T, hint int) *Table {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
@@ -18,18 +18,18 @@
 		st.Items[i].Hint, st.Items[i].Tokens = hint, 4*hint
 	}
 	ta.Accept(st, Kept{}, false, begin)
-	ta.engines["a"].tokens = 0 // memory is not what lacks
+	ta.engines["a"].tokens = 0 // memory is not the limit
 	return ta
 }
 
-// Load pattern: items wait for places everywhere, and half of all runs last less than a
-// second, so that a place that stands empty between two runs is a tenth of the room.
+// With short runs, the idle time of a slot between two runs is a considerable part of the capacity. One more item is
+// sent to a full engine when a run is about to end.
 func TestOneItemMoreIsSentAheadOfAnEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		hint  int
-		small bool // another customer asks for less than its part
-		want  int  // items at the engine
+		small bool // another customer uses less than its share
+		want  int  // items on the engine
 	}{
 		{"runs end soon", 450, false, 3},
 		{"runs last", 900, false, 2},
@@ -52,12 +52,12 @@
 	}
 }
 
-// Load pattern: a third of the engines are slow all day, and items wait for all places. A
-// run that leaves a slow one takes a place that another item waits for.
+// While all slots are in use, a run moves to a faster engine only if its step is in time there and late otherwise:
+// the slot could serve a waiting item instead.
 func TestRunsMoveOnlyToBeInTime(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		age  time.Duration // of the step
+		age  time.Duration // age of the step
 		want bool
 	}{
 		{"in time where it is", 0, false},
@@ -69,14 +69,14 @@
 			from, to := ta.engines["a"], ta.engines["b"]
 			from.base, to.base = 100*time.Millisecond, 40*time.Millisecond
 			now := begin.Add(tc.age)
-			irs[0].item.Hint, irs[0].run.eventAt = 1000, now // 16 events to come
+			irs[0].item.Hint, irs[0].run.eventAt = 1000, now // 16 events left
 			assert.Equal(t, ta.saves(irs[0], from, to, now), tc.want)
 		})
 	}
 }
 
-// Load pattern: the room is given to one step after the other. A step whose model only its
-// share of the engines has would leave the others to what is late.
+// Under overload, steps run one after the other, so every engine must hold every model: otherwise the engines without
+// the model of the current step would run steps that are late anyway.
 func TestAllEnginesTakeAllModelsWhileCrowded(t *testing.T) {
 	ta := overloaded(t, 900)
 	addEngines(ta, begin, "a", "b", "c", "d")
--- a/step/settle_test.go
+++ b/step/settle_test.go
@@ -14,13 +14,13 @@
 	"wisteriacroft/lease"
 )
 
-// A loss is what a service does with a write that gets no answer.
+// A loss describes how the response of a transaction is lost.
 type loss struct {
-	applied bool
-	broken  bool // the connection ends, and the caller knows
+	applied bool // the service applies the transaction
+	broken  bool // the connection breaks; otherwise the call hangs
 }
 
-// losing returns a client whose next transactions are lost.
+// losing returns a client that loses the responses of its first transactions as described by losses.
 func losing(me *keyvalue.Memory, losses ...loss) *keyvalue.Client {
 	cl := me.Client()
 	transact := cl.TransactFunc
@@ -45,10 +45,8 @@
 }
 
 func TestLostAnswersOfWrites(t *testing.T) {
-	// Symptom: a step is accepted, or results are listed, a second late.
-	// Sequence: the service applies a write and loses its answer, or swallows the write.
-	// Cause: whoever wrote waited for as long as a call may take, though what it wrote
-	// was there to be read.
+	// Guards against waiting for the full call timeout when a write or its response is lost: reading the key tells
+	// whether the write took effect.
 	for name, tc := range map[string]struct {
 		losses []loss
 		within time.Duration
@@ -88,9 +86,7 @@
 }
 
 func TestWritesOfASilentService(t *testing.T) {
-	// Symptom: a step is said to be refused, and runs.
-	// Sequence: the service falls silent with a write under way; the call's time ends.
-	// Cause: a write of which nothing is known was taken for one that was not made.
+	// Guards against reporting a write that timed out as failed: its outcome is unknown.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		cl := losing(&me, loss{applied: true})
@@ -105,7 +101,7 @@
 	})
 }
 
-// A lateStore swallows the first transaction and applies it whenever it is told to.
+// A lateStore delays the first transaction until arrive is called.
 type lateStore struct {
 	keyvalue.Memory
 	kept atomic.Pointer[keyvalue.Transaction]
@@ -124,14 +120,14 @@
 	return cl
 }
 
-// arrive applies what was swallowed, as far as it expects what is there.
+// arrive applies the delayed transaction, if its expectations hold.
 func (ls *lateStore) arrive(t *testing.T) {
 	t.Helper()
 	_, err := ls.Client().Transact(t.Context(), *ls.kept.Load())
 	assert.Assert(t, err == nil || errors.Is(err, keyvalue.ErrConflict), "%v", err)
 }
 
-// write makes one update last.
+// write applies an update and fails the test unless it succeeds.
 func write(t *testing.T, ke *Keeper, up Update) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
@@ -141,10 +137,8 @@
 	assert.Assert(t, done)
 }
 
-// Symptom: a customer's part is what it was a while ago, or a step that was dropped is
-// there again and never ends. Events: the service takes a write and is silent, the write is
-// sent once more and counts, others follow, and then the first one is applied. Cause: it
-// expected nothing that had changed meanwhile.
+// Guards against a delayed duplicate of a write, applied after later writes, restoring an old account or a dropped
+// step.
 func TestLateWritesUndoNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ls lateStore
@@ -198,7 +192,7 @@
 			ta := NewTable(1, nil)
 			ta.Accept(stepOf("s", 1), kept, false, begin)
 			assert.Equal(t, len(ta.steps["s"].items[0].events), 40)
-			write(t, ke, Update{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // it has ended
+			write(t, ke, Update{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // as at the end of the step
 			ls.arrive(t)
 			ta = NewTable(1, nil)
 			kept, err = ke.Kept(t.Context(), "s")
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -10,11 +10,8 @@
 )
 
 func TestTakeOver(t *testing.T) {
-	// Symptom: after a change of scheduler, items run twice, and what was made of
-	// them is lost.
-	// Sequence: a scheduler dies; attendants go on with its runs, one of which
-	// ends meanwhile; the next has heard from one attendant of two.
-	// Cause: items that no attendant has spoken of yet looked as if they waited.
+	// Guards against a new scheduler starting items again before all attendants have reported the runs of its
+	// predecessor.
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
 	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
@@ -45,10 +42,7 @@
 }
 
 func TestCheckpoints(t *testing.T) {
-	// Symptom: after a loss of power, steps miss their time though half of their
-	// text had been made.
-	// Sequence: all instances lose power; the next scheduler finds the steps.
-	// Cause: the text of runs that were under way was in memory alone.
+	// Guards against losing the text of unfinished runs when all instances lose power.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
 	ta.Place(begin)
@@ -73,10 +67,8 @@
 }
 
 func TestCheckpointsTakeTurns(t *testing.T) {
-	// Symptom: after a loss of power some long items go on from seconds ago, and
-	// always the same ones from far back.
-	// Sequence: more text is made in a second than one value holds.
-	// Cause: items were taken in the order of their step, the last ones never.
+	// Guards against items at the end of a step never being checkpointed when there is more text per interval than
+	// one value holds.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
 	ta.Place(begin)
@@ -104,8 +96,8 @@
 }
 
 func TestReuse(t *testing.T) {
-	// A group that was not whole comes again: text that the later step may have
-	// is used, other text only tells how long the item is.
+	// When a later step repeats an incomplete group, text of an allowed version is reused. Other text only gives a
+	// minimum length of the item.
 	for _, tc := range []struct {
 		name  string
 		min   uint64
@@ -132,11 +124,8 @@
 }
 
 func TestWholeItemsOutliveTheScheduler(t *testing.T) {
-	// Symptom: items that were whole are made again from the start.
-	// Sequence: they end while the key-value service is away, so that they can't
-	// be listed; the scheduler loses its lease.
-	// Cause: attendants were let forget a run when it ended, not when it was
-	// listed.
+	// Guards against attendants releasing the text of a run when it ends rather than when it is listed: a new
+	// scheduler would have to generate it again.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
@@ -154,11 +143,8 @@
 }
 
 func TestReplacedEngine(t *testing.T) {
-	// Symptom: an item waits for ever for a run that has ended.
-	// Sequence: an engine starts again under another ID at the same address; for
-	// a while both are known, and both are asked for at one attendant.
-	// Cause: the exchange for the one took the other's runs for unknown, and had
-	// the attendant forget them.
+	// Guards against an item being stuck after its engine restarts under a new ID at the same address: the exchange
+	// for one ID must not make the attendant discard the runs of the other.
 	ta := tableOf(t, 1, "old", "new")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	hear(ta, "old", runner.ExchangeResponse{Engine: "new"}, begin)
@@ -171,10 +157,7 @@
 }
 
 func TestClocksThatDiffer(t *testing.T) {
-	// Symptom: items are given up seconds after they came.
-	// Sequence: a step is accepted by an entry whose time of day is a minute
-	// behind; or the scheduler's own jumps a minute ahead.
-	// Cause: the age of a step was taken from two clocks.
+	// Guards against abandoning items early because the age of a step is computed from the clocks of two instances.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 3)
 	st.Accepted, st.MaxWait = begin.Add(-time.Minute), 40*time.Second
@@ -186,8 +169,7 @@
 }
 
 func TestRequestsSayWhatIsNew(t *testing.T) {
-	// A run is spoken of when the scheduler has more of it than it last said, until
-	// an answer shows that this came.
+	// A request acknowledges a run's progress until a response confirms that the attendant received it.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
 	ta.Place(begin)
@@ -209,13 +191,10 @@
 }
 
 func TestTakenOverTextStaysKept(t *testing.T) {
-	// Symptom: results wait for 0.7 s after a change of scheduler.
-	// Sequence: checkpoints hold most of the text of runs that go on; the next
-	// scheduler takes the runs over and writes all of their text once more.
-	// Cause: what was kept counted for nothing once a run was taken over.
+	// Guards against a new scheduler writing text that earlier checkpoints already hold, which delays listing.
 	for _, tc := range []struct {
 		name    string
-		version uint64 // of the run's text
+		version uint64 // weights version of the run's text
 		kept    int
 	}{
 		{"the same text", 1, checkpointEvents},
@@ -239,15 +218,7 @@
 }
 
 func TestAttendantNamesTheFormerEngine(t *testing.T) {
-	// After eleven of twelve engines had crashed, two were given work for the rest of
-	// the day and the items of three steps lay waiting. Each came back under another
-	// ID. Its entry took the place of the former one's at once, while the attendant
-	// still named the engine that had last ended a run there. That was not known any
-	// more, so that it was taken for one that had come after:
-	//
-	//	19.7823 endpoint was replaced  by=i-e830f938d4 endpoint=i-c78cd98f56
-	//	19.8135 engine joined          engine=i-e830f938d4
-	//	19.8142 engine was replaced    engine=i-e830f938d4 by=i-c78cd98f56
+	// Guards against marking a restarted engine as replaced when its attendant still names the former engine ID.
 	ta := tableOf(t, 1, "old")
 	addEngines(ta, begin, "new")
 	hear(ta, "new", runner.ExchangeResponse{Engine: "old"}, begin)
--- a/step/update_test.go
+++ b/step/update_test.go
@@ -10,12 +10,7 @@
 )
 
 func TestLastResultsGoBeforeCheckpoints(t *testing.T) {
-	// Symptom: at the end of an outage of the key-value service two steps whose trainers
-	// wait for nothing more are listed 0.3 s after the first one.
-	// Sequence: steps become whole in the outage, others are under way. Then there
-	// are results to list, and text of some seconds to keep.
-	// Cause: both went in one write, and the listing waited for megabytes of text that
-	// no one waits for.
+	// Guards against a step's final results sharing a write with megabytes of checkpoints, which delays them.
 	ta := tableOf(t, 1, "a", "b")
 	ta.Accept(stepOf("whole", 1), Kept{}, false, begin)
 	ta.Accept(stepOf("open", 1, 1), Kept{}, false, begin)
