--- a/access/access_test.go
+++ b/access/access_test.go
@@ -50,8 +50,8 @@
 		{name: "unknown key", co: customers(), credentials: []string{"Bearer key-4"}, outcome: Denied, reason: UnknownKey},
 		{name: "two words", co: customers(), credentials: []string{"Bearer key-1 key-2"}, outcome: Denied, reason: UnknownKey},
 		{name: "key of 8 KB", co: customers(), credentials: []string{"Bearer " + strings.Repeat("k", 8<<10)}, outcome: Denied, reason: UnknownKey},
-		// Cut off from news, a process knows a key that is there, and can't tell a key
-		// that never was from one that came since.
+		// With an outdated configuration, a known key is still accepted, and an unknown one may have
+		// been added since.
 		{name: "known key, old news", co: customers(), credentials: []string{"Bearer key-1"}, newsOld: true, customer: "ada"},
 		{name: "unknown key, old news", co: customers(), credentials: []string{"Bearer key-4"}, newsOld: true, outcome: Unsure, reason: KeyNotHeardOf},
 	}
@@ -72,8 +72,8 @@
 	assert.Equal(t, Decide(co, false, []string{"Bearer key-3"}, false).Priority(ro), 7)
 }
 
-// A process that has just started has heard nothing yet, and one whose last news is
-// older than a fed process ever goes without may be behind.
+// A process that has received no update yet, or none for too long, may have an outdated
+// configuration and must not deny unknown keys.
 func TestCheckerWithOldNews(t *testing.T) {
 	di := &directory.Directory{}
 	di.SetConfiguration(customers())
@@ -96,8 +96,7 @@
 	assert.Equal(t, ch.label(strings.Repeat("n", 2*maxCounted)), others)
 }
 
-// Whatever a caller writes, it runs for a customer only by one of its keys, and no
-// reason gives away what was shown.
+// Whatever credentials a caller sends, only a customer's own key grants access.
 func FuzzDecide(f *testing.F) {
 	for _, seed := range []string{"", "Bearer", "Bearer key-1", "bEaReR\tkey-1", "Bearer key-1,Bearer key-3", "Basic a2V5", "Bearer \x00key-1", "Bearer key-1\r\nX: y"} {
 		f.Add(seed, false)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -53,8 +53,8 @@
 	assert.Equal(t, qu.Join(wa, steady, begin)[0].Reason, NoTime)
 }
 
-// A moment without room, after which less comes than the endpoints serve: the answer
-// is late but of use, and takes no one's place.
+// A request that misses its goal is still queued, behind those that can meet theirs, while the
+// endpoints have spare capacity.
 func TestQueueKeepsLateOnesForSpareRoom(t *testing.T) {
 	var qu Queue
 	qu.Arrived(begin)
@@ -96,9 +96,8 @@
 	assert.Equal(t, qu.Len(), 0)
 }
 
-// TestQueueThatStands replays a queue whose endpoints serve six tenths of what comes
-// and less than they promised. In order of arrival all would wait as long as they may,
-// those who are served too.
+// Under sustained overload a FIFO queue would let every request wait for the maximum, including
+// those that are served. The queue must switch to LIFO and keep the median wait short.
 func TestQueueThatStands(t *testing.T) {
 	hopeful := Outlook{Expected: 20 * time.Millisecond, Rate: 2000, Total: 2000}
 	var qu Queue
@@ -132,9 +131,8 @@
 	assert.Assert(t, !qu.Standing())
 }
 
-// Symptom: those who were sent away came back together and were refused together.
-// Events: a burst refuses dozens within a few milliseconds.
-// Cause: all were told the same time.
+// Requests rejected together get different Retry-After times, so that they do not all return at
+// once and are rejected again.
 func TestRefusedAreSpread(t *testing.T) {
 	var qu Queue
 	for range 200 {
@@ -155,7 +153,7 @@
 	assert.Equal(t, res[0].RetryAfter, maxReturn, "no room is foreseen where nothing is served")
 }
 
-// Load: callers that were refused come again, with the rest of their time.
+// Callers that retry with their remaining deadline are recognised as retries.
 func TestTries(t *testing.T) {
 	var tr Tries
 	assert.Equal(t, tr.Used(1900*time.Millisecond), time.Duration(0), "nothing is known yet")
@@ -181,8 +179,8 @@
 	assert.Assert(t, len(tr.counts) <= maxTimes+1)
 }
 
-// TestSlowReaders replays callers that read their answers slowly while others of many
-// customers come: what is held stays within its bound, and no customer keeps the rest out.
+// Callers that read their responses slowly neither exceed the memory limit nor let one customer
+// use all of it.
 func TestSlowReaders(t *testing.T) {
 	he := NewHeld(1000)
 	slow := 0
@@ -211,9 +209,8 @@
 	assert.Assert(t, !none.Never(1<<40), "no bound")
 }
 
-// Symptom: a caller is told to come back with its body time and again, by entries that hold
-// nothing. Events: the body is larger than half of what an entry may hold and is read in
-// parts. Cause: what had been read of it counted as held by others of its customer.
+// A body larger than half of the limit is accepted when no memory is in use: the parts of it
+// already read must not count as other requests of its customer.
 func TestWhatFitsAloneIsTaken(t *testing.T) {
 	for _, size := range []int64{10, 500, 510, 1000} {
 		he := NewHeld(1000)
@@ -230,8 +227,8 @@
 	assert.Assert(t, he.Fits("b", 0, 400))
 }
 
-// Load pattern: one customer's callers ask for ten times what the endpoints do, another's for
-// a quarter of its part. In order of arrival both are refused alike.
+// A customer that requests ten times the capacity must not crowd out one that requests less than
+// its share. In FIFO order both would be rejected equally often.
 func TestSmallCustomerBesideALargeOne(t *testing.T) {
 	const goal = 1200 * time.Millisecond
 	ou := Outlook{Expected: 300 * time.Millisecond, Rate: 40, Total: 40}
@@ -250,7 +247,7 @@
 		if ms%5 == 0 {
 			join("large", now)
 		}
-		if ms%200 == 13 { // at no moment at which a place falls free
+		if ms%200 == 13 { // never at the time at which a slot becomes free
 			join("small", now)
 		}
 		if ms%25 == 0 {
--- a/admission/room_test.go
+++ b/admission/room_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// begin is when the tests' time begins.
+// begin is the start of the tests' clock.
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestParseLoad(t *testing.T) {
@@ -38,8 +38,7 @@
 	target = 60 * time.Millisecond
 )
 
-// answers lets a room learn from so many answers of an endpoint with a load, one each
-// ten milliseconds, and returns when the last came.
+// answers passes count copies of a response, 10 ms apart, and returns the time of the last one.
 func answers(ro *Room, from time.Time, count int, an Answer) time.Time {
 	for range count {
 		from = from.Add(10 * time.Millisecond)
@@ -67,7 +66,7 @@
 	assert.Assert(t, ro.Free(0, 6, now))
 }
 
-// An endpoint that tells no load shows by its latency alone that it is crowded.
+// Without load reports the limit follows the latency alone.
 func TestRoomFollowsLatency(t *testing.T) {
 	var ro Room
 	now := answers(&ro, begin, 20, Answer{InFlight: 2, Took: unit})
@@ -79,9 +78,8 @@
 	assert.Assert(t, ro.Limit() > held || ro.Limit() == 0, ro.Limit())
 }
 
-// Symptom: an endpoint was left idle for seconds after a burst.
-// Events: it turned away a dozen requests that were on their way together.
-// Cause: the limit was halved for each of them.
+// Rejections of requests that were in flight together halve the limit once. Halved for each, it
+// would leave the endpoint idle for seconds after a burst.
 func TestRoomIsCutOncePerRound(t *testing.T) {
 	var ro Room
 	now := answers(&ro, begin, 20, Answer{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
@@ -94,9 +92,8 @@
 	assert.Equal(t, ro.Limit(), 2.0)
 }
 
-// Symptom: nothing is sent to an endpoint that is idle again.
-// Events: refusals cut the limit to its least; nothing is sent, so nothing is answered.
-// Cause: only answers moved the limit.
+// A limit at its minimum recovers with time. If only responses raised it, an idle endpoint would
+// get no requests and so never recover.
 func TestRoomOpensWithTime(t *testing.T) {
 	ro := Room{heardAt: begin, limit: leastLimit, unit: unit}
 	assert.Assert(t, ro.Free(0, 6, begin))
@@ -109,8 +106,8 @@
 	assert.Equal(t, ro.Limit(), 1.0)
 }
 
-// Load: an endpoint shares its machine, so that its work takes three times as long and
-// as usual again many times a second.
+// An endpoint whose speed changes many times a second, because it shares its machine, changes the
+// expected duration but not the limit.
 func TestRoomFollowsPace(t *testing.T) {
 	var ro Room
 	now := begin
@@ -138,9 +135,8 @@
 	assert.Equal(t, ro.Others(now.Add(loadLife)), 0)
 }
 
-// TestRoomsShare lets many senders with their own rooms share one endpoint of which
-// each hears late, and checks that they settle together near what it bears, whatever
-// their number.
+// Many senders with separate limits and delayed feedback converge near the capacity of the
+// endpoint they share, whatever their number.
 func TestRoomsShare(t *testing.T) {
 	for _, senders := range []int{1, 5, 40, 100} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -171,7 +167,7 @@
 					}
 					queue = append(queue, se)
 				}
-				if at%4 == 0 && len(queue) > 0 { // six places, 24 ms each
+				if at%4 == 0 && len(queue) > 0 { // six slots, 24 ms per request
 					se := queue[0]
 					queue = queue[1:]
 					answer(se, Answer{Took: max(unit, time.Duration(len(queue))*4*time.Millisecond)})
--- a/allotment/allotment_test.go
+++ b/allotment/allotment_test.go
@@ -15,16 +15,15 @@
 	"wisteriacroft/fairshare"
 )
 
-// A desk is a service whose endpoints have places and queues, before which
-// entries stand.
+// A desk simulates a service, whose endpoints have slots and queues, and the entries in front of it.
 type desk struct {
-	cut     map[int]bool // entries that can't reach the holder
+	cut     map[int]bool // entries that cannot reach the holder
 	entries []*deskEntry
 	epoch   uint64
 	held    bool
 	holder  *Holder
-	mu      sync.Mutex  // guards all: entries tell while others ask
-	ends    []time.Time // of the requests that endpoints have
+	mu      sync.Mutex  // guards all fields: entries report in the background
+	ends    []time.Time // end times of running and queued requests
 	places  int
 	rng     *rand.Rand
 }
@@ -76,7 +75,7 @@
 	}
 }
 
-// take returns what an entry has seen, as a forwarder does.
+// take returns and resets an entry's demands, as a forwarder does.
 func (de *desk) take(en *deskEntry) func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
 	return func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
 		de.mu.Lock()
@@ -87,14 +86,13 @@
 	}
 }
 
-// What a request takes, and how many may wait for each place.
 const (
-	deskQueue = 2
+	deskQueue = 2 // queued requests per slot
 	deskTick  = 5 * time.Millisecond
-	deskWork  = 50 * time.Millisecond
+	deskWork  = 50 * time.Millisecond // duration of a request
 )
 
-// ask makes a customer's request at an entry, and reports whether it was served.
+// ask sends a customer's request to an entry and reports whether it was served.
 func (de *desk) ask(entry int, customer string) bool {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -126,7 +124,7 @@
 	return true
 }
 
-// change brings a failure about.
+// change runs a function under the lock.
 func (de *desk) change(what func()) {
 	de.mu.Lock()
 	defer de.mu.Unlock()
@@ -140,7 +138,7 @@
 	return ends
 }
 
-// play lets customers ask at a rate each second, at entries by chance, for a time.
+// play sends requests of customers, at rates a second, to random entries for a period.
 func (de *desk) play(rates map[string]float64, length time.Duration, entries []int) map[string]score {
 	scores := map[string]score{}
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(deskTick) {
@@ -171,8 +169,8 @@
 
 var allEntries = []int{0, 1, 2, 3, 4, 5}
 
-// Load pattern: one customer's callers ask for ten times what all endpoints serve, another
-// for a third of it. The other one loses a tenth at most, and the endpoints stay busy.
+// A customer that requests ten times the capacity must not take more than a tenth of the requests of
+// one that asks for a third of it, and the endpoints stay busy.
 func TestCustomerAtTenTimesBesideASmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		de := newDesk(t, 6, 18)
@@ -186,7 +184,7 @@
 		assert.Assert(t, scores["small"].part() >= 0.9)
 		served := float64(scores["small"].served+scores["large"].served) / 10
 		assert.Assert(t, served > 0.9*capacity, "%.0f of %.0f served a second", served, capacity)
-		// Gone, the load leaves no bound behind.
+		// Limits end with the overload.
 		de.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 3*time.Second, allEntries)
 		scores = de.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 5*time.Second, allEntries)
 		assert.Assert(t, scores["large"].part() > 0.99 && scores["small"].part() > 0.99, "%v", scores)
@@ -194,10 +192,8 @@
 }
 
 func TestEntryThatIsCutOff(t *testing.T) {
-	// Symptom: callers of an entry that can't reach the scheduler are all refused, or
-	// flood the endpoints past all others.
-	// Sequence: a customer asks for ten times what there is; one entry is cut off.
-	// Cause: without word of the scheduler the entry had no bound, or one of none.
+	// An entry that cannot reach the scheduler must keep limiting customers, and must not reject
+	// everything.
 	synctest.Test(t, func(t *testing.T) {
 		de := newDesk(t, 6, 18)
 		const capacity = 18 / 0.05
@@ -214,9 +210,8 @@
 }
 
 func TestChangeOfHolder(t *testing.T) {
-	// Symptom: after a change of scheduler the endpoints are flooded.
-	// Sequence: bounds are in force; a new scheduler hears of one entry first.
-	// Cause: all places were divided among the few entries that it had heard of.
+	// A new scheduler must not divide all slots among the first few entries that report to it, which
+	// would overload the endpoints.
 	synctest.Test(t, func(t *testing.T) {
 		de := newDesk(t, 6, 18)
 		const capacity = 18 / 0.05
--- a/allotment/loads_test.go
+++ b/allotment/loads_test.go
@@ -13,8 +13,8 @@
 	"wisteriacroft/scale"
 )
 
-// An entry tells what it sees of plain services also while no customers compete. Nothing
-// is divided by that, neither by the holder nor, when it can't be reached, by the entry.
+// An entry reports the load of plain services also while customers do not compete. Such reports must
+// not limit customers, neither at the holder nor, if it is unreachable, at the entry.
 func TestLoadsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := func() map[string]float64 { return nil }
--- a/allotment/quota_test.go
+++ b/allotment/quota_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A counter is a deployment of one granter and some entries, for one customer.
+// A counter simulates one customer's quota at a holder and several entries.
 type counter struct {
 	calls   atomic.Int64
 	cut     []atomic.Bool
@@ -49,8 +49,7 @@
 	}
 }
 
-// play asks at a rate each second, at one entry after the other, and returns how many
-// requests were let through.
+// play sends requests at a rate a second, to entries in turn, and returns how many were admitted.
 func (co *counter) play(ctx context.Context, rate int, length time.Duration) int64 {
 	var served atomic.Int64
 	begun := time.Now()
@@ -71,8 +70,8 @@
 	assert.Assert(t, float64(got) >= low && float64(got) <= high, "%d, not %.0f to %.0f", got, low, high)
 }
 
-// Load pattern: callers ask for five times the quota, at all entries. It is used and kept,
-// with few calls.
+// Requests at five times the quota, over all entries, use the quota up without exceeding it, with
+// few calls to the holder.
 func TestQuotaOverEntries(t *testing.T) {
 	for _, quota := range []float64{4, 100} {
 		t.Run(fmt.Sprint(quota), func(t *testing.T) {
@@ -86,14 +85,12 @@
 }
 
 func TestQuotaThroughFailures(t *testing.T) {
-	// Symptom: a quota is exceeded, or its callers get nothing.
-	// Sequence: an entry is cut off, the holder changes, an entry starts again, the
-	// quota goes far down; one at a time.
-	// Cause: tokens were granted or spent twice, or by no one.
+	// Neither a failure nor a change of the quota may let it be exceeded, or leave its customer without
+	// tokens.
 	const quota = 100.0
 	for name, tc := range map[string]struct {
 		trouble func(co *counter)
-		least   float64 // of the quota in the ten seconds after it
+		least   float64 // fraction of the quota admitted in the next 10 s
 	}{
 		"cut":        {func(co *counter) { co.cut[0].Store(true) }, 0.9},
 		"all cut":    {func(co *counter) { cutAll(co) }, 0},
@@ -120,9 +117,8 @@
 }
 
 func TestCutOffPayerSaysWhenToComeBack(t *testing.T) {
-	// Symptom: each request of an entry that is cut off waits for a call that fails.
-	// Sequence: the entry asks the holder in vain; the next request comes.
-	// Cause: the entry didn't keep that there are no tokens for a while.
+	// After a failed call to the holder, further requests are rejected at once instead of waiting for
+	// another call that fails.
 	synctest.Test(t, func(t *testing.T) {
 		co := newCounter(1, 10)
 		cutAll(co)
@@ -153,11 +149,8 @@
 }
 
 func TestHolderThatKnowsNoQuotaKeepsTheEntries(t *testing.T) {
-	// Symptom: a customer begins as many requests as it likes, though all entries know
-	// its quota.
-	// Sequence: a scheduler holds the lease before it has read the configuration, or has
-	// an older one in which the customer has no quota; entries ask it for tokens.
-	// Cause: it took a quota that it doesn't know for none, and granted all that was wanted.
+	// A scheduler whose configuration is missing or out of date must not treat a customer as
+	// unlimited if the entries have a quota for it.
 	const quota = 20.0
 	synctest.Test(t, func(t *testing.T) {
 		co := newCounter(6, quota)
--- a/forward/call_test.go
+++ b/forward/call_test.go
@@ -20,11 +20,8 @@
 func rewardCall() Call { return Call{Body: []byte("text"), Host: "desk", ID: "call", Path: "/a"} }
 
 func TestCall(t *testing.T) {
-	// Symptom: a sample bears a score that no endpoint gave for it, or is lost
-	// though no endpoint failed its call.
-	// Sequence: the first endpoint refuses, fails, breaks off or crosses its
-	// answer; there is a second one or not.
-	// Cause: what became of the first attempt was taken for something else.
+	// A sample must not get a score that no endpoint returned for it, nor be dropped although no
+	// endpoint failed its call.
 	for _, tc := range []struct {
 		name     string
 		first    behaviour
@@ -51,7 +48,7 @@
 			if tc.second != nil {
 				behaviours = append(behaviours, tc.second)
 			}
-			// The kind says what callers' requests bear; reward calls bear repeats.
+			// The route's kind applies to callers' requests; reward calls are always repeatable.
 			de := deploy(t, directory.Route{Kind: directory.Once, MaxAttempts: 2}, behaviours...)
 			re := de.forwarder.Call(t.Context(), rewardCall())
 			assert.Equal(t, re.Outcome(), tc.outcome)
@@ -63,10 +60,8 @@
 }
 
 func TestCallByTheRouteInForce(t *testing.T) {
-	// Symptom: a reward call reaches a service that its route no longer names.
-	// Sequence: the call fails, its route is moved, vanishes and comes back, and
-	// the call is made again each time.
-	// Cause: the route was looked up once, when the step was accepted.
+	// Each call looks up its route again, so that it never reaches a service that the current
+	// configuration no longer names.
 	de := deploy(t, directory.Route{MaxAttempts: 1}, whole)
 	set := func(version int64, routes ...directory.Route) {
 		de.forwarder.Directory.SetConfiguration(&directory.Configuration{Routes: routes, Version: version})
@@ -93,10 +88,7 @@
 }
 
 func TestEndedCallSendsNothingMore(t *testing.T) {
-	// Symptom: a reward call reaches an endpoint seconds after its step's end.
-	// Sequence: the call waits at a silent endpoint; the step ends; the endpoint
-	// breaks off.
-	// Cause: the failed attempt was followed by another one.
+	// A call whose context is cancelled must not be retried at another endpoint.
 	held, release := make(chan struct{}), make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request, func()) {
 		close(held)
@@ -114,8 +106,8 @@
 	assert.Equal(t, de.runs.Load(), int64(0))
 }
 
-// pipeTo returns a forwarder whose only endpoint answers over a pipe, so that no machine
-// is too slow for it in a bubble.
+// pipeTo returns a forwarder whose only endpoint is connected by net.Pipe, so that it can run in a
+// synctest bubble.
 func pipeTo(t *testing.T, ro directory.Route, handler http.HandlerFunc) *Forwarder {
 	t.Helper()
 	ro.Host, ro.Prefix, ro.Shares = "desk", "/", []directory.Share{{Service: "desk", Weight: 1}}
@@ -142,7 +134,7 @@
 	return fo
 }
 
-// A pipeListener accepts pipes.
+// A pipeListener accepts the server ends of pipes that dial creates.
 type pipeListener struct {
 	closed chan struct{}
 	conns  chan net.Conn
@@ -178,11 +170,11 @@
 func (pl pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func TestCallNamesItsOwnDeadline(t *testing.T) {
-	// What an endpoint is granted is never above the route's timeout.
+	// The deadline sent to an endpoint must not exceed the route's timeout.
 	for _, tc := range []struct {
 		name    string
 		timeout time.Duration
-		want    string // milliseconds granted
+		want    string // value of the deadline header, in milliseconds
 	}{
 		{"route names none", 0, "2000"},
 		{"route names half a second", 500 * time.Millisecond, "500"},
@@ -202,8 +194,7 @@
 	}
 }
 
-// BenchmarkCall is what one reward call costs the process that makes it, and the
-// endpoint beside it, over loopback.
+// BenchmarkCall measures a reward call over loopback, endpoint included.
 func BenchmarkCall(b *testing.B) {
 	de := deploy(b, directory.Route{MaxAttempts: 2}, whole)
 	b.ReportAllocs()
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -16,11 +16,11 @@
 	"wisteriacroft/directory"
 )
 
-// crashBody is the body of the request that ends any endpoint that runs it.
+// crashBody is the body of the request that crashes every endpoint that runs it.
 const crashBody = "crash"
 
-// A crashDesk is an endpoint that ends under a request with crashBody. It starts
-// again at its address, under another ID.
+// A crashDesk is an endpoint that crashes on a request with crashBody and restarts at the same
+// address under a new ID.
 type crashDesk struct {
 	address string
 	crashed atomic.Bool
@@ -28,14 +28,14 @@
 	starts  int
 }
 
-// start starts the endpoint, if it is down, and registers it.
+// start starts and registers the endpoint unless it is running.
 func (cd *crashDesk) start(t *testing.T, de *deployment, number int) {
 	t.Helper()
 	if cd.starts > 0 && !cd.crashed.Load() {
 		return
 	}
 	if cd.crashed.Load() {
-		cd.server.Close() // waits for the request under which it ended
+		cd.server.Close() // waits for the request that crashed it
 		de.forwarder.Directory.RemoveEndpoint(cd.id(number), time.Now())
 	}
 	address := cd.address
@@ -54,7 +54,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		sign(rw, rq)
-		_, _ = fmt.Fprintf(rw, "id: 1\ndata: %s %s\n\n", rq.Method, body) // an event, for streams
+		_, _ = fmt.Fprintf(rw, "id: 1\ndata: %s %s\n\n", rq.Method, body) // also a valid event for streaming routes
 	}))
 	assert.NilError(t, sv.Listener.Close())
 	sv.Listener = li
@@ -68,18 +68,8 @@
 func (cd *crashDesk) id(number int) string { return fmt.Sprintf("endpoint-%d-%d", number, cd.starts) }
 
 func TestRequestThatEndsItsEndpoints(t *testing.T) {
-	// Order lines were refused for seconds, three times a minute: all order desks
-	// were down. One request came again and again, each time with another id, and
-	// each endpoint ended some 50 ms after it had begun to run it. The entry took
-	// every try for a new request and a broken connection for the endpoint's own
-	// failure, so that it sent each try to as many endpoints as the route allows:
-	//
-	//	37.1435 front-1 endpoint failed  "Post /hulo760/d4f238": EOF  endpoint=i-7c2671a1e3
-	//	37.2136 front-1 endpoint failed  "Post /hulo760/d4f238": EOF  endpoint=i-fa00485193
-	//	37.4013 front-1 endpoint failed  "Post /hulo760/d4f238": EOF  endpoint=i-b08fca93d4
-	//	41.0466 front-2 endpoint failed  "Post /hulo760/d4f238": EOF  endpoint=i-1190627744
-	//
-	// Twelve endpoints ended under it; three tell what it does.
+	// A request that crashes every endpoint it runs on, and is retried by its client under new IDs,
+	// must not take down all endpoints of its service.
 	const tries, enough = 8, 3
 	for _, tc := range []struct {
 		name  string
@@ -119,8 +109,7 @@
 }
 
 func TestCallThatEndsItsEndpoints(t *testing.T) {
-	// As in TestRequestThatEndsItsEndpoints, by a reward call: the scheduler makes
-	// it again each second until its step ends.
+	// The same for a reward call, which the scheduler repeats until its step ends.
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2})
 	desks := make([]crashDesk, 3)
 	for range 8 {
--- a/forward/customer_test.go
+++ b/forward/customer_test.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/directory"
 )
 
-// told answers with what the endpoint was told of whose request it is.
+// told responds with the customer and key headers that the endpoint received.
 func told(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	sign(rw, rq)
@@ -55,7 +55,7 @@
 	}
 }
 
-// keyed puts a configuration in force by which callers show keys.
+// keyed installs a configuration that requires callers to send keys.
 func (de *deployment) keyed(public bool) {
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
@@ -68,9 +68,8 @@
 	de.forwarder.Directory.HearNews(time.Now())
 }
 
-// A key came with a configuration that this entry had not heard of: it was turned
-// away by the key-value service. It answered 401, which callers take for final, while
-// the other entries served the key.
+// An entry whose configuration may be out of date must not answer 401, which callers treat as
+// final, to a key that other entries may accept.
 func TestUnknownKeyIsNotDeniedWhileNewsIsOld(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable}, told)
 	de.keyed(false)
--- a/forward/forwarder_test.go
+++ b/forward/forwarder_test.go
@@ -27,7 +27,7 @@
 	NotRun: "Not-Run", RequestID: "Request-Id", Signature: "Signature",
 }
 
-// A deployment is an entry before endpoints that behave as told.
+// A deployment is an entry with test endpoints.
 type deployment struct {
 	endpoints []*httptest.Server
 	entry     *httptest.Server
@@ -35,7 +35,7 @@
 	runs      atomic.Int64 // requests that endpoints ran
 }
 
-// behaviour answers a request at an endpoint; run counts it as run.
+// A behaviour handles a request at an endpoint and calls run if it runs the request.
 type behaviour func(rw http.ResponseWriter, rq *http.Request, run func())
 
 func whole(rw http.ResponseWriter, rq *http.Request, run func()) {
@@ -88,8 +88,8 @@
 	_, _ = io.WriteString(rw, "from who knows")
 }
 
-// deploy starts endpoints. The first is in the entry's own failure domain, so
-// that it is tried first.
+// deploy starts an entry and one endpoint for each behaviour. The first endpoint is in the entry's
+// failure domain, so that it is tried first.
 func deploy(t testing.TB, ro directory.Route, behaviours ...behaviour) *deployment {
 	t.Helper()
 	de := &deployment{}
@@ -134,10 +134,8 @@
 }
 
 func TestAttempts(t *testing.T) {
-	// Symptom: an order line runs twice, a caller gets another's answer or half of
-	// one, or is told that its request did not run when it did.
-	// Sequence: an endpoint refuses, fails, breaks off or crosses its answer.
-	// Cause: what became of the first attempt was taken for something else.
+	// A request that is not repeatable must not run twice, and no caller may get a truncated response,
+	// another caller's response, or a false report that its request did not run.
 	for _, tc := range []struct {
 		name   string
 		first  behaviour
@@ -181,9 +179,7 @@
 }
 
 func TestHedge(t *testing.T) {
-	// Symptom: a turnstile waits for seconds while other endpoints are idle.
-	// Sequence: the endpoint that gets the request has fallen silent.
-	// Cause: the request waited for it until its deadline.
+	// A request to an endpoint that does not respond is hedged, not left waiting until its deadline.
 	release := make(chan struct{})
 	silent := func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		run()
@@ -227,9 +223,7 @@
 }
 
 func TestNoConfigurationYet(t *testing.T) {
-	// Symptom: a caller is told for good that its address does not exist.
-	// Sequence: it reaches an entry that has just started.
-	// Cause: an entry without a configuration knows no route.
+	// An entry that has not read a configuration yet must answer 503, not a final 404.
 	de := deploy(t, directory.Route{}, whole)
 	de.forwarder.Directory = &directory.Directory{}
 	status, _, header := de.ask(t, http.MethodGet, "/", "")
@@ -237,8 +231,8 @@
 	assert.Equal(t, header.Get("Retry-After"), "0.5")
 }
 
-// stream answers with events after the last that the caller has, and breaks
-// off after some.
+// stream responds with the events after the one in the last-event header, up to last, and aborts
+// within the event after breakAfter unless that is 0.
 func stream(last, breakAfter int) behaviour {
 	return func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		run()
@@ -258,11 +252,8 @@
 }
 
 func TestStreams(t *testing.T) {
-	// Symptom: a piece of a stream is missing, comes twice, or half of one is
-	// taken for a whole; or a stream that broke looks whole.
-	// Sequence: an endpoint breaks a stream off within an event.
-	// Cause: bytes were passed on as they came, and the next endpoint went on
-	// from elsewhere.
+	// When an endpoint breaks a stream within an event, the caller must get no event twice, partly or
+	// not at all, and a stream that is not resumed must not look complete.
 	const five = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\nid: 5\ndata: 5\n\n"
 	for _, tc := range []struct {
 		name      string
@@ -296,8 +287,7 @@
 }
 
 func TestPick(t *testing.T) {
-	// Load pattern: steady requests, of which some go to an endpoint that has
-	// turned slow, failed or begun to leave. Baseline: any endpoint is as good.
+	// Requests avoid endpoints that are slow, full, leaving or have just failed.
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	ens := []directory.Endpoint{
 		{Domain: "x", ID: "near", Slots: 6}, {Domain: "y", ID: "far", Slots: 6},
@@ -337,9 +327,8 @@
 	assert.Assert(t, !ok)
 }
 
-// Symptom: a caller is told that its request has not run, asks again, and it runs twice.
-// The first endpoint runs it and fails, the second one has no place. Cause: what was told
-// was the last endpoint's word alone.
+// If the first endpoint ran a request and failed, a rejection by the second must not be reported as
+// "not run": the caller would send the request again.
 func TestStreamThatRanIsNotRefused(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2, Streaming: true}, failing, full)
 	status, _, _ := de.ask(t, http.MethodPost, "/", "line")
--- a/forward/line_test.go
+++ b/forward/line_test.go
@@ -17,7 +17,7 @@
 	"wisteriacroft/directory"
 )
 
-// held is a behaviour that answers once it is let go on.
+// held is a behaviour that responds after release is closed.
 func held(release <-chan struct{}) behaviour {
 	return func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		run()
@@ -31,8 +31,8 @@
 	}
 }
 
-// crowded tells the entry that all endpoints have more than enough to do, so that one
-// request at each is all that it sends them.
+// crowded reports all endpoints as overloaded, so that the entry sends each at most one request at
+// a time.
 func (de *deployment) crowded(goal time.Duration) {
 	ens := de.forwarder.Directory.Endpoints("desk")
 	for range 40 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// oneEach makes the entry send one request at a time to each endpoint, as after one that
-// was turned away.
+// oneEach reports a rejection by each endpoint, so that the entry sends each at most one request at
+// a time.
 func (de *deployment) oneEach() {
 	ta := &de.forwarder.table
 	for _, en := range de.forwarder.Directory.Endpoints("desk") {
@@ -63,7 +63,7 @@
 	took   time.Duration
 }
 
-// send asks in the background.
+// send sends a request in the background.
 func (de *deployment) send(t *testing.T, path string) <-chan reply {
 	t.Helper()
 	out := make(chan reply, 1)
@@ -88,7 +88,7 @@
 	return out
 }
 
-// until waits for a condition.
+// until waits up to 2 s for a condition.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -107,9 +107,8 @@
 	return ls.line("desk").queue.Len()
 }
 
-// Symptom: requests that waited at an entry were lost, or refused though they had run.
-// Events: the endpoint that they waited for dies; another goes on, or none does.
-// Cause: those that wait belong to no endpoint, and must not follow one down.
+// A request queued at an entry must survive the failure of an endpoint, and must be reported as not
+// run only if it did not run.
 func TestWaitersGoOnElsewhere(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -154,7 +153,7 @@
 	}
 }
 
-// Load: more than the endpoints bear, with a goal that can't be met any more.
+// Under overload a request that cannot meet its goal is rejected immediately.
 func TestRefusedAtOnce(t *testing.T) {
 	busy := make(chan struct{})
 	goal := 50 * time.Millisecond
@@ -179,9 +178,7 @@
 	assert.Assert(t, strings.Contains(out.String(), `wisteriacroft_live_waiting{service="desk"} 0`), out.String())
 }
 
-// Symptom: endpoints run requests whose callers are gone.
-// Events: a caller leaves while its request waits for room; later there is room.
-// Cause: the request was still in the line.
+// A queued request whose caller has disconnected must not be sent to an endpoint.
 func TestLeaversAreNotSent(t *testing.T) {
 	busy := make(chan struct{})
 	free := sync.OnceFunc(func() { close(busy) })
@@ -212,7 +209,7 @@
 	assert.Equal(t, de.runs.Load(), int64(1))
 }
 
-// Calls of the system's own wait at their maker and not here.
+// Internal calls are not queued here: their caller limits them.
 func TestOwnCallsDoNotWait(t *testing.T) {
 	goal := 50 * time.Millisecond
 	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 1}, whole)
@@ -223,9 +220,7 @@
 	}
 }
 
-// Symptom: an entry ended for want of memory.
-// Events: callers ask for large answers and don't read them.
-// Cause: each answer stays until it is read, and nothing bounded how many there are.
+// Callers that do not read large responses must not make the entry run out of memory.
 func TestSlowReadersAreBounded(t *testing.T) {
 	const size = 24 << 20
 	large := func(rw http.ResponseWriter, rq *http.Request, run func()) {
@@ -257,9 +252,7 @@
 	assert.Equal(t, (<-de.send(t, "/c")).status, http.StatusOK)
 }
 
-// Symptom: an entry refuses all new work though it holds nothing.
-// Events: callers send bodies that turn out too large.
-// Cause: what had been read of them still counted as held.
+// Bodies rejected as too large must not stay counted, or the entry would reject all new requests.
 func TestBodiesCountAsHeld(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, whole)
 	de.forwarder.SetMemory(1000)
--- a/forward/loads_test.go
+++ b/forward/loads_test.go
@@ -11,7 +11,7 @@
 	"wisteriacroft/scale"
 )
 
-// scaled puts a configuration in force by which the desk's endpoints may be ordered.
+// scaled installs a configuration that allows scaling of the desk service.
 func (de *deployment) scaled() {
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
@@ -44,7 +44,8 @@
 	})
 }
 
-// Of services whose endpoints may not be ordered, and of engines, nothing is told.
+// Loads are reported only for scaled plain services. A request that several endpoints reject counts
+// as one rejection.
 func TestLoadsOfRequests(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, full, whole)
 	assert.Equal(t, len(de.forwarder.Loads(time.Now())), 0)
@@ -66,7 +67,7 @@
 	assert.Equal(t, loads["desk"].Refused, 1, "a request that two endpoints refused is one")
 }
 
-// A stream has its place until its last event, and when it breaks for good.
+// A stream that breaks and cannot be resumed must not stay counted as in flight.
 func TestLoadsOfStreams(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Once, MaxAttempts: 2, Streaming: true}, cutShort)
 	de.scaled()
--- a/forward/memory_test.go
+++ b/forward/memory_test.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/directory"
 )
 
-// post sends a body with ada's key, of a size that is told or not.
+// post sends a body with ada's key, and with a Content-Length if told.
 func (de *deployment) post(t *testing.T, body io.Reader, told bool) *http.Response {
 	t.Helper()
 	if !told {
@@ -31,7 +31,7 @@
 	return resp
 }
 
-// remembering starts an entry that may hold so many bytes, and takes bodies of any size.
+// remembering starts an entry with a memory limit and without a limit on body sizes.
 func remembering(t *testing.T, bound int64) *deployment {
 	t.Helper()
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, whole)
@@ -45,10 +45,8 @@
 	return de
 }
 
-// Symptom: a caller comes back time and again with a body that idle entries refuse.
-// Events: the body is larger than half of what an entry may hold for callers. Cause: what
-// had been read of it counted against it, as if its customer held that beside it; and what
-// could never be held was refused in the same way.
+// An idle entry must accept any body within the memory limit, also one larger than half of it, and
+// must answer 413, not a retryable 503, to a larger one.
 func TestBodiesThatFitAnIdleEntryAreServed(t *testing.T) {
 	const bound = 64 << 10
 	for _, tc := range []struct {
@@ -71,9 +69,8 @@
 	}
 }
 
-// Symptom: none of two callers is served, however often they come back. Events: their
-// bodies come at one time, and each is larger than half of what may be held. Cause: each
-// was refused for what had been read of the other.
+// Of two concurrent bodies, each larger than half of the memory limit, one must be accepted: read
+// side by side, each would be rejected because of the other.
 func TestOneOfTwoLargeBodiesIsServed(t *testing.T) {
 	const bound = 64 << 10
 	de := remembering(t, bound)
--- a/forward/operatorhold_test.go
+++ b/forward/operatorhold_test.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/hold"
 )
 
-// sheetOf returns a sheet of one hold.
+// sheetOf returns a sheet with one hold.
 func sheetOf(t *testing.T, version int64, ki hold.Kind, name string) *hold.Sheet {
 	t.Helper()
 	sh, _, err := (*hold.Sheet)(nil).Apply(hold.Change{
--- a/forward/overload_test.go
+++ b/forward/overload_test.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	crowdHop      = time.Millisecond // one way
+	crowdHop      = time.Millisecond // network latency, one way
 	crowdDeadline = 2 * time.Second
-	crowdQueue    = 24 // requests that a desk lets wait
+	crowdQueue    = 24 // maximum queue length of a desk
 )
 
 // A crowdCall is one caller's request.
@@ -30,26 +30,25 @@
 	tried   map[string]bool
 }
 
-// A crowdJob is a call at a desk, or its answer on the way back.
+// A crowdJob is a call at a desk or on the way to it, or the response on its way back.
 type crowdJob struct {
-	at   time.Duration // when it reaches the other end
+	at   time.Duration // time of arrival at the other end
 	call *crowdCall
 	left time.Duration
 	load admission.Load
 	sent time.Duration
 }
 
-// A crowdDesk is an endpoint that tells its load and turns away what its queue has no
-// place for.
+// A crowdDesk is an endpoint that reports its load and rejects requests while its queue is full.
 type crowdDesk struct {
 	answers  []*crowdJob
 	coming   []*crowdJob
 	en       directory.Endpoint
-	here     []*crowdJob // those with a place first
+	here     []*crowdJob // running first, then queued
 	paceFunc func(now time.Duration) float64
 }
 
-// A crowdEntry is an entry that sees its own requests only.
+// A crowdEntry is an entry, which sees only its own requests.
 type crowdEntry struct {
 	domain string
 	line   line
@@ -57,9 +56,9 @@
 	weight float64
 }
 
-// A crowd is entries before desks, and what became of the calls.
+// A crowd simulates entries and desks, and counts the outcomes of calls.
 type crowd struct {
-	asking   bool // entries ask endpoints in turn instead of foreseeing room
+	asking   bool // entries try endpoints in turn instead of predicting capacity
 	calls    map[*crowdEntry]map[uint64]*crowdCall
 	desks    []*crowdDesk
 	ens      []directory.Endpoint
@@ -97,7 +96,7 @@
 	return destinations{domain: en.domain, ens: cr.ens, table: &en.table}
 }
 
-// arrive brings the callers of a step of time.
+// arrive creates the calls of one time step.
 func (cr *crowd) arrive() {
 	weights := map[string]float64{}
 	for _, en := range cr.entries {
@@ -133,7 +132,7 @@
 	cr.refuse(en, refused)
 }
 
-// ask sends a call to the next endpoint that has not turned it away.
+// ask sends a call to the next endpoint that has not rejected it.
 func (cr *crowd) ask(ca *crowdCall) {
 	to, ok := ca.entry.table.Pick(cr.ens, ca.tried, ca.entry.domain, cr.clock())
 	if !ok {
@@ -161,7 +160,7 @@
 	}
 }
 
-// work serves a desk's calls for a step of time, and brings its answers.
+// work simulates a desk for one time step and delivers its responses.
 func (cr *crowd) work(de *crowdDesk) {
 	pace := de.paceFunc(cr.now)
 	load := func() admission.Load {
@@ -203,7 +202,7 @@
 	})
 }
 
-// take brings an answer to its entry.
+// take delivers a response to its entry.
 func (cr *crowd) take(de *crowdDesk, jo *crowdJob) {
 	ca := jo.call
 	en := ca.entry
@@ -242,7 +241,7 @@
 	cr.refuse(en, refused)
 }
 
-// play plays a day, after which no more callers come.
+// play simulates arrivals for a period, and then runs until the last deadline.
 func (cr *crowd) play(day time.Duration) {
 	for ; cr.now < day+crowdDeadline; cr.now += simStep {
 		if cr.now < day {
@@ -260,16 +259,16 @@
 	slices.Sort(cr.took)
 }
 
-// A crowdLoad is a load pattern of the replay.
+// A crowdLoad is a load pattern.
 type crowdLoad struct {
 	name    string
 	entries int
-	rate    float64 // calls a second, of all
+	rate    float64 // calls a second over all entries
 	setFunc func(cr *crowd)
 }
 
-// crowdLoads are the patterns: what the desks bear is 850 calls a second at their
-// usual pace.
+// crowdLoads returns the load patterns. The capacity of all desks is 850 calls a second at normal
+// speed.
 func crowdLoads() []crowdLoad {
 	paces := func(paceFunc func(desk int, now time.Duration) float64) func(cr *crowd) {
 		return func(cr *crowd) {
@@ -305,9 +304,8 @@
 	}
 }
 
-// TestRoomForeseen replays bursts before few desks, by many entries whose news of them
-// is old and that know nothing of each other, and holds foreseeing room against asking
-// desk after desk.
+// TestRoomForeseen compares predicting the capacity of desks with trying desk after desk, for many
+// independent entries with delayed load reports.
 func TestRoomForeseen(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%-45s %-10s %8s %9s %8s %8s %8s %6s\n", "load", "way", "arrived", "answered", "in goal", "refused", "rejected", "p99")
@@ -329,7 +327,7 @@
 				100*float64(cr.rejected)/float64(max(cr.offered, 1)), quantile(cr.took, .99).Milliseconds())
 			assert.Equal(t, cr.arrived, cr.answered+cr.refused, lo.name)
 			if !asking {
-				// What comes in the first round of answers comes unforeseen.
+				// Requests sent before the first responses cannot be predicted.
 				assert.Assert(t, float64(cr.rejected) <= 0.05*float64(cr.offered), lo.name)
 			}
 		}
@@ -338,15 +336,13 @@
 	golden.Assert(t, out.String(), "overload.golden")
 }
 
-// TestSpillByNeed replays demand that is uneven between two failure domains for a
-// while: what the own desk can't answer in time goes across, and no more; once demand
-// is even again it stays at home.
+// Requests go to the other failure domain only while their own cannot serve them in time.
 func TestSpillByNeed(t *testing.T) {
 	cr := newCrowd(10, 2, 2, false)
 	begun, ended := 2*time.Second, 6*time.Second
 	cr.rateFunc = func(now time.Duration, domain string) float64 {
 		if domain == "0" && now >= begun && now < ended {
-			return 400 // its desk bears 285
+			return 400 // its desk has a capacity of 285
 		}
 		return 60
 	}
--- a/forward/replay_test.go
+++ b/forward/replay_test.go
@@ -15,53 +15,53 @@
 	"wisteriacroft/directory"
 )
 
-// A simCall is a request or a reward call before plain endpoints.
+// A simCall is a live request or a reward call to plain endpoints.
 type simCall struct {
 	begun   time.Duration
 	hedged  bool
 	reward  bool
-	service time.Duration // at an endpoint of usual speed
-	took    time.Duration // 0 while it is not answered
+	service time.Duration // at an endpoint of normal speed
+	took    time.Duration // 0 until it is answered
 	tried   map[string]bool
 	places  []*simPlace
 }
 
-// A simPlace is a call at an endpoint: in its queue, or served.
+// A simPlace is a call queued or running at an endpoint.
 type simPlace struct {
 	call *simCall
 	sent time.Duration
 	left time.Duration
 }
 
-// A simDesk is a plain endpoint with places and a queue.
+// A simDesk is a plain endpoint with slots and a queue.
 type simDesk struct {
 	endpoint directory.Endpoint
-	factor   float64 // slower by
+	factor   float64 // slowdown
 	places   []*simPlace
 }
 
-// A simService is the plain endpoints of a deployment, an entry and a scheduler
-// that each know them by their own calls, and the calls that wait.
+// A simService simulates plain endpoints, with an entry and a scheduler that each see only their
+// own calls.
 type simService struct {
-	calls   []*simCall // that were sent and are not answered
+	calls   []*simCall // sent and not answered
 	desks   []*simDesk
 	ens     []directory.Endpoint
 	entry   Table
 	now     time.Duration
-	rewards int // calls that may be made at once
+	rewards int // maximum concurrent reward calls
 	rng     *rand.Rand
 	sched   Table
-	waiting []*simCall // reward calls
+	waiting []*simCall // reward calls not sent yet
 }
 
 const (
 	simStep = time.Millisecond
 	simDay  = 12 * time.Second
-	// simGoal is how soon a live caller needs its answer.
+	// simGoal is the latency goal of live requests.
 	simGoal = 150 * time.Millisecond
 )
 
-// begin is when the virtual day begins.
+// simBegin is the start of simulated time.
 var simBegin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newSimService(desks, slow int, part float64, seed uint64) *simService {
@@ -86,7 +86,7 @@
 	return &se.entry
 }
 
-// send sends a call to the endpoint that its sender picks.
+// send sends a call to the endpoint that its sender's table picks.
 func (se *simService) send(ca *simCall) {
 	en, ok := se.table(ca).Pick(se.ens, ca.tried, "", simBegin.Add(se.now))
 	if !ok {
@@ -105,7 +105,7 @@
 	}
 }
 
-// serve serves an endpoint's calls for a step of time.
+// serve simulates an endpoint for one time step.
 func (se *simService) serve(de *simDesk) {
 	served := 0
 	de.places = slices.DeleteFunc(de.places, func(pl *simPlace) bool {
@@ -130,8 +130,8 @@
 	})
 }
 
-// arrive brings the calls of a step of time: live ones at a steady rate, and
-// reward calls in the 3 s after each fourth second, as texts become whole.
+// arrive creates the calls of one time step: live requests at a steady rate, and reward calls in the
+// first 3 s of every 4 s.
 func (se *simService) arrive(live, samples float64) {
 	draw := func(mean time.Duration, reward bool) *simCall {
 		service := time.Duration(float64(mean) * math.Exp(0.4*se.rng.NormFloat64()))
@@ -149,7 +149,7 @@
 	}
 }
 
-// start sends the reward calls that may be made now.
+// start sends waiting reward calls up to the concurrency limit.
 func (se *simService) start() {
 	active := 0
 	for _, ca := range se.calls {
@@ -164,7 +164,7 @@
 	}
 }
 
-// hedge sends calls that wait for long to a second endpoint.
+// hedge sends slow calls to a second endpoint.
 func (se *simService) hedge() {
 	waits := map[bool]time.Duration{}
 	for reward, ta := range map[bool]*Table{false: &se.entry, true: &se.sched} {
@@ -178,7 +178,7 @@
 	}
 }
 
-// play plays a day and returns the times that live and reward calls took.
+// play runs the simulation and returns the sorted durations of live requests and reward calls.
 func (se *simService) play(live, samples float64) (callers, scores []time.Duration) {
 	for ; se.now < simDay; se.now += simStep {
 		se.arrive(live, samples)
@@ -211,10 +211,8 @@
 	return all[min(int(part*float64(len(all))), len(all)-1)]
 }
 
-// TestSharedPlainService replays live callers and reward calls before the same
-// plain endpoints, of which four in ten are six times slower than usual, and holds
-// the chosen part of places against none and all. Load: a deployment's own, and
-// five times its samples.
+// TestSharedPlainService simulates live requests and reward calls on shared plain endpoints, some of
+// them slow, for different limits on concurrent reward calls.
 func TestSharedPlainService(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%-34s %-12s %8s %8s %8s %8s %8s %7s\n", "load", "part", "live p50", "live p99", "in goal", "score p50", "p99", "scored")
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -10,9 +10,8 @@
 )
 
 func TestPenaltyEndsWithTheStart(t *testing.T) {
-	// Symptom: an endpoint that is ready gets nothing for 4 s.
-	// Sequence: it crashes, requests to it fail, and it starts again under its ID.
-	// Cause: the penalty went with the ID.
+	// The penalty of a crashed endpoint must not apply to its restart under the same ID, which would
+	// get no requests for seconds.
 	var ta Table
 	now := time.Now()
 	former := directory.Endpoint{ID: "a", Incarnation: 10, Slots: 6}
--- a/forward/uses_test.go
+++ b/forward/uses_test.go
@@ -48,9 +48,8 @@
 	assert.Equal(t, status, http.StatusOK, "its place is free again")
 }
 
-// Symptom: a customer is refused though nothing of it is in flight.
-// Events: its requests are answered, refused or cut short, whole or as streams.
-// Cause: its place was not given back on one of these ways.
+// Every outcome of a request releases its customer's slot. A leaked slot would make the entry reject
+// a customer that has nothing in flight.
 func TestPlacesAreFreeAfterStreamsAndRefusals(t *testing.T) {
 	for name, tc := range map[string]struct {
 		route     directory.Route
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -10,7 +10,7 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A system is a holder and entries with purses of one customer.
+// A system simulates one customer's quota at a holder and several entries.
 type system struct {
 	bucket Bucket
 	now    time.Time
@@ -18,7 +18,7 @@
 	spent  []time.Time
 }
 
-// ask makes a request at an entry, which may be cut off.
+// ask sends a request to an entry, which cannot reach the holder if cut.
 func (sy *system) ask(entry int, te Terms, cut bool) bool {
 	pu := &sy.purses[entry]
 	if !pu.Spend(te, sy.now) {
@@ -35,7 +35,7 @@
 	return true
 }
 
-// most returns the most requests within the window, of those after a time.
+// most returns the maximum number of requests in any window after a time.
 func (sy *system) most(after time.Time) int {
 	most, first := 0, 0
 	for i, at := range sy.spent {
@@ -69,9 +69,7 @@
 }
 
 func TestQuotaThatGoesFarDown(t *testing.T) {
-	// Symptom: for a while after an operator lowers a quota, it is far exceeded.
-	// Sequence: a customer spends up to a high quota; it is lowered to a hundredth.
-	// Cause: entries spent what they were granted under the old one.
+	// Tokens granted under a higher quota must not be spent after the quota is lowered.
 	sy := &system{now: begin, purses: make([]Purse, 6)}
 	high, low := Terms{Overshoot: 0.1, Rate: 1000}, Terms{Overshoot: 0.1, Rate: 10}
 	for i := range 4000 {
@@ -88,9 +86,8 @@
 }
 
 func TestCutOffEntrySpendsWhatItHas(t *testing.T) {
-	// Symptom: a quota is exceeded while an entry is cut off.
-	// Sequence: the entry has tokens and is cut off; others are granted theirs from then on.
-	// Cause: its tokens could be spent at any later time, on top of those.
+	// Tokens of an entry that cannot reach the holder must expire: other entries are granted tokens in
+	// the meantime, and together they would exceed the quota.
 	te := Terms{Overshoot: 0.1, Rate: 100}
 	sy := &system{now: begin, purses: make([]Purse, 1)}
 	for i := range 1000 {
@@ -106,9 +103,8 @@
 	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.Life().Seconds())
 }
 
-// Entries, rates and times of asking at random, with cuts, starts of entries, changes of
-// the holder and of the quota: within any ten seconds after the last change, no more
-// begin than the quota and its overshoot allow.
+// Whatever the rates, network failures, restarts and holder changes, the requests in any 10 s after
+// the last change of the quota must stay within the quota and its overshoot.
 func TestExploreQuota(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		overshoot := rapid.SampledFrom([]float64{0.02, 0.1, 0.5}).Draw(rt, "overshoot")
@@ -122,9 +118,9 @@
 			case 0:
 				cut[entry] = !cut[entry]
 			case 1:
-				sy.purses[entry] = Purse{} // it starts again
+				sy.purses[entry] = Purse{} // restart of an entry
 			case 2:
-				sy.bucket = Bucket{} // another holder
+				sy.bucket = Bucket{} // new holder
 			case 3:
 				te.Rate = rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")
 				changed = sy.now
@@ -136,7 +132,7 @@
 				sy.ask(at, te, cut[at])
 			}
 		}
-		// Life has a least value, and a bucket holds one token at least.
+		// Tokens live at least leastLife, and a bucket holds at least one token.
 		slack := te.Rate*max(leastLife.Seconds(), overshoot*window.Seconds()/2) + max(te.Rate*overshoot*window.Seconds()/2, 1)
 		if most := float64(sy.most(changed)); most > te.Rate*window.Seconds()+slack+1 {
 			rt.Fatalf("%f requests in %s at %f a second", most, window, te.Rate)
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -11,9 +11,8 @@
 
 var noon = time.UnixMilli(1_700_000_000_000)
 
-// Symptom: an order line runs twice, or a request is tried again though nobody waits for it.
-// Sequence: one attempt fails, with each fate.
-// Cause: a retry that asks only whether the attempt failed.
+// A request that is not repeatable must not run twice, and a request must not be retried after its
+// deadline.
 func TestWhetherToRetry(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -38,9 +37,8 @@
 	}
 }
 
-// Symptom: an overload goes on after its cause is gone.
-// Sequence: all requests fail for a while; each is tried three times.
-// Cause: retries that come on top of the load, without bound.
+// Retries are limited to a fraction of requests, so that they cannot keep an overload going after
+// its cause has ended.
 func TestBudget(t *testing.T) {
 	bu := NewBudget(Policy{}, 1)
 	retries := 0
@@ -57,8 +55,7 @@
 	assert.Assert(t, !ok)
 }
 
-// Load: endpoints that turn away what they have no place for. Each retry then takes the
-// place of another's first attempt.
+// While endpoints reject requests for lack of capacity, each retry would displace a first attempt.
 func TestBudgetShrinksUnderRefusals(t *testing.T) {
 	retries := func(refusedEach int) int {
 		bu := NewBudget(Policy{Burst: 30, MaxAttempts: 30, Ratio: 0.2}, 1)
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -30,7 +30,7 @@
 	return ta
 }
 
-// picks counts where n requests go that all stay in flight.
+// picks returns how many of n concurrent requests go to each endpoint.
 func picks(ta *Table, n int, need Need) string {
 	need.Service = "marker-llm"
 	counts := map[string]int{}
@@ -89,9 +89,8 @@
 	golden.Assert(t, sb.String(), "picks.golden")
 }
 
-// Symptom: each call to a dead endpoint is lost, for as long as the list still names it.
-// Sequence: three failures in a row; one probe fails, the next succeeds.
-// Cause: the choice knows nothing of how earlier calls went.
+// Consecutive failures eject an endpoint until a probe succeeds, so that calls to a dead endpoint do
+// not keep failing for as long as it is listed.
 func TestEjection(t *testing.T) {
 	ta := newTable(1, Options{})
 	need := Need{Service: "marker-llm"}
@@ -108,10 +107,10 @@
 	pick(false)
 	now = now.Add(defaultEjectFor)
 	pick(true)  // the probe
-	pick(false) // no second one beside it
+	pick(false) // one probe at a time
 	ta.Failed(now, "e0000")
 	now = now.Add(defaultEjectFor)
-	pick(false) // the time has doubled
+	pick(false) // the ejection time has doubled
 	now = now.Add(defaultEjectFor)
 	pick(true)
 	ta.Succeeded(now, "e0000")
@@ -124,7 +123,7 @@
 		"live":    {FailureDomain: "derby-hall"},
 		"sample":  {MinVersion: 2},
 		"prefix":  {MinVersion: 2, Prefix: "p"},
-		"refused": {}, // by all endpoints just now
+		"refused": {}, // by all endpoints
 	}
 	for _, name := range []string{"live", "sample", "prefix", "refused"} {
 		for _, n := range []int{30, 100, 400, 1100} {
@@ -158,9 +157,8 @@
 }
 
 func TestRoom(t *testing.T) {
-	// Symptom: samples wait for minutes before a full endpoint while others fall free.
-	// Sequence: all endpoints are full, one of them suspect; a sample is to be placed; one falls free.
-	// Cause: a choice that takes the least loaded, however loaded that is.
+	// A sample must not be sent to a full endpoint, where it could wait for minutes while others become
+	// free, nor to a suspect one because the others are full.
 	ta := NewTable(Options{})
 	for _, id := range []string{"a", "b"} {
 		ta.Upsert(Endpoint{ID: id, Service: "marker"})
@@ -178,9 +176,7 @@
 }
 
 func TestSuspectIsTheLastResort(t *testing.T) {
-	// Symptom: calls wait on a dead attendant while others are free.
-	// Sequence: an attendant dies; its silence is noticed; calls go on to it.
-	// Cause: a choice that does not know of the silence.
+	// Calls go to an endpoint whose agent does not respond only if there is no other.
 	ta := NewTable(Options{})
 	ta.Upsert(Endpoint{ID: "a", Service: "desk", State: Suspect})
 	ta.Upsert(Endpoint{ID: "b", Service: "desk"})
