--- a/attendant/bench_test.go
+++ b/attendant/bench_test.go
@@ -22,14 +22,14 @@
 	"wisteriacroft/plainservice"
 )
 
-// Sizes of the benchmarks.
+// Benchmark sizes.
 const (
-	benchSamples = 8 // running at each endpoint
+	benchSamples = 8 // running samples per endpoint
 	benchTokens  = 1000
 )
 
-// instant is an engine that makes tokens without a pause and then holds the
-// stream open until its context ends, or ends it at once.
+// instant returns an engine that generates tokens without delay. With hold it then keeps the stream
+// open until its context ends.
 func instant(hold bool, made chan<- struct{}) *engine.Client {
 	return &engine.Client{
 		GenerateFunc: func(ctx context.Context, req engine.GenerateRequest, emit func(engine.Chunk) error) error {
@@ -53,7 +53,7 @@
 	}
 }
 
-// heap returns the bytes of live objects.
+// heap returns the size of live heap objects in bytes.
 func heap() float64 {
 	runtime.GC()
 	var ms runtime.MemStats
@@ -61,8 +61,8 @@
 	return float64(ms.HeapAlloc)
 }
 
-// BenchmarkTick measures the processor time of one tick of all systems, with
-// samples running at each endpoint, and the memory that these hold.
+// BenchmarkTick measures the processor time of one tick while samples run, and the memory that they
+// use.
 func BenchmarkTick(b *testing.B) {
 	for _, count := range []int{1, 3, 10} {
 		b.Run(fmt.Sprintf("endpoints-%d", count), func(b *testing.B) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// settle reads each endpoint's report once.
+// settle polls each endpoint's report once.
 func settle(b *testing.B, at *attendant.Attendant) {
 	b.Helper()
 	for _, sy := range at.Systems() {
@@ -131,7 +131,7 @@
 	return httptest.NewRequest(http.MethodPost, "/endpoints/"+endpoint+"/samples", bytes.NewReader(body))
 }
 
-// BenchmarkStream measures what passing on a live stream costs, chunk by chunk.
+// BenchmarkStream measures the cost of forwarding a live stream, per token.
 func BenchmarkStream(b *testing.B) {
 	at, err := attendant.New(attendant.Options{Endpoints: []attendant.EndpointOptions{
 		{Engine: instant(false, nil), Name: "marker-1", Service: "marker-llm"},
@@ -149,7 +149,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*benchTokens), "ns/token")
 }
 
-// BenchmarkCall measures what a live call costs in the attendant.
+// BenchmarkCall measures the cost of forwarding a live call.
 func BenchmarkCall(b *testing.B) {
 	client := &plainservice.Client{
 		CallFunc: func(context.Context, plainservice.Request) (plainservice.Answer, error) {
--- a/attendant/call_test.go
+++ b/attendant/call_test.go
@@ -20,8 +20,7 @@
 	repeatable = message.RepeatableHeader
 )
 
-// plainOptions are those of an attendant beside a service that runs two
-// requests at a time.
+// plainOptions returns the options of an attendant for a service with two concurrent requests.
 func plainOptions(t *testing.T, fs *fakeService) attendant.Options {
 	t.Helper()
 	ho := &profile.Holder{}
@@ -34,7 +33,7 @@
 	}
 }
 
-// deskDocument returns a document in which one endpoint serves orders.
+// deskDocument returns a document in which one endpoint serves order-desk.
 func deskDocument(t *testing.T, revision uint64, endpoint string) profile.Document {
 	t.Helper()
 	pr, findings := profile.Parse("desk", "desk.toml", `
@@ -50,8 +49,8 @@
 	return profile.NewDocument(revision, pr)
 }
 
-// newKey returns a key that is minted now. The library's own minting never goes
-// back in time, which bubbles do.
+// newKey returns a key minted now. The library's generator is monotonic, so it can't follow the
+// clock of a bubble.
 func newKey() string {
 	var ke uuid.UUID
 	binary.BigEndian.PutUint64(ke[:], uint64(time.Now().UnixMilli())<<16)
@@ -59,7 +58,6 @@
 	return ke.String()
 }
 
-// TestCalls shows what callers get, in the order in which they ask.
 func TestCalls(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 700 * time.Millisecond}
@@ -82,17 +80,13 @@
 	})
 }
 
-// TestOrderLineRepeated
-//
-// Symptom: an order line is delivered twice.
-// Sequence: its caller loses the connection before the answer, or asks twice, and repeats the key.
-// Cause: the first run is canceled or forgotten when its caller goes, and the repeat runs again.
+// Guards against a second delivery of an order line whose caller disconnects or repeats its key.
 func TestOrderLineRepeated(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 2 * time.Second}
 		_, end := se.start("a:1", plainOptions(t, fs))
 		defer end()
-		time.Sleep(time.Minute) // keys from before the start are not run
+		time.Sleep(time.Minute) // keys from before the attendant's start are refused
 		ke := newKey()
 		ctx, cancel := context.WithTimeout(se.Context(), time.Second)
 		defer cancel()
@@ -101,13 +95,13 @@
 		time.Sleep(2 * time.Second)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat", key, ke)
 		se.call(se.Context(), "a:1", "desk-1/call/other", id, "other-request", key, ke)
-		time.Sleep(time.Millisecond) // another key
+		time.Sleep(time.Millisecond) // so that the next key differs
 		ke = newKey()
 		fs.failWith(plainservice.ErrNotSent)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "not-sent", key, ke)
 		fs.failWith(nil)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat-of-not-sent", key, ke)
-		time.Sleep(time.Millisecond) // another key
+		time.Sleep(time.Millisecond) // so that the next key differs
 		ke = newKey()
 		fs.failWith(plainservice.ErrBroken)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "broken", key, ke)
@@ -117,11 +111,7 @@
 	})
 }
 
-// TestDisconnects
-//
-// Symptom: a request runs though its caller was told, or learns by repeating, that it did not.
-// Sequence: callers go away while their requests wait and while they run.
-// Cause: a request that waits stays in the queue, or one that is not repeatable is cut off.
+// Guards against running a request after its caller was told that it did not run.
 func TestDisconnects(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 10 * time.Second}
@@ -151,11 +141,7 @@
 	})
 }
 
-// TestDrain
-//
-// Symptom: a shutdown cuts off answers, or a request that ran is told not-run.
-// Sequence: the attendant is told to leave while requests run and wait, and more come.
-// Cause: the listener or the process goes before the work has ended.
+// A shutdown must not cut off answers, nor report a request that ran as not run.
 func TestDrain(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 5 * time.Second}
@@ -179,11 +165,8 @@
 	})
 }
 
-// TestAnswerLost
-//
-// Symptom: calls wait before a service that has nothing to do, and a shutdown takes all its grace.
-// Sequence: order lines are given to the service, whose answers get lost; more calls come; the attendant leaves.
-// Cause: a run that goes on without its caller waits on its silent connection until its bound.
+// Guards against runs without a caller that occupy slots of a service whose answers were lost, and
+// delay the shutdown.
 func TestAnswerLost(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{silent: true, takes: 100 * time.Millisecond}
@@ -204,11 +187,8 @@
 	})
 }
 
-// TestHomeMoves
-//
-// Symptom: an order line is delivered twice, by two endpoints.
-// Sequence: a revision moves a key's home; an entry that is behind sends the key to the old one, another to the new one.
-// Cause: the new home runs keys before the old one has given its word that it runs none.
+// Guards against a second delivery when a key's home moves: the new home must not run it before the
+// former one has yielded.
 func TestHomeMoves(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: time.Second}
--- a/attendant/fake_test.go
+++ b/attendant/fake_test.go
@@ -14,16 +14,16 @@
 	"wisteriacroft/plainservice"
 )
 
-// A fakeEngine makes one token each step.
+// A fakeEngine generates one token per step.
 type fakeEngine struct {
 	mu       sync.Mutex
-	breakAt  int // tokens after which the connection breaks, once
+	breakAt  int // number of tokens after which the connection breaks, once
 	canceled []string
-	fail     error // of the next request
+	fail     error // error of further requests
 	orderErr error
 	orders   []engine.Order
-	spoil    func(ch *engine.Chunk) // changes a chunk on its way
-	stuckAt  int                    // tokens after which nothing comes any more
+	spoil    func(ch *engine.Chunk) // changes chunks in transit
+	stuckAt  int                    // number of tokens after which the stream stalls
 	version  engine.Version
 }
 
@@ -56,7 +56,7 @@
 	return fe.version
 }
 
-// whatWasCanceled returns the ids of the requests that were canceled.
+// whatWasCanceled returns the ids of canceled requests.
 func (fe *fakeEngine) whatWasCanceled() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -69,7 +69,7 @@
 	fe.version = ve
 }
 
-// token returns the one right token at a position.
+// token returns the expected token at a position.
 func token(prompt string, position int) engine.Token {
 	return engine.Token{ID: int32(len(prompt)*1000 + position)}
 }
@@ -108,24 +108,23 @@
 	return nil
 }
 
-// A fakeService answers after a while and counts what ran.
+// A fakeService answers after a delay and records the requests that it runs.
 type fakeService struct {
 	mu      sync.Mutex
 	fail    error
 	ran     []string
 	running int
-	silent  bool // runs requests, and its answers get lost
+	silent  bool // runs requests but never answers
 	takes   time.Duration
 }
 
-// failWith lets the calls from now on fail, or not with nil.
+// failWith sets the error of further calls; nil lets them succeed.
 func (fs *fakeService) failWith(err error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	fs.fail = err
 }
 
-// setSilent lets answers from now on get lost, or not.
 func (fs *fakeService) setSilent(silent bool) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
--- a/attendant/harness_test.go
+++ b/attendant/harness_test.go
@@ -27,7 +27,7 @@
 	"wisteriacroft/profile"
 )
 
-// A pipes joins processes of one bubble by net.Pipe, by address.
+// A pipes connects the processes of a bubble by address over net.Pipe.
 type pipes struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
@@ -75,7 +75,7 @@
 func (pl *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 func (pl *pipeListener) Close() error   { pl.once.Do(func() { close(pl.closed) }); return nil }
 
-// A session runs attendants in a bubble and writes down what their callers see.
+// A session runs attendants in a bubble and logs their answers.
 type session struct {
 	*testing.T
 	begin  time.Time
@@ -95,7 +95,7 @@
 	return se
 }
 
-// run runs a session in a bubble and compares its log with the golden file.
+// run runs a session in a bubble and compares its log with a golden file.
 func run(t *testing.T, fn func(se *session)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -106,14 +106,14 @@
 	})
 }
 
-// note writes a line with the time since the session's start.
+// note logs a line with the time since the session's start.
 func (se *session) note(format string, args ...any) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	fmt.Fprintf(&se.log, "%8s  %s\n", time.Since(se.begin).Round(50*time.Millisecond), fmt.Sprintf(format, args...))
 }
 
-// start starts an attendant and returns it with a function that shuts it down.
+// start starts an attendant and returns it with its shutdown function.
 func (se *session) start(address string, op attendant.Options) (*attendant.Attendant, func()) {
 	op.Address, op.DialFunc = address, se.net.dial
 	if op.Profiles == nil {
@@ -128,13 +128,13 @@
 	return at, func() {
 		se.client.CloseIdleConnections()
 		err := at.Shutdown(context.Background())
-		synctest.Wait() // callers take in their answers at the same moment
+		synctest.Wait() // let callers log their answers first
 		se.note("%s shut down: %v", address, err)
 		assert.NilError(se, <-served)
 	}
 }
 
-// call makes a live call and notes its answer.
+// call makes a live call and logs its answer.
 func (se *session) call(ctx context.Context, address, path string, headers ...string) {
 	beats := 0
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -167,10 +167,9 @@
 		he.Get(message.FateHeader), he.Get(message.LoadHeader), beats, text, textOf(err))
 }
 
-// decode reads JSON.
 func decode(data []byte, value any) error { return json.Unmarshal(data, value) }
 
-// textOf returns an error's text for a golden file.
+// textOf formats an error for a golden file.
 func textOf(err error) string {
 	if err == nil {
 		return ""
@@ -178,7 +177,7 @@
 	return " (" + err.Error() + ")"
 }
 
-// sample asks for a sample and notes the events, progress only where wanted.
+// sample requests a sample, logs its outcome and returns the last event.
 func (se *session) sample(ctx context.Context, address, endpoint string, req message.SampleRequest) message.SampleEvent {
 	body, err := json.Marshal(req)
 	assert.NilError(se, err)
@@ -215,8 +214,7 @@
 	return ev
 }
 
-// places returns two data folders in two failure domains, each served by an
-// attendant of its own.
+// places returns two data folders in two failure domains, each served by its own attendant.
 func (se *session) places() ([]message.Place, func()) {
 	var pls []message.Place
 	var stops []func()
--- a/attendant/membership_test.go
+++ b/attendant/membership_test.go
@@ -20,8 +20,8 @@
 	"wisteriacroft/tick"
 )
 
-// startEntry starts what an attendant needs of an entry: its roster, its
-// configuration, and where desk-1 is.
+// startEntry starts the parts of an entry that an attendant uses: its roster, its configuration and
+// its locate call.
 func (se *session) startEntry(address string, ho *profile.Holder) (stop func()) {
 	ta := &roster.Table{
 		Address:  address,
@@ -50,7 +50,7 @@
 	}
 }
 
-// status asks an attendant what it holds.
+// status requests and logs an attendant's status.
 func (se *session) status(address string) {
 	po := &peer.Pool{DialFunc: se.net.dial}
 	defer po.Close()
@@ -64,11 +64,8 @@
 	}
 }
 
-// TestMembership
-//
-// Symptom: an endpoint that leaves gets new work, or an attendant stays at an old configuration.
-// Sequence: an attendant starts before any entry, an entry comes, the platform's list takes the instance away.
-// Cause: the attendant tells and asks only those that were there at its start.
+// Guards against new work for a leaving endpoint, and against an attendant that misses entries that
+// start after it.
 func TestMembership(t *testing.T) {
 	run(t, func(se *session) {
 		entry := instancelist.Instance{Address: "e:1", ID: "entry-1", Role: "entry", State: instancelist.Live}
@@ -93,11 +90,8 @@
 	})
 }
 
-// TestOrders
-//
-// Symptom: an engine goes back to old weights, or samples name weights that a failed swap never loaded.
-// Sequence: an owner orders, the engine breaks off or loads something else, and an earlier owner wakes.
-// Cause: the attendant passes on any epoch, or believes the order instead of the engine's report.
+// Guards against orders from an outdated owner, and against samples that name weights of a failed
+// swap.
 func TestOrders(t *testing.T) {
 	run(t, func(se *session) {
 		fe := &fakeEngine{version: 7}
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// somePlaces are places that nothing is stored in.
+// somePlaces are places without stored data.
 var somePlaces = []message.Place{{Address: "c:1", FailureDomain: "c"}, {Address: "d:1", FailureDomain: "d"}}
 
 func sampleRequest(attempt string, pls []message.Place) message.SampleRequest {
@@ -42,11 +42,7 @@
 	}
 }
 
-// TestSwapMidSample
-//
-// Symptom: a sample says that one version made it, though two did.
-// Sequence: the engine takes new weights between two tokens of a sample.
-// Cause: the version is taken from the order or the first token, not from each chunk.
+// A sample generated across a weight swap must name both versions.
 func TestSwapMidSample(t *testing.T) {
 	run(t, func(se *session) {
 		pls, stop := se.places()
@@ -61,11 +57,8 @@
 	})
 }
 
-// TestSpoiltAnswers
-//
-// Symptom: a sample lacks tokens, doubles some, holds those of another prompt or guesses its version.
-// Sequence: on the way from the engine a chunk is lost, doubled, crossed, comes unnamed or too old.
-// Cause: chunks are appended as they come.
+// Guards against accepting chunks that are lost, doubled, of another request, without a version or
+// too old.
 func TestSpoiltAnswers(t *testing.T) {
 	spoil := func(change func(ch *engine.Chunk)) func(*engine.Chunk) {
 		return func(ch *engine.Chunk) {
@@ -101,11 +94,8 @@
 	}
 }
 
-// TestResume
-//
-// Symptom: a sample that resumed on another engine lacks or doubles tokens, or names the wrong versions.
-// Sequence: an engine breaks, stalls or leaves in mid-sample and another goes on, with other weights.
-// Cause: the tokens are taken over without their segments, or from beyond what is attributed.
+// Guards against lost, doubled or wrongly attributed tokens in a sample that another engine
+// resumes.
 func TestResume(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -146,13 +136,13 @@
 				}
 				ev := se.sample(se.Context(), "b:1", "marker-2", req)
 				se.checkPayload(ev)
-				time.Sleep(10 * time.Second) // until the first one has left
+				time.Sleep(10 * time.Second) // until the first attendant has shut down
 			})
 		})
 	}
 }
 
-// checkPayload checks the tokens that are kept of a sample.
+// checkPayload verifies the stored tokens of a sample.
 func (se *session) checkPayload(ev message.SampleEvent) {
 	assert.Assert(se, ev.Result != nil)
 	po := &peer.Pool{DialFunc: se.net.dial, MaxMessageSize: attendant.MaxMessageSize}
@@ -168,7 +158,7 @@
 	assert.Equal(se, len(pl.Tokens), 20)
 }
 
-// TestSampleRefused shows why attempts are not started, each not run.
+// All attempts here must be refused as not run.
 func TestSampleRefused(t *testing.T) {
 	run(t, func(se *session) {
 		fe := &fakeEngine{version: 5}
--- a/attendant/stream_test.go
+++ b/attendant/stream_test.go
@@ -13,7 +13,7 @@
 	"wisteriacroft/message"
 )
 
-// stream asks for a live stream, notes how it ended and returns its tokens.
+// stream requests a live stream, logs how it ended and returns its tokens.
 func (se *session) stream(id string, resume []engine.Token) []engine.Token {
 	body, err := json.Marshal(engine.GenerateRequest{MaxTokens: 12, Prompt: "draft an order", Resume: resume})
 	assert.NilError(se, err)
@@ -45,11 +45,8 @@
 	return tokens
 }
 
-// TestStreams
-//
-// Symptom: a caller takes half an answer for a whole one, or loses or doubles tokens on a resume.
-// Sequence: the engine falls silent, crosses a chunk, breaks in mid-stream, or can't be reached.
-// Cause: a broken stream is ended like a whole one, and chunks are passed on unchecked.
+// Guards against truncated answers that look whole, and tokens lost or doubled on resume, when a
+// stream breaks.
 func TestStreams(t *testing.T) {
 	run(t, func(se *session) {
 		fe := &fakeEngine{version: 7}
--- a/attendant/suspect_test.go
+++ b/attendant/suspect_test.go
@@ -8,8 +8,7 @@
 	"wisteriacroft/plainservice"
 )
 
-// TestEndpointEnded shows what an attendant says of a call whose exchange broke.
-// Only if the endpoint's process has ended may the call be what ended it.
+// An answer must report endpoint-ended only if the endpoint's process has ended.
 func TestEndpointEnded(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 100 * time.Millisecond}
--- a/batch/bench_test.go
+++ b/batch/bench_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// accepted returns an owner with a step of so many samples.
+// accepted returns an owner that has accepted one step with the given number of samples.
 func accepted(b *testing.B, me *keyvalue.Memory, samples int, start bool) *Owner {
 	ow := newOwner(me, &[]Attempt{})
 	ow.StartFunc = func(Attempt) bool { return start }
@@ -44,9 +44,8 @@
 	}
 }
 
-// BenchmarkStep measures a step from its acceptance to its acknowledgement: the
-// time of the tables, the memory that a slot holds while it runs and when it is
-// sealed, and the calls to the key-value service.
+// BenchmarkStep measures a step from acceptance to acknowledgement: processor time, memory per
+// running and sealed slot, and key-value calls.
 func BenchmarkStep(b *testing.B) {
 	for _, samples := range sizes {
 		b.Run(fmt.Sprint(samples), func(b *testing.B) {
@@ -77,8 +76,7 @@
 	}
 }
 
-// BenchmarkTick measures a tick in which all slots wait for an endpoint, and one
-// in which all of them run.
+// BenchmarkTick measures a tick while all slots wait for an endpoint, and while all of them run.
 func BenchmarkTick(b *testing.B) {
 	for _, samples := range sizes {
 		for name, start := range map[string]bool{"waiting": false, "running": true} {
@@ -96,7 +94,7 @@
 	}
 }
 
-// heap returns the bytes in use.
+// heap returns the size of live heap objects in bytes.
 func heap() int64 {
 	runtime.GC()
 	var ms runtime.MemStats
--- a/batch/machine_test.go
+++ b/batch/machine_test.go
@@ -16,17 +16,16 @@
 	"wisteriacroft/message"
 )
 
-// A machine takes a world through random events: stretches in which all goes on
-// as usual, each fault, and single moves of time, I/O, renewals, tokens and the
-// trainer, in an order that no one would expect.
+// A machine drives a world through random events: normal operation, faults, and single steps of
+// time, I/O, lease renewals, tokens and the trainer, in any order.
 type machine struct {
 	*world
-	done []*run // whose samples were delivered, to be delivered again
+	done []*run // finished runs, whose results may be delivered again
 	held []held
 	rt   *rapid.T
 }
 
-// A held is an answer to a pull that the trainer has not acted on yet.
+// A held is a pull answer that the trainer has not processed yet.
 type held struct {
 	answer message.PullAnswer
 	cursor message.Cursor
@@ -93,7 +92,7 @@
 	}
 }
 
-// goOn lets some ticks pass, with or without the trainer.
+// goOn runs some ticks, with or without the trainer.
 func (ma *machine) goOn(rt *rapid.T) {
 	acts := rapid.Bool().Draw(rt, "trainer-acts")
 	for range rapid.IntRange(1, 25).Draw(rt, "ticks") {
@@ -104,7 +103,7 @@
 	}
 }
 
-// tick runs the systems of all entries that run, and some of their I/O.
+// tick runs the systems of all running entries without their I/O.
 func (ma *machine) tick() {
 	time.Sleep(tickEvery)
 	for _, no := range ma.nodes {
@@ -114,7 +113,7 @@
 	}
 }
 
-// io runs one I/O function. That of a dead entry may have been on its way.
+// io runs one pending I/O function, possibly one that a dead entry had started.
 func (ma *machine) io(rt *rapid.T) {
 	no := ma.node("node")
 	if len(no.jobs) > 0 && !no.paused {
@@ -135,8 +134,7 @@
 	return ma.runs[rapid.IntRange(0, len(ma.runs)-1).Draw(rt, "run")]
 }
 
-// generateOne lets a run go on to its end or part of the way. A canceled one
-// may have been finished already.
+// generateOne generates some tokens of a run, possibly all. A canceled run may still finish.
 func (ma *machine) generateOne(rt *rapid.T) {
 	ru := ma.run(rt)
 	if ru == nil {
@@ -173,8 +171,8 @@
 	}
 }
 
-// takeOne has the trainer act on an answer, which may be that to a pull that it
-// gave up on, unless it has taken another or restarted since.
+// takeOne lets the trainer process a held answer, possibly a late one, unless its cursor has
+// changed since.
 func (ma *machine) takeOne(rt *rapid.T) {
 	if len(ma.held) == 0 {
 		return
@@ -188,7 +186,7 @@
 	}
 }
 
-// heal ends all faults and lets the plain trainer go on to the end.
+// heal ends all faults and runs the trainer until all steps are done.
 func (ma *machine) heal() {
 	ma.me.SetFaults(keyvalue.Faults{})
 	for _, no := range ma.nodes {
@@ -204,10 +202,10 @@
 	}
 }
 
-// A broken invariant leaves the bubble as a panic, to be reported outside of it.
+// A broken is the panic value of a violated invariant; rapid reports it outside the bubble.
 type broken string
 
-// prefer sets a flag that the command line leaves alone, for this test.
+// prefer sets a flag for this test unless the command line has set it.
 func prefer(t *testing.T, name, value string) {
 	fl := flag.Lookup(name)
 	if fl.Value.String() != fl.DefValue {
@@ -218,9 +216,8 @@
 }
 
 func TestMachine(t *testing.T) {
-	// Symptom: a trainer gets a sample twice, never, stale, or under a wrong name.
-	// Sequence: any; rapid prints the shortest one that it finds.
-	// Cause: see the invariant that the message begins with.
+	// Guards against samples that are doubled, lost, stale or wrongly attributed, under random
+	// faults.
 	prefer(t, "rapid.checks", "300")
 	prefer(t, "rapid.nofailfile", "true")
 	prefer(t, "rapid.seed", "1")
@@ -237,7 +234,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			defer func() {
 				failure = recover()
-				time.Sleep(2 * ttl) // submissions on their way give up
+				time.Sleep(2 * ttl) // let pending submissions time out
 			}()
 			ma := &machine{rt: rt, world: newWorld(t.Context(), po, "a", "b")}
 			ma.trainer.wanted, ma.trainer.ahead = 3, po.MaxOpenSteps-1
--- a/batch/policy_test.go
+++ b/batch/policy_test.go
@@ -19,7 +19,7 @@
 	"wisteriacroft/message"
 )
 
-// newOwner returns an owner that holds its leases and whose I/O ends at once.
+// newOwner returns an owner that holds its leases and runs I/O synchronously.
 func newOwner(me *keyvalue.Memory, started *[]Attempt) *Owner {
 	return &Owner{
 		CancelFunc: func(string) {},
@@ -43,7 +43,7 @@
 	}
 }
 
-// submit has a step accepted whose groups have prompts a, b and so on.
+// submit submits a step whose groups have prompts a, b and so on, and waits for its acceptance.
 func submit(ow *Owner, trainer string, step, groups, members int) {
 	req := message.StepRequest{}
 	for gi := range groups {
@@ -57,10 +57,10 @@
 	const trained = engine.Version(5)
 	for name, tc := range map[string]struct {
 		after    time.Duration
-		begun    int // slots of each step
+		begun    int // slots of each step that are already filled
 		policy   Policy
 		releases releases
-		want     string // oldest weights for the next step, and for the one after
+		want     string // least versions for the first and the second step
 	}{
 		"fresh at hand-over":  {policy: Policy{StalenessBound: 1}, want: "4 5"},
 		"at once":             {policy: Policy{StalenessBound: 1, Gate: StartAtOnce}, want: "4 4"},
@@ -105,7 +105,7 @@
 func TestSubmit(t *testing.T) {
 	group := message.Group{MaxTokens: 100, Members: 1, Prompt: "a"}
 	for name, tc := range map[string]struct {
-		code   fate.Code // "" is accepted
+		code   fate.Code // "" if accepted
 		groups []message.Group
 		step   int
 	}{
@@ -138,9 +138,8 @@
 }
 
 func TestFirstStep(t *testing.T) {
-	// Symptom: a trainer is handed step 2 after it went back to the start.
-	// Sequence: it submits step 2, restarts, pulls from the start; the submission arrives.
-	// Cause: any number taken for the first step once all steps are forgotten.
+	// Guards against accepting a late submission as the first step after the trainer has restarted
+	// from the beginning.
 	for name, tc := range map[string]struct {
 		cursor message.Cursor
 		number int
@@ -197,13 +196,13 @@
 		ow := newOwner(&me, &started)
 		ow.Add("big", Policy{Share: 3})
 		ow.Add("small", Policy{})
-		ow.StartFunc = func(Attempt) bool { return false } // no endpoint yet
+		ow.StartFunc = func(Attempt) bool { return false } // no endpoint is free
 		ticks(ow, 1)
 		submit(ow, "big", 0, 8, 8)
 		submit(ow, "small", 0, 8, 8)
 		ow.MaxRunning = 64
 		ow.StartFunc = func(at Attempt) bool { started = append(started, at); return true }
-		ticks(ow, 2) // the first tries only a few, since none could start before
+		ticks(ow, 2) // the first tick stops after a few rejected starts
 		got := map[string]int{}
 		for _, at := range started {
 			got[at.Slot.Trainer]++
@@ -213,9 +212,8 @@
 }
 
 func TestBlockedTrainer(t *testing.T) {
-	// Symptom: a trainer idles while endpoints are free for it.
-	// Sequence: another trainer's samples need weights that no endpoint serves yet.
-	// Cause: rejected attempts of the one, first in turn at each tick, end the tick for all.
+	// Guards against a trainer whose attempts are all rejected and that, first at each tick, blocks
+	// the other trainers.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		started := 0
@@ -238,9 +236,8 @@
 }
 
 func TestFinished(t *testing.T) {
-	// Symptom: a trainer gets a sample that no version made, or a part of one.
-	// Sequence: an attempt reports a result that is not whole, or says nothing for long.
-	// Cause: any result taken for a sample, or an attempt waited for that is gone.
+	// Guards against accepting an incomplete or unattributed result, and against waiting forever
+	// for a lost attempt.
 	good := message.SampleResult{
 		Digest: depot.Digest(nil), Places: []message.Place{storeOne}, Size: 1, Tokens: 9,
 		Segments: []engine.Segment{{Tokens: 4, Version: 1}, {Tokens: 5, Version: 2}},
@@ -287,10 +284,10 @@
 }
 
 func TestStraggles(t *testing.T) {
-	const slow = 1.0 // tokens a second
+	const slow = 1.0 // tokens per second
 	for name, tc := range map[string]struct {
-		quiet   time.Duration // since the last tokens, or since it was sent
-		running time.Duration // since the first tokens
+		quiet   time.Duration // time since the last tokens, or since the start of the attempt
+		running time.Duration // time since the first tokens
 		tokens  int
 		want    bool
 	}{
@@ -366,7 +363,7 @@
 	for len(tr.running) > 0 {
 		at := tr.running[0]
 		places := []message.Place{storeOne, storeTwo}
-		data, _ := json.Marshal(places) // as a codec would: strings of its own
+		data, _ := json.Marshal(places) // a copy with its own strings, as from a codec
 		_ = json.Unmarshal(data, &places)
 		ow.Finished(at.id, message.SampleResult{
 			Digest:   depot.Digest([]byte(at.id)),
--- a/batch/session_test.go
+++ b/batch/session_test.go
@@ -14,20 +14,20 @@
 	"wisteriacroft/message"
 )
 
-// A session is a fault in a world, and how it may be served.
+// A session is a scenario: a fault in a world, its policy and its number of steps.
 type session struct {
 	fault  func(wo *world)
 	policy Policy
 	steps  int // 0 means 2
 }
 
-// kill makes entry a die at a ledger write: 1 adopts, 2 accepts step 0, 3 seals
-// it and 4 acknowledges it.
+// kill lets entry a die at a ledger write: 1 adopts, 2 accepts step 0, 3 seals it, 4 acknowledges
+// it.
 func kill(write int, late bool) func(wo *world) {
 	return func(wo *world) { wo.nodes[0].killAt, wo.nodes[0].killLate = write, late }
 }
 
-// wipe loses data folders.
+// wipe deletes the contents of data folders.
 func wipe(wo *world, instances ...string) {
 	for _, in := range instances {
 		clear(wo.folders[in])
@@ -35,15 +35,14 @@
 	wo.note("%s lost", strings.Join(instances, " and "))
 }
 
-// faults has the service misbehave for some time.
+// faults injects faults of the key-value service for a period.
 func faults(wo *world, after, length time.Duration, fa keyvalue.Faults) {
 	wo.at(after, func() { wo.me.SetFaults(fa); wo.note("key-value service misbehaves") })
 	wo.at(after+length, func() { wo.me.SetFaults(keyvalue.Faults{}); wo.note("key-value service is well") })
 }
 
-// Symptom: a trainer gets a sample twice, never, stale, or under a wrong name.
-// Sequence: a step goes through its life while what the case names fails.
-// Cause: whoever goes on does not know how far the step was.
+// sessions guard against samples that are doubled, lost, stale or wrongly attributed after the
+// fault that the name states.
 var sessions = map[string]session{
 	"plain":                           {fault: func(*world) {}},
 	"owner-dies-before-adoption":      {fault: kill(1, false)},
@@ -126,7 +125,7 @@
 		})
 	}, steps: 4},
 	"trainer-restarts-before-clean-up": {fault: func(wo *world) {
-		kill(8, false)(wo) // which would let go of step 0
+		kill(8, false)(wo) // write 8 would release step 0
 		wo.at(6*time.Second, func() { wo.trainer.restart(2) })
 	}, steps: 3},
 	"outage-in-a-step": {fault: func(wo *world) {
@@ -154,7 +153,7 @@
 			for digest := range wo.truth {
 				wo.cutOff[digest] = true
 			}
-			wo.trainer.version, wo.serving = 2, 2 // so that what is made again has another name
+			wo.trainer.version, wo.serving = 2, 2 // samples generated again then differ in version
 		}
 	}},
 	"request-lost-with-its-owner": {fault: func(wo *world) {
--- a/batch/trainer_test.go
+++ b/batch/trainer_test.go
@@ -17,28 +17,27 @@
 	"wisteriacroft/message"
 )
 
-// A checkpoint is what a trainer keeps over a restart.
+// A checkpoint is the state that a trainer restores after a restart.
 type checkpoint struct {
 	cursor message.Cursor
-	taken  map[SlotID]string // digests, by slot
+	taken  map[SlotID]string // digests by slot
 }
 
-// A fakeTrainer keeps its own record of what it took. The invariants are
-// checked against that record and what the engine made, not against anything
-// that the owners say.
+// A fakeTrainer records the samples that it receives. Invariants are checked against this record
+// and against the fake engine's output, not against what owners report.
 type fakeTrainer struct {
 	checkpoint
-	ahead      int          // steps to submit before the one at hand is taken
-	eager      bool         // submits what it is to before it pulls again
-	edition    int          // of the prompts that it asks for
-	idle       bool         // asks for nothing
-	pulled     bool         // since its last start
-	older      []checkpoint // by step taken
-	retryAt    time.Time    // of its next pull
-	submitted  int          // steps accepted
+	ahead      int          // number of steps to submit before the current one is received
+	eager      bool         // submits due steps before it pulls again
+	edition    int          // edition of the requested prompts
+	idle       bool         // sends no requests
+	pulled     bool         // whether it has pulled since its last start
+	older      []checkpoint // checkpoints before each received batch
+	retryAt    time.Time    // time of the next pull
+	submitted  int          // number of accepted steps
 	submitting chan error
 	version    engine.Version
-	wanted     int // steps in all
+	wanted     int // number of steps in the run
 	wo         *world
 }
 
@@ -51,7 +50,6 @@
 	}
 }
 
-// request returns the request of a step.
 func (tr *fakeTrainer) request(step int) message.StepRequest {
 	return message.StepRequest{Profile: "grading", Groups: []message.Group{
 		{MaxTokens: 40, Members: 2, Prompt: fmt.Sprintf("scaffold %d.%d", tr.edition, step)},
@@ -59,7 +57,7 @@
 	}}
 }
 
-// submit sends the next step to a node, unless one is on its way.
+// submit sends the next step to a node unless a submission is in flight.
 func (tr *fakeTrainer) submit(no *node) {
 	if tr.submitting != nil {
 		select {
@@ -79,7 +77,7 @@
 	answer, number, req := make(chan error, 1), tr.submitted, tr.request(tr.submitted)
 	tr.submitting = answer
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), ttl+tickEvery/3) // never at a tick
+		ctx, cancel := context.WithTimeout(context.Background(), ttl+tickEvery/3) // never ends at a tick
 		defer cancel()
 		_, err := no.ow.Submit(ctx, name, number, req)
 		answer <- err
@@ -87,12 +85,12 @@
 	synctest.Wait()
 }
 
-// submits reports whether a step is to be submitted.
+// submits reports whether a step is due for submission.
 func (tr *fakeTrainer) submits() bool {
 	return tr.submitted < tr.wanted && tr.submitted <= tr.cursor.Step+1+tr.ahead
 }
 
-// pull asks a node for the next batch.
+// pull requests the next batch from a node.
 func (tr *fakeTrainer) pull(no *node) (message.PullAnswer, error) {
 	cu := tr.cursor
 	cu.Version = tr.version
@@ -116,7 +114,7 @@
 	return pu, err
 }
 
-// check holds an answer against what was promised of it.
+// check verifies that an answer is immutable and within the staleness bound.
 func (tr *fakeTrainer) check(no *node, pu *message.PullAnswer) {
 	tr.wo.note("%s hands over %s at version %d", no.name, pu.Batch, tr.version)
 	if was, ok := tr.wo.manifest[pu.Batch]; ok && was != pu.Digest {
@@ -132,7 +130,7 @@
 	}
 }
 
-// take fetches a batch whole and records it.
+// take fetches the whole batch, verifies and records it.
 func (tr *fakeTrainer) take(no *node, pu message.PullAnswer) bool {
 	incarnation := tr.cursor.Incarnation
 	if event := tr.wo.onHandOver; event != nil {
@@ -181,10 +179,10 @@
 	return true
 }
 
-// done reports whether all steps are taken whole.
+// done reports whether all samples of all steps have been received.
 func (tr *fakeTrainer) done() bool { return len(tr.taken) == tr.wanted*4 }
 
-// act does what a plain trainer does in a tick: submit, pull, take, train.
+// act runs one iteration of a simple trainer: submit, pull, receive, train.
 func (tr *fakeTrainer) act() {
 	if time.Now().Before(tr.retryAt) {
 		return
@@ -200,7 +198,7 @@
 		pu, err := tr.pull(no)
 		var re *fate.Refusal
 		if errors.As(err, &re) && re.Code == fate.NotHome {
-			continue // the next entry
+			continue // try the next entry
 		}
 		if pu.Batch != "" && tr.take(no, pu) && pu.Whole {
 			tr.version++
@@ -211,7 +209,7 @@
 	}
 }
 
-// restart loses what the trainer did since a checkpoint, the last but back.
+// restart restores the back-th latest checkpoint, or the current state if back is 0.
 func (tr *fakeTrainer) restart(back int) {
 	if back > 0 && back <= len(tr.older) {
 		at := len(tr.older) - back
@@ -225,7 +223,7 @@
 	tr.wo.note("trainer restarts after %q as %d", tr.cursor.Batch, tr.cursor.Incarnation)
 }
 
-// describe returns the samples of a manifest, each by its slot and versions.
+// describe formats the samples of a manifest with their slots and versions.
 func describe(ens []message.SampleEntry) string {
 	var parts []string
 	for _, en := range ens {
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -32,7 +32,7 @@
 	storeTwo = message.Place{FailureDomain: "derby-hall", Instance: "store-2"}
 )
 
-// A run is an attempt at the fake engine.
+// A run is an attempt on the fake engine.
 type run struct {
 	at       Attempt
 	canceled bool
@@ -44,41 +44,41 @@
 
 // A node is an entry that may own the trainer.
 type node struct {
-	cut      bool // off from the key-value service
+	cut      bool // cannot reach the key-value service
 	dead     bool
 	epoch    uint64
 	holder   *lease.Holder
-	jobs     []func(ctx context.Context) // I/O that has not run yet
+	jobs     []func(ctx context.Context) // pending I/O
 	name     string
 	ow       *Owner
 	paused   bool
 	renewAt  time.Time
-	killAt   int  // ledger write that kills the node, counted from 1
-	killLate bool // after the write took effect, not before
+	killAt   int  // ledger write that kills the node, from 1
+	killLate bool // kill after the write has taken effect, not before
 	writes   int
 }
 
-// A world is entries, a key-value service, two data folders, an engine and a
-// trainer, all stepped by one goroutine.
+// A world is entries, a key-value service, two data folders, an engine and a trainer, all run by
+// one goroutine.
 type world struct {
-	ctx         context.Context //nolint:containedctx // a test's own
+	ctx         context.Context //nolint:containedctx // lives as long as the test
 	events      []event
-	cutOff      map[string]bool // digests of payloads that can't be reached
+	cutOff      map[string]bool // digests of unreachable payloads
 	fail        func(invariant, format string, args ...any)
 	folders     map[string]map[string][]byte
-	incarnation uint64 // of the trainer
+	incarnation uint64 // incarnation of the trainer
 	lines       []string
 	me          keyvalue.Memory
 	nodes       []*node
 	policy      Policy
-	runs        []*run // in the order of their start
+	runs        []*run // in order of start
 	serving     engine.Version
-	onHandOver  func()             // runs once, before the trainer fetches
-	slow        func(ru *run) bool // makes no progress
+	onHandOver  func()             // called once, before the trainer fetches a batch
+	slow        func(ru *run) bool // reports whether a run makes no progress
 	started     time.Time
 	trainer     *fakeTrainer
-	truth       map[string]message.Payload // what the engine made, by digest
-	manifest    map[string]string          // digest of each batch that was handed over, by id
+	truth       map[string]message.Payload // payloads by digest, as generated
+	manifest    map[string]string          // digests of handed-over batches, by id
 }
 
 func newWorld(ctx context.Context, po Policy, names ...string) *world {
@@ -98,18 +98,17 @@
 	return wo
 }
 
-// An event happens at a time.
+// An event is a function that runs at a given time.
 type event struct {
 	at  time.Time
 	run func()
 }
 
-// at has an event happen after some time from now.
+// at schedules an event after a delay.
 func (wo *world) at(after time.Duration, run func()) {
 	wo.events = append(wo.events, event{at: time.Now().Add(after), run: run})
 }
 
-// boot starts an entry.
 func (wo *world) boot(na string) *node {
 	no := &node{name: na}
 	cl := wo.client(no)
@@ -144,8 +143,7 @@
 	return no
 }
 
-// resume gives a run the tokens of the one that it goes on from, if those are
-// still there.
+// resume copies the tokens of the run that ru resumes, if that run still exists.
 func (wo *world) resume(ru *run) {
 	for _, other := range wo.runs {
 		if from := ru.at.ResumeFrom; from != nil && other.at.ID == from.Attempt {
@@ -154,8 +152,8 @@
 	}
 }
 
-// client returns a node's client, which can be cut off and whose ledger writes
-// may kill the node.
+// client returns a node's client with faults: it can be cut off, and a ledger write may kill the
+// node.
 func (wo *world) client(no *node) *keyvalue.Client {
 	cl := wo.me.Client()
 	put, get, keep := cl.PutFunc, cl.GetFunc, cl.KeepAliveFunc
@@ -231,7 +229,7 @@
 	}
 }
 
-// step lets one tick pass for all but the trainer.
+// step runs one tick of everything except the trainer.
 func (wo *world) step() {
 	time.Sleep(tickEvery)
 	for i := 0; i < len(wo.events); i++ {
@@ -268,7 +266,7 @@
 	}
 }
 
-// job runs one of the node's I/O functions.
+// job runs one of the node's pending I/O functions.
 func (no *node) job(i int) {
 	job := no.jobs[i]
 	no.jobs = slices.Delete(no.jobs, i, i+1)
@@ -276,8 +274,8 @@
 	synctest.Wait()
 }
 
-// tick runs the node's systems. Calls that wait go on between them, always at
-// the same point.
+// tick runs the node's systems and lets waiting calls proceed after each, which keeps their order
+// fixed.
 func (no *node) tick() {
 	for _, sy := range no.ow.Systems() {
 		sy.Run(time.Now())
@@ -285,14 +283,15 @@
 	}
 }
 
-// length returns how many tokens a slot's sample has; some are far longer.
+// length returns the number of tokens of a slot's sample; a few samples are much longer than the
+// rest.
 func length(sl SlotID) int {
 	ha := fnv.New32()
 	fmt.Fprint(ha, sl)
 	return 3 + int(ha.Sum32()%7)*int(ha.Sum32()%5)
 }
 
-// generate makes a token of a run, and delivers the sample after the last.
+// generate generates one token of a run and delivers the sample after the last.
 func (wo *world) generate(ru *run) {
 	if ru.canceled || ru.node.paused {
 		return
@@ -318,7 +317,7 @@
 	wo.deliver(ru)
 }
 
-// deliver puts a run's payload into the folders and reports it.
+// deliver stores a run's payload in the folders and reports the result.
 func (wo *world) deliver(ru *run) {
 	sl := ru.at.Slot
 	pa := message.Payload{Group: sl.Group, Member: sl.Member, Prompt: ru.at.Prompt, Segments: ru.segments, Step: sl.Step, Trainer: sl.Trainer}
@@ -334,7 +333,7 @@
 	})
 }
 
-// payload fetches a batch's samples from a node.
+// payload fetches the samples of a batch from a node.
 func (wo *world) payload(no *node, id string) ([]message.Payload, error) {
 	var bu bytes.Buffer
 	if err := no.ow.Payload(wo.ctx, name, id, &bu); err != nil {
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -19,7 +19,7 @@
 	"wisteriacroft/once"
 )
 
-// A sessionCase is one or more calls, and how the attendants behave.
+// A sessionCase is one or more calls and the attendants' handlers.
 type sessionCase struct {
 	name     string
 	handlers map[string][]http.HandlerFunc
@@ -27,12 +27,12 @@
 	run      func(se *session)
 }
 
-// two returns the attendants whose choice comes first and second.
+// two returns two attendants: first handles the first attempt, second the next.
 func two(first, second http.HandlerFunc) map[string][]http.HandlerFunc {
 	return map[string][]http.HandlerFunc{"a": {second}, "b": {first}}
 }
 
-// runSessions runs each case in a bubble and compares all with a golden file.
+// runSessions runs each case in a bubble and compares the logs with a golden file.
 func runSessions(t *testing.T, file string, cases []sessionCase) {
 	t.Helper()
 	var sb strings.Builder
@@ -40,7 +40,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			se := newSession(t, tc.policy, tc.handlers)
 			tc.run(se)
-			time.Sleep(time.Minute) // what is late comes now
+			time.Sleep(time.Minute) // let late events happen
 			synctest.Wait()
 			se.mu.Lock()
 			defer se.mu.Unlock()
@@ -54,9 +54,8 @@
 	return map[string][]http.HandlerFunc{"a": handlers, "b": handlers, "c": handlers}
 }
 
-// Symptom: a caller gets half an answer, another's, none, or a refusal that isn't true; or an order runs twice.
-// Sequence: a connection or an attendant fails at each point of a call; a session for each.
-// Cause: the edge believes a connection, or sends again what may have run.
+// Guards against truncated, crossed, missing or falsely refused answers, and against an order that
+// runs twice, when a connection or an attendant fails at any point of a call.
 func TestCalls(t *testing.T) {
 	repeatable := Policy{Repeatable: true}
 	one := func(handlers ...http.HandlerFunc) map[string][]http.HandlerFunc {
@@ -155,7 +154,8 @@
 	runSessions(t, "bad-input.golden", cases)
 }
 
-// chunks streams tokens [first, last) in chunks of two, and ends as told.
+// chunks streams tokens [resume, last) in chunks of two. It calls end, if not nil, instead of
+// setting done on the last chunk.
 func chunks(last int, ve engine.Version, end func()) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		li := newTestLines(rw, rq)
@@ -170,9 +170,8 @@
 
 func abort() { panic(http.ErrAbortHandler) }
 
-// Symptom: a caller's stream lacks tokens, has some twice, or never ends.
-// Sequence: an engine crashes, falls silent or sends a chunk twice, out of order or of another request.
-// Cause: a resumed stream is taken as it comes, without regard to the positions of its tokens.
+// Guards against a stream that lacks or repeats tokens, or never ends, when an engine crashes,
+// stalls, or sends chunks twice, out of order or of another request.
 func TestStreams(t *testing.T) {
 	po := Policy{Kind: Engine, Repeatable: true}
 	stream := func(se *session) {
--- a/call/crash_test.go
+++ b/call/crash_test.go
@@ -14,8 +14,8 @@
 	"wisteriacroft/message"
 )
 
-// crashes answers as an attendant whose endpoint ended while it ran the request, if
-// that asks for it.
+// crashes simulates an attendant whose endpoint's process ends while it runs a request with body
+// "crash".
 func crashes(ran *int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		body, _ := io.ReadAll(rq.Body)
@@ -30,9 +30,8 @@
 }
 
 func TestLiveCallThatEndsItsEndpoints(t *testing.T) {
-	// Each endpoint that ran a call ended while it did. The caller's next try was a
-	// new call to the entry, which sent it on to as many endpoints as the retry
-	// budget allows, until none was left for other callers.
+	// Guards against a call that crashes each endpoint it is retried on until none is left for
+	// other callers.
 	for _, tc := range []struct {
 		name       string
 		repeatable string
--- a/call/fake_test.go
+++ b/call/fake_test.go
@@ -24,8 +24,7 @@
 
 var errRefusedDial = errors.New("connection refused")
 
-// A fakeNet holds fake attendants, reached over net.Pipe, and writes down what
-// they get.
+// A fakeNet connects to fake attendants over net.Pipe and logs their requests.
 type fakeNet struct {
 	attendants map[string]*fakeAttendant
 	log        strings.Builder
@@ -33,7 +32,7 @@
 	start      time.Time
 }
 
-// A fakeAttendant answers each request by its next handler; the last one stays.
+// A fakeAttendant answers each request with its next handler and repeats the last one.
 type fakeAttendant struct {
 	closed   chan struct{}
 	conns    chan net.Conn
@@ -41,7 +40,7 @@
 	handlers []http.HandlerFunc
 	name     string
 	net      *fakeNet
-	once     sync.Once // closes closed
+	once     sync.Once // guards the close of closed
 	open     []net.Conn
 	server   *http.Server
 }
@@ -67,7 +66,7 @@
 	}
 }
 
-// Accept, Close and Addr make a net.Listener of the attendant.
+// Accept, Close and Addr implement net.Listener.
 func (at *fakeAttendant) Accept() (net.Conn, error) {
 	select {
 	case co := <-at.conns:
@@ -101,7 +100,7 @@
 	ha(rw, rq)
 }
 
-// A session is an entry's edge before fake attendants.
+// A session is an entry's server in front of fake attendants.
 type session struct {
 	*fakeNet
 	policy Policy
@@ -109,8 +108,8 @@
 	server *Server
 }
 
-// newSession returns a session whose attendants answer by the handlers given
-// for each, by name. One without handlers refuses connections.
+// newSession returns a session with handlers by attendant name. An attendant without handlers
+// refuses connections.
 func newSession(t *testing.T, po Policy, handlers map[string][]http.HandlerFunc) *session {
 	se := &session{fakeNet: &fakeNet{attendants: map[string]*fakeAttendant{}, start: time.Now()}, policy: po}
 	routes := route.NewTable(route.Options{FailureDomain: "here", Policy: route.RoundRobin})
@@ -145,19 +144,19 @@
 	return se
 }
 
-// swap lets the next calls come by another entry.
+// swap routes further calls through another entry.
 func (se *session) swap(other *Server) {
 	se.router = mux.NewRouter()
 	other.Register(se.router)
 }
 
-// do serves one request of a caller and writes down its answer.
+// do serves one request and logs its answer.
 func (se *session) do(rq *http.Request) {
 	rw := httptest.NewRecorder()
 	aborted := ""
 	func() {
 		defer func() {
-			if recover() == http.ErrAbortHandler { //nolint:errorlint // net/http compares it so too
+			if recover() == http.ErrAbortHandler { //nolint:errorlint // net/http compares it the same way
 				aborted = ", then broken off"
 			}
 		}()
@@ -179,7 +178,7 @@
 	fmt.Fprintf(&se.log, "\n    %s\n", strings.ReplaceAll(strings.TrimSpace(body), "\n", "\n    "))
 }
 
-// newCall returns a caller's request with headers given as name, value.
+// newCall returns a request with headers given as alternating names and values.
 func newCall(method, path, body string, headers ...string) *http.Request {
 	rq := httptest.NewRequest(method, path, strings.NewReader(body))
 	rq.Header.Set(message.RequestIDHeader, "r1")
@@ -189,12 +188,12 @@
 	return rq
 }
 
-// order returns a request that may not be repeated.
+// order returns a non-repeatable request.
 func order(headers ...string) *http.Request {
 	return newCall(http.MethodPost, "/v1/services/desk/call/orders?kitchen=7", "flour", headers...)
 }
 
-// callerKey returns a key whose home is one of several.
+// callerKey returns a key whose home among homes is home.
 func callerKey(home string, homes ...string) string {
 	for {
 		ke, err := once.NewKey(time.Now())
@@ -207,7 +206,7 @@
 	}
 }
 
-// The handlers of fake attendants.
+// Handlers of fake attendants.
 
 func ok(rw http.ResponseWriter, rq *http.Request) {
 	body, _ := io.ReadAll(rq.Body)
@@ -236,7 +235,7 @@
 	ok(rw, rq)
 }
 
-// silent does the work and is heard of no more.
+// silentFor waits, then aborts the connection without an answer.
 func silentFor(du time.Duration) http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) {
 		time.Sleep(du)
@@ -244,7 +243,7 @@
 	}
 }
 
-// slow takes its time and shows signs of life.
+// slow answers after du and sends a 102 status every 500 ms before.
 func slow(du time.Duration) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		for range du / (500 * time.Millisecond) {
--- a/call/lines_test.go
+++ b/call/lines_test.go
@@ -10,9 +10,9 @@
 
 // A testLines writes the chunks of a fake stream.
 type testLines struct {
-	id     string // echoed
-	own    string // of the request
-	resume int    // tokens that the request brought
+	id     string // request id written in chunks
+	own    string // id of the request
+	resume int    // number of tokens in the request's Resume
 	rw     http.ResponseWriter
 }
 
@@ -25,7 +25,7 @@
 	return &testLines{id: id, own: id, resume: len(req.Resume), rw: rw}
 }
 
-// chunk writes n tokens from a position on; each token's id is its position.
+// chunk writes n tokens from position first; the id of each is its position.
 func (li *testLines) chunk(first, n int, ve engine.Version, done bool) {
 	ch := engine.Chunk{Done: done, First: first, RequestID: li.id, Version: ve}
 	for i := range n {
--- a/call/orders_test.go
+++ b/call/orders_test.go
@@ -22,7 +22,7 @@
 
 // A desk is an order service and its attendant, which can be killed.
 type desk struct {
-	fails bool // after the next order has run
+	fails bool // the connection breaks after the next order has run
 	place *fakeAttendant
 	runs  int
 	se    *session
@@ -30,10 +30,10 @@
 	takes time.Duration
 }
 
-// newDesk returns a desk that replaces the fake attendant a.
+// newDesk returns a desk that replaces fake attendant a.
 func newDesk(se *session) *desk { return &desk{place: se.attendants["a"], se: se} }
 
-// call is the service: it runs an order and says so in the log.
+// call is the service: it runs an order and logs it.
 func (de *desk) call(_ context.Context, req plainservice.Request) (plainservice.Answer, error) {
 	time.Sleep(de.takes)
 	de.se.mu.Lock()
@@ -48,7 +48,7 @@
 	return plainservice.Answer{Body: body, Status: http.StatusCreated}, nil
 }
 
-// start starts an attendant in place of the one before, which was killed.
+// start starts an attendant that replaces the previous one.
 func (de *desk) start(t *testing.T) *attendant.Attendant {
 	pr, findings := profile.Parse("desk", "desk.toml", "kind = \"service\"\nservice = \"desk\"\ntype = \"plain\"\nendpoints = [\"a\"]\n")
 	assert.Equal(t, len(findings), 0)
@@ -70,11 +70,11 @@
 	go at.Serve(place)
 	at.Start()
 	de.stop = append(de.stop, sync.OnceFunc(func() { at.Shutdown(context.Background()) }))
-	time.Sleep(5 * time.Second) // keys are older than its start until then
+	time.Sleep(5 * time.Second) // keys from before the attendant's start are refused
 	return at
 }
 
-// kill ends the attendant's connections and its listener, all at once.
+// kill closes the attendant's listener and connections at once.
 func (de *desk) kill() {
 	de.place.Close()
 	de.se.mu.Lock()
@@ -84,9 +84,8 @@
 	}
 }
 
-// Symptom: an order line is delivered twice, or its caller is told that it didn't run though it did.
-// Sequence: repeats by another entry, an attendant killed while the order runs, a broken service, a shutdown.
-// Cause: what became of an order is known in one place only, and that place is left out or forgets.
+// Guards against an order line that is delivered twice, or reported as not run although it ran,
+// across repeats, crashes and shutdowns.
 func TestOrders(t *testing.T) {
 	cases := []struct {
 		name string
--- a/call/stream_test.go
+++ b/call/stream_test.go
@@ -10,9 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: streams opened new connections to their attendant, one after the other.
-// Sequence: the last chunk came; the entry closed the body; then came its end.
-// Cause: a body that is closed before its end closes its connection.
+// Guards against closing a stream's body before its end, which closes the connection instead of
+// returning it for reuse.
 func TestStreamsShareAConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := func(rw http.ResponseWriter, rq *http.Request) {
--- a/gate/overload_test.go
+++ b/gate/overload_test.go
@@ -18,15 +18,15 @@
 	"wisteriacroft/fate"
 )
 
-// An endpointModel serves as fast as its load lets it: up to full requests at
-// once it takes its time for each; more slow all down.
+// An endpointModel runs up to full requests at their normal speed; with more requests it slows all
+// of them down in proportion.
 type endpointModel struct {
 	full    int
 	mu      sync.Mutex
 	running int
 }
 
-// add returns how many requests run, with n more.
+// add adds n to the number of running requests and returns the sum.
 func (en *endpointModel) add(n int) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -40,22 +40,22 @@
 	en.add(-1)
 }
 
-// A load is what comes to a gate, and what became of it.
+// A load generates requests for a gate and counts their outcomes.
 type load struct {
 	admit    func(ctx context.Context, req Request) (*Ticket, error)
 	endpoint endpointModel
-	every    time.Duration // between two arrivals, on the mean
+	every    time.Duration // mean time between arrivals
 	good     int           // answered before the deadline
-	held     int           // refused, but not at once
-	late     int           // answered after it
-	mu       sync.Mutex    // guards what became of it
+	held     int           // refused after a wait in the queue
+	late     int           // answered after the deadline
+	mu       sync.Mutex    // guards the counters and histograms
 	refused  int
 	rng      *rand.Rand
-	slowest  time.Duration // refusal
+	slowest  time.Duration // slowest refusal
 	timeout  time.Duration
 	waits    *hdrhistogram.Histogram // answer times in microseconds
-	waitSum  time.Duration           // that refusals told
-	work     time.Duration           // mean
+	waitSum  time.Duration           // sum of the Retry-After times of refusals
+	work     time.Duration           // mean service time
 }
 
 func newLoad(ga *Gate, seed uint64) *load {
@@ -69,7 +69,7 @@
 	}
 }
 
-// run lets requests of a class arrive for a while and waits for the last.
+// run sends requests of a class at random intervals and waits until all have ended.
 func (lo *load) run(cl Class, name string, lasts time.Duration) {
 	var wg sync.WaitGroup
 	begun := time.Now()
@@ -117,16 +117,15 @@
 	lo.good++
 }
 
-// done returns how many requests were answered in time.
+// done returns the number of requests answered before their deadline.
 func (lo *load) done() int {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	return lo.good
 }
 
-// Symptom: at twice the load hardly any caller gets its answer in time.
-// Sequence: load doubles and stays; the endpoint works on requests whose callers have given up.
-// Cause: all that comes is let in or queued, with no regard to what can still be answered.
+// Guards against goodput that collapses under overload because the endpoint works on requests whose
+// deadline can no longer be met.
 func TestOverload(t *testing.T) {
 	const lasts = 2 * time.Minute
 	var sb strings.Builder
@@ -139,7 +138,7 @@
 				lo.every = time.Duration(float64(lo.work) / 8 / times)
 				if !gated {
 					lo.admit = func(ctx context.Context, req Request) (*Ticket, error) {
-						return NewGate(Policy{}).Enter(ctx, req) // of its own: lets it in
+						return NewGate(Policy{}).Enter(ctx, req) // a new gate per request admits all
 					}
 				}
 				lo.run(Live, "call", lasts)
@@ -156,9 +155,7 @@
 	assert.Assert(t, float64(good["true  2x"]) >= 0.95*float64(good["true  1x"]), "goodput fell under load:\n%s", &sb)
 }
 
-// Symptom: a turnstile waits seconds while samples are generated.
-// Sequence: samples take all places of an engine; a live call comes and waits for one of them to end.
-// Cause: no place is kept for live calls, and the order is that of arrival.
+// Guards against live calls that wait behind long samples which occupy all slots of an engine.
 func TestLiveBesideSamples(t *testing.T) {
 	var sb strings.Builder
 	p99 := map[string]int64{}
--- a/gate/table_test.go
+++ b/gate/table_test.go
@@ -16,14 +16,14 @@
 
 var noon = time.UnixMilli(1_700_000_000_000)
 
-// A script drives a table and writes down what it decides.
+// A script runs a sequence of events on a table and records its decisions.
 type script struct {
 	strings.Builder
 	now   time.Time
 	table *Table
 }
 
-// observe brings a report of the endpoint each second.
+// observe passes the same load report to the table once a second.
 func (sc *script) observe(times int, lo Load) {
 	for range times {
 		sc.now = sc.now.Add(time.Second)
@@ -75,9 +75,8 @@
 	return Request{Deadline: noon.Add(timeout), ID: id, Profile: "gate"}
 }
 
-// Symptom: a caller waits behind samples, a trainer starves, or a caller is told late or untruly that nothing ran.
-// Sequence: a table is full, then drained, closed or left; a script for each.
-// Cause: the endpoint admits what comes in the order in which it comes.
+// Guards against live calls queued behind samples, trainers that starve, and late or false not-run
+// refusals.
 func TestDecisions(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -167,9 +166,7 @@
 	golden.Assert(t, sb.String(), "decisions.golden")
 }
 
-// Symptom: a caller that hung up had its request run, or its place stayed taken.
-// Sequence: one request runs; a second one waits and its caller goes; the first ends; the gate drains.
-// Cause: what waits is not tied to its caller.
+// Guards against a request that runs, or keeps its slot, after its caller has disconnected.
 func TestCallerGoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := NewGate(Policy{MaxRunning: 1})
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -14,24 +14,24 @@
 
 const skew = 2 * time.Second
 
-// A world is three homes whose clocks differ, two entries, a caller whose clock
-// may be anything, and a configuration that each process learns in its time.
+// A world is three homes with skewed clocks, two entries, callers with arbitrary clocks, and a
+// configuration that each process receives at a different time.
 type world struct {
-	claimed map[Key]bool // said not to have run, for good
-	entries [2]int       // indices into sets, by which each entry routes
+	claimed map[Key]bool // permanently refused as not run
+	entries [2]int       // index into sets of the set by which each entry routes
 	homes   map[string]*home
-	keys    []Key // of callers
+	keys    []Key // keys minted by callers
 	minted  map[Key]string
 	now     time.Time
 	runs    map[Key]int
 	sets    []Set
 }
 
-// A home is one attendant's life after life.
+// A home is an attendant; its table is replaced at each restart.
 type home struct {
-	admitted map[Key]bool // not yet written
+	admitted map[Key]bool // not yet started
 	offset   time.Duration
-	set      int // index of the set learned
+	set      int // index of the latest set received
 	started  map[Key]bool
 	table    *Table
 	yielded  uint64
@@ -54,7 +54,7 @@
 	return wo
 }
 
-// testKey returns a key that depends on its arguments only.
+// testKey returns a key that depends only on its arguments.
 func testKey(at time.Time, n int) Key {
 	ke := Key{id: uuid.NewSHA1(uuid.Nil, []byte{byte(n), byte(n >> 8)})}
 	ms := at.UnixMilli()
@@ -70,7 +70,7 @@
 func (wo *world) restart(name string, set int) {
 	for ke, to := range wo.minted {
 		if to == name {
-			wo.minted[ke] = name + "!" // the connection ended with the process
+			wo.minted[ke] = name + "!" // the connection closed with the process
 		}
 	}
 	ho := wo.homes[name]
@@ -85,7 +85,7 @@
 	ho.table.SetHomes(wo.clock(name), wo.sets[set], wo.sets[:set])
 }
 
-// send brings a key to a home and checks what is said of it.
+// send delivers a request to a home and checks the decision against what has run.
 func (wo *world) send(t *rapid.T, name string, req Request) {
 	ho := wo.homes[name]
 	de := ho.table.Begin(wo.clock(name), req)
@@ -100,7 +100,7 @@
 	}
 }
 
-// write starts an admitted key.
+// write starts an admitted request.
 func (wo *world) write(t *rapid.T, ho *home, ke Key) {
 	delete(ho.admitted, ke)
 	ho.started[ke] = true
@@ -124,14 +124,13 @@
 	return Key{}, false
 }
 
-// mint adds a key.
 func (wo *world) mint(at time.Time) Key {
 	ke := testKey(at, len(wo.keys))
 	wo.keys = append(wo.keys, ke)
 	return ke
 }
 
-// callerActions are of callers and the entries they come by.
+// callerActions are the actions of callers that mint their own keys.
 func (wo *world) callerActions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"advance": func(t *rapid.T) {
@@ -154,17 +153,17 @@
 	}
 }
 
-// mintedActions are of requests whose keys an entry minted.
+// mintedActions are the actions on requests whose keys were minted by an entry.
 func (wo *world) mintedActions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"send minted": func(t *rapid.T) { // it may come later, or never
+		"send minted": func(t *rapid.T) { // delivered later, or never
 			name, _ := wo.draw(t)
 			wo.minted[wo.mint(wo.now)] = name
 		},
 		"deliver": func(t *rapid.T) {
 			for _, ke := range wo.keys {
 				if name := wo.minted[ke]; name != "" && rapid.Bool().Draw(t, "this one") {
-					wo.minted[ke] = name + "!" // one delivery only
+					wo.minted[ke] = name + "!" // delivered at most once
 					if len(name) == 1 {
 						wo.send(t, name, Request{Key: ke, Minted: true})
 					}
@@ -181,7 +180,7 @@
 	}
 }
 
-// endpointActions are of what a home let run.
+// endpointActions are the actions on requests that a home has admitted.
 func (wo *world) endpointActions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"write": func(t *rapid.T) {
@@ -216,7 +215,7 @@
 	}
 }
 
-// faultActions are of the configuration, clocks and restarts.
+// faultActions are configuration changes, clock changes and restarts.
 func (wo *world) faultActions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"change set": func(t *rapid.T) {
@@ -229,7 +228,7 @@
 		"restart": func(t *rapid.T) {
 			name, ho := wo.draw(t)
 			ho.offset = time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock")) * skew / 2
-			least := max(ho.set, int(ho.yielded)-1) // it may not go back
+			least := max(ho.set, int(ho.yielded)-1) // a home never returns to an older set
 			wo.restart(name, rapid.IntRange(least, len(wo.sets)-1).Draw(t, "set"))
 		},
 		"settle": func(t *rapid.T) {
@@ -253,9 +252,8 @@
 	return all
 }
 
-// Symptom: an order line runs twice, or runs after its caller was told that it did not.
-// Sequence: repeats by two entries, restarts, wrong clocks and changes of homes, in any order.
-// Cause: a home that forgot a key, or two homes that each believe that a key is theirs.
+// Guards against a key that runs twice, or runs after a final not-run, under any order of repeats,
+// restarts, clock skew and moves of its home.
 func TestNoKeyRunsTwice(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "2000", "rapid.nofailfile": "true", "rapid.steps": "200"} {
 		if err := flag.Set(name, value); err != nil {
--- a/once/table_test.go
+++ b/once/table_test.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/fate"
 )
 
-// start is when the home under test started.
+// start is the start time of the home under test.
 var start = time.UnixMilli(1_700_000_000_000)
 
 func at(text string) time.Time {
@@ -23,7 +23,7 @@
 	return start.Add(du)
 }
 
-// keyOf returns a key minted at a time whose home in endpoints is home.
+// keyOf returns a key minted at the given time whose home among endpoints is home.
 func keyOf(minted time.Time, home string, endpoints ...string) Key {
 	for n := 0; ; n++ {
 		if ke := testKey(minted, n); ke.Home(endpoints) == home {
@@ -32,7 +32,7 @@
 	}
 }
 
-// show returns a decision in one line.
+// show formats a decision in one line.
 func show(de Decision) string {
 	switch {
 	case de.Run:
@@ -52,9 +52,8 @@
 	return ta
 }
 
-// Symptom: a request runs twice, or is said not to have run though it has.
-// Sequence: one arrival at a home, a fault, and a second arrival; a row for each fault.
-// Cause: the home decides by less than it knows, or claims more.
+// Guards against a request that runs twice, or is refused as not run although it ran. Each case is
+// one arrival, a fault and a second arrival.
 func TestRules(t *testing.T) {
 	noon := at("1m")
 	key := keyOf(noon, "a", "a", "b")
@@ -209,11 +208,7 @@
 }
 
 func TestLongerKeepRevivesNoKey(t *testing.T) {
-	// Symptom: an order line runs twice, minutes apart.
-	// Sequence: it runs and expires; a profile raises answer-retention; its
-	// caller repeats it.
-	// Cause: by the longer time the key is young enough to be new, and its row
-	// is gone.
+	// A longer retention time must not make a key that has already expired count as new.
 	ta := newHome(Options{Keep: time.Minute})
 	key := keyOf(at("1m"), "a", "a", "b")
 	assert.Assert(t, ta.Begin(at("1m"), Request{Key: key}).Run)
@@ -228,9 +223,7 @@
 }
 
 func TestQuestionsDoNotOutgrowTheTable(t *testing.T) {
-	// Symptom: an attendant's memory grows under a flood of calls without keys.
-	// Sequence: entries ask what became of ever new keys; the table is full.
-	// Cause: a question takes a row whatever the bound says.
+	// Queries about unknown keys must not grow the table beyond MaxKeys.
 	ta := newHome(Options{MaxKeys: 2})
 	for n := range 5 {
 		de := ta.Begin(at("1m"), Request{Ask: true, Key: testKey(at("1m"), n), Minted: true})
--- a/order/edge_test.go
+++ b/order/edge_test.go
@@ -22,7 +22,7 @@
 	"wisteriacroft/tick"
 )
 
-// pool returns a pool whose addresses are servers, reached by pipes.
+// pool returns a pool that connects to the servers, by address, over net.Pipe.
 func pool(id string, servers map[string]*peer.Server) *peer.Pool {
 	return &peer.Pool{
 		HeaderFunc: func() message.Header { return message.Header{Incarnation: 1, Sender: id} },
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -17,10 +17,10 @@
 
 const step = 100 * time.Millisecond
 
-// A machine is a fake engine that ignores epochs, and its attendant.
+// A machine is an attendant and its fake engine, which ignores epochs.
 type machine struct {
 	beat        uint64
-	broken      bool // its next load ends with the old version
+	broken      bool // the next load fails and keeps the old version
 	crashed     bool
 	fence       *order.Fence
 	id          string
@@ -30,13 +30,13 @@
 	version     engine.Version
 }
 
-// A site is some machines, an entry's roster and owners of their rollout. All
-// runs in one goroutine; a message that is lost is lost in one direction.
+// A site is a set of machines, the roster of an entry, and the owners of their rollout. It runs in
+// a single goroutine. A lost message is lost in one direction only.
 type site struct {
 	late     []late
 	load     time.Duration
 	log      strings.Builder
-	lose     func(what string) bool // of "order", "order-answer", "probe", "settle"
+	lose     func(what string) bool // what is one of "order", "order-answer", "probe", "settle"
 	machines []*machine
 	owners   []*order.Rollout
 	paused   map[*order.Rollout]bool
@@ -44,10 +44,10 @@
 	start    time.Time
 	table    roster.Table
 	t        *testing.T
-	took     func(ma *machine) // told of each order that an engine takes
+	took     func(ma *machine) // called for each order that an engine accepts
 }
 
-// A late is a message on its way.
+// A late is a delayed message.
 type late struct {
 	at time.Time
 	fn func()
@@ -67,7 +67,7 @@
 	return si
 }
 
-// restart starts the machine's attendant anew; its engine goes on.
+// restart restarts the machine's attendant; its engine keeps running.
 func (si *site) restart(ma *machine) {
 	ma.incarnation++
 	ma.beat = 0
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// A holding is what an owner's lease says.
+// A holding is the state of an owner's lease.
 type holding struct {
 	epoch uint64
 	held  bool
@@ -129,7 +129,7 @@
 			done(st, err)
 		},
 		SendOrderFunc: func(id string, rq order.Request, done func(order.Answer, error)) {
-			if si.lose("order") { // or late, which the owner can't tell
+			if si.lose("order") { // or delayed; the owner can't tell which
 				delay := time.Duration(si.rand.IntN(100)) * step
 				si.after(delay, func() { _, _ = si.find(id).fence.Order(si.t.Context(), rq) })
 				done(order.Answer{}, peer.ErrSilent)
@@ -152,7 +152,7 @@
 	return ro
 }
 
-// run lets time pass in steps, with a check after each.
+// run advances time in steps and calls check, if not nil, after each.
 func (si *site) run(d time.Duration, check func()) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
@@ -174,7 +174,7 @@
 	}
 }
 
-// after runs fn in the first step after a time has passed.
+// after runs fn in the first step after d has passed.
 func (si *site) after(d time.Duration, fn func()) {
 	si.late = append(si.late, late{at: time.Now().Add(d), fn: fn})
 }
@@ -191,8 +191,8 @@
 	}
 }
 
-// advance moves an engine on. Its reports lag by half a second, and the
-// roster learns of them another second later.
+// advance advances an engine. Its reports arrive half a second late, and the roster receives them
+// another second later.
 func (si *site) advance(ma *machine, i int) {
 	now := time.Now()
 	if ma.loading != 0 && !now.Before(ma.until) {
@@ -239,7 +239,7 @@
 	si.table.Report(message.Header{}, roster.ReportRequest{News: ne})
 }
 
-// observe tells a new owner of all endpoints.
+// observe passes all endpoints to the newest owner.
 func (si *site) observe() {
 	for _, en := range si.table.Endpoints("marker-llm") {
 		si.owners[len(si.owners)-1].Observe(en)
@@ -251,7 +251,7 @@
 	fmt.Fprintf(&si.log, format+"\n", args...)
 }
 
-// count returns how many machines satisfy a predicate.
+// count returns the number of machines that satisfy a predicate.
 func (si *site) count(is func(ma *machine) bool) int {
 	n := 0
 	for _, ma := range si.machines {
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -21,7 +21,7 @@
 	"wisteriacroft/roster"
 )
 
-// session runs fn on a site and compares what happened with a golden file.
+// session runs fn on a site and compares its log with a golden file.
 func session(t *testing.T, engines int, fn func(si *site)) {
 	synctest.Test(t, func(t *testing.T) {
 		si := newSite(t, engines, 3, 6)
@@ -30,10 +30,8 @@
 	})
 }
 
-// Symptom: engines that ignore epochs go back to older weights.
-// Sequence: an owner is paused; the next one orders newer weights; an
-// attendant restarts and forgets epochs; the first owner wakes and orders.
-// Cause: the attendant knew nothing that tells the late order from a fair one.
+// Guards against an engine that returns to older weights when a paused owner resumes after the
+// attendant has restarted and lost its epochs.
 func TestPausedOwner(t *testing.T) {
 	session(t, 2, func(si *site) {
 		si.own("first", 1, 0, &holding{1, true}).SetWanted(7)
@@ -75,9 +73,7 @@
 	})
 }
 
-// Symptom: an engine is counted as updated though it serves the old weights.
-// Sequence: a load fails partway.
-// Cause: what was ordered was taken for what was loaded.
+// Guards against counting an engine as updated after a load that failed partway.
 func TestSwapFailsPartway(t *testing.T) {
 	session(t, 2, func(si *site) {
 		ro := si.own("owner", 1, 1, &holding{1, true})
@@ -91,9 +87,8 @@
 	})
 }
 
-// Symptom: two engines fetch at once under a limit of one, or one never loads.
-// Sequence: the engine takes an order; the answer and the later word are lost.
-// Cause: an order without an answer was taken for one that did not run.
+// Guards against exceeding the fetch limit, or never loading, when the engine accepts an order but
+// its answer and its settle notice are lost.
 func TestAnswerLost(t *testing.T) {
 	session(t, 2, func(si *site) {
 		lost := 0
@@ -111,10 +106,8 @@
 	})
 }
 
-// Symptom: more engines fetch at once than the store allows.
-// Sequence: an owner loses its lease; the next one orders; the first gets the
-// lease back while those loads run.
-// Cause: it went on from what it knew when it lost the lease.
+// Guards against exceeding the fetch limit when an owner loses its lease and acquires it again with
+// outdated state.
 func TestOwnerReturns(t *testing.T) {
 	session(t, 4, func(si *site) {
 		hos := [2]holding{{1, true}, {2, false}}
@@ -134,9 +127,8 @@
 	})
 }
 
-// Symptom: too few endpoints serve, or too many engines fetch at once.
-// Sequence: crashes, restarts, lost messages and new owners in any order.
-// Cause: an owner counted on what it ordered instead of on what it knew.
+// Guards against violations of the serving floor or the fetch limit under any order of crashes,
+// restarts, lost messages and owner changes.
 func TestFloorAndLimitHold(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -152,8 +144,7 @@
 
 const engines, floor, limit = 9, 5, 3
 
-// An incident happens to one of the engines, or to the owner, before time
-// passes.
+// An incident is a fault of one engine, or a change of owner or weights, followed by a pause.
 type incident struct {
 	Engine int
 	Tenths int
@@ -168,7 +159,7 @@
 	}
 }
 
-// faults runs a rollout through incidents. It returns which promise broke.
+// faults runs a rollout through incidents and returns the first violated invariant, or "".
 func faults(t *testing.T, losses int, ins []incident) (broken string) {
 	si := newSite(t, engines, 3, 6)
 	note := func(format string, args ...any) {
@@ -188,8 +179,7 @@
 	owner := si.owners[0]
 	owner.SetWanted(wanted)
 	si.took = func(ma *machine) {
-		// An engine that crashed so lately that the owner can't know is not
-		// the owner's doing.
+		// A recent crash that the owner can't have observed yet is not counted as a violation.
 		if pr := owner.Progress(); ma.version > 0 && pr.Unsettled < engines && pr.Serving < floor {
 			note("%s is ordered, which leaves %+v", ma.id, pr)
 		}
@@ -233,14 +223,14 @@
 	return broken
 }
 
-// fixSeed makes runs alike, unless another seed is asked for.
+// fixSeed sets a fixed rapid seed unless the command line gives one.
 func fixSeed(t *testing.T) {
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
 		assert.NilError(t, flag.Set("rapid.seed", "1"))
 	}
 }
 
-// rollout measures how long a rollout takes, and how many engines fetch.
+// rollout returns the duration of a rollout and the largest number of engines that fetched at once.
 func rollout(t *testing.T, engines int, from engine.Version, load time.Duration, limit, floor int) (took time.Duration, most int) {
 	synctest.Test(t, func(t *testing.T) {
 		si := newSite(t, engines, 9, from)
@@ -274,7 +264,7 @@
 		{1100, 6, 5 * time.Second, 1100, 0},
 		{1100, 6, 2 * time.Second, 550, 50},
 		{1100, 6, 2 * time.Second, 275, 75},
-		{370, 0, 5 * time.Second, 20, 50}, // a failure domain that returned
+		{370, 0, 5 * time.Second, 20, 50}, // a failure domain that returns
 	} {
 		floor := ca.engines * ca.part / 100
 		took, most := rollout(t, ca.engines, ca.from, ca.load, ca.limit, floor)
@@ -301,10 +291,8 @@
 	})
 }
 
-// Symptom: an engine ends with the weights of the order that came first.
-// Sequence: an order's outcome is unknown; a later owner's order follows; the
-// engine, which ignores epochs, takes the two the other way round.
-// Cause: the second was passed on before the first was settled.
+// Guards against two orders reordered on their way to an engine that ignores epochs: the second
+// must wait until the first has settled.
 func TestFenceSettlesByReport(t *testing.T) {
 	for name, ca := range map[string]struct {
 		err    error
@@ -337,9 +325,9 @@
 				give(1)
 				phases := []string{}
 				for _, re := range []engine.Report{
-					{At: time.Now()}, // as of before the order could show
+					{At: time.Now()}, // measured before the order can show
 					{At: time.Now().Add(5 * time.Second), Loading: true},
-					{At: time.Now(), Version: 7}, // overtaken by a later one
+					{At: time.Now(), Version: 7}, // older than the report before
 					{At: time.Now().Add(10 * time.Second), Version: 6},
 				} {
 					fe.Reported("e1", re)
@@ -373,7 +361,7 @@
 					Endpoints: []roster.EndpointNews{{Version: 6}}, Incarnation: 1, Instance: id,
 				}})
 			}
-			ro.SetWanted(7) // under a limit of 0: each tick weighs all candidates
+			ro.SetWanted(7) // the default limit of 0 makes each tick examine all candidates
 			for b.Loop() {
 				ro.Systems()[0].Run(time.Now())
 			}
