--- a/access/access.go
+++ b/access/access.go
@@ -74,7 +74,7 @@
 	if reason != "" {
 		return Grant{Outcome: Denied, Reason: reason}
 	}
-	cu, ok := co.KeyHolder(key)
+	cu, ok := co.CustomerByKey(key)
 	switch {
 	case ok:
 		return Grant{Customer: cu}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -80,9 +80,9 @@
 	ch := &Checker{Directory: di, Header: "Key", Metrics: metrics.NewSet()}
 	unknown := http.Header{"Key": {"Bearer key-4"}}
 	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Unsure)
-	di.HearNews(time.Now())
+	di.ConfirmConfiguration(time.Now())
 	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Denied)
-	di.HearNews(time.Now().Add(-2 * time.Second))
+	di.ConfirmConfiguration(time.Now().Add(-2 * time.Second))
 	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Unsure)
 }
 
--- a/access/checker.go
+++ b/access/checker.go
@@ -39,7 +39,7 @@
 
 // Check decides on a request.
 func (ch *Checker) Check(co *directory.Configuration, public bool, he http.Header) Grant {
-	gr := Decide(co, public, he.Values(ch.Header), ch.Directory.NewsOld(time.Now()))
+	gr := Decide(co, public, he.Values(ch.Header), ch.Directory.ConfigurationStale(time.Now()))
 	ch.count(gr)
 	return gr
 }
--- a/admission/answer.go
+++ b/admission/answer.go
@@ -14,9 +14,9 @@
 	Took     time.Duration
 }
 
-// Alone returns how long the request would have taken by itself at the usual pace, as
+// UnloadedLatency returns how long the request would have taken by itself at the usual pace, as
 // far as the endpoint tells what it had beside.
-func (an Answer) Alone() time.Duration {
+func (an Answer) UnloadedLatency() time.Duration {
 	if !an.Told {
 		return an.Took
 	}
--- a/admission/held.go
+++ b/admission/held.go
@@ -41,13 +41,13 @@
 	return beside <= 0 || customer == "" || beside+size <= free
 }
 
-// Never reports whether a body of this size fits at no time.
-func (he *Held) Never(size int64) bool { return he.bound > 0 && size > he.bound }
+// TooLarge reports whether a body of this size fits at no time.
+func (he *Held) TooLarge(size int64) bool { return he.bound > 0 && size > he.bound }
 
-// Reserves reports whether a body of this size, larger than half of the bound, is to be taken
+// ReservesWhole reports whether a body of this size, larger than half of the bound, is to be taken
 // whole before it is read. Read side by side, two such bodies would both be refused midway,
 // each for what had been read of the other, and so again when their callers come back.
-func (he *Held) Reserves(size int64) bool { return he.bound > 0 && size > he.bound/2 }
+func (he *Held) ReservesWhole(size int64) bool { return he.bound > 0 && size > he.bound/2 }
 
 // Add counts bytes that are held for a customer. A negative number ends what was counted.
 func (he *Held) Add(customer string, bytes int64) {
@@ -64,9 +64,9 @@
 // Total returns how many bytes are held.
 func (he *Held) Total() int64 { return he.total }
 
-// Most returns the customer for which most bytes are held, and how many: of several the
+// Largest returns the customer for which most bytes are held, and how many: of several the
 // first by name.
-func (he *Held) Most() (customer string, bytes int64) {
+func (he *Held) Largest() (customer string, bytes int64) {
 	for name, held := range he.byCustomer {
 		if held > bytes || held == bytes && name < customer {
 			customer, bytes = name, held
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -51,8 +51,8 @@
 // Len returns how many wait.
 func (qu *Queue) Len() int { return len(qu.waiting) }
 
-// Standing reports whether the newest go first.
-func (qu *Queue) Standing() bool { return qu.standing }
+// NewestFirst reports whether the newest go first.
+func (qu *Queue) NewestFirst() bool { return qu.standing }
 
 // Arrived counts a request, whether it must wait or not.
 func (qu *Queue) Arrived(now time.Time) {
@@ -65,8 +65,8 @@
 	return max(qu.arrivals.rate(now, arrivalSpan), qu.burst.rate(now, burstSpan))
 }
 
-// InTime reports whether a request that came now would wait and still meet its goal.
-func (qu *Queue) InTime(wa Waiter, ou Outlook, now time.Time) bool {
+// MeetsGoal reports whether a request that came now would wait and still meet its goal.
+func (qu *Queue) MeetsGoal(wa Waiter, ou Outlook, now time.Time) bool {
 	start := qu.foreseen(wa, ou)
 	return start <= wa.patience()-now.Sub(wa.Arrived) && !now.Add(start+ou.Expected).After(wa.Goal)
 }
@@ -90,11 +90,11 @@
 	return min(time.Duration(float64(count)/rate*float64(time.Second)), maxReturn)
 }
 
-// Join takes a request in, and returns who is refused for it: the request itself,
+// Enqueue takes a request in, and returns who is refused for it: the request itself,
 // another, or no one.
-func (qu *Queue) Join(wa Waiter, ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Enqueue(wa Waiter, ou Outlook, now time.Time) []Refusal {
 	qu.heldAt = now
-	if !qu.InTime(wa, ou, now) {
+	if !qu.MeetsGoal(wa, ou, now) {
 		reason, ok := qu.lateRoom(wa, ou, now)
 		if !ok {
 			return []Refusal{qu.refuse(wa, reason, ou, now)}
@@ -237,15 +237,15 @@
 	qu.standing = qu.standing || now.Sub(qu.overSince) >= standingSpan
 }
 
-// Sweep refuses those that have waited as long as they may, but for those that are
+// Expire refuses those that have waited as long as they may, but for those that are
 // still of use late.
-func (qu *Queue) Sweep(ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Expire(ou Outlook, now time.Time) []Refusal {
 	var out []Refusal
 	for _, wa := range slices.Clone(qu.waiting) {
 		if now.Sub(wa.Arrived) < wa.patience() && !now.Add(ou.Expected).After(wa.Deadline) {
 			continue
 		}
-		qu.Leave(wa.ID)
+		qu.Remove(wa.ID)
 		if _, ok := qu.lateRoom(wa, ou, now); ok && !wa.Late {
 			wa.Late = true
 			qu.add(wa)
@@ -256,8 +256,8 @@
 	return out
 }
 
-// Leave takes out a waiter whose caller has left.
-func (qu *Queue) Leave(id uint64) {
+// Remove takes out a waiter whose caller has left.
+func (qu *Queue) Remove(id uint64) {
 	if at := slices.IndexFunc(qu.waiting, func(wa Waiter) bool { return wa.ID == id }); at >= 0 {
 		qu.drop(at)
 	}
@@ -287,8 +287,8 @@
 	return !qu.refusedAt.IsZero() && now.Sub(qu.refusedAt) < tightSpan
 }
 
-// Tight reports whether a request had to wait or was refused within tightSpan. Then what
+// Contended reports whether a request had to wait or was refused within tightSpan. Then what
 // isn't needed, such as a second attempt beside the first, is not sent.
-func (qu *Queue) Tight(now time.Time) bool {
+func (qu *Queue) Contended(now time.Time) bool {
 	return !qu.heldAt.IsZero() && now.Sub(qu.heldAt) < tightSpan
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -30,7 +30,7 @@
 	for id, priority := range []int{2, 0, 1, 0} {
 		wa := waiter(uint64(id), begin)
 		wa.Priority = priority
-		assert.Equal(t, len(qu.Join(wa, Outlook{Expected: time.Millisecond, Rate: 1000, Total: 1000}, begin)), 0)
+		assert.Equal(t, len(qu.Enqueue(wa, Outlook{Expected: time.Millisecond, Rate: 1000, Total: 1000}, begin)), 0)
 	}
 	assert.DeepEqual(t, ids(qu.Next(begin, all)), []uint64{1, 3, 2, 0})
 }
@@ -38,19 +38,19 @@
 func TestQueueRefusesWhatCannotBeInTime(t *testing.T) {
 	var qu Queue
 	for id := range uint64(3) {
-		assert.Equal(t, len(qu.Join(waiter(id, begin), steady, begin)), 0, id)
+		assert.Equal(t, len(qu.Enqueue(waiter(id, begin), steady, begin)), 0, id)
 	}
 	for range 40 {
 		qu.Arrived(begin)
 	}
-	res := qu.Join(waiter(4, begin), steady, begin)
+	res := qu.Enqueue(waiter(4, begin), steady, begin)
 	assert.Equal(t, len(res), 1)
 	assert.Equal(t, res[0].Reason, NoRoom)
 	assert.Equal(t, res[0].ID, uint64(4))
 
 	wa := waiter(5, begin)
 	wa.Deadline = begin.Add(55 * time.Millisecond)
-	assert.Equal(t, qu.Join(wa, steady, begin)[0].Reason, NoTime)
+	assert.Equal(t, qu.Enqueue(wa, steady, begin)[0].Reason, NoTime)
 }
 
 // A moment without room, after which less comes than the endpoints serve: the answer
@@ -60,8 +60,8 @@
 	qu.Arrived(begin)
 	late := waiter(1, begin)
 	late.Goal = begin.Add(10 * time.Millisecond)
-	assert.Equal(t, len(qu.Join(late, steady, begin)), 0)
-	assert.Equal(t, len(qu.Join(waiter(2, begin), steady, begin)), 0)
+	assert.Equal(t, len(qu.Enqueue(late, steady, begin)), 0)
+	assert.Equal(t, len(qu.Enqueue(waiter(2, begin), steady, begin)), 0)
 	assert.DeepEqual(t, ids(qu.Next(begin, all)), []uint64{2, 1})
 }
 
@@ -71,13 +71,13 @@
 	for id := range uint64(maxWaiting) {
 		wa := waiter(id, begin)
 		wa.Priority = 1
-		assert.Equal(t, len(qu.Join(wa, fast, begin)), 0)
+		assert.Equal(t, len(qu.Enqueue(wa, fast, begin)), 0)
 	}
 	wa := waiter(maxWaiting, begin)
 	wa.Priority = 1
-	assert.Equal(t, qu.Join(wa, fast, begin)[0].Reason, QueueFull)
+	assert.Equal(t, qu.Enqueue(wa, fast, begin)[0].Reason, QueueFull)
 	wa.Priority = 0
-	res := qu.Join(wa, fast, begin)
+	res := qu.Enqueue(wa, fast, begin)
 	assert.Equal(t, res[0].Reason, Yielded)
 	assert.Equal(t, res[0].ID, uint64(maxWaiting-1))
 	assert.Equal(t, qu.Len(), maxWaiting)
@@ -88,9 +88,9 @@
 	for range 40 {
 		qu.Arrived(begin)
 	}
-	assert.Equal(t, len(qu.Join(waiter(1, begin), steady, begin)), 0)
-	assert.Equal(t, len(qu.Sweep(steady, begin.Add(37*time.Millisecond))), 0)
-	res := qu.Sweep(steady, begin.Add(38*time.Millisecond))
+	assert.Equal(t, len(qu.Enqueue(waiter(1, begin), steady, begin)), 0)
+	assert.Equal(t, len(qu.Expire(steady, begin.Add(37*time.Millisecond))), 0)
+	res := qu.Expire(steady, begin.Add(38*time.Millisecond))
 	assert.Equal(t, len(res), 1)
 	assert.Equal(t, res[0].Reason, TooLong)
 	assert.Equal(t, qu.Len(), 0)
@@ -108,7 +108,7 @@
 		now := begin.Add(time.Duration(at) * time.Millisecond)
 		if at%2 == 0 {
 			qu.Arrived(now)
-			refused += len(qu.Join(waiter(uint64(at), now), hopeful, now))
+			refused += len(qu.Enqueue(waiter(uint64(at), now), hopeful, now))
 		}
 		if at%10 < 3 {
 			room := 1
@@ -118,8 +118,8 @@
 				}
 			}
 		}
-		refused += len(qu.Sweep(hopeful, now))
-		stood = stood || qu.Standing()
+		refused += len(qu.Expire(hopeful, now))
+		stood = stood || qu.NewestFirst()
 	}
 	slices.Sort(waits)
 	median := waits[len(waits)/2]
@@ -129,7 +129,7 @@
 	for range 3 {
 		qu.Next(begin.Add(4*time.Second), all)
 	}
-	assert.Assert(t, !qu.Standing())
+	assert.Assert(t, !qu.NewestFirst())
 }
 
 // Symptom: those who were sent away came back together and were refused together.
@@ -142,7 +142,7 @@
 	}
 	times := map[time.Duration]int{}
 	for id := range uint64(30) {
-		for _, re := range qu.Join(waiter(id, begin), steady, begin) {
+		for _, re := range qu.Enqueue(waiter(id, begin), steady, begin) {
 			times[re.RetryAfter]++
 			assert.Assert(t, re.RetryAfter > 0 && re.RetryAfter < 150*time.Millisecond, re.RetryAfter)
 		}
@@ -151,32 +151,32 @@
 
 	var none Queue
 	none.Arrived(begin)
-	res := none.Join(waiter(1, begin), Outlook{}, begin)
+	res := none.Enqueue(waiter(1, begin), Outlook{}, begin)
 	assert.Equal(t, res[0].RetryAfter, maxReturn, "no room is foreseen where nothing is served")
 }
 
 // Load: callers that were refused come again, with the rest of their time.
 func TestTries(t *testing.T) {
 	var tr Tries
-	assert.Equal(t, tr.Used(1900*time.Millisecond), time.Duration(0), "nothing is known yet")
+	assert.Equal(t, tr.Elapsed(1900*time.Millisecond), time.Duration(0), "nothing is known yet")
 	for i := range 1000 {
-		tr.Name(2 * time.Second)
-		tr.Name(0)
+		tr.Observe(2 * time.Second)
+		tr.Observe(0)
 		if i%2 == 0 {
-			tr.Name(time.Duration(1600+i%300) * time.Millisecond)
+			tr.Observe(time.Duration(1600+i%300) * time.Millisecond)
 		}
 	}
-	assert.Equal(t, tr.Used(2*time.Second), time.Duration(0))
-	assert.Equal(t, tr.Used(1997*time.Millisecond), time.Duration(0))
-	assert.Equal(t, tr.Used(1880*time.Millisecond), 120*time.Millisecond)
-	assert.Equal(t, tr.Used(5*time.Second), time.Duration(0))
-	assert.Equal(t, tr.Used(0), time.Duration(0))
+	assert.Equal(t, tr.Elapsed(2*time.Second), time.Duration(0))
+	assert.Equal(t, tr.Elapsed(1997*time.Millisecond), time.Duration(0))
+	assert.Equal(t, tr.Elapsed(1880*time.Millisecond), 120*time.Millisecond)
+	assert.Equal(t, tr.Elapsed(5*time.Second), time.Duration(0))
+	assert.Equal(t, tr.Elapsed(0), time.Duration(0))
 	for range 1000 {
-		tr.Name(time.Second)
+		tr.Observe(time.Second)
 	}
-	assert.Equal(t, tr.Used(900*time.Millisecond), 100*time.Millisecond, "habits change")
+	assert.Equal(t, tr.Elapsed(900*time.Millisecond), 100*time.Millisecond, "habits change")
 	for i := range 10000 {
-		tr.Name(time.Duration(i) * time.Second)
+		tr.Observe(time.Duration(i) * time.Second)
 	}
 	assert.Assert(t, len(tr.counts) <= maxTimes+1)
 }
@@ -195,7 +195,7 @@
 	he.Add("other", 490)
 	assert.Assert(t, !he.Fits("third", 0, 20))
 	assert.Assert(t, he.Fits("third", 0, 10))
-	name, bytes := he.Most()
+	name, bytes := he.Largest()
 	assert.Equal(t, name, "slow")
 	assert.Equal(t, bytes, int64(500))
 	he.Add("slow", -500)
@@ -203,12 +203,12 @@
 	assert.Equal(t, he.Total(), int64(0))
 	assert.Equal(t, len(he.byCustomer), 0)
 	assert.Assert(t, !he.Fits("other", 0, 1001))
-	assert.Assert(t, he.Never(1001) && !he.Never(1000))
+	assert.Assert(t, he.TooLarge(1001) && !he.TooLarge(1000))
 
 	var none Held
 	none.Add("a", 1<<40)
 	assert.Assert(t, none.Fits("a", 0, 1<<40), "no bound")
-	assert.Assert(t, !none.Never(1<<40), "no bound")
+	assert.Assert(t, !none.TooLarge(1<<40), "no bound")
 }
 
 // Symptom: a caller is told to come back with its body time and again, by entries that hold
@@ -221,7 +221,7 @@
 			assert.Assert(t, he.Fits("a", taken, 10), "%d of %d", taken, size)
 			he.Add("a", 10)
 		}
-		assert.Equal(t, he.Reserves(size), size > 500)
+		assert.Equal(t, he.ReservesWhole(size), size > 500)
 	}
 	he := NewHeld(1000)
 	he.Add("a", 600)
@@ -241,7 +241,7 @@
 		id++
 		asked[customer]++
 		qu.Arrived(now)
-		qu.Join(Waiter{
+		qu.Enqueue(Waiter{
 			Arrived: now, Customer: customer, ID: id, Needs: Needs{Deadline: now.Add(4 * goal), Goal: now.Add(goal)},
 		}, ou, now)
 	}
@@ -259,7 +259,7 @@
 				served[wa.Customer]++
 			}
 		}
-		qu.Sweep(ou, now)
+		qu.Expire(ou, now)
 	}
 	assert.Assert(t, served["small"] >= asked["small"]*9/10, "%d of %d", served["small"], asked["small"])
 	assert.Assert(t, served["large"] > 9*(400-asked["small"])/10, "%d by what was left", served["large"])
--- a/admission/room.go
+++ b/admission/room.go
@@ -64,8 +64,8 @@
 	unit      time.Duration // mean time of a request that waits for none, at the usual pace
 }
 
-// Take learns from an answer.
-func (ro *Room) Take(an Answer) {
+// Observe learns from an answer.
+func (ro *Room) Observe(an Answer) {
 	ro.relax(an.At)
 	ro.heardAt = an.At
 	if an.Told {
@@ -81,7 +81,7 @@
 
 // learn takes in how long a request took.
 func (ro *Room) learn(an Answer) {
-	one := float64(an.Alone())
+	one := float64(an.UnloadedLatency())
 	if ro.unit == 0 {
 		ro.unit, ro.recent = time.Duration(one), an.Took
 	}
@@ -171,15 +171,15 @@
 	}
 }
 
-// Free reports whether one more request may go to the endpoint.
-func (ro *Room) Free(inFlight, slots int, now time.Time) bool {
+// Available reports whether one more request may go to the endpoint.
+func (ro *Room) Available(inFlight, slots int, now time.Time) bool {
 	ro.relax(now)
 	if ro.limit == 0 && ro.target == 0 {
 		return slots <= 0 || inFlight < firstRounds*slots
 	}
 	if ro.limit == 0 {
 		bears := max(float64(ro.target), spareWork*float64(ro.usual())*ro.Slowdown(now))
-		return float64(ro.Expected(inFlight, slots, now)) <= bears
+		return float64(ro.ExpectedLatency(inFlight, slots, now)) <= bears
 	}
 	whole, part := math.Modf(ro.limit)
 	if inFlight < int(whole) {
@@ -191,7 +191,7 @@
 // pause is the time from one use of the part of a limit beyond whole requests to the
 // next. A limit of a half is a request for half of the time.
 func (ro *Room) pause(part float64, inFlight, slots int, now time.Time) time.Duration {
-	return time.Duration(float64(ro.Expected(inFlight, slots, now)) / part)
+	return time.Duration(float64(ro.ExpectedLatency(inFlight, slots, now)) / part)
 }
 
 // Sent notes that a request goes to the endpoint.
@@ -201,34 +201,34 @@
 	}
 }
 
-// Expected returns how long a request is likely to take that is sent now. What others
+// ExpectedLatency returns how long a request is likely to take that is sent now. What others
 // have there is what the endpoint told beyond the sender's own.
-func (ro *Room) Expected(inFlight, slots int, now time.Time) time.Duration {
-	return time.Duration(float64(ro.usual()) * ro.Slowdown(now) * crowd(inFlight+ro.Others(now), slots))
+func (ro *Room) ExpectedLatency(inFlight, slots int, now time.Time) time.Duration {
+	return time.Duration(float64(ro.usual()) * ro.Slowdown(now) * crowd(inFlight+ro.OthersInFlight(now), slots))
 }
 
-// Least returns how long a request takes with few exceptions that is alone: once more
+// UnloadedLatency returns how long a request takes with few exceptions that is alone: once more
 // than the usual time, as work is spread about its mean.
-func (ro *Room) Least(now time.Time) time.Duration {
+func (ro *Room) UnloadedLatency(now time.Time) time.Duration {
 	return time.Duration(spread * float64(ro.usual()) * ro.Slowdown(now))
 }
 
-// Likely returns how long a request takes with few exceptions that is sent now.
-func (ro *Room) Likely(inFlight, slots int, now time.Time) time.Duration {
-	return ro.Expected(inFlight, slots, now) + time.Duration((spread-1)*float64(ro.usual())*ro.Slowdown(now))
+// LatencyBound returns how long a request takes with few exceptions that is sent now.
+func (ro *Room) LatencyBound(inFlight, slots int, now time.Time) time.Duration {
+	return ro.ExpectedLatency(inFlight, slots, now) + time.Duration((spread-1)*float64(ro.usual())*ro.Slowdown(now))
 }
 
-// Others returns how many requests of others are believed to be at the endpoint.
-func (ro *Room) Others(now time.Time) int {
+// OthersInFlight returns how many requests of others are believed to be at the endpoint.
+func (ro *Room) OthersInFlight(now time.Time) int {
 	if ro.loadAt.IsZero() || now.Sub(ro.loadAt) >= loadLife {
 		return 0
 	}
 	return max(ro.load.Running+ro.load.Waiting-ro.own, 0)
 }
 
-// Told returns how many requests the endpoint last said to have, or 0 if that was long
+// ReportedLoad returns how many requests the endpoint last said to have, or 0 if that was long
 // ago.
-func (ro *Room) Told(now time.Time) int {
+func (ro *Room) ReportedLoad(now time.Time) int {
 	if now.Sub(ro.loadAt) >= toldLife {
 		return 0
 	}
@@ -247,7 +247,7 @@
 
 // Rate returns how many requests a second the sender may have answered there.
 func (ro *Room) Rate(inFlight, slots int, now time.Time) float64 {
-	expected := ro.Expected(inFlight, slots, now).Seconds()
+	expected := ro.ExpectedLatency(inFlight, slots, now).Seconds()
 	limit := ro.limit
 	if limit == 0 {
 		limit = float64(max(slots, 1))
--- a/admission/room_test.go
+++ b/admission/room_test.go
@@ -44,7 +44,7 @@
 	for range count {
 		from = from.Add(10 * time.Millisecond)
 		an.At, an.Slots, an.Target = from, 6, target
-		ro.Take(an)
+		ro.Observe(an)
 	}
 	return from
 }
@@ -56,15 +56,15 @@
 	var ro Room
 	now := answers(&ro, begin, 20, idle)
 	assert.Equal(t, ro.Limit(), 0.0, "nothing is held back below the room")
-	assert.Assert(t, ro.Free(5, 6, now))
+	assert.Assert(t, ro.Available(5, 6, now))
 
 	now = answers(&ro, now, 20, crowded)
 	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 1, ro.Limit())
-	assert.Assert(t, !ro.Free(1, 6, now))
+	assert.Assert(t, !ro.Available(1, 6, now))
 
 	now = answers(&ro, now, 20, idle)
 	assert.Assert(t, ro.Limit() >= 1, ro.Limit())
-	assert.Assert(t, ro.Free(0, 6, now))
+	assert.Assert(t, ro.Available(0, 6, now))
 }
 
 // An endpoint that tells no load shows by its latency alone that it is crowded.
@@ -86,11 +86,11 @@
 	var ro Room
 	now := answers(&ro, begin, 20, Answer{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
 	for range 12 {
-		ro.Take(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+		ro.Observe(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	}
 	assert.Equal(t, ro.Limit(), 4.0)
 	now = now.Add(2 * unit)
-	ro.Take(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+	ro.Observe(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	assert.Equal(t, ro.Limit(), 2.0)
 }
 
@@ -99,13 +99,13 @@
 // Cause: only answers moved the limit.
 func TestRoomOpensWithTime(t *testing.T) {
 	ro := Room{heardAt: begin, limit: leastLimit, unit: unit}
-	assert.Assert(t, ro.Free(0, 6, begin))
+	assert.Assert(t, ro.Available(0, 6, begin))
 	ro.Sent(0, begin)
-	assert.Assert(t, !ro.Free(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
-	assert.Assert(t, ro.Free(0, 6, begin.Add(16*unit)))
-	assert.Assert(t, ro.Free(0, 6, begin.Add(loadLife)))
+	assert.Assert(t, !ro.Available(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
+	assert.Assert(t, ro.Available(0, 6, begin.Add(16*unit)))
+	assert.Assert(t, ro.Available(0, 6, begin.Add(loadLife)))
 	assert.Equal(t, ro.Limit(), 2*leastLimit)
-	assert.Assert(t, ro.Free(0, 6, begin.Add(time.Minute)))
+	assert.Assert(t, ro.Available(0, 6, begin.Add(time.Minute)))
 	assert.Equal(t, ro.Limit(), 1.0)
 }
 
@@ -122,20 +122,20 @@
 		now = answers(&ro, now, 1, Answer{
 			InFlight: 1, Load: Load{Pace: pace, Places: 6, Running: 2}, Told: true, Took: unit * time.Duration(pace) / 100,
 		})
-		assert.Equal(t, ro.Expected(0, 6, now), unit*time.Duration(pace)/100)
+		assert.Equal(t, ro.ExpectedLatency(0, 6, now), unit*time.Duration(pace)/100)
 	}
 	assert.Equal(t, ro.Limit(), 0.0, "slow for a moment is not full")
-	assert.Assert(t, ro.Expected(0, 6, now.Add(paceLife/2)) < 3*unit)
-	assert.Equal(t, ro.Expected(0, 6, now.Add(paceLife)), unit)
+	assert.Assert(t, ro.ExpectedLatency(0, 6, now.Add(paceLife/2)) < 3*unit)
+	assert.Equal(t, ro.ExpectedLatency(0, 6, now.Add(paceLife)), unit)
 }
 
 func TestRoomSeesOthers(t *testing.T) {
 	var ro Room
 	now := answers(&ro, begin, 5, Answer{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
-	assert.Equal(t, ro.Others(now), 12)
-	assert.Equal(t, ro.Told(now), 14)
-	assert.Equal(t, ro.Expected(5, 6, now).Round(time.Millisecond), 3*unit)
-	assert.Equal(t, ro.Others(now.Add(loadLife)), 0)
+	assert.Equal(t, ro.OthersInFlight(now), 12)
+	assert.Equal(t, ro.ReportedLoad(now), 14)
+	assert.Equal(t, ro.ExpectedLatency(5, 6, now).Round(time.Millisecond), 3*unit)
+	assert.Equal(t, ro.OthersInFlight(now.Add(loadLife)), 0)
 }
 
 // TestRoomsShare lets many senders with their own rooms share one endpoint of which
@@ -154,11 +154,11 @@
 					inFlight[se]--
 					an.At, an.InFlight, an.Slots, an.Target, an.Told = now, inFlight[se]+1, 6, target, true
 					an.Load = Load{Running: min(len(queue), 6), Waiting: max(len(queue)-6, 0), Places: 6}
-					rooms[se].Take(an)
+					rooms[se].Observe(an)
 				}
 				for i := range rooms {
 					se := (i + at) % senders
-					if !rooms[se].Free(inFlight[se], 6, now) {
+					if !rooms[se].Available(inFlight[se], 6, now) {
 						continue
 					}
 					rooms[se].Sent(inFlight[se], now)
--- a/admission/tries.go
+++ b/admission/tries.go
@@ -24,8 +24,8 @@
 	counts map[int]int // by time, in steps
 }
 
-// Name counts the time that a try names.
-func (tr *Tries) Name(left time.Duration) {
+// Observe counts the time that a try names.
+func (tr *Tries) Observe(left time.Duration) {
 	if left <= 0 {
 		return
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// Used returns how much of its time the caller of a try that names left has used
+// Elapsed returns how much of its time the caller of a try that names left has used
 // before: the rest of what callers mostly name.
-func (tr *Tries) Used(left time.Duration) time.Duration {
+func (tr *Tries) Elapsed(left time.Duration) time.Duration {
 	usual, most := 0, leastTimes-1
 	for at, count := range tr.counts {
 		if count > most || count == most && at > usual {
--- a/allotment/call.go
+++ b/allotment/call.go
@@ -19,7 +19,7 @@
 	}
 	re, err := peer.Call[Req, Resp](ctx, po, address, method, rq)
 	if err != nil && !errors.Is(err, ErrNotHolder) {
-		fi.Lose(address, err)
+		fi.Invalidate(address, err)
 	}
 	return re, err
 }
--- a/allotment/holder.go
+++ b/allotment/holder.go
@@ -71,7 +71,7 @@
 		ho.epoch, ho.begunAt, ho.entries, ho.division = epoch, now, map[string]told{}, fairshare.Division{}
 	}
 	if rq.Loads != nil && ho.Census != nil {
-		ho.Census.Tell(rq.Instance, rq.Loads, now)
+		ho.Census.Report(rq.Instance, rq.Loads, now)
 	}
 	if rq.Demands == nil {
 		return TellResponse{}, nil
--- a/allotment/payer.go
+++ b/allotment/payer.go
@@ -47,12 +47,12 @@
 	turn chan struct{} // full while a request uses the purse
 }
 
-// Spend spends a token of a customer's quota, in requests a second, or returns after how
+// Allow spends a token of a customer's quota, in requests a second, or returns after how
 // long its caller may come back.
 //
 // An entry that can't reach the holder spends what it has and then refuses: let through,
 // each entry that is cut off would exceed the quota once more.
-func (pa *Payer) Spend(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
+func (pa *Payer) Allow(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
 	te := quota.Terms{Overshoot: pa.Overshoot, Rate: rate}
 	pu := pa.purse(customer)
 	select {
@@ -65,16 +65,16 @@
 	if pu.Spend(te, now) {
 		return 0, true
 	}
-	if retry = pu.Denied(te, now); retry > 0 {
+	if retry = pu.RetryDelay(te, now); retry > 0 {
 		return max(retry, leastRetry), false
 	}
-	re, err := pa.ask(ctx, GrantRequest{Customer: customer, Rate: rate, Want: pu.Want()})
+	re, err := pa.ask(ctx, GrantRequest{Customer: customer, Rate: rate, Want: pu.RefillSize()})
 	if err != nil {
 		pa.Metrics.GetOrCreateCounter(`wisteriacroft_quota_failures_total`).Inc()
 		pa.Log.WithError(err).WithField("customer", customer).Warn("no tokens can be asked for")
 		re = GrantResponse{Next: unheardRetry}
 	}
-	pu.Fill(te, re.Tokens, max(re.Next, leastRetry), now)
+	pu.Refill(te, re.Tokens, max(re.Next, leastRetry), now)
 	if pu.Spend(te, time.Now()) {
 		return 0, true
 	}
--- a/allotment/quota_test.go
+++ b/allotment/quota_test.go
@@ -56,7 +56,7 @@
 	begun := time.Now()
 	for i := 0; time.Since(begun) < length; i++ {
 		go func() {
-			if _, ok := co.payers[i%len(co.payers)].Spend(ctx, "ada", co.quota); ok {
+			if _, ok := co.payers[i%len(co.payers)].Allow(ctx, "ada", co.quota); ok {
 				served.Add(1)
 			}
 		}()
@@ -126,11 +126,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		co := newCounter(1, 10)
 		cutAll(co)
-		retry, ok := co.payers[0].Spend(t.Context(), "ada", 10)
+		retry, ok := co.payers[0].Allow(t.Context(), "ada", 10)
 		assert.Assert(t, !ok)
 		assert.Equal(t, retry, unheardRetry)
 		calls := co.calls.Load()
-		retry, ok = co.payers[0].Spend(t.Context(), "ada", 10)
+		retry, ok = co.payers[0].Allow(t.Context(), "ada", 10)
 		assert.Assert(t, !ok && retry > 0)
 		assert.Equal(t, co.calls.Load(), calls, "it is refused at once")
 	})
@@ -143,11 +143,11 @@
 		var retry time.Duration
 		ok := true
 		for ok {
-			retry, ok = co.payers[0].Spend(t.Context(), "ada", 2)
+			retry, ok = co.payers[0].Allow(t.Context(), "ada", 2)
 		}
 		assert.Assert(t, retry > 0 && retry <= 500*time.Millisecond, "%s", retry)
 		time.Sleep(retry)
-		_, ok = co.payers[0].Spend(t.Context(), "ada", 2)
+		_, ok = co.payers[0].Allow(t.Context(), "ada", 2)
 		assert.Assert(t, ok, "what the caller was told is true")
 	})
 }
--- a/allotment/teller.go
+++ b/allotment/teller.go
@@ -97,7 +97,7 @@
 	if now.Sub(te.toldAt) < entryLife {
 		return // what was told still counts
 	}
-	te.bounds = te.alone.Alone(demands, te.WeightsFunc(), te.entries)
+	te.bounds = te.alone.Standalone(demands, te.WeightsFunc(), te.entries)
 	te.Log.WithError(err).WithFields(logrus.Fields{"bounds": te.bounds, "entries": te.entries}).Warn("entry divides places by itself")
 }
 
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -214,7 +214,7 @@
 func (at *Attendant) runGates(now time.Time) {
 	for _, en := range at.endpoints {
 		en.gate.Tick(now)
-		en.once.Tick(now)
+		en.once.Expire(now)
 	}
 }
 
--- a/attendant/call.go
+++ b/attendant/call.go
@@ -141,7 +141,7 @@
 	}
 	ti.Started()
 	an, err := at.exchange(ctx, en, req)
-	ti.Leave(outcome(ctx, err))
+	ti.Release(outcome(ctx, err))
 	if err != nil {
 		return answer{refusal: en.refusalOf(ctx, ca.id, err)}
 	}
--- a/attendant/callonce.go
+++ b/attendant/callonce.go
@@ -81,7 +81,7 @@
 	ex := en.executions.begin(time.Now(), lose)
 	an, err := at.exchange(ctx, en, req)
 	en.executions.end(ex)
-	ti.Leave(outcome(ctx, err))
+	ti.Release(outcome(ctx, err))
 	switch {
 	case err == nil:
 		en.once.Finish(time.Now(), ke, &an)
@@ -89,7 +89,7 @@
 	case notSent(err):
 		en.once.Release(time.Now(), ke)
 	default:
-		en.once.Lose(time.Now(), ke)
+		en.once.MarkUnknown(time.Now(), ke)
 	}
 	return answer{refusal: en.refusalOf(ctx, ca.id, err)}
 }
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -53,7 +53,7 @@
 	id := req.ID
 	req.ID = en.unique(id)
 	req.Deadline, _ = ctx.Deadline()
-	ti, err := en.gate.Enter(ctx, req)
+	ti, err := en.gate.Acquire(ctx, req)
 	if err == nil {
 		return ti, nil
 	}
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -58,7 +58,7 @@
 	}
 	at.settleAt = now.Add(at.jitter(settleEvery))
 	for _, en := range at.endpoints {
-		for _, former := range en.once.Unsettled() {
+		for _, former := range en.once.PendingYields() {
 			at.loop.Go(func() { at.settleHome(en, former) })
 		}
 	}
@@ -85,5 +85,5 @@
 		at.options.Log.WithField("endpoint", en.name).WithError(err).Debug("former home not settled")
 		return
 	}
-	en.once.Settle(time.Now(), former, revision)
+	en.once.RecordYield(time.Now(), former, revision)
 }
--- a/attendant/membership.go
+++ b/attendant/membership.go
@@ -65,7 +65,7 @@
 	switch {
 	case es.failed || es.seenAt.IsZero():
 		return roster.Unhealthy
-	case en.engine != nil && !at.fence.Bound(en.name):
+	case en.engine != nil && !at.fence.VersionStable(en.name):
 		return roster.Loading
 	default:
 		return roster.Ready
--- a/attendant/policy.go
+++ b/attendant/policy.go
@@ -83,7 +83,7 @@
 		if en.plain != nil {
 			set, former := homes(do, en.service)
 			en.once.SetHomes(now, set, former)
-			en.once.SetKeep(answerRetention(do, en.service))
+			en.once.SetRetention(answerRetention(do, en.service))
 		}
 	}
 	at.options.Log.WithField("revision", at.applied).Info("profiles in force")
--- a/attendant/poll.go
+++ b/attendant/poll.go
@@ -31,7 +31,7 @@
 
 // nextReport returns the time between an endpoint's report and its next.
 func (at *Attendant) nextReport(en *endpoint) time.Duration {
-	if en.engine != nil && !at.fence.Bound(en.name) {
+	if en.engine != nil && !at.fence.VersionStable(en.name) {
 		return min(unsettledReportEvery, at.options.ReportEvery)
 	}
 	return at.jitter(at.options.ReportEvery)
@@ -94,7 +94,7 @@
 		if err != nil {
 			return gate.Load{}, err
 		}
-		at.fence.Reported(en.name, rp)
+		at.fence.Observe(en.name, rp)
 		en.observeReport(rp, time.Now())
 		return gate.Load{Running: rp.Running, Waiting: rp.Waiting}, nil
 	}
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -56,7 +56,7 @@
 	he.Set(message.FateHeader, re.Fate)
 	he.Set(message.RequestIDHeader, re.RequestID)
 	he.Set(message.RevisionHeader, strconv.FormatUint(at.profiles.Revision(), 10))
-	if wait := re.Wait(); wait > 0 {
+	if wait := re.RetryDelay(); wait > 0 {
 		he.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 	rw.WriteHeader(httpStatus(re.Code))
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -114,7 +114,7 @@
 	switch {
 	case ev.Result != nil:
 		return resultWhole
-	case ev.Refusal.Truth() == fate.NotRun:
+	case ev.Refusal.Outcome() == fate.NotRun:
 		return resultRefused
 	default:
 		return resultFailed
@@ -137,12 +137,12 @@
 	defer cancel()
 	// The engine may have gone back to older weights while this one queued.
 	if err := at.checkFresh(en, atm.request); err != nil {
-		ti.Leave(gate.NotSent)
+		ti.Release(gate.NotSent)
 		return err
 	}
 	ti.Started()
 	err = at.run(ctx, en, atm)
-	ti.Leave(outcome(ctx, err))
+	ti.Release(outcome(ctx, err))
 	return err
 }
 
@@ -193,7 +193,7 @@
 // may make tokens of either version. Work that is bound to a version waits
 // until the engine's own report has settled it.
 func (at *Attendant) checkFresh(en *endpoint, req message.SampleRequest) error {
-	if !at.fence.Bound(en.name) {
+	if !at.fence.VersionStable(en.name) {
 		re := fate.NewRefusal(fate.Refused, req.Attempt, en.name+" has an order that is not settled")
 		re.RetryAfter = at.options.ReportEvery.String()
 		return re
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -95,7 +95,7 @@
 				time.Sleep(time.Second)
 				ev := se.sample(se.Context(), "a:1", "marker-1", sampleRequest("s1", somePlaces))
 				assert.Assert(se, ev.Result == nil)
-				assert.Equal(se, ev.Refusal.Truth(), fate.Unknown)
+				assert.Equal(se, ev.Refusal.Outcome(), fate.Unknown)
 			})
 		})
 	}
--- a/attendant/stream.go
+++ b/attendant/stream.go
@@ -145,7 +145,7 @@
 			return ctx.Err()
 		}
 	})
-	ti.Leave(outcome(ctx, err))
+	ti.Release(outcome(ctx, err))
 	return err
 }
 
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -124,7 +124,7 @@
 		DropFunc:  func(_ context.Context, pls []message.Place, digest string) { wo.drop(pls, digest) },
 		FetchFunc: wo.fetch,
 		GoFunc:    func(job func(ctx context.Context)) { no.jobs = append(no.jobs, job) },
-		LeaseFunc: func(_ string, now time.Time) (uint64, lease.Standing) { return no.holder.Standing(now) },
+		LeaseFunc: func(_ string, now time.Time) (uint64, lease.Standing) { return no.holder.State(now) },
 		ReplicateFunc: func(ctx context.Context, data []byte) ([]message.Place, error) {
 			return depot.Replicate(ctx, wo.depot(), []message.Place{storeOne, storeTwo}, data)
 		},
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -129,8 +129,8 @@
 	switch {
 	case err == nil, errors.Is(err, errCallerGone), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		se.Routes.Succeeded(now, id)
-	case errors.As(err, &re) && re.Truth() == fate.NotRun && re.Code != fate.BadRequest:
-		se.Routes.Refused(now, id, re.Wait())
+	case errors.As(err, &re) && re.Outcome() == fate.NotRun && re.Code != fate.BadRequest:
+		se.Routes.Refused(now, id, re.RetryDelay())
 	case errors.As(err, &re):
 		se.Routes.Succeeded(now, id)
 	case errors.Is(err, errSilent):
--- a/call/run.go
+++ b/call/run.go
@@ -41,7 +41,7 @@
 // returns the refusal for the caller, or nil.
 func (ru *run) each(ctx context.Context, try func(context.Context, *attempt) error) *fate.Refusal {
 	bu := ru.server.budgetOf(ru.request.policy)
-	bu.First()
+	bu.Deposit()
 	for {
 		if re := ru.heldBack(); re != nil {
 			return re
@@ -227,7 +227,7 @@
 			return nil
 		case errors.As(answer, &re) && re.Code == fate.InProgress:
 			failures = 0
-		case errors.As(answer, &re) && (knows(re) || re.Truth() == fate.Unknown):
+		case errors.As(answer, &re) && (knows(re) || re.Outcome() == fate.Unknown):
 			return answer
 		default:
 			failures++
--- a/call/suspect.go
+++ b/call/suspect.go
@@ -19,13 +19,13 @@
 	var re *fate.Refusal
 	switch {
 	case err == nil:
-		se.Quarantine.Answered(req.digest, now)
+		se.Quarantine.RecordSuccess(req.digest, now)
 	case errors.As(err, &re) && re.EndpointEnded:
 		// By the attempt, since the endpoint may start again under its name.
-		se.Quarantine.Strike(req.digest, at.endpoint.ID+"/"+at.id, now)
+		se.Quarantine.RecordCrash(req.digest, at.endpoint.ID+"/"+at.id, now)
 		se.Log.WithFields(logrus.Fields{
 			"digest": req.digest, "endpoint": at.endpoint.ID, "request-id": req.id, "service": req.policy.Service,
-			"strikes": se.Quarantine.Judge(req.digest, now).Strikes,
+			"strikes": se.Quarantine.Check(req.digest, now).Strikes,
 		}).Warn("endpoint ended under a call")
 	}
 }
@@ -33,7 +33,7 @@
 // heldBack returns the refusal of a call that must not be sent to an endpoint now,
 // or nil.
 func (ru *run) heldBack() *fate.Refusal {
-	ve := ru.server.Quarantine.Judge(ru.request.digest, time.Now())
+	ve := ru.server.Quarantine.Check(ru.request.digest, time.Now())
 	if !ve.Held() {
 		return nil
 	}
--- a/cmd/holdsession_test.go
+++ b/cmd/holdsession_test.go
@@ -227,7 +227,7 @@
 	hw.tell("release", "service", "llm", "-m", "as expected")
 	hw.until("the order", func() bool { return hw.authority.Orders()[su] == 2 })
 	hw.plainOrders()
-	assert.Equal(hw, len(hw.authority.Breaks()), 0, "%v", hw.authority.Breaks())
+	assert.Equal(hw, len(hw.authority.Violations()), 0, "%v", hw.authority.Violations())
 }
 
 // plainOrders sends more than the plain endpoint has places for, and sees more ordered: the
--- a/cmd/platformattendantcmd.go
+++ b/cmd/platformattendantcmd.go
@@ -35,7 +35,7 @@
 		})
 	peer.Handle(&ps, runner.WitnessMethod,
 		func(context.Context, message.Header, step.Empty) (runner.WitnessResponse, error) {
-			return rn.Witness(), nil
+			return rn.LastContact(), nil
 		})
 	background(lc, rn.Run)
 	ho.serveMetrics(lc)
--- a/cmd/platformentrycmd.go
+++ b/cmd/platformentrycmd.go
@@ -43,7 +43,7 @@
 	fo := ho.forwarder()
 	ho.recordUsage(lc, fo)
 	te := ho.teller(fo)
-	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.payer().Spend
+	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.payer().Allow
 	background(lc, te.Run)
 	su := &platform.Submissions{
 		Access: fo.Access, Directory: ho.directory,
--- a/cmd/platformload.go
+++ b/cmd/platformload.go
@@ -54,7 +54,7 @@
 func (lv *loadView) loads(now time.Time) (map[string]scale.Load, bool) {
 	loads, known := lv.census.Loads(now)
 	for service, se := range lv.forwarder.Loads(now) {
-		loads[service] = loads[service].With(se)
+		loads[service] = loads[service].Add(se)
 	}
 	return loads, known
 }
--- a/cmd/platformload_test.go
+++ b/cmd/platformload_test.go
@@ -33,7 +33,7 @@
 	llm := scale.Service{Bounds: desk.Bounds, Domains: map[string]int{}, Name: "llm", Places: 8, Unknown: true}
 	assert.DeepEqual(t, lv.services(now), []scale.Service{desk, llm})
 
-	lv.census.Tell("entry-1", map[string]scale.Seen{"desk": {Begun: 10, Busy: 5 * time.Second, Span: time.Second}}, now)
+	lv.census.Report("entry-1", map[string]scale.Seen{"desk": {Begun: 10, Busy: 5 * time.Second, Span: time.Second}}, now)
 	assert.Assert(t, lv.services(now)[0].Unknown, "what one of its endpoints can do is not known")
 	for i, domain := range []string{"a", "a", "b"} {
 		di.SetEndpoint(directory.Endpoint{Address: string(rune('1' + i)), Domain: domain, ID: string(rune('x' + i)), Leaving: i == 1, Service: "desk", Slots: 4})
@@ -41,5 +41,5 @@
 	desk.Domains, desk.Places, desk.Unknown = map[string]int{"a": 1, "b": 1}, 4, false
 	desk.Work = scale.Work{{Due: 2 * time.Second, Work: 10 * time.Second}}
 	assert.DeepEqual(t, lv.services(now), []scale.Service{desk, llm})
-	assert.Equal(t, desk.Want(), 2)
+	assert.Equal(t, desk.Desired(), 2)
 }
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -55,7 +55,7 @@
 		Metrics:  ho.metrics,
 		PeerPort: ho.settings.PeerPort, Pool: ho.pool, Quarantine: ho.requests,
 	}
-	sc.Holder.SuspectFunc = sc.Suspect
+	sc.Holder.SuspectFunc = sc.IsDead
 	var ps peer.Server
 	sc.Register(&ps)
 	ho.reportUsage(lc, sc, &ps)
@@ -68,7 +68,7 @@
 	}
 	gr.Register(&ps)
 	ho.orderEndpoints(lc, &ps, &loadView{census: ce, directory: ho.directory, forwarder: fw, scheduler: sc})
-	fo := ho.follower(sc.Leads)
+	fo := ho.follower(sc.IsLeader)
 	fo.Own = platform.RetireKey(ho.settings.Instance)
 	directory.RegisterFeed(&ps, fo, uuid.NewString())
 	fo.OperatorFunc = func(it keyvalue.Item) {
@@ -85,7 +85,7 @@
 	// Stops first, so that another scheduler takes over while this one still
 	// answers.
 	lc.Append(fx.Hook{OnStop: func(ctx context.Context) error {
-		sc.Retire()
+		sc.StepDown()
 		return release(ctx, sc)
 	}})
 }
@@ -101,7 +101,7 @@
 		Owner: ho.settings.PeerAddress, SendFunc: platform.NewUsageSender(ho.settings.UsageAddress, ho.settings.Instance),
 		StandingFunc: sc.Holder.Held, Window: ho.settings.UsageWindow,
 	}
-	sc.WallFunc = uh.Vote
+	sc.WallFunc = uh.AddClockSample
 	uh.Register(ps)
 	background(lc, uh.Run)
 }
@@ -141,7 +141,7 @@
 func (ho *host) retire(sc *step.Scheduler) {
 	ctx := context.Background()
 	ho.log.Info("instance is to be emptied")
-	sc.Retire()
+	sc.StepDown()
 	if err := release(ctx, sc); err != nil {
 		ho.log.WithError(err).Warn("lease can't be released and ends by itself")
 	}
--- a/cmd/profilecmd.go
+++ b/cmd/profilecmd.go
@@ -311,8 +311,8 @@
 
 // touchedNames lists the profiles of a change with what became of each.
 func touchedNames(ch profile.Change) string {
-	names := make([]string, len(ch.Touched()))
-	for i, to := range ch.Touched() {
+	names := make([]string, len(ch.ChangedProfiles()))
+	for i, to := range ch.ChangedProfiles() {
 		names[i] = sign(to.Before, to.After) + to.Name
 	}
 	return strings.Join(names, " ")
--- a/cmd/quarantinecmd_test.go
+++ b/cmd/quarantinecmd_test.go
@@ -37,9 +37,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var ta quarantine.Table
 			for _, endpoint := range []string{"a", "b", "c"} {
-				ta.Strike("barred", endpoint, time.Now())
+				ta.RecordCrash("barred", endpoint, time.Now())
 			}
-			ta.Strike("suspect", "a", time.Now())
+			ta.RecordCrash("suspect", "a", time.Now())
 			value, err := cbor.Marshal(ta.Records(time.Now()))
 			assert.NilError(t, err)
 			_, err = tc.client.Put(t.Context(), quarantine.Key, value, 0, 0)
--- a/directory/customer.go
+++ b/directory/customer.go
@@ -31,9 +31,9 @@
 // IsPart reports whether a number makes sense as a customer's quota or weight.
 func IsPart(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// DueWeight returns the customer's weight among those that compete: the first priority
+// PriorityWeight returns the customer's weight among those that compete: the first priority
 // weighs 1, the next ones a half, a third and so on. Not even the last goes without.
-func (cu Customer) DueWeight() float64 {
+func (cu Customer) PriorityWeight() float64 {
 	switch {
 	case cu.Weight > 0:
 		return cu.Weight
@@ -48,7 +48,7 @@
 func (co *Configuration) Weights() map[string]float64 {
 	weights := make(map[string]float64, len(co.Customers))
 	for _, cu := range co.Customers {
-		weights[cu.Name] = cu.DueWeight()
+		weights[cu.Name] = cu.PriorityWeight()
 	}
 	return weights
 }
@@ -77,11 +77,11 @@
 	return 0
 }
 
-// KeyHolder returns the customer that holds a key.
+// CustomerByKey returns the customer that holds a key.
 //
 // It looks at all keys and compares each whole, so that the time that it takes says
 // nothing of how near a guess was. A thousand keys take 17 us.
-func (co *Configuration) KeyHolder(key string) (Customer, bool) {
+func (co *Configuration) CustomerByKey(key string) (Customer, bool) {
 	digest := DigestKey(key)
 	found := -1
 	for i := range co.Customers {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -191,9 +191,9 @@
 	di.generation++
 }
 
-// Hear takes in that the key-value service or the feeder answered, whatever it
+// RecordContact takes in that the key-value service or the feeder answered, whatever it
 // said.
-func (di *Directory) Hear(now time.Time) {
+func (di *Directory) RecordContact(now time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	di.heardAt = now
@@ -211,27 +211,27 @@
 	return now.Sub(di.heardAt) >= cutOffAfter
 }
 
-// HearNews takes in that the configuration is the newest one at a moment.
-func (di *Directory) HearNews(at time.Time) {
+// ConfirmConfiguration takes in that the configuration is the newest one at a moment.
+func (di *Directory) ConfirmConfiguration(at time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	di.newsAt = at
 }
 
-// NewsOld reports whether a newer configuration may have come into force of which
+// ConfigurationStale reports whether a newer configuration may have come into force of which
 // this process has not heard.
 //
 // A process that is cut off, turned away by the key-value service or just started
 // knows the keys and routes of a configuration that may not be the newest. That it
 // lacks one says little then: another process may know it.
-func (di *Directory) NewsOld(now time.Time) bool {
+func (di *Directory) ConfigurationStale(now time.Time) bool {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return now.Sub(di.newsAt) >= cutOffAfter
 }
 
-// Confirm takes in that what is known of endpoints was true at a moment.
-func (di *Directory) Confirm(at time.Time) {
+// ConfirmEndpoints takes in that what is known of endpoints was true at a moment.
+func (di *Directory) ConfirmEndpoints(at time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	di.confirmedAt = at
@@ -296,9 +296,9 @@
 	}
 }
 
-// SetAway records whether the key-value service answers, and returns whether
+// SetUnavailable records whether the key-value service answers, and returns whether
 // that has changed.
-func (di *Directory) SetAway(away bool, now time.Time) bool {
+func (di *Directory) SetUnavailable(away bool, now time.Time) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	was := !di.awaySince.IsZero()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -27,9 +27,9 @@
 	// are expected to come back.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.SetAway(true, time.Now())
+		di.SetUnavailable(true, time.Now())
 		time.Sleep(retryPause)
-		di.SetAway(false, time.Now())
+		di.SetUnavailable(false, time.Now())
 		di.RemoveEndpoint("a", time.Now())
 		assert.Assert(t, !known(di, "a"))
 	})
@@ -43,9 +43,9 @@
 	// that are gone.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.SetAway(true, time.Now())
+		di.SetUnavailable(true, time.Now())
 		time.Sleep(4 * time.Second)
-		di.SetAway(false, time.Now())
+		di.SetUnavailable(false, time.Now())
 		di.SetEndpoints(nil, time.Now())
 		di.Expire(time.Now())
 		assert.Assert(t, known(di, "a"), "right after the outage")
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -90,7 +90,7 @@
 // the caller has.
 func (fo *Follower) feed(ctx context.Context, boot string, rq FeedRequest) (FeedResponse, error) {
 	end := time.Now().Add(feedWait)
-	fo.quarantine().Tell(rq.Unsaved, time.Now())
+	fo.quarantine().MergeUnsaved(rq.Unsaved, time.Now())
 	held := rq.Held
 	if rq.Boot != boot {
 		held = 0
@@ -112,7 +112,7 @@
 			re.Configuration = co
 		}
 		if sh := fo.Directory.Holds(); sh.Version() != rq.Holds {
-			re.Holds = sh.At(sh.Version())
+			re.Holds = sh.WithVersion(sh.Version())
 		}
 		if rq.Boot != boot || rq.Generation != generation {
 			re.Endpoints, re.Fresh = fo.Directory.entries(), true
@@ -180,7 +180,7 @@
 // as if it might come back.
 func (fo *Follower) takeResponse(ctx context.Context, re FeedResponse) {
 	fo.away(fo.Source.EndpointPrefix, nil)
-	fo.Directory.HearNews(time.Now())
+	fo.Directory.ConfirmConfiguration(time.Now())
 	fo.takeHolds("feeder", re.Holds)
 	if re.Holds != nil && time.Since(fo.doubtedAt) >= doubtPause {
 		fo.doubtedAt = time.Now()
@@ -260,7 +260,7 @@
 	defer cancel()
 	re, err := peer.Call[FeedRequest, FeedResponse](ctx, fo.Pool, address, feedMethod, rq)
 	if err != nil && ctx.Err() == nil && !errors.Is(err, ErrOldEndpoints) || errors.Is(err, context.DeadlineExceeded) {
-		fo.Feeder.Lose(address, err)
+		fo.Feeder.Invalidate(address, err)
 	}
 	return re, err
 }
--- a/directory/feed_test.go
+++ b/directory/feed_test.go
@@ -18,7 +18,7 @@
 func TestFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		fo := &Follower{Directory: di}
 		first, err := fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -35,7 +35,7 @@
 		assert.Assert(t, !second.Fresh, "new weights are no news")
 		assert.Assert(t, time.Since(begun) >= feedWait)
 
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		time.AfterFunc(100*time.Millisecond, func() {
 			en.Leaving = true
 			di.SetEndpoint(en)
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.SetConfiguration(&Configuration{Version: 3})
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		feeder := &Follower{Directory: di}
 		first, err := feeder.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -131,13 +131,13 @@
 	// Cause: the feeder answered with what it had last heard, however old.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		fo := &Follower{Directory: di}
 		time.Sleep(feedAge + time.Millisecond)
 		_, err := fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.Assert(t, errors.Is(err, ErrOldEndpoints))
 		fo.DirectFunc = func() bool { return false }
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		_, err = fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.Assert(t, errors.Is(err, ErrNotFeeder), "it does not follow the service itself")
 	})
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -172,9 +172,9 @@
 		}
 		switch prefix {
 		case fo.Source.EndpointPrefix:
-			fo.Directory.Confirm(time.Now())
+			fo.Directory.ConfirmEndpoints(time.Now())
 		case fo.Source.OperatorPrefix, fo.Source.ConfigurationKey:
-			fo.Directory.HearNews(time.Now())
+			fo.Directory.ConfirmConfiguration(time.Now())
 		}
 		if scan || len(ch.Items) > 0 {
 			sleep(ctx, pause)
@@ -197,14 +197,14 @@
 // hear takes in the outcome of a call. What a process refuses it has answered.
 func (fo *Follower) hear(err error) {
 	if err == nil || errors.IsAny(err, keyvalue.ErrHistoryGone, ErrNotFeeder, ErrOldEndpoints) {
-		fo.Directory.Hear(time.Now())
+		fo.Directory.RecordContact(time.Now())
 	}
 }
 
 // away notes whether the service answers.
 func (fo *Follower) away(prefix string, err error) {
 	gone := err != nil && !errors.Is(err, keyvalue.ErrHistoryGone)
-	if !fo.Directory.SetAway(gone, time.Now()) {
+	if !fo.Directory.SetUnavailable(gone, time.Now()) {
 		return
 	}
 	en := fo.Log.WithFields(logrus.Fields{"dependency": "key-value", "prefix": prefix})
--- a/directory/holds.go
+++ b/directory/holds.go
@@ -43,7 +43,7 @@
 	if known == nil || di.holds != known || sh.Version() >= known.Version() {
 		return false
 	}
-	di.putHolds(sh.Restored(known))
+	di.putHolds(sh.AsRestored(known))
 	return true
 }
 
--- a/directory/holds_test.go
+++ b/directory/holds_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		feeder := &Follower{Directory: di, Log: quiet()}
 		first, err := feeder.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -216,7 +216,7 @@
 		fed.readHolds(t.Context())
 		assert.Assert(t, isHeld(fed, "bakery"))
 		ask := func() {
-			feeder.Directory.Confirm(time.Now())
+			feeder.Directory.ConfirmEndpoints(time.Now())
 			begun := time.Now()
 			re, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: 1, Holds: fed.Directory.Holds().Version()})
 			assert.NilError(t, err)
--- a/directory/quarantine_test.go
+++ b/directory/quarantine_test.go
@@ -19,12 +19,12 @@
 	// another entry within half a second. That one must know of it by then.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		feeder := &Follower{Directory: di, Quarantine: &quarantine.Table{}}
 		first, err := feeder.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, len(first.Quarantine), 0)
-		time.AfterFunc(100*time.Millisecond, func() { feeder.Quarantine.Strike("request", "a", time.Now()) })
+		time.AfterFunc(100*time.Millisecond, func() { feeder.Quarantine.RecordCrash("request", "a", time.Now()) })
 		begun := time.Now()
 		rq := FeedRequest{Boot: "boot", Generation: first.Generation, Held: first.Held}
 		second, err := feeder.feed(t.Context(), "boot", rq)
@@ -43,8 +43,8 @@
 		_, err := last.feed(t.Context(), "boot", FeedRequest{})
 		assert.ErrorIs(t, err, ErrNotFeeder)
 		var seen quarantine.Table
-		seen.Strike("request", "a", time.Now())
-		seen.Strike("request", "b", time.Now())
+		seen.RecordCrash("request", "a", time.Now())
+		seen.RecordCrash("request", "b", time.Now())
 		told, err := last.feed(t.Context(), "boot", FeedRequest{Unsaved: seen.Unsaved()})
 		assert.NilError(t, err)
 		assert.Assert(t, told.Stale && !told.Fresh && told.Configuration == nil)
@@ -56,14 +56,14 @@
 		logger.SetLevel(logrus.PanicLevel)
 		other := &Follower{Directory: &Directory{}, Log: logrus.NewEntry(logger), Quarantine: &quarantine.Table{}}
 		other.takeQuarantine("feeder", heard.Quarantine)
-		assert.Assert(t, other.Quarantine.Judge("request", time.Now()).Held())
+		assert.Assert(t, other.Quarantine.Check("request", time.Now()).Held())
 		_, err = last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Held: heard.Held})
 		assert.ErrorIs(t, err, ErrNotFeeder, "nothing new")
 
 		// It feeds again: what the other has read meanwhile is replaced, and what it
 		// has heard is not told again.
 		last.DirectFunc = nil
-		last.Directory.Confirm(time.Now())
+		last.Directory.ConfirmEndpoints(time.Now())
 		fed, err := last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: unknownGeneration, Held: heard.Held})
 		assert.NilError(t, err)
 		assert.Assert(t, fed.Fresh && !fed.Stale && len(fed.Quarantine) == 0)
@@ -82,7 +82,7 @@
 		var before quarantine.Table
 		go (&quarantine.Keeper{Client: me.Client(), Log: log, Table: &before}).Run(ctx)
 		for _, endpoint := range []string{"a", "b", "c"} {
-			before.Strike("request", endpoint, time.Now())
+			before.RecordCrash("request", endpoint, time.Now())
 		}
 		time.Sleep(time.Second)
 		for _, direct := range []bool{false, true} {
@@ -93,7 +93,7 @@
 			}
 			go fo.Run(ctx)
 			time.Sleep(50 * time.Millisecond)
-			assert.Assert(t, fo.Quarantine.Judge("request", time.Now()).Held(), "direct: %v", direct)
+			assert.Assert(t, fo.Quarantine.Check("request", time.Now()).Held(), "direct: %v", direct)
 		}
 		cancel()
 		synctest.Wait()
--- a/duty/tenure.go
+++ b/duty/tenure.go
@@ -91,8 +91,8 @@
 	return te.epoch
 }
 
-// Look returns what is to be done now, and under which epoch.
-func (te *Tenure[Rec]) Look() (Standing, uint64) {
+// State returns what is to be done now, and under which epoch.
+func (te *Tenure[Rec]) State() (Standing, uint64) {
 	epoch, held := te.StandingFunc(time.Now())
 	te.mu.Lock()
 	defer te.mu.Unlock()
@@ -124,14 +124,14 @@
 	return rec, it.Version, errors.Wrapf(cbor.Unmarshal(it.Value, &rec), "decode %s", te.Key)
 }
 
-// Take begins a turn with a record that was read, and returns how long it is until calls
+// Adopt begins a turn with a record that was read, and returns how long it is until calls
 // are allowed.
-func (te *Tenure[Rec]) Take(epoch uint64, rec Rec, version int64) time.Duration {
+func (te *Tenure[Rec]) Adopt(epoch uint64, rec Rec, version int64) time.Duration {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
 	te.epoch, te.version = epoch, version
-	te.turn.Take(now, te.MarkFunc(rec).Sender == te.Owner)
+	te.turn.Begin(now, te.MarkFunc(rec).Sender == te.Owner)
 	return te.turn.AllowedIn(now)
 }
 
--- a/duty/turn.go
+++ b/duty/turn.go
@@ -46,9 +46,9 @@
 	return Turn{allowedAt: now + max(settleTime, overlap), calledAt: now, overlap: overlap}
 }
 
-// Take begins a turn. Again means that the process wrote last before, so that no other
+// Begin begins a turn. Again means that the process wrote last before, so that no other
 // one has called since; what it waits for, it waits for still.
-func (tu *Turn) Take(now time.Duration, again bool) {
+func (tu *Turn) Begin(now time.Duration, again bool) {
 	tu.confirmedAt = now - callTime
 	if !again {
 		tu.allowedAt = max(now+settleTime, tu.calledAt+tu.overlap)
--- a/duty/turn_test.go
+++ b/duty/turn_test.go
@@ -100,7 +100,7 @@
 	mo.epoch++
 	pr := &mo.processes[i]
 	pr.holds, pr.epoch, pr.durable = true, mo.epoch, mo.count
-	pr.turn.Take(mo.now, mo.sender == i+1)
+	pr.turn.Begin(mo.now, mo.sender == i+1)
 	if ex.early {
 		pr.turn.allowedAt = mo.now
 	}
@@ -243,15 +243,15 @@
 	first, second := NewTurn(testOverlap, -time.Hour), NewTurn(testOverlap, -time.Hour)
 	first.Confirm(at)
 	first.Call(at)
-	second.Take(at, false)
+	second.Begin(at, false)
 	assert.Assert(t, !second.Allowed(at+callTime), "a call of the first may still arrive")
 	assert.Assert(t, second.Allowed(at+settleTime))
-	first.Take(at+100*time.Millisecond, false)
+	first.Begin(at+100*time.Millisecond, false)
 	assert.Assert(t, !first.Allowed(at+testOverlap-time.Millisecond))
 
 	alone := NewTurn(testOverlap, -time.Hour)
 	alone.Call(at)
-	alone.Take(at+100*time.Millisecond, true)
+	alone.Begin(at+100*time.Millisecond, true)
 	assert.Assert(t, alone.Allowed(at+100*time.Millisecond), "no one has called since")
 }
 
@@ -260,9 +260,9 @@
 // still to wait.
 func TestOwnWriteEndsNoWait(t *testing.T) {
 	tu := NewTurn(testOverlap, -time.Hour)
-	tu.Take(0, false)
+	tu.Begin(0, false)
 	tu.Confirm(100 * time.Millisecond)
-	tu.Take(200*time.Millisecond, true)
+	tu.Begin(200*time.Millisecond, true)
 	assert.Assert(t, !tu.Allowed(300*time.Millisecond))
 	assert.Assert(t, tu.Allowed(settleTime))
 }
@@ -281,6 +281,6 @@
 	tu.Confirm(4 * time.Second)
 	tu.Call(4 * time.Second)
 	assert.Assert(t, tu.Confirmed(4*time.Second+confirmLife), "a fast one allows more")
-	tu.Take(5*time.Second, true)
+	tu.Begin(5*time.Second, true)
 	assert.Assert(t, !tu.Confirmed(5*time.Second))
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -176,8 +176,8 @@
 	switch {
 	case err == nil || ctx.Err() != nil:
 		di.routes.Succeeded(now, en.ID)
-	case errors.As(err, &re) && re.Truth() == fate.NotRun:
-		wait := re.Wait()
+	case errors.As(err, &re) && re.Outcome() == fate.NotRun:
+		wait := re.RetryDelay()
 		if wait == 0 {
 			wait = overloadWait
 		}
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -75,7 +75,7 @@
 	if !ok {
 		return 0, lease.None
 	}
-	return cl.holder.Standing(now)
+	return cl.holder.State(now)
 }
 
 // find returns the address of the process that owns name, after trying to
@@ -196,7 +196,7 @@
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	for name, cl := range ow.claims {
-		_, st := cl.holder.Standing(now)
+		_, st := cl.holder.State(now)
 		if st == lease.None && now.Sub(cl.asked) > claimIdleTime {
 			cl.stop()
 			delete(ow.claims, name)
@@ -210,7 +210,7 @@
 	defer ow.mu.Unlock()
 	var hes []heldLease
 	for name, cl := range ow.claims {
-		if epoch, st := cl.holder.Standing(now); st != lease.None {
+		if epoch, st := cl.holder.State(now); st != lease.None {
 			hes = append(hes, heldLease{epoch: epoch, name: name, standing: st})
 		}
 	}
--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -242,8 +242,8 @@
 	Rank  int
 }
 
-// Standings returns how all customers stand that have something, wait or are ahead.
-func (ac *Account) Standings() map[string]Standing {
+// Balances returns how all customers stand that have something, wait or are ahead.
+func (ac *Account) Balances() map[string]Standing {
 	out := make(map[string]Standing, len(ac.rows))
 	total := ac.present()
 	for customer, ro := range ac.rows {
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -114,7 +114,7 @@
 	for range 20 {
 		ac.Advance(uses, testTick)
 	}
-	assert.Assert(t, ac.Standings()["long"].Ahead > 0)
+	assert.Assert(t, ac.Balances()["long"].Ahead > 0)
 	assert.Assert(t, ac.Rank("long") >= ac.Rank("short"))
 }
 
@@ -157,11 +157,11 @@
 	for range 40 {
 		ac.Advance(map[string]Use{"large": {Places: 1, Waits: true, Wants: 2}, "small": {Waits: true, Wants: 2}}, testTick)
 	}
-	assert.Assert(t, ac.Standings()["large"].Ahead > 0)
+	assert.Assert(t, ac.Balances()["large"].Ahead > 0)
 	for range 10 * 20 {
 		ac.Advance(map[string]Use{}, testTick)
 	}
-	assert.Equal(t, len(ac.Standings()), 0)
+	assert.Equal(t, len(ac.Balances()), 0)
 }
 
 func TestMemoryOfAnAccountIsBounded(t *testing.T) {
@@ -174,7 +174,7 @@
 		delete(uses, customer)
 	}
 	assert.Assert(t, len(ac.rows) <= maxRows+1, "%d", len(ac.rows))
-	assert.Assert(t, len(ac.Memory().Ahead) <= maxKept)
+	assert.Assert(t, len(ac.Snapshot().Ahead) <= maxKept)
 }
 
 func TestRecall(t *testing.T) {
@@ -187,13 +187,13 @@
 	for range 40 {
 		ac.Advance(uses, testTick)
 	}
-	next.Recall(ac.Memory())
+	next.Restore(ac.Snapshot())
 	next.Advance(uses, 0)
 	assert.Equal(t, next.Rank("large"), ac.Rank("large"))
 	assert.Equal(t, next.Rank("small"), ac.Rank("small"))
-	next.Recall(Memory{Ahead: map[string]float64{"large": 1e300, "small": -1}})
+	next.Restore(Memory{Ahead: map[string]float64{"large": 1e300, "small": -1}})
 	next.Advance(uses, testTick)
-	assert.Assert(t, next.Standings()["large"].Ahead <= mostClaim)
+	assert.Assert(t, next.Balances()["large"].Ahead <= mostClaim)
 }
 
 // Customers, weights, places, lengths of items and times of asking at random, at small
@@ -246,7 +246,7 @@
 			if wants[customers[0]] > 8 && wants[customers[1]] > 8 && turns[customers[0]]+turns[customers[1]] > 2+ticks/4 {
 				rt.Fatalf("order turned %v times in %d ticks", turns, ticks)
 			}
-			for customer, st := range sh.account.Standings() {
+			for customer, st := range sh.account.Balances() {
 				if st.Ahead > mostClaim+1e-6 && st.Use.Waits {
 					rt.Fatalf("%s is %f ahead", customer, st.Ahead)
 				}
--- a/fairshare/division.go
+++ b/fairshare/division.go
@@ -158,12 +158,12 @@
 	return counts
 }
 
-// Alone returns the bounds of an entry that hears from no one: its part of the places by
+// Standalone returns the bounds of an entry that hears from no one: its part of the places by
 // how many entries there are, and at least one for each customer.
 //
 // What the other entries let through isn't known, so that it neither refuses all nor lets
 // all through.
-func (di *Division) Alone(demands map[string]ServiceDemand, weights map[string]float64, entries int) Bounds {
+func (di *Division) Standalone(demands map[string]ServiceDemand, weights map[string]float64, entries int) Bounds {
 	own := map[string]ServiceDemand{}
 	for service, sd := range demands {
 		sd.Places = max(sd.Places/max(entries, 1), 1)
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -86,10 +86,10 @@
 	// Cause: its part of the places was taken for none, or for all of them.
 	var di Division
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 9}}
-	bounds := di.Alone(demandOf(true, seen), nil, 5)
+	bounds := di.Standalone(demandOf(true, seen), nil, 5)
 	assert.Equal(t, bounds.Of("large", "desk"), 3)
 	assert.Equal(t, bounds.Of("small", "desk"), NoBound)
-	bounds = di.Alone(demandOf(true, seen), nil, 500)
+	bounds = di.Standalone(demandOf(true, seen), nil, 500)
 	assert.Equal(t, bounds.Of("large", "desk"), 1)
 }
 
--- a/fairshare/memory.go
+++ b/fairshare/memory.go
@@ -7,8 +7,8 @@
 // time. One that it does not name is not ahead.
 type Memory struct{ Ahead map[string]float64 }
 
-// Memory returns what is to last of the account.
-func (ac *Account) Memory() Memory {
+// Snapshot returns what is to last of the account.
+func (ac *Account) Snapshot() Memory {
 	me := Memory{Ahead: map[string]float64{}}
 	customers := ac.byServed()
 	for _, customer := range customers[max(0, len(customers)-maxKept):] {
@@ -19,9 +19,9 @@
 	return me
 }
 
-// Recall sets an account to what was kept of another one. An empty account would rank a
+// Restore sets an account to what was kept of another one. An empty account would rank a
 // customer that has had far more than its part with those that had less.
-func (ac *Account) Recall(me Memory) {
+func (ac *Account) Restore(me Memory) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
 	for customer, ahead := range me.Ahead {
 		if ahead > 0 && len(ac.rows) < maxRows {
--- a/fate/fate.go
+++ b/fate/fate.go
@@ -89,11 +89,11 @@
 // Error implements error.
 func (re *Refusal) Error() string { return string(re.Code) + ": " + re.Message }
 
-// Truth returns the refusal's fate.
-func (re *Refusal) Truth() Fate { return Parse(re.Fate) }
+// Outcome returns the refusal's fate.
+func (re *Refusal) Outcome() Fate { return Parse(re.Fate) }
 
-// Wait returns how long the caller should wait before it asks again, or 0.
-func (re *Refusal) Wait() time.Duration {
+// RetryDelay returns how long the caller should wait before it asks again, or 0.
+func (re *Refusal) RetryDelay() time.Duration {
 	wait, err := time.ParseDuration(re.RetryAfter)
 	if err != nil {
 		return 0
@@ -106,7 +106,7 @@
 func Of(err error) Fate {
 	var re *Refusal
 	if errors.As(err, &re) {
-		return re.Truth()
+		return re.Outcome()
 	}
 	return Unknown
 }
--- a/forward/attempts.go
+++ b/forward/attempts.go
@@ -80,7 +80,7 @@
 		if wa == roomInTime {
 			fits = inTime(rq.needs().Goal)
 		}
-		return fo.table.PickRoom(fo.Directory.Endpoints(rq.service), at.tried, fo.Domain, now, fits)
+		return fo.table.PickAvailable(fo.Directory.Endpoints(rq.service), at.tried, fo.Domain, now, fits)
 	default:
 		return fo.table.Pick(fo.Directory.Endpoints(rq.service), at.tried, fo.Domain, now)
 	}
--- a/forward/call.go
+++ b/forward/call.go
@@ -84,7 +84,7 @@
 	rq.digest = quarantine.DigestOf(rq.customer, rq.host, rq.method, rq.target, rq.body)
 	rq.setDeadline(callTimeout)
 	ctx, answered := boundBy(ctx, rq.deadline)
-	fo.Budget.First()
+	fo.Budget.Deposit()
 	re := fo.run(ctx, rq)
 	fo.noteRefused(rq, re)
 	if ctx.Err() == nil {
--- a/forward/customer_test.go
+++ b/forward/customer_test.go
@@ -65,7 +65,7 @@
 		co.Routes[i].Public = public
 	}
 	de.forwarder.Directory.SetConfiguration(&co)
-	de.forwarder.Directory.HearNews(time.Now())
+	de.forwarder.Directory.ConfirmConfiguration(time.Now())
 }
 
 // A key came with a configuration that this entry had not heard of: it was turned
@@ -74,7 +74,7 @@
 func TestUnknownKeyIsNotDeniedWhileNewsIsOld(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable}, told)
 	de.keyed(false)
-	de.forwarder.Directory.HearNews(time.Now().Add(-10 * time.Second))
+	de.forwarder.Directory.ConfirmConfiguration(time.Now().Add(-10 * time.Second))
 	rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, de.entry.URL+"/a/1", strings.NewReader("x"))
 	assert.NilError(t, err)
 	rq.Host = "desk"
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -19,8 +19,8 @@
 	}
 	start := fmt.Sprintf("%s/%d", re.endpoint.ID, re.endpoint.Incarnation)
 	now := time.Now()
-	fo.quarantine().Strike(rq.digest, start, now)
-	ve := fo.quarantine().Judge(rq.digest, now)
+	fo.quarantine().RecordCrash(rq.digest, start, now)
+	ve := fo.quarantine().Check(rq.digest, now)
 	fo.Log.WithFields(logrus.Fields{
 		customerField: rq.customer, digestField: rq.digest, "endpoint": re.endpoint.ID, "held-ms": ve.HeldFor.Milliseconds(), "ms": re.took.Milliseconds(),
 		"path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
@@ -43,7 +43,7 @@
 // request it takes the service's last endpoints with it, and others' requests are not
 // served until they have started again.
 func (fo *Forwarder) verdict(rq *request) quarantine.Verdict {
-	ve := fo.quarantine().Judge(rq.digest, time.Now())
+	ve := fo.quarantine().Check(rq.digest, time.Now())
 	if ve.Held() {
 		fo.Log.WithFields(logrus.Fields{
 			customerField: rq.customer, digestField: rq.digest, "held-ms": ve.HeldFor.Milliseconds(), "path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -102,7 +102,7 @@
 	}
 	defer fo.releaseMemory(rq)
 	ctx, answered := boundBy(hr.Context(), rq.deadline)
-	fo.Budget.First()
+	fo.Budget.Deposit()
 	if rq.streaming() {
 		fo.serveStream(rw, hr, rq)
 	} else {
@@ -212,7 +212,7 @@
 // hedges reports whether a second attempt may run beside the first: not of a request under
 // which endpoints may have ended, nor while others wait for room.
 func (fo *Forwarder) hedges(rq *request) bool {
-	if !rq.repeatable() || fo.quarantine().Judge(rq.digest, time.Now()).Suspect() {
+	if !rq.repeatable() || fo.quarantine().Check(rq.digest, time.Now()).Suspect() {
 		return false
 	}
 	return rq.own || !fo.tight(rq.service)
@@ -254,14 +254,14 @@
 			fo.uses.noteShort(rq.service, now)
 		}
 		if !rq.own {
-			fo.Budget.Outcome(!full)
+			fo.Budget.Observe(!full)
 		}
 		limit := fo.table.Answered(id, admission.Answer{
 			At: now, Load: lo, Refused: full, Slots: re.endpoint.Slots, Target: admission.Target(rq.route.Goal), Told: ok, Took: re.took,
 		})
 		fo.noteLimit(id, limit)
 		if !re.notRun && re.stream == nil {
-			fo.quarantine().Answered(rq.digest, now)
+			fo.quarantine().RecordSuccess(rq.digest, now)
 		}
 	}
 }
--- a/forward/line.go
+++ b/forward/line.go
@@ -113,21 +113,21 @@
 func (li *line) admit(de destinations, wa admission.Waiter, fresh, now time.Time) (directory.Endpoint, bool, []admission.Refusal) {
 	li.queue.Arrived(now)
 	if li.queue.Len() == 0 {
-		if en, ok := de.table.PickRoom(de.ens, nil, de.domain, now, inTime(wa.Goal)); ok {
+		if en, ok := de.table.PickAvailable(de.ens, nil, de.domain, now, inTime(wa.Goal)); ok {
 			return en, true, nil
 		}
 	}
-	ou := de.table.Outlook(de.ens, now)
-	if li.queue.Len() == 0 && !li.queue.InTime(wa, ou, now) {
+	ou := de.table.Forecast(de.ens, now)
+	if li.queue.Len() == 0 && !li.queue.MeetsGoal(wa, ou, now) {
 		fits := anyTime
 		if li.queue.Refusing(now) {
 			fits = leftOver(fresh)
 		}
-		if en, ok := de.table.PickRoom(de.ens, nil, de.domain, now, fits); ok {
+		if en, ok := de.table.PickAvailable(de.ens, nil, de.domain, now, fits); ok {
 			return en, true, nil
 		}
 	}
-	return directory.Endpoint{}, false, li.queue.Join(wa, ou, now)
+	return directory.Endpoint{}, false, li.queue.Enqueue(wa, ou, now)
 }
 
 // advance lets those go on for whom there is room, and refuses those that have waited
@@ -139,13 +139,13 @@
 		if !late {
 			fits = inTime(wa.Goal)
 		}
-		en, ok := de.table.PickRoom(de.ens, nil, de.domain, now, fits)
+		en, ok := de.table.PickAvailable(de.ens, nil, de.domain, now, fits)
 		if ok {
 			out = append(out, placed{Waiter: wa, endpoint: en})
 		}
 		return ok
 	})
-	return out, li.queue.Sweep(de.table.Outlook(de.ens, now), now)
+	return out, li.queue.Expire(de.table.Forecast(de.ens, now), now)
 }
 
 // enqueue lets a request go on to an endpoint, or makes it wait.
@@ -155,8 +155,8 @@
 	defer ls.mu.Unlock()
 	now := time.Now()
 	tr := ls.triesOf(rq.route.Name)
-	tr.Name(rq.left)
-	rq.used = tr.Used(rq.left)
+	tr.Observe(rq.left)
+	rq.used = tr.Elapsed(rq.left)
 	de := destinations{domain: fo.Domain, ens: fo.Directory.Endpoints(rq.service), table: &fo.table}
 	if !reachable(de.ens) {
 		return directory.Endpoint{}, nil
@@ -201,7 +201,7 @@
 	li := fo.lines.line(rq.service)
 	for id, other := range li.tickets {
 		if other == ti {
-			li.queue.Leave(id)
+			li.queue.Remove(id)
 			delete(li.tickets, id)
 		}
 	}
@@ -213,7 +213,7 @@
 	fo.lines.mu.Lock()
 	defer fo.lines.mu.Unlock()
 	li, ok := fo.lines.byService[service]
-	return ok && li.queue.Tight(time.Now())
+	return ok && li.queue.Contended(time.Now())
 }
 
 // pump lets those go on that wait for a service, as far as there is room.
--- a/forward/memory.go
+++ b/forward/memory.go
@@ -33,7 +33,7 @@
 	if err := me.check(customer, 0, size); err != nil {
 		return false, err
 	}
-	return me.held.Reserves(size), nil
+	return me.held.ReservesWhole(size), nil
 }
 
 // take counts bytes more of a customer's body if they fit. Taken are those of it that were
@@ -51,7 +51,7 @@
 // check returns why bytes more of a body don't fit. The lock is held.
 func (me *memory) check(customer string, taken, bytes int64) error {
 	switch {
-	case me.held.Never(taken + bytes):
+	case me.held.TooLarge(taken + bytes):
 		return &http.MaxBytesError{Limit: me.held.Bound()}
 	case !me.held.Fits(customer, taken, bytes):
 		return errNoMemory
@@ -71,7 +71,7 @@
 func (me *memory) rejection(customer string) *rejection {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	most, bytes := me.held.Most()
+	most, bytes := me.held.Largest()
 	return &rejection{
 		customer: customer, reason: string(admission.NoMemory), retryAfter: memoryRetry, status: http.StatusServiceUnavailable,
 		inputs: logrus.Fields{customerField: customer, "held": me.held.Total(), "most": bytes, "most-customer": most},
@@ -90,7 +90,7 @@
 func (fo *Forwarder) Held() (total int64, customer string, most int64) {
 	fo.memory.mu.Lock()
 	defer fo.memory.mu.Unlock()
-	customer, most = fo.memory.held.Most()
+	customer, most = fo.memory.held.Largest()
 	return fo.memory.held.Total(), customer, most
 }
 
--- a/forward/operatorhold_test.go
+++ b/forward/operatorhold_test.go
@@ -19,7 +19,7 @@
 		Action: hold.Held, Record: hold.Record{By: "eve", Target: hold.Target{Kind: ki, Name: name}, Why: "too many"},
 	})
 	assert.NilError(t, err)
-	return sh.At(version)
+	return sh.WithVersion(version)
 }
 
 func TestHeldCustomerIsRefusedAtOnce(t *testing.T) {
--- a/forward/room.go
+++ b/forward/room.go
@@ -29,21 +29,21 @@
 	return func(se seat) bool { return se.alone || se.least.After(goal) }
 }
 
-// PickRoom is Pick among endpoints that have room for one more request and suit it.
-func (ta *Table) PickRoom(ens []directory.Endpoint, tried map[string]bool, domain string, now time.Time, fits fit) (directory.Endpoint, bool) {
+// PickAvailable is Pick among endpoints that have room for one more request and suit it.
+func (ta *Table) PickAvailable(ens []directory.Endpoint, tried map[string]bool, domain string, now time.Time, fits fit) (directory.Endpoint, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	sound := ta.anySound(ens, tried, now)
 	return ta.choose(ens, tried, home{domain, callersDomain}, now, func(en directory.Endpoint, ro *row) bool {
-		return ro.usable(sound, now) && ro.room.Free(ro.inFlight, en.Slots, now) && fits(ro.seat(en, now))
+		return ro.usable(sound, now) && ro.room.Available(ro.inFlight, en.Slots, now) && fits(ro.seat(en, now))
 	})
 }
 
 func (ro *row) seat(en directory.Endpoint, now time.Time) seat {
 	return seat{
-		alone:  ro.inFlight+ro.room.Others(now) < en.Slots,
-		answer: now.Add(ro.room.Likely(ro.inFlight, en.Slots, now)),
-		least:  now.Add(ro.room.Least(now)),
+		alone:  ro.inFlight+ro.room.OthersInFlight(now) < en.Slots,
+		answer: now.Add(ro.room.LatencyBound(ro.inFlight, en.Slots, now)),
+		least:  now.Add(ro.room.UnloadedLatency(now)),
 	}
 }
 
@@ -61,8 +61,8 @@
 // them only when all did.
 func (ro *row) usable(sound bool, now time.Time) bool { return !sound || !now.Before(ro.penalty) }
 
-// Outlook returns what endpoints are likely to do for one sender.
-func (ta *Table) Outlook(ens []directory.Endpoint, now time.Time) admission.Outlook {
+// Forecast returns what endpoints are likely to do for one sender.
+func (ta *Table) Forecast(ens []directory.Endpoint, now time.Time) admission.Outlook {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var ou admission.Outlook
@@ -74,7 +74,7 @@
 		}
 		ou.Total += ro.room.TotalRate(en.Slots, now)
 		ou.Rate += ro.room.Rate(ro.inFlight, en.Slots, now)
-		if expected := ro.room.Likely(ro.inFlight, en.Slots, now); ou.Expected == 0 || expected < ou.Expected {
+		if expected := ro.room.LatencyBound(ro.inFlight, en.Slots, now); ou.Expected == 0 || expected < ou.Expected {
 			ou.Expected = expected
 		}
 	}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -43,7 +43,7 @@
 		})
 		if err == nil {
 			lo.Info("stream ended")
-			fo.quarantine().Answered(rq.digest, time.Now())
+			fo.quarantine().RecordSuccess(rq.digest, time.Now())
 			fo.count("answered")
 			return
 		}
--- a/forward/table.go
+++ b/forward/table.go
@@ -141,7 +141,7 @@
 const penaltyCost = 1000
 
 func (ro *row) cost(en directory.Endpoint, now time.Time) float64 {
-	busy := max(ro.inFlight, ro.room.Told(now))
+	busy := max(ro.inFlight, ro.room.ReportedLoad(now))
 	cost := ro.latency.Seconds() * ro.room.Slowdown(now) * (1 + float64(busy)/float64(max(en.Slots, 1)))
 	if now.Before(ro.penalty) {
 		cost += penaltyCost + ro.penalty.Sub(now).Seconds()
@@ -159,10 +159,10 @@
 	ro.failures = 0
 	ro.penalty = time.Time{}
 	if !an.Refused {
-		ro.latency += time.Duration(latencyWeight * float64(an.Alone()-ro.latency))
+		ro.latency += time.Duration(latencyWeight * float64(an.UnloadedLatency()-ro.latency))
 	}
 	an.InFlight = ro.inFlight + 1
-	ro.room.Take(an)
+	ro.room.Observe(an)
 	return ro.room.Limit()
 }
 
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// Enter waits until the request may be written to the endpoint. Its error is
+// Acquire waits until the request may be written to the endpoint. Its error is
 // a *fate.Refusal that says not-run. A caller that goes away while its request
 // waits ends ctx: the request is taken out and never runs.
-func (ga *Gate) Enter(ctx context.Context, req Request) (*Ticket, error) {
+func (ga *Gate) Acquire(ctx context.Context, req Request) (*Ticket, error) {
 	decided, giveUp, re := ga.add(req)
 	if re != nil {
 		return nil, re
@@ -87,7 +87,7 @@
 
 // run tells those that wait what the table decides. The caller holds mu.
 func (ga *Gate) run(now time.Time) {
-	for _, de := range ga.table.Run(now) {
+	for _, de := range ga.table.Dispatch(now) {
 		ga.waiters[de.ID] <- de
 		delete(ga.waiters, de.ID)
 	}
--- a/gate/overload_test.go
+++ b/gate/overload_test.go
@@ -60,7 +60,7 @@
 
 func newLoad(ga *Gate, seed uint64) *load {
 	return &load{
-		admit:    ga.Enter,
+		admit:    ga.Acquire,
 		endpoint: endpointModel{full: 8},
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		timeout:  time.Second,
@@ -93,7 +93,7 @@
 	if err == nil {
 		ti.Started()
 		lo.endpoint.serve(work)
-		ti.Leave(Whole)
+		ti.Release(Whole)
 	}
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
@@ -105,7 +105,7 @@
 		lo.slowest = max(lo.slowest, time.Since(begun))
 		var re *fate.Refusal
 		if errors.As(err, &re) {
-			lo.waitSum += re.Wait()
+			lo.waitSum += re.RetryDelay()
 		}
 		return
 	}
@@ -139,7 +139,7 @@
 				lo.every = time.Duration(float64(lo.work) / 8 / times)
 				if !gated {
 					lo.admit = func(ctx context.Context, req Request) (*Ticket, error) {
-						return NewGate(Policy{}).Enter(ctx, req) // of its own: lets it in
+						return NewGate(Policy{}).Acquire(ctx, req) // of its own: lets it in
 					}
 				}
 				lo.run(Live, "call", lasts)
--- a/gate/table.go
+++ b/gate/table.go
@@ -143,8 +143,8 @@
 	return re
 }
 
-// Run starts what may start and refuses what can't start in time.
-func (ta *Table) Run(now time.Time) []Decision {
+// Dispatch starts what may start and refuses what can't start in time.
+func (ta *Table) Dispatch(now time.Time) []Decision {
 	var des []Decision
 	for {
 		ro := ta.take()
--- a/gate/table_test.go
+++ b/gate/table_test.go
@@ -41,7 +41,7 @@
 }
 
 func (sc *script) run() {
-	for _, de := range sc.table.Run(sc.now) {
+	for _, de := range sc.table.Dispatch(sc.now) {
 		if de.Refusal == nil {
 			fmt.Fprintf(sc, "  %s starts\n", de.ID)
 		}
@@ -173,26 +173,26 @@
 func TestCallerGoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := NewGate(Policy{MaxRunning: 1})
-		first, err := ga.Enter(t.Context(), Request{ID: "first"})
+		first, err := ga.Acquire(t.Context(), Request{ID: "first"})
 		assert.NilError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = ga.Enter(ctx, Request{ID: "second"})
+		_, err = ga.Acquire(ctx, Request{ID: "second"})
 		assert.Equal(t, fate.Of(err), fate.NotRun)
 		assert.Equal(t, ga.Load(), Load{Limit: 1, Running: 1})
-		assert.Equal(t, first.Fate(), fate.NotRun)
+		assert.Equal(t, first.Outcome(), fate.NotRun)
 		first.Started()
-		assert.Equal(t, first.Fate(), fate.Unknown)
+		assert.Equal(t, first.Outcome(), fate.Unknown)
 		ga.Close(time.Now(), time.Minute)
 		go func() {
 			time.Sleep(5 * time.Second)
-			first.Leave(Broken)
-			first.Leave(Whole)
+			first.Release(Broken)
+			first.Release(Whole)
 		}()
 		begun := time.Now()
 		assert.NilError(t, ga.Drained(t.Context()))
 		assert.Equal(t, time.Since(begun), 5*time.Second)
-		assert.Equal(t, first.Fate(), fate.Unknown)
+		assert.Equal(t, first.Outcome(), fate.Unknown)
 		kept, cancelKept := WorkContext(ctx, false)
 		defer cancelKept()
 		assert.NilError(t, kept.Err(), "a request that may not be repeated goes on without its caller")
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -26,8 +26,8 @@
 	ti.started = true
 }
 
-// Fate returns what is known of the request now.
-func (ti *Ticket) Fate() fate.Fate {
+// Outcome returns what is known of the request now.
+func (ti *Ticket) Outcome() fate.Fate {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	switch {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Leave gives the place back and returns the request's fate. Only the first
+// Release gives the place back and returns the request's fate. Only the first
 // call counts.
-func (ti *Ticket) Leave(out Outcome) fate.Fate {
+func (ti *Ticket) Release(out Outcome) fate.Fate {
 	ti.mu.Lock()
 	first := !ti.left
 	if first {
@@ -52,7 +52,7 @@
 	if first {
 		ti.gate.remove(ti.id, out)
 	}
-	return ti.Fate()
+	return ti.Outcome()
 }
 
 // WorkContext returns the context for the call of the endpoint. When the
--- a/hold/keeper.go
+++ b/hold/keeper.go
@@ -27,7 +27,7 @@
 			return nil, errors.Wrapf(ErrUndecodable, "%s at revision %d: %v", Key, it.Version, err)
 		}
 	}
-	return sh.At(it.Version), nil
+	return sh.WithVersion(it.Version), nil
 }
 
 // A Keeper reads and changes the sheet.
--- a/hold/sheet.go
+++ b/hold/sheet.go
@@ -61,8 +61,8 @@
 	return sh.version
 }
 
-// At returns the sheet as read from a version of its key.
-func (sh *Sheet) At(version int64) *Sheet {
+// WithVersion returns the sheet as read from a version of its key.
+func (sh *Sheet) WithVersion(version int64) *Sheet {
 	if sh == nil {
 		return &Sheet{version: version}
 	}
@@ -89,14 +89,14 @@
 	return sh.replacing(other, 0)
 }
 
-// Restored returns the sheet as one that replaces another of any version, as the service
+// AsRestored returns the sheet as one that replaces another of any version, as the service
 // was restored from a copy that is older than that.
-func (sh *Sheet) Restored(other *Sheet) *Sheet {
+func (sh *Sheet) AsRestored(other *Sheet) *Sheet {
 	return sh.replacing(other, 1)
 }
 
 func (sh *Sheet) replacing(other *Sheet, restores int) *Sheet {
-	next := sh.At(sh.Version())
+	next := sh.WithVersion(sh.Version())
 	if other != nil {
 		next.restores = other.restores + restores
 	}
--- a/lease/acquire_test.go
+++ b/lease/acquire_test.go
@@ -41,7 +41,7 @@
 					time.Sleep(2 * ttl)
 				}
 				tc.between(&me)
-				ho.Doubt(former)
+				ho.FenceFailed(former)
 				assert.Equal(t, standing(ho), Unconfirmed)
 				ho.Step(t.Context())
 				assert.Equal(t, standing(ho), Held)
--- a/lease/fence_test.go
+++ b/lease/fence_test.go
@@ -13,7 +13,7 @@
 
 func fenced(t *testing.T, ho *Holder, key string) error {
 	t.Helper()
-	epoch, _ := ho.Standing(time.Now())
+	epoch, _ := ho.State(time.Now())
 	fence, ok := ho.Fence(epoch)
 	assert.Assert(t, ok)
 	_, err := ho.Client.Transact(t.Context(), keyvalue.Transaction{
@@ -66,7 +66,7 @@
 		assert.NilError(t, me.Client().Delete(t.Context(), it.Key, it.Version))
 		ho.Step(t.Context())
 		assert.Equal(t, standing(ho), Held)
-		ho.Forfeit(held(ho))
+		ho.Abandon(held(ho))
 		assert.Equal(t, standing(ho), None)
 		ho.Step(t.Context())
 		assert.Equal(t, held(ho), uint64(2))
--- a/lease/finder.go
+++ b/lease/finder.go
@@ -63,8 +63,8 @@
 	return rec.Owner
 }
 
-// Lose forgets a holder that can't be reached, or holds the name no longer.
-func (fi *Finder) Lose(address string, err error) {
+// Invalidate forgets a holder that can't be reached, or holds the name no longer.
+func (fi *Finder) Invalidate(address string, err error) {
 	fi.mu.Lock()
 	defer fi.mu.Unlock()
 	if fi.address == address && address != "" {
--- a/lease/finder_test.go
+++ b/lease/finder_test.go
@@ -34,7 +34,7 @@
 		var found []string
 		for range 4 {
 			found = append(found, fi.Address(t.Context()))
-			fi.Lose("old", context.DeadlineExceeded)
+			fi.Invalidate("old", context.DeadlineExceeded)
 			time.Sleep(lookEvery)
 		}
 		assert.DeepEqual(t, found, []string{"old", "old", "new", "new"})
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -92,11 +92,11 @@
 
 // Held returns the epoch under which the name is held at now, if it is.
 func (ho *Holder) Held(now time.Time) (uint64, bool) {
-	epoch, st := ho.Standing(now)
+	epoch, st := ho.State(now)
 	return epoch, st == Held
 }
 
-// Standing returns what the holder may say of its lease at now, and the epoch
+// State returns what the holder may say of its lease at now, and the epoch
 // that this concerns (0 for None).
 //
 // A process that was paused resumes with what it last knew, and would act
@@ -104,7 +104,7 @@
 // extends until only from the moment before it was sent. Both clocks are
 // compared, since the monotonic one stands still while a machine is suspended and
 // the wall clock can be set back.
-func (ho *Holder) Standing(now time.Time) (uint64, Standing) {
+func (ho *Holder) State(now time.Time) (uint64, Standing) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	gr := ho.grant
@@ -141,10 +141,10 @@
 	return epoch != 0 && ho.grant.after == epoch
 }
 
-// Doubt takes in that a write under an epoch failed its fence, so that the lease's
+// FenceFailed takes in that a write under an epoch failed its fence, so that the lease's
 // key must be gone: at the end of an outage in which leases ran out. Run finds out at
 // once whether the name is still free.
-func (ho *Holder) Doubt(epoch uint64) {
+func (ho *Holder) FenceFailed(epoch uint64) {
 	ho.mu.Lock()
 	if epoch != 0 && ho.grant.epoch == epoch {
 		ho.grant.over = true
@@ -153,10 +153,10 @@
 	ho.kick()
 }
 
-// Forfeit gives up a lease under an epoch that the holder has learned to be
+// Abandon gives up a lease under an epoch that the holder has learned to be
 // gone. The service may take the key away and go on renewing the lease, which
 // then no one could hold.
-func (ho *Holder) Forfeit(epoch uint64) {
+func (ho *Holder) Abandon(epoch uint64) {
 	ho.mu.Lock()
 	gone := epoch != 0 && ho.grant.epoch == epoch
 	if gone {
@@ -205,7 +205,7 @@
 // retry returns what fires when a lease that may be over is to be asked for again:
 // sooner than a lease that is held, so that the service's return shows at once.
 func (ho *Holder) retry() <-chan time.Time {
-	if _, st := ho.Standing(time.Now()); st != Unconfirmed || ho.ProbeEvery <= 0 {
+	if _, st := ho.State(time.Now()); st != Unconfirmed || ho.ProbeEvery <= 0 {
 		return nil
 	}
 	return time.After(ho.ProbeEvery)
@@ -247,7 +247,7 @@
 	if gr := ho.current(); gr.epoch == 0 || gr.over {
 		ho.acquire(ctx)
 	}
-	if epoch, st := ho.Standing(time.Now()); st == Held && (ho.silent || epoch != former) {
+	if epoch, st := ho.State(time.Now()); st == Held && (ho.silent || epoch != former) {
 		ho.silent = false
 		if ho.HeldFunc != nil {
 			ho.HeldFunc()
--- a/lease/holder_test.go
+++ b/lease/holder_test.go
@@ -25,7 +25,7 @@
 }
 
 func standing(ho *Holder) Standing {
-	_, st := ho.Standing(time.Now())
+	_, st := ho.State(time.Now())
 	return st
 }
 
--- a/measure/attendant_test.go
+++ b/measure/attendant_test.go
@@ -37,7 +37,7 @@
 // Run lets the gate decide. refused is told of each request that the gate or
 // the engine turns away; it did not run.
 func (at *Attendant) Run(now time.Time, refused func(id string, re *fate.Refusal)) {
-	for _, de := range at.table.Run(now) {
+	for _, de := range at.table.Dispatch(now) {
 		wo := at.pending[de.ID]
 		switch {
 		case de.Refusal != nil:
--- a/measure/live_test.go
+++ b/measure/live_test.go
@@ -61,7 +61,7 @@
 		cr.made++
 		cr.next = cr.next.Add(time.Duration(cr.rand.ExpFloat64() / cr.row.Rate * float64(time.Second)))
 		cr.calls[lc.id] = lc
-		cr.budget.First()
+		cr.budget.Deposit()
 		cr.try(wo, now, lc)
 	}
 }
@@ -85,7 +85,7 @@
 
 // Refused takes the word that a call did not run.
 func (cr *Caller) Refused(wo *World, now time.Time, lc *LiveCall, re *fate.Refusal) {
-	wo.routes.Refused(now, lc.endpoint, re.Wait())
+	wo.routes.Refused(now, lc.endpoint, re.RetryDelay())
 	cr.again(wo, now, lc, fate.NotRun)
 }
 
--- a/measure/sample_test.go
+++ b/measure/sample_test.go
@@ -134,7 +134,7 @@
 // Refused takes the word that an attempt did not run.
 func (sa *Sampler) Refused(now time.Time, at *Attempt, re *fate.Refusal) {
 	at.ended = true
-	wait := re.Wait()
+	wait := re.RetryDelay()
 	if wait == 0 {
 		wait = overloadWait
 	}
--- a/measure/trainer_test.go
+++ b/measure/trainer_test.go
@@ -145,7 +145,7 @@
 func waitOf(err error) time.Duration {
 	var re *fate.Refusal
 	if errors.As(err, &re) {
-		return max(re.Wait(), time.Second)
+		return max(re.RetryDelay(), time.Second)
 	}
 	return time.Second
 }
--- a/measure/world_test.go
+++ b/measure/world_test.go
@@ -120,7 +120,7 @@
 		FetchFunc:  fo.Fetch,
 		GoFunc:     func(run func(ctx context.Context)) { wo.queue = append(wo.queue, run) },
 		LeaseFunc: func(trainer string, now time.Time) (uint64, lease.Standing) {
-			return wo.holders[trainer].Standing(now)
+			return wo.holders[trainer].State(now)
 		},
 		ReplicateFunc: fo.Replicate,
 		StartFunc:     wo.sampler.Start,
--- a/message/refusal.go
+++ b/message/refusal.go
@@ -37,7 +37,7 @@
 	he.Set("Content-Type", "application/json")
 	he.Set(FateHeader, re.Fate)
 	he.Set(RequestIDHeader, re.RequestID)
-	if wait := re.Wait(); wait > 0 {
+	if wait := re.RetryDelay(); wait > 0 {
 		he.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 	rw.WriteHeader(statusOf(re.Code))
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -92,7 +92,7 @@
 	switch {
 	case de.Run:
 		ho.admitted[req.Key] = true
-	case de.Refusal != nil && de.Refusal.Truth() == fate.NotRun:
+	case de.Refusal != nil && de.Refusal.Outcome() == fate.NotRun:
 		if wo.runs[req.Key] > 0 {
 			t.Fatalf("%s is said not to have run (%s), and has", req.Key, de.Refusal)
 		}
@@ -209,7 +209,7 @@
 				if rapid.Bool().Draw(t, "whole") {
 					ho.table.Finish(wo.clock(name), ke, &Answer{})
 				} else {
-					ho.table.Lose(wo.clock(name), ke)
+					ho.table.MarkUnknown(wo.clock(name), ke)
 				}
 			}
 		},
@@ -235,13 +235,13 @@
 		"settle": func(t *rapid.T) {
 			name, ho := wo.draw(t)
 			revision := wo.sets[ho.set].Revision
-			for _, former := range ho.table.Unsettled() {
+			for _, former := range ho.table.PendingYields() {
 				wo.homes[former].table.Yield(revision)
 				wo.homes[former].yielded = max(wo.homes[former].yielded, revision)
-				ho.table.Settle(wo.clock(name), former, revision)
+				ho.table.RecordYield(wo.clock(name), former, revision)
 			}
 		},
-		"tick": func(t *rapid.T) { name, ho := wo.draw(t); ho.table.Tick(wo.clock(name)) },
+		"tick": func(t *rapid.T) { name, ho := wo.draw(t); ho.table.Expire(wo.clock(name)) },
 	}
 }
 
--- a/once/table.go
+++ b/once/table.go
@@ -182,8 +182,8 @@
 	ro.answer = nil
 }
 
-// Lose records that the fate of a key is unknown: it never runs again here.
-func (ta *Table) Lose(_ time.Time, ke Key) {
+// MarkUnknown records that the fate of a key is unknown: it never runs again here.
+func (ta *Table) MarkUnknown(_ time.Time, ke Key) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.rows[ke]
@@ -212,10 +212,10 @@
 	ta.homes.take(set, former)
 }
 
-// Settle records that an endpoint's attendant has promised, by Yield, to run
+// RecordYield records that an endpoint's attendant has promised, by Yield, to run
 // nothing under sets older than the revision, or that its instance is Gone.
 // The time is when this was learned.
-func (ta *Table) Settle(now time.Time, endpoint string, revision uint64) {
+func (ta *Table) RecordYield(now time.Time, endpoint string, revision uint64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.homes.settle(now, endpoint, revision)
@@ -229,20 +229,20 @@
 	ta.homes.yielded = max(ta.homes.yielded, revision)
 }
 
-// Unsettled returns the former homes whose word is missing, by name, so that
+// PendingYields returns the former homes whose word is missing, by name, so that
 // the attendant asks them to Yield to the revision that it holds.
-func (ta *Table) Unsettled() []string {
+func (ta *Table) PendingYields() []string {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return ta.homes.unsettled(ta.options.Endpoint)
 }
 
-// SetKeep changes how long after its mint time a key is served. With 0, it
+// SetRetention changes how long after its mint time a key is served. With 0, it
 // stays as it is.
 //
 // Were the time just raised, a key that ran and expired under the shorter one
 // would seem new, and run twice. So what may have expired before stays too old.
-func (ta *Table) SetKeep(keep time.Duration) {
+func (ta *Table) SetRetention(keep time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if keep <= 0 || keep == ta.options.Keep {
@@ -261,8 +261,8 @@
 	return len(ta.rows)
 }
 
-// Tick drops what has expired.
-func (ta *Table) Tick(now time.Time) {
+// Expire drops what has expired.
+func (ta *Table) Expire(now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.see(now)
--- a/once/table_test.go
+++ b/once/table_test.go
@@ -74,7 +74,7 @@
 		}},
 		{"repeat after a write error", func(ta *Table) string {
 			begin(ta, "1m", req)
-			ta.Lose(at("1m1s"), key)
+			ta.MarkUnknown(at("1m1s"), key)
 			return begin(ta, "1m2s", req)
 		}},
 		{"repeat after a true not-run", func(ta *Table) string {
@@ -115,7 +115,7 @@
 		{"clock jumped ahead and back", func(ta *Table) string {
 			begin(ta, "1m", req)
 			ta.Finish(at("1m"), key, nil)
-			ta.Tick(at("2h"))
+			ta.Expire(at("2h"))
 			return begin(ta, "2m", req)
 		}},
 		{"minted ahead by the allowance", func(ta *Table) string { return begin(ta, "58s", req) }},
@@ -132,22 +132,22 @@
 		}},
 		{"home moved here, minted 2 skews after the old home's word", func(ta *Table) string {
 			ta.SetHomes(at("30s"), Set{Endpoints: []string{"a"}, Revision: 2}, nil)
-			ta.Settle(at("56s"), "b", 2)
+			ta.RecordYield(at("56s"), "b", 2)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
 		{"home moved here, minted later", func(ta *Table) string {
 			ta.SetHomes(at("30s"), Set{Endpoints: []string{"a"}, Revision: 2}, nil)
-			ta.Settle(at("55999ms"), "b", 2)
+			ta.RecordYield(at("55999ms"), "b", 2)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
 		{"home moved here, old home's word for an older set", func(ta *Table) string {
 			ta.SetHomes(at("30s"), Set{Endpoints: []string{"a"}, Revision: 2}, nil)
-			ta.Settle(at("31s"), "b", 1)
+			ta.RecordYield(at("31s"), "b", 1)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
 		{"home moved here, old home's instance gone", func(ta *Table) string {
 			ta.SetHomes(at("30s"), Set{Endpoints: []string{"a"}, Revision: 2}, nil)
-			ta.Settle(at("31s"), "b", Gone)
+			ta.RecordYield(at("31s"), "b", Gone)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
 		{"home never moved: nobody is asked", func(ta *Table) string {
@@ -218,11 +218,11 @@
 	key := keyOf(at("1m"), "a", "a", "b")
 	assert.Assert(t, ta.Begin(at("1m"), Request{Key: key}).Run)
 	ta.Finish(at("1m1s"), key, nil)
-	ta.Tick(at("3m"))
+	ta.Expire(at("3m"))
 	assert.Equal(t, ta.Len(), 0)
-	ta.SetKeep(10 * time.Minute)
+	ta.SetRetention(10 * time.Minute)
 	de := ta.Begin(at("3m"), Request{Key: key})
-	assert.Assert(t, !de.Run && de.Refusal.Truth() == fate.Unknown, show(de))
+	assert.Assert(t, !de.Run && de.Refusal.Outcome() == fate.Unknown, show(de))
 	young := keyOf(at("2m30s"), "a", "a", "b")
 	assert.Assert(t, ta.Begin(at("3m"), Request{Key: young}).Run)
 }
@@ -236,7 +236,7 @@
 		de := ta.Begin(at("1m"), Request{Ask: true, Key: testKey(at("1m"), n), Minted: true})
 		assert.Assert(t, !de.Run)
 		full := n >= 2
-		assert.Equal(t, de.Refusal.Truth() == fate.Unknown, full, show(de))
+		assert.Equal(t, de.Refusal.Outcome() == fate.Unknown, full, show(de))
 	}
 	assert.Equal(t, ta.Len(), 2)
 }
--- a/order/edge_test.go
+++ b/order/edge_test.go
@@ -72,7 +72,7 @@
 		roster.ConnectReporter(ctx, attendant, rp)
 		poll := tick.System{Run: func(now time.Time) {
 			version := engine.Version(loaded.Load())
-			fe.Reported("e1", engine.Report{At: now, Version: version})
+			fe.Observe("e1", engine.Report{At: now, Version: version})
 			rp.Set("e1", roster.Ready, version, 0, 0)
 		}}
 		for _, systems := range [][]tick.System{append(ta.Systems(), ro.Systems()...), append(rp.Systems(), poll)} {
--- a/order/fence.go
+++ b/order/fence.go
@@ -61,9 +61,9 @@
 	fe.rows[endpoint] = &fenceRow{status: Status{Endpoint: endpoint, Incarnation: fe.Incarnation}}
 }
 
-// Bound reports whether work that is bound to a weight version may start at
+// VersionStable reports whether work that is bound to a weight version may start at
 // the endpoint.
-func (fe *Fence) Bound(endpoint string) bool {
+func (fe *Fence) VersionStable(endpoint string) bool {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 	fr, ok := fe.rows[endpoint]
@@ -183,8 +183,8 @@
 	return Taken
 }
 
-// Reported takes an engine's own report, which alone settles an order.
-func (fe *Fence) Reported(endpoint string, re engine.Report) {
+// Observe takes an engine's own report, which alone settles an order.
+func (fe *Fence) Observe(endpoint string, re engine.Report) {
 	fe.mu.Lock()
 	fr, ok := fe.rows[endpoint]
 	if !ok || fr.reported && re.At.Before(fr.report.At) {
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -205,7 +205,7 @@
 	if tenths := int(now.Sub(si.start) / step); (tenths+i)%5 == 0 && !ma.crashed {
 		re := engine.Report{At: now, Loading: ma.loading != 0, Version: ma.version}
 		fe := ma.fence
-		si.after(5*step, func() { fe.Reported(ma.id, re) })
+		si.after(5*step, func() { fe.Observe(ma.id, re) })
 	} else if (tenths+i)%10 == 1 {
 		si.report(ma, -1)
 	}
@@ -221,7 +221,7 @@
 	switch {
 	case ma.crashed:
 		ne.Endpoints[0].State = roster.Unhealthy
-	case !ma.fence.Bound(ma.id):
+	case !ma.fence.VersionStable(ma.id):
 		ne.Endpoints[0].State = roster.Loading
 	}
 	if domain < 0 {
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -320,9 +320,9 @@
 				fe := &order.Fence{Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 				fe.PassFunc = func(context.Context, string, engine.Order) error { return ca.err }
 				fe.Add("e1")
-				assert.Assert(t, !fe.Bound("e1"), "nothing is known yet")
-				fe.Reported("e1", engine.Report{At: time.Now().Add(time.Minute), Version: 6})
-				assert.Assert(t, fe.Bound("e1"))
+				assert.Assert(t, !fe.VersionStable("e1"), "nothing is known yet")
+				fe.Observe("e1", engine.Report{At: time.Now().Add(time.Minute), Version: 6})
+				assert.Assert(t, fe.VersionStable("e1"))
 				time.Sleep(time.Minute)
 				give := func(epoch uint64) order.Verdict {
 					st, err := fe.Probe(order.ProbeRequest{Endpoint: "e1", Epoch: epoch})
@@ -342,12 +342,12 @@
 					{At: time.Now(), Version: 7}, // overtaken by a later one
 					{At: time.Now().Add(10 * time.Second), Version: 6},
 				} {
-					fe.Reported("e1", re)
+					fe.Observe("e1", re)
 					st, err := fe.Status("e1")
 					assert.NilError(t, err)
 					phases = append(phases, st.Phase.String())
 					if ph := st.Phase; ph == order.Settling || ph == order.Unknown {
-						assert.Assert(t, !fe.Bound("e1"))
+						assert.Assert(t, !fe.VersionStable("e1"))
 						assert.Equal(t, give(2), order.Busy)
 					}
 				}
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -64,9 +64,9 @@
 	work time.Duration // of the groups that this plan keeps room for
 }
 
-// Asks returns how many places the groups that the trainer waits for need in the time that
+// Demand returns how many places the groups that the trainer waits for need in the time that
 // the step may take.
-func (st *Step) Asks() float64 { return float64(st.wantedWork()) / float64(max(st.Due, 1)) }
+func (st *Step) Demand() float64 { return float64(st.wantedWork()) / float64(max(st.Due, 1)) }
 
 // wantedWork returns what the groups that the trainer waits for take still: those that go
 // first.
@@ -109,8 +109,8 @@
 	load    float64
 }
 
-// Crowded reports whether there is too little room for all open steps.
-func (pl *Planner) Crowded() bool { return pl.crowded }
+// Overloaded reports whether there is too little room for all open steps.
+func (pl *Planner) Overloaded() bool { return pl.crowded }
 
 // Load returns the work that is asked for, as a part of the room in the time that a
 // step may take.
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -77,13 +77,13 @@
 			work = 8
 		}
 		pl.Plan([]*Step{stepOf("a", 8*time.Second, work)}, 2, begin.Add(time.Duration(i)*time.Second))
-		if pl.Crowded() != was {
-			changes, was = changes+1, pl.Crowded()
+		if pl.Overloaded() != was {
+			changes, was = changes+1, pl.Overloaded()
 		}
 	}
 	assert.Equal(t, changes, 1)
 	pl.Plan(nil, 2, begin)
-	assert.Assert(t, !pl.Crowded())
+	assert.Assert(t, !pl.Overloaded())
 }
 
 // Symptom: one of many trainers gets nothing in time for as long as the load lasts. Its
@@ -152,22 +152,22 @@
 	pl := Planner{Lingers: true}
 	st := stepOf("a", 8*time.Second, 6, 6)
 	pl.Plan([]*Step{st}, 2, begin)
-	assert.Assert(t, pl.Crowded())
+	assert.Assert(t, pl.Overloaded())
 	st.Groups, st.Left, st.Wanted = st.Groups[:1], 2*time.Second, 1 // 6 s of work in 2 s
 	for i := range 3 {
 		pl.Plan([]*Step{st}, 2, begin.Add(time.Duration(i)*time.Second))
-		assert.Assert(t, pl.Load() < roomyPart && pl.Crowded())
+		assert.Assert(t, pl.Load() < roomyPart && pl.Overloaded())
 	}
 	cheap, hasty := pl, pl
 	cheap.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !cheap.Crowded(), "there are places for the little that has no room")
+	assert.Assert(t, !cheap.Overloaded(), "there are places for the little that has no room")
 	hasty.Lingers = false
 	hasty.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !hasty.Crowded(), "others wait that ask for little")
+	assert.Assert(t, !hasty.Overloaded(), "others wait that ask for little")
 	st.Left = -time.Second // what is late has no room to lose
 	pl.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
 	pl.Plan([]*Step{st}, 2, begin.Add(5*time.Second))
-	assert.Assert(t, !pl.Crowded())
+	assert.Assert(t, !pl.Overloaded())
 }
 
 // Any steps: each group has a position of its own, those in time come first, and their
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -101,7 +101,7 @@
 }
 
 func describe(pl *Planner, steps []*Step) []string {
-	lines := []string{fmt.Sprint(pl.Crowded(), " ", pl.Load())}
+	lines := []string{fmt.Sprint(pl.Overloaded(), " ", pl.Load())}
 	for i, st := range steps {
 		for _, gr := range st.Groups {
 			lines = append(lines, fmt.Sprint("step ", i, " again ", gr.Again, " longest ", gr.Longest, " work ", gr.Work, " room ", gr.InTime(), " ", gr.Position()))
--- a/profile/change.go
+++ b/profile/change.go
@@ -35,5 +35,5 @@
 // Revision returns the revision that the change made.
 func (ch Change) Revision() uint64 { return ch.revision }
 
-// Touched returns the profiles that the change concerned, by name.
-func (ch Change) Touched() []Touched { return ch.touched }
+// ChangedProfiles returns the profiles that the change concerned, by name.
+func (ch Change) ChangedProfiles() []Touched { return ch.touched }
--- a/profile/follower.go
+++ b/profile/follower.go
@@ -80,7 +80,7 @@
 
 // settle takes what the service holds, after putting back what it has lost.
 func (fo *Follower) settle(ctx context.Context, sd Stored) error {
-	fo.Holder.Heard(FromService, time.Now())
+	fo.Holder.RecordContact(FromService, time.Now())
 	do, err := fo.Store.Reconcile(ctx, fo.Holder.Current(), sd)
 	if err != nil {
 		return err
--- a/profile/holder.go
+++ b/profile/holder.go
@@ -62,8 +62,8 @@
 	return ho.current
 }
 
-// Heard notes that the key-value service or a peer has answered at a time.
-func (ho *Holder) Heard(so Source, at time.Time) {
+// RecordContact notes that the key-value service or a peer has answered at a time.
+func (ho *Holder) RecordContact(so Source, at time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	switch so {
--- a/profile/spreader.go
+++ b/profile/spreader.go
@@ -51,7 +51,7 @@
 // Observe notes the revision that a message from a peer carried.
 func (sp *Spreader) Observe(name string, revision uint64) {
 	now := time.Now()
-	sp.Holder.Heard(FromPeer, now)
+	sp.Holder.RecordContact(FromPeer, now)
 	sp.mu.Lock()
 	defer sp.mu.Unlock()
 	pe := sp.row(name)
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -54,12 +54,12 @@
 				var me keyvalue.Memory
 				tc.trouble(&me)
 				for _, endpoint := range []string{"a", "b", "c"} {
-					startKeeper(ctx, &me).Strike("request", endpoint, time.Now())
+					startKeeper(ctx, &me).RecordCrash("request", endpoint, time.Now())
 				}
 				time.Sleep(tc.lasts)
 				me.SetFaults(keyvalue.Faults{})
 				time.Sleep(time.Second)
-				assert.Equal(t, stored(t, &me).Judge("request", time.Now()).Strikes, 3)
+				assert.Equal(t, stored(t, &me).Check("request", time.Now()).Strikes, 3)
 				calls := me.Calls()
 				time.Sleep(time.Minute)
 				assert.Equal(t, me.Calls(), calls, "nothing is left to save")
@@ -98,10 +98,10 @@
 				synctest.Wait()
 				other := startKeeper(ctx, &me)
 				for i := range 2 {
-					other.Strike("request", string(rune('a'+i)), time.Now())
+					other.RecordCrash("request", string(rune('a'+i)), time.Now())
 				}
 				time.Sleep(tc.after)
-				assert.Equal(t, ta.Judge("request", time.Now()).Strikes, 2)
+				assert.Equal(t, ta.Check("request", time.Now()).Strikes, 2)
 				cancel()
 				synctest.Wait()
 			})
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -22,11 +22,11 @@
 	unsaved    map[Record]bool
 }
 
-// Judge returns what may be done with a request now.
-func (ta *Table) Judge(di Digest, now time.Time) Verdict { return ta.judge(di, requestPolicy, now) }
+// Check returns what may be done with a request now.
+func (ta *Table) Check(di Digest, now time.Time) Verdict { return ta.judge(di, requestPolicy, now) }
 
-// JudgeItem returns what may be done with an item of a step now.
-func (ta *Table) JudgeItem(di Digest, now time.Time) Verdict { return ta.judge(di, itemPolicy, now) }
+// CheckItem returns what may be done with an item of a step now.
+func (ta *Table) CheckItem(di Digest, now time.Time) Verdict { return ta.judge(di, itemPolicy, now) }
 
 func (ta *Table) judge(di Digest, po policy, now time.Time) Verdict {
 	ta.mu.Lock()
@@ -38,17 +38,17 @@
 	return ro.judge(po, now)
 }
 
-// Strike notes that a start of an endpoint ended while it ran a request or an item.
-func (ta *Table) Strike(di Digest, endpoint string, now time.Time) {
+// RecordCrash notes that a start of an endpoint ended while it ran a request or an item.
+func (ta *Table) RecordCrash(di Digest, endpoint string, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.add(Record{AtMS: now.UnixMilli(), Digest: di, Endpoint: endpoint}, now)
 }
 
-// Answered notes that an endpoint ran a request and answered it. One that ended
+// RecordSuccess notes that an endpoint ran a request and answered it. One that ended
 // under it before did so for another reason, unless the request is barred: that
 // takes more than one endpoint that can bear it.
-func (ta *Table) Answered(di Digest, now time.Time) {
+func (ta *Table) RecordSuccess(di Digest, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.rows[di]
@@ -152,9 +152,9 @@
 	return news
 }
 
-// Tell takes in what another process has not been able to save, which is to be
+// MergeUnsaved takes in what another process has not been able to save, which is to be
 // saved from here too.
-func (ta *Table) Tell(res []Record, now time.Time) {
+func (ta *Table) MergeUnsaved(res []Record, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	for _, re := range res {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -47,15 +47,15 @@
 			for _, st := range tc.steps {
 				at := noon.Add(time.Duration(st.second) * time.Second)
 				if st.endpoint == "" {
-					ta.Answered("request", at)
+					ta.RecordSuccess("request", at)
 					continue
 				}
-				ta.Strike("request", st.endpoint, at)
+				ta.RecordCrash("request", st.endpoint, at)
 			}
-			ve := ta.Judge("request", noon.Add(time.Duration(tc.second)*time.Second))
+			ve := ta.Check("request", noon.Add(time.Duration(tc.second)*time.Second))
 			assert.Equal(t, ve, Verdict{HeldFor: tc.held, Strikes: tc.strikes})
 			assert.Equal(t, ve.Held(), tc.held > 0)
-			assert.Equal(t, ta.Judge("another", noon), Verdict{})
+			assert.Equal(t, ta.Check("another", noon), Verdict{})
 		})
 	}
 }
@@ -65,8 +65,8 @@
 	// again: it rests later than a caller's request, and has three more tries.
 	var ta Table
 	for i, held := range []time.Duration{0, 0, 0, itemRest, itemRest, itemRest, barTime} {
-		assert.Equal(t, ta.JudgeItem("item", noon), Verdict{HeldFor: held, Strikes: i})
-		ta.Strike("item", fmt.Sprint(i), noon)
+		assert.Equal(t, ta.CheckItem("item", noon), Verdict{HeldFor: held, Strikes: i})
+		ta.RecordCrash("item", fmt.Sprint(i), noon)
 	}
 	assert.Assert(t, DigestOfItem("", "h", "a", "/p", nil) != DigestOfItem("", "h", "b", "/p", nil))
 }
@@ -87,12 +87,12 @@
 		var one, other, third Table
 		one.Merge(res, now)
 		for _, re := range rapid.Permutation(res).Draw(t, "order") {
-			other.Tell([]Record{re}, now)
+			other.MergeUnsaved([]Record{re}, now)
 		}
 		third.Merge(other.Records(now), now)
 		third.Merge(one.Records(now), now)
-		assert.Equal(t, one.Judge("request", now), other.Judge("request", now))
-		assert.Equal(t, one.Judge("request", now), third.Judge("request", now))
+		assert.Equal(t, one.Check("request", now), other.Check("request", now))
+		assert.Equal(t, one.Check("request", now), third.Check("request", now))
 		assert.DeepEqual(t, one.Records(now), third.Records(now))
 	})
 }
@@ -101,11 +101,11 @@
 	// Each news goes to all processes: with all that is known each time, a crash of
 	// one engine under a dozen items costs each of them the records of the day.
 	var ta Table
-	ta.Strike("old", "a", noon)
+	ta.RecordCrash("old", "a", noon)
 	known := ta.Generation()
 	assert.Equal(t, len(ta.Since(known, noon)), 0)
-	ta.Strike("new", "a", noon)
-	ta.Strike("new", "b", noon)
+	ta.RecordCrash("new", "a", noon)
+	ta.RecordCrash("new", "b", noon)
 	res := ta.Since(known, noon)
 	assert.Equal(t, len(res), 2)
 	assert.Equal(t, res[0].Digest, Digest("new"))
@@ -117,13 +117,13 @@
 	// that are known, nor fill the one value that all records share.
 	var ta Table
 	for i := range barStrikes {
-		ta.Strike("barred", fmt.Sprint(i), noon)
+		ta.RecordCrash("barred", fmt.Sprint(i), noon)
 	}
 	for i := range 3 * maxRows {
-		ta.Strike(Digest(fmt.Sprint("request-", i)), "endpoint", noon.Add(time.Duration(i)*time.Millisecond))
+		ta.RecordCrash(Digest(fmt.Sprint("request-", i)), "endpoint", noon.Add(time.Duration(i)*time.Millisecond))
 	}
 	assert.Equal(t, len(ta.Records(noon)), maxRows-1+barStrikes)
-	assert.Assert(t, ta.Judge("barred", noon).Held())
+	assert.Assert(t, ta.Check("barred", noon).Held())
 	assert.Equal(t, len(ta.Records(noon.Add(time.Hour))), barStrikes, "what has expired is dropped")
 }
 
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -17,12 +17,12 @@
 	Rate      float64 // requests a second
 }
 
-// Life returns for how long tokens may be spent after they were granted.
+// TokenTTL returns for how long tokens may be spent after they were granted.
 //
 // In any window of ten seconds, two things come on top of the rate: tokens that were granted
 // before it and are spent in it, and those that the bucket had gathered. Each may be half of
 // the overshoot; see burst.
-func (te Terms) Life() time.Duration {
+func (te Terms) TokenTTL() time.Duration {
 	return max(time.Duration(te.Overshoot*float64(window)/2), leastLife)
 }
 
--- a/quota/purse.go
+++ b/quota/purse.go
@@ -30,9 +30,9 @@
 
 // note counts what is spent.
 func (pu *Purse) note(te Terms, now time.Time) {
-	if passed := now.Sub(pu.since); passed >= te.Life() {
+	if passed := now.Sub(pu.since); passed >= te.TokenTTL() {
 		pu.before = pu.spent
-		if passed >= 2*te.Life() {
+		if passed >= 2*te.TokenTTL() {
 			pu.before = 0
 		}
 		pu.spent, pu.since = 0, now
@@ -40,23 +40,23 @@
 	pu.spent++
 }
 
-// Want returns for how many tokens to ask: half of what is spent in their life, so that
+// RefillSize returns for how many tokens to ask: half of what is spent in their life, so that
 // few are left over and few calls are made.
-func (pu *Purse) Want() int { return max(max(pu.spent, pu.before)/2, 1) }
+func (pu *Purse) RefillSize() int { return max(max(pu.spent, pu.before)/2, 1) }
 
-// Fill takes in the answer to a call that was made at asked: tokens, or none and how long
+// Refill takes in the answer to a call that was made at asked: tokens, or none and how long
 // there won't be any.
-func (pu *Purse) Fill(te Terms, tokens int, next time.Duration, asked time.Time) {
+func (pu *Purse) Refill(te Terms, tokens int, next time.Duration, asked time.Time) {
 	if tokens <= 0 {
 		pu.deniedUntil = asked.Add(next)
 		return
 	}
-	pu.tokens, pu.rate, pu.until = tokens, te.Rate, asked.Add(te.Life())
+	pu.tokens, pu.rate, pu.until = tokens, te.Rate, asked.Add(te.TokenTTL())
 }
 
-// Denied returns for how long it is known that there are no tokens. A new quota makes what
+// RetryDelay returns for how long it is known that there are no tokens. A new quota makes what
 // was known of the old one void.
-func (pu *Purse) Denied(te Terms, now time.Time) time.Duration {
+func (pu *Purse) RetryDelay(te Terms, now time.Time) time.Duration {
 	if pu.rate != te.Rate {
 		pu.rate, pu.tokens, pu.deniedUntil = te.Rate, 0, time.Time{}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -22,11 +22,11 @@
 func (sy *system) ask(entry int, te Terms, cut bool) bool {
 	pu := &sy.purses[entry]
 	if !pu.Spend(te, sy.now) {
-		if cut || pu.Denied(te, sy.now) > 0 {
+		if cut || pu.RetryDelay(te, sy.now) > 0 {
 			return false
 		}
-		tokens, next := sy.bucket.Take(te, pu.Want(), sy.now)
-		pu.Fill(te, tokens, next, sy.now)
+		tokens, next := sy.bucket.Take(te, pu.RefillSize(), sy.now)
+		pu.Refill(te, tokens, next, sy.now)
 		if !pu.Spend(te, sy.now) {
 			return false
 		}
@@ -103,7 +103,7 @@
 		sy.now = cut.Add(time.Duration(i) * 5 * time.Millisecond)
 		sy.ask(0, te, true)
 	}
-	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.Life().Seconds())
+	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.TokenTTL().Seconds())
 }
 
 // Entries, rates and times of asking at random, with cuts, starts of entries, changes of
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// First counts a first attempt, which earns Ratio of a retry.
-func (bu *Budget) First() {
+// Deposit counts a first attempt, which earns Ratio of a retry.
+func (bu *Budget) Deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.tokens = min(bu.share()*float64(bu.policy.Burst), bu.tokens+bu.share()*bu.policy.Ratio)
@@ -88,9 +88,9 @@
 	mostRefused = 0.25
 )
 
-// Outcome counts whether an endpoint had a place for an attempt. The budget shrinks as
+// Observe counts whether an endpoint had a place for an attempt. The budget shrinks as
 // more are refused, and is as before when all are taken.
-func (bu *Budget) Outcome(taken bool) {
+func (bu *Budget) Observe(taken bool) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	refused := 1.0
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -45,14 +45,14 @@
 	bu := NewBudget(Policy{}, 1)
 	retries := 0
 	for range 1000 {
-		bu.First()
+		bu.Deposit()
 		if _, ok := bu.Retry(noon, Attempt{Fate: fate.NotRun, Number: 1}); ok {
 			retries++
 		}
 	}
 	assert.Assert(t, retries >= 100 && retries <= 110, "%d retries for 1000 requests", retries)
 	none := NewBudget(Policy{Ratio: -1}, 1)
-	none.First()
+	none.Deposit()
 	_, ok := none.Retry(noon, Attempt{Fate: fate.NotRun, Number: 1})
 	assert.Assert(t, !ok)
 }
@@ -64,9 +64,9 @@
 		bu := NewBudget(Policy{Burst: 30, MaxAttempts: 30, Ratio: 0.2}, 1)
 		count := 0
 		for i := range 1000 {
-			bu.First()
+			bu.Deposit()
 			refused := refusedEach > 0 && i%refusedEach == 0
-			bu.Outcome(!refused)
+			bu.Observe(!refused)
 			if _, ok := bu.Retry(noon, Attempt{Number: 1, Repeatable: true}); ok {
 				count++
 			}
--- a/roster/endpoint.go
+++ b/roster/endpoint.go
@@ -40,8 +40,8 @@
 // FailureDomain returns the failure domain of the endpoint.
 func (en Endpoint) FailureDomain() string { return en.failureDomain }
 
-// Heard returns when this entry last got news of the attendant.
-func (en Endpoint) Heard() time.Time { return en.heard }
+// LastSeen returns when this entry last got news of the attendant.
+func (en Endpoint) LastSeen() time.Time { return en.heard }
 
 // ID returns the endpoint's id, which is unique among all services.
 func (en Endpoint) ID() string { return en.id }
--- a/roster/reporter.go
+++ b/roster/reporter.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Home returns the entry that the attendant reports to, or "".
-func (rp *Reporter) Home() string {
+// EntryID returns the entry that the attendant reports to, or "".
+func (rp *Reporter) EntryID() string {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	return rp.home
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -161,7 +161,7 @@
 	session(t, 3, 9, 9, func(t *testing.T, pl *plant) {
 		pl.watch(watched)
 		pl.say("entry-01, the home of attendant-001, dies")
-		assert.Equal(t, pl.attendants[1].reporter.Home(), "entry-01")
+		assert.Equal(t, pl.attendants[1].reporter.EntryID(), "entry-01")
 		pl.entries[1].dead = true
 		pl.run(time.Minute, nil)
 		pl.say("version 7")
@@ -215,7 +215,7 @@
 						assert.Assert(t, late || en.count(roster.Suspect) == 0)
 					}
 				})
-				assert.Equal(t, pl.attendants[1].reporter.Home(), "entry-01")
+				assert.Equal(t, pl.attendants[1].reporter.EntryID(), "entry-01")
 				for _, en := range pl.entries {
 					assert.Equal(t, en.count(roster.Ready), 9, en.id)
 				}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Witness says when the scheduler last called.
-func (rn *Runner) Witness() WitnessResponse {
+// LastContact says when the scheduler last called.
+func (rn *Runner) LastContact() WitnessResponse {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	return WitnessResponse{Epoch: rn.epoch, Since: time.Since(rn.heardAt())}
--- a/scale/census.go
+++ b/scale/census.go
@@ -47,9 +47,9 @@
 	ce.begunAt, ce.expected = now, expected
 }
 
-// Tell takes in what an entry has seen. Entries are known by their instance, which stays
+// Report takes in what an entry has seen. Entries are known by their instance, which stays
 // the same over a restart, so that one that starts anew isn't counted twice.
-func (ce *Census) Tell(instance string, seen map[string]Seen, now time.Time) {
+func (ce *Census) Report(instance string, seen map[string]Seen, now time.Time) {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	if ce.told == nil {
@@ -58,8 +58,8 @@
 	ce.told[instance] = told{at: now, seen: seen}
 }
 
-// Count returns how many entries there are, as far as it is known.
-func (ce *Census) Count(now time.Time) int {
+// EntryCount returns how many entries there are, as far as it is known.
+func (ce *Census) EntryCount(now time.Time) int {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	return ce.count(now)
@@ -75,8 +75,8 @@
 	return len(ce.told)
 }
 
-// Told returns how many entries have told lately.
-func (ce *Census) Told(now time.Time) int {
+// Reporting returns how many entries have told lately.
+func (ce *Census) Reporting(now time.Time) int {
 	ce.mu.Lock()
 	defer ce.mu.Unlock()
 	return ce.countFresh(now)
@@ -103,7 +103,7 @@
 	loads = map[string]Load{}
 	for _, to := range ce.told {
 		for service, se := range to.seen {
-			loads[service] = loads[service].With(se)
+			loads[service] = loads[service].Add(se)
 		}
 	}
 	return loads, known
--- a/scale/decide_test.go
+++ b/scale/decide_test.go
@@ -35,7 +35,7 @@
 		"sum matters, not one of them": {Work{{Due: 8 * second, Work: 64 * second}, {Due: 8 * second, Work: 64 * second}}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, serviceOf(1, 1, tc.work...).Want(), tc.want)
+			assert.Equal(t, serviceOf(1, 1, tc.work...).Desired(), tc.want)
 		})
 	}
 }
--- a/scale/holder.go
+++ b/scale/holder.go
@@ -109,7 +109,7 @@
 // written.
 func (ho *Holder) Step(ctx context.Context) {
 	ses := ho.ServicesFunc(time.Now())
-	st, epoch := ho.Tenure.Look()
+	st, epoch := ho.Tenure.State()
 	if len(ses) == 0 || st == duty.Idle {
 		return
 	}
@@ -144,7 +144,7 @@
 	if ho.Census != nil {
 		ho.Census.Begin(rec.Entries, time.Now())
 	}
-	wait := ho.Tenure.Take(epoch, rec, version)
+	wait := ho.Tenure.Adopt(epoch, rec, version)
 	lo.WithField("calls-in-ms", wait.Milliseconds()).Info("gives orders for endpoints")
 }
 
@@ -180,7 +180,7 @@
 	ho.unknown[se.Name] = se.Unknown
 	fields := logrus.Fields{"known": !se.Unknown, "service": se.Name}
 	if ho.Census != nil {
-		fields["entries"], fields["told"] = ho.Census.Count(time.Now()), ho.Census.Told(time.Now())
+		fields["entries"], fields["told"] = ho.Census.EntryCount(time.Now()), ho.Census.Reporting(time.Now())
 	}
 	ho.Log.WithFields(fields).Info("load for orders of endpoints")
 }
@@ -190,7 +190,7 @@
 func (ho *Holder) prune(ses []Service) {
 	ho.record.Orders = slices.DeleteFunc(ho.record.Orders, func(or Ordered) bool {
 		known := slices.ContainsFunc(ses, func(se Service) bool { return se.Name == or.Service })
-		if known && !ho.table.Forgot(or.Subject) {
+		if known && !ho.table.Removed(or.Subject) {
 			return false
 		}
 		ho.Log.WithFields(logrus.Fields{
@@ -217,7 +217,7 @@
 	ho.mu.Unlock()
 	rec.Epoch, rec.Sender = ho.Tenure.Epoch(), ho.Tenure.Owner
 	if ho.Census != nil {
-		rec.Entries = ho.Census.Count(time.Now())
+		rec.Entries = ho.Census.EntryCount(time.Now())
 	}
 	if err := ho.Tenure.Write(ctx, rec); err != nil {
 		ho.Log.WithError(err).WithField("epoch", rec.Epoch).Warn("orders for endpoints can't be written")
--- a/scale/holderstore_test.go
+++ b/scale/holderstore_test.go
@@ -48,7 +48,7 @@
 		}
 		tell := func(ho *Holder, count int) {
 			for entry := range count {
-				ho.Census.Tell(fmt.Sprint(entry), map[string]Seen{"desk": {}}, time.Now())
+				ho.Census.Report(fmt.Sprint(entry), map[string]Seen{"desk": {}}, time.Now())
 			}
 		}
 		fi.work = 144 * second
--- a/scale/overview.go
+++ b/scale/overview.go
@@ -54,7 +54,7 @@
 			domains = append(domains, domain)
 		}
 		held := ho.held(se.Name)
-		for domain, wanted := range Spread(se.Want(), domains, se.Bounds) {
+		for domain, wanted := range Spread(se.Desired(), domains, se.Bounds) {
 			li := Line{
 				Held: held, Max: se.Bounds.Max, Min: se.Bounds.Min, Ordered: -1, Serving: se.Domains[domain],
 				Subject: Subject{Domain: domain, Service: se.Name}, Unknown: se.Unknown, Wanted: wanted,
--- a/scale/plain.go
+++ b/scale/plain.go
@@ -19,8 +19,8 @@
 	Waiting int
 }
 
-// With returns the load with what one more process has seen.
-func (lo Load) With(se Seen) Load {
+// Add returns the load with what one more process has seen.
+func (lo Load) Add(se Seen) Load {
 	lo.Waiting += se.Waiting
 	if span := se.Span.Seconds(); span > 0 {
 		lo.Begun += float64(se.Begun) / span
--- a/scale/plain_test.go
+++ b/scale/plain_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			se := serviceOf(1, 1)
 			se.Work = tc.load.Work(se.Places)
-			assert.Equal(t, se.Want(), tc.want)
+			assert.Equal(t, se.Desired(), tc.want)
 		})
 	}
 }
@@ -78,7 +78,7 @@
 				continue
 			}
 			part := (0.9 + 0.2*rng.Float64()) / float64(cr.entries)
-			cr.census.Tell(fmt.Sprint("entry-", entry), map[string]Seen{"desk": {
+			cr.census.Report(fmt.Sprint("entry-", entry), map[string]Seen{"desk": {
 				Begun: int(math.Round(used * part * 10 / 2)), Busy: time.Duration(used * part * float64(second) / 2),
 				Refused: int(math.Round((asked - used) * part * 10 * 5 / 2)), Span: second / 2,
 			}}, now)
@@ -109,7 +109,7 @@
 
 // succeed puts another holder in the place of the first: it knows what lasts.
 func (cr *crowd) succeed(now time.Time) {
-	count := cr.census.Count(now)
+	count := cr.census.EntryCount(now)
 	cr.census = Census{}
 	cr.census.Begin(count, now)
 	targets := map[Subject]int{}
@@ -228,7 +228,7 @@
 	}
 	tell := func(at time.Duration, count int) {
 		for entry := range count {
-			ce.Tell(fmt.Sprint(entry), map[string]Seen{"desk": {Begun: 1, Span: second}}, begin.Add(at))
+			ce.Report(fmt.Sprint(entry), map[string]Seen{"desk": {Begun: 1, Span: second}}, begin.Add(at))
 		}
 	}
 	assert.Assert(t, !known(0), "no one has told")
@@ -245,5 +245,5 @@
 	assert.Equal(t, loads["desk"].Begun, 4.0, "who is silent counts with what it told last")
 	tell(70*second, 2)
 	assert.Assert(t, known(70*second), "the others are gone")
-	assert.Equal(t, ce.Count(begin.Add(70*second)), 2)
+	assert.Equal(t, ce.EntryCount(begin.Add(70*second)), 2)
 }
--- a/scale/table.go
+++ b/scale/table.go
@@ -104,8 +104,8 @@
 		return nil
 	}
 	ro.begin(se, now)
-	want := se.Want()
-	ro.note(sample{at: now, keep: se.Keep(), want: want}, se.Bounds.hold())
+	want := se.Desired()
+	ro.note(sample{at: now, keep: se.ScaleDownLimit(), want: want}, se.Bounds.hold())
 	var ors []Order
 	domains := ro.domains(se, now)
 	ro.forget(now)
@@ -169,8 +169,8 @@
 	}
 }
 
-// Forgot reports whether a subject's failure domain is gone from its service.
-func (ta *Table) Forgot(su Subject) bool {
+// Removed reports whether a subject's failure domain is gone from its service.
+func (ta *Table) Removed(su Subject) bool {
 	ro := ta.rows[su.Service]
 	return ro != nil && ro.targets[su.Domain] == forgotten
 }
--- a/scale/work.go
+++ b/scale/work.go
@@ -25,12 +25,12 @@
 	leastTime = 2 * time.Second
 )
 
-// Want returns how many endpoints the open work of a service needs to be done when due.
+// Desired returns how many endpoints the open work of a service needs to be done when due.
 //
 // Work that is due later leaves its places to what is due sooner, so that for each due
 // time all that is due until then must fit. Endpoints that are there work from now on,
 // others only once they have started: what is due before then is no reason for more.
-func (se Service) Want() int {
+func (se Service) Desired() int {
 	places := fullPart * float64(max(se.Places, 1))
 	have := se.serving()
 	wo := slices.Clone(se.Work)
@@ -48,16 +48,16 @@
 	return want
 }
 
-// Keep returns how many endpoints the service needs before some are given away.
-func (se Service) Keep() int {
+// ScaleDownLimit returns how many endpoints the service needs before some are given away.
+func (se Service) ScaleDownLimit() int {
 	if se.Slack == 0 {
-		return se.Want()
+		return se.Desired()
 	}
 	se.Work = slices.Clone(se.Work)
 	for i := range se.Work {
 		se.Work[i].Work += time.Duration(se.Slack * float64(se.Work[i].Work))
 	}
-	return se.Want()
+	return se.Desired()
 }
 
 // more returns how many endpoints beyond those that are there a sum of work needs within
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -181,7 +181,7 @@
 			rn.judgeIdentity(no.ID, no.Identity)
 		}
 	}
-	for _, broken := range rn.world.authority.Breaks() {
+	for _, broken := range rn.world.authority.Violations() {
 		rn.violate("reports of use, or orders: %s", broken)
 	}
 	rn.report.Orders = len(rn.world.authority.Orders())
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -48,9 +48,9 @@
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
 		de, tr := rn.world.desks[rng.IntN(desks)], standin.Trouble(1+rng.IntN(int(standin.Troubles)-1))
 		rn.note(fmt.Sprint(tr, " ", de.ID))
-		de.SetTrouble(tr)
+		de.SetFault(tr)
 		sleep(ctx, time.Duration(200+rng.IntN(2000))*time.Millisecond)
-		de.SetTrouble(standin.NoTrouble)
+		de.SetFault(standin.NoTrouble)
 		sleep(ctx, time.Duration(rng.IntN(1000))*time.Millisecond)
 	}
 }
@@ -75,7 +75,7 @@
 		}
 		entry := foreignEntries[rng.IntN(len(foreignEntries))]
 		rn.note(fmt.Sprint("entry of another writer ", entry))
-		rn.world.operator().Scribble(ctx, fmt.Sprint("foreign-", rng.IntN(3)), entry)
+		rn.world.operator().WriteMalformed(ctx, fmt.Sprint("foreign-", rng.IntN(3)), entry)
 	}
 }
 
--- a/soak/rivals.go
+++ b/soak/rivals.go
@@ -50,7 +50,7 @@
 		}
 		de := &standin.Desk{ID: fmt.Sprint("counter-", i), Places: rivalPlaces, Work: rivalWork}
 		wo.desks = append(wo.desks, de)
-		if err := wo.register(ctx, de.ID, rivalService, wo.ip(5, i), de, de.Born, nil); err != nil {
+		if err := wo.register(ctx, de.ID, rivalService, wo.ip(5, i), de, de.StartedAt, nil); err != nil {
 			return err
 		}
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -118,7 +118,7 @@
 	for i := range desks {
 		de := &standin.Desk{ID: fmt.Sprint("desk-", i)}
 		wo.desks = append(wo.desks, de)
-		if err := wo.register(ctx, de.ID, deskService, wo.ip(1, i), de, de.Born, nil); err != nil {
+		if err := wo.register(ctx, de.ID, deskService, wo.ip(1, i), de, de.StartedAt, nil); err != nil {
 			return err
 		}
 		de.CrashFunc = crashFunc(de.Restart, wo.proxies[i])
@@ -137,7 +137,7 @@
 			Models: models, Slots: slots, Text: textOf,
 		}
 		wo.engines = append(wo.engines, en)
-		if err := wo.register(ctx, en.ID, engineService, wo.ip(2, i), en, en.Born, en); err != nil {
+		if err := wo.register(ctx, en.ID, engineService, wo.ip(2, i), en, en.StartedAt, en); err != nil {
 			return err
 		}
 		en.CrashFunc = crashFunc(en.Restart, wo.proxies[desks+i])
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -175,7 +175,7 @@
 		ca.sum.Crossed++
 	case errors.As(err, &re):
 		ca.sum.Refused[re.Code]++
-		if re.Truth() == fate.NotRun && truth == fate.NotRun {
+		if re.Outcome() == fate.NotRun && truth == fate.NotRun {
 			ca.notRun = append(ca.notRun, lc)
 		}
 	default:
--- a/step/checkpoint.go
+++ b/step/checkpoint.go
@@ -98,8 +98,8 @@
 // unsaved returns how many of an item's events are in no checkpoint.
 func (ir *itemRow) unsaved() int { return len(ir.events) - ir.saved }
 
-// Saved takes in that checkpoints are kept.
-func (ta *Table) Saved(cps []Checkpoint) {
+// CheckpointsSaved takes in that checkpoints are kept.
+func (ta *Table) CheckpointsSaved(cps []Checkpoint) {
 	for _, cp := range cps {
 		sr, ok := ta.steps[cp.Step]
 		if !ok {
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -34,7 +34,7 @@
 			if at > 2*time.Second {
 				most = max(most, time.Duration(ta.steps["s"].items[0].unsaved())*pace)
 			}
-			ta.Saved(ta.Checkpoints(now))
+			ta.CheckpointsSaved(ta.Checkpoints(now))
 		}
 		assert.Assert(t, most <= 700*time.Millisecond, "pace %v: %v of text is in no checkpoint", pace, most)
 	}
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -148,7 +148,7 @@
 	ta.Place(begin)
 	end = begin.Add(2 * time.Second)
 	for now := begin; !now.After(end); now = now.Add(tickEvery) {
-		ta.Share(now)
+		ta.ChargeUsage(now)
 	}
 	return ta, end
 }
@@ -176,7 +176,7 @@
 		go sc.follow(ctx, te)
 		synctest.Wait()
 		sc.mu.Lock()
-		te.table.Share(begin)
+		te.table.ChargeUsage(begin)
 		te.table.Place(begin)
 		assert.Equal(t, len(te.table.engines["a"].items), 2)
 		for _, ir := range te.table.engines["a"].items {
@@ -221,10 +221,10 @@
 func TestOneCustomerHasNoRank(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 4), Kept{}, false, begin)
-	ta.Share(begin)
+	ta.ChargeUsage(begin)
 	assert.Equal(t, len(ta.customerRank(ta.waitingCustomers(begin))), 0)
 	for range 40 {
-		ta.Share(begin)
+		ta.ChargeUsage(begin)
 	}
 	assert.Equal(t, len(ta.share.due(begin.Add(time.Hour))), 0)
 }
@@ -253,7 +253,7 @@
 	now := begin
 	for b.Loop() {
 		now = now.Add(tickEvery)
-		ta.Share(now)
+		ta.ChargeUsage(now)
 	}
 }
 
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -53,19 +53,19 @@
 		steps[i] = ta.openStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := rm.planner.Crowded(), ta.places(service, now)
+	was, places := rm.planner.Overloaded(), ta.places(service, now)
 	// Who asks for no more than its part doesn't wait until the others have had their room.
 	rm.planner.Lingers = !ta.competesWithinPart(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
 	rm.withinPart = ta.customersWithinPart(steps, rows, places)
-	rm.sendsAhead = rm.planner.Crowded() && !ta.competesWithinPart(rm)
-	if rm.planner.Crowded() != was {
+	rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
-			"crowded": rm.planner.Crowded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
+			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
 		})
 	}
-	if rm.planner.Crowded() {
+	if rm.planner.Overloaded() {
 		for i, sr := range rows {
 			ta.logRoom(sr, steps[i], now)
 		}
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -50,7 +50,7 @@
 
 	next := NewTable(2, nil)
 	next.Accept(in.steps["ended"], Kept{}, in.ended["ended"], begin)
-	assert.Assert(t, !next.Open())
+	assert.Assert(t, !next.HasOpenWork())
 	assert.Equal(t, len(next.cuts), 0)
 	assert.Equal(t, next.steps["ended"].listing(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
--- a/step/door.go
+++ b/step/door.go
@@ -176,7 +176,7 @@
 		if err == nil || errors.Is(err, ErrUnknownStep) {
 			return resp, err
 		}
-		do.Scheduler.Lose(address, err)
+		do.Scheduler.Invalidate(address, err)
 	}
 	return resp, err
 }
--- a/step/engines.go
+++ b/step/engines.go
@@ -91,9 +91,9 @@
 	ta.named[model] = max(ta.named[model], version)
 }
 
-// Silence moves the runs of engines whose attendants have not answered for too
+// EvictSilent moves the runs of engines whose attendants have not answered for too
 // long.
-func (ta *Table) Silence(now time.Time) {
+func (ta *Table) EvictSilent(now time.Time) {
 	for _, en := range ta.sorted {
 		if len(en.items) > 0 && !en.heardAt.IsZero() && now.Sub(en.heardAt) > silentAfter {
 			ta.drop(en, "attendant is silent", now)
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -34,7 +34,7 @@
 // that gets an item is told at once all the same.
 func (ta *Table) exchangePause(id string) time.Duration {
 	switch {
-	case !ta.Open():
+	case !ta.HasOpenWork():
 		return idleExchange
 	case ta.ending(id):
 		return awaitPause // the answer has waited
@@ -109,7 +109,7 @@
 			sc.Log.WithFields(logrus.Fields{"dependency": "attendant", engineField: id, "error": err, "lost": failed}).Warn("dependency changed")
 		}
 		if errors.Is(err, runner.ErrOldEpoch) {
-			sc.Holder.Forfeit(rq.Epoch)
+			sc.Holder.Abandon(rq.Epoch)
 		}
 		if err == nil {
 			if sc.WallFunc != nil {
@@ -117,7 +117,7 @@
 			}
 			sc.mu.Lock()
 			now := time.Now()
-			te.table.Heard(id, rq, re, now)
+			te.table.HandleResponse(id, rq, re, now)
 			if sc.term == te {
 				sc.startRewards(te, now)
 			}
--- a/step/fixture_test.go
+++ b/step/fixture_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	rq, _ := ta.Request(id)
-	ta.Heard(id, rq, re, now)
+	ta.HandleResponse(id, rq, re, now)
 }
 
 // stepOf returns a step with groups of the sizes given.
--- a/step/follow.go
+++ b/step/follow.go
@@ -91,7 +91,7 @@
 			continue // a step that has just been accepted has nothing yet
 		}
 		gr.Go(func() error {
-			ke, err := sc.Keeper.Kept(ctx, st.ID)
+			ke, err := sc.Keeper.Stored(ctx, st.ID)
 			mu.Lock()
 			defer mu.Unlock()
 			kept[st.ID] = ke
--- a/step/heard.go
+++ b/step/heard.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/runner"
 )
 
-// Heard takes an attendant's answer to a request in.
-func (ta *Table) Heard(id string, rq runner.ExchangeRequest, re runner.ExchangeResponse, now time.Time) {
+// HandleResponse takes an attendant's answer to a request in.
+func (ta *Table) HandleResponse(id string, rq runner.ExchangeRequest, re runner.ExchangeResponse, now time.Time) {
 	en, ok := ta.engines[id]
 	if !ok {
 		return
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -19,7 +19,7 @@
 		sh, _, err = sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: ta, Why: "test"}})
 		assert.NilError(t, err)
 	}
-	return sh.At(after.Version() + 1)
+	return sh.WithVersion(after.Version() + 1)
 }
 
 func TestHeldStep(t *testing.T) {
@@ -106,9 +106,9 @@
 	st.MaxWait = 10 * time.Second
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	ta.Accept(st, Kept{}, false, begin)
-	ta.GiveUp(begin.Add(st.MaxWait))
+	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
-	ta.GiveUp(begin.Add(st.MaxWait + giveUpSlack))
+	ta.DropExpired(begin.Add(st.MaxWait + giveUpSlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
@@ -125,7 +125,7 @@
 	late := begin.Add(firstEventTime + time.Second)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
 	hear(ta, "b", runner.ExchangeResponse{}, late)
-	ta.Move(late)
+	ta.MoveStragglers(late)
 	assert.Equal(t, ir.target, "b")
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
--- a/step/mark.go
+++ b/step/mark.go
@@ -39,9 +39,9 @@
 	return ma
 }
 
-// Kept returns what earlier schedulers kept of an open step: marks in place of results, if all
+// Stored returns what earlier schedulers kept of an open step: marks in place of results, if all
 // chunks have one.
-func (ke *Keeper) Kept(ctx context.Context, id string) (Kept, error) {
+func (ke *Keeper) Stored(ctx context.Context, id string) (Kept, error) {
 	ch, err := ke.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
 		return Kept{}, err
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -68,7 +68,7 @@
 	var me keyvalue.Memory
 	writeListed(t, &Keeper{Client: me.Client()}, chunksOf(2, 1))
 	size := 0
-	kept, err := (&Keeper{Client: counting(me.Client(), &size)}).Kept(t.Context(), "s")
+	kept, err := (&Keeper{Client: counting(me.Client(), &size)}).Stored(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Assert(t, size < 1000, "%d bytes were read", size)
 	ta := tableOf(t, 2, "a")
@@ -102,7 +102,7 @@
 				if !tt.marks {
 					dropMarks(t, &me)
 				}
-				kept, err := ke.Kept(t.Context(), "s")
+				kept, err := ke.Stored(t.Context(), "s")
 				assert.NilError(t, err)
 				ta := NewTable(2, nil)
 				ta.Accept(stepOf("s", 5), kept, false, begin)
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -169,7 +169,7 @@
 			sc := schedulerOf(cl)
 			sc.Holder = &lease.Holder{Client: cl, Name: "name", Owner: "owner", TTL: time.Minute}
 			sc.Holder.Step(ctx)
-			epoch, st := sc.Holder.Standing(time.Now())
+			epoch, st := sc.Holder.State(time.Now())
 			assert.Equal(t, st, lease.Held)
 			te := &term{epoch: epoch, ready: true, table: tableOf(t, epoch, "a")}
 			sc.term = te
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -44,7 +44,7 @@
 		"quarantine": {func(ta *Table, st *Step) {
 			it := &st.Items[0]
 			for i := range 9 {
-				ta.quarantine.Strike(quarantine.DigestOfItem("", "", it.ID, it.Path, it.Body), fmt.Sprint(i), begin)
+				ta.quarantine.RecordCrash(quarantine.DigestOfItem("", "", it.ID, it.Path, it.Body), fmt.Sprint(i), begin)
 			}
 		}, 0, load.Quarantined},
 	} {
@@ -89,8 +89,8 @@
 	assert.DeepEqual(t, got.Items, load.Items{Listed: 2, Running: 2, Waiting: 2, Whole: 2})
 	assert.Equal(t, ov.Customers[0].Part, 1.0)
 	assert.Equal(t, ov.Customers[0].Had, 0.0, "nothing was counted yet")
-	ta.Share(now)
-	ta.Share(now.Add(time.Second))
+	ta.ChargeUsage(now)
+	ta.ChargeUsage(now.Add(time.Second))
 	ov = load.Summarize(ta.Situation(0, now.Add(time.Second)), 0)
 	assert.Equal(t, ov.Customers[0].Had, 1.0)
 	assert.Equal(t, ov.Customers[0].Name, "bakery")
@@ -168,7 +168,7 @@
 	ta.SetEngines(infos, begin)
 	for _, in := range infos {
 		rq, _ := ta.Request(in.ID)
-		ta.Heard(in.ID, rq, runner.ExchangeResponse{
+		ta.HandleResponse(in.ID, rq, runner.ExchangeResponse{
 			Boot: "boot", Reachable: true, Report: runner.Report{Versions: map[string]uint64{"model": 1}},
 		}, begin)
 	}
--- a/step/pace.go
+++ b/step/pace.go
@@ -54,9 +54,9 @@
 	maxMoves = 4
 )
 
-// Paces finds the pace of the median engine of each service, the engines that are much
+// MeasurePace finds the pace of the median engine of each service, the engines that are much
 // slower, and what a token takes.
-func (ta *Table) Paces(now time.Time) {
+func (ta *Table) MeasurePace(now time.Time) {
 	byService := map[string][]time.Duration{}
 	for _, en := range ta.sorted {
 		if en.report.PaceGaps >= paceGaps {
@@ -139,7 +139,7 @@
 	return !en.slowAt.IsZero() && now.Sub(en.slowAt) < slowFor
 }
 
-// Move takes runs off engines that are slow or stalled, if another engine has
+// MoveStragglers takes runs off engines that are slow or stalled, if another engine has
 // places for them.
 //
 // Load pattern: an engine turns slow by a factor of 3 or goes silent while the
@@ -148,7 +148,7 @@
 // which takes little time. A run is stopped before it goes on elsewhere, so that
 // no two engines work on it, and a place elsewhere is kept for it: otherwise an item
 // that waits could take that place, and the run would go from one slow engine to another.
-func (ta *Table) Move(now time.Time) {
+func (ta *Table) MoveStragglers(now time.Time) {
 	ta.gather()
 	for _, sr := range ta.order {
 		for _, le := range ta.leaving(sr, now) {
@@ -186,14 +186,14 @@
 	return les
 }
 
-// Relieve moves a run off each engine whose memory is nearly full, if another
+// RelieveMemory moves a run off each engine whose memory is nearly full, if another
 // engine has plenty.
 //
 // Load pattern: several long items grow on one engine. Out of memory, it stops
 // its newest run and reads it again once there is room, each time a stall of a
 // second or more. The run with the most time to spare is moved, one at a time: the
 // one that holds most is the one that the step waits for.
-func (ta *Table) Relieve(now time.Time) {
+func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sorted {
 		if held, _ := en.memory(); en.tokens == 0 || float64(held) < crowdedMemory*float64(en.tokens) {
 			continue
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -32,7 +32,7 @@
 	addEngines(ta, begin, "a", "b")
 	ta.engines["a"].slots = len(prompts)
 	hear(ta, "b", runner.ExchangeResponse{Report: runner.Report{Pace: pace, PaceGaps: paceGaps}}, begin)
-	ta.Paces(begin)
+	ta.MeasurePace(begin)
 	return ta, irs
 }
 
@@ -44,16 +44,16 @@
 	const usual = 40 * time.Millisecond
 	ta, irs := crowded(t, usual, 4000, 3000, 2000, 100)
 	irs[0].item.Hint, irs[1].item.Hint, irs[2].item.Hint = 900, 100, 800
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	assert.Assert(t, irs[1].run.stopping, "it has the most time to spare")
 	for _, i := range []int{0, 2, 3} {
 		assert.Assert(t, !irs[i].run.stopping, "item %d", i)
 	}
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	assert.Assert(t, !irs[2].run.stopping, "one at a time")
 
 	ta, irs = crowded(t, usual*13/10, 4000, 3000, 2000, 100)
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	for i, ir := range irs {
 		assert.Assert(t, !ir.run.stopping, "item %d goes to a slower engine", i)
 	}
--- a/step/place.go
+++ b/step/place.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		rm := ta.rooms[steps[0].step.Service]
-		if rm != nil && rm.planner.Crowded() {
+		if rm != nil && rm.planner.Overloaded() {
 			pl.dropQueues()
 			pl.byRoom(rm, rm.rank(ranks))
 		} else {
@@ -243,8 +243,8 @@
 	})
 }
 
-// GiveUp gives items up that may no longer be waited for.
-func (ta *Table) GiveUp(now time.Time) {
+// DropExpired gives items up that may no longer be waited for.
+func (ta *Table) DropExpired(now time.Time) {
 	for _, sr := range ta.order {
 		if sr.step.MaxWait <= 0 || sr.age(now) < sr.step.MaxWait+giveUpSlack {
 			continue
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -137,7 +137,7 @@
 	goesOn := rapid.Bool().Draw(t, "goes on")
 	tw.both(func(ta *Table) {
 		rq, _ := ta.Request(en.id)
-		ta.Heard(en.id, rq, re, tw.now)
+		ta.HandleResponse(en.id, rq, re, tw.now)
 		if goesOn {
 			ta.placeStopped(tw.now)
 		}
@@ -182,7 +182,7 @@
 		sh = held
 	}
 	tw.holds++
-	sh = sh.At(tw.holds)
+	sh = sh.WithVersion(tw.holds)
 	tw.both(func(ta *Table) { ta.SetHolds(sh, tw.now) })
 }
 
@@ -202,12 +202,12 @@
 func (tw *twinTable) tick() {
 	tw.now = tw.now.Add(tickEvery)
 	for i, ta := range tw.tables {
-		ta.Silence(tw.now)
-		ta.Paces(tw.now)
-		ta.Share(tw.now)
-		ta.GiveUp(tw.now)
-		ta.Move(tw.now)
-		ta.Relieve(tw.now)
+		ta.EvictSilent(tw.now)
+		ta.MeasurePace(tw.now)
+		ta.ChargeUsage(tw.now)
+		ta.DropExpired(tw.now)
+		ta.MoveStragglers(tw.now)
+		ta.RelieveMemory(tw.now)
 		if i == 0 {
 			ta.Place(tw.now)
 		} else {
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -99,7 +99,7 @@
 		rm.planner.Lingers = !ta.competesWithinPart(rm)
 		rm.planner.Plan(steps, places, now)
 		rm.withinPart = ta.customersWithinPart(steps, rows, places)
-		rm.sendsAhead = rm.planner.Crowded() && !ta.competesWithinPart(rm)
+		rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
 		if len(rows) == 0 && rm.planner.Idle() {
 			delete(ta.rooms, service)
 		}
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -109,7 +109,7 @@
 	for i, se := range re.engines {
 		if (tick+i)%2 == 0 && !se.dead {
 			rq, _ := ta.Request(se.id)
-			ta.Heard(se.id, rq, se.exchange(rq, re.trainers, re.loadTime(), re.now), re.now)
+			ta.HandleResponse(se.id, rq, se.exchange(rq, re.trainers, re.loadTime(), re.now), re.now)
 		}
 	}
 }
@@ -117,16 +117,16 @@
 // decideBefore is what a tick decides before it places items.
 func (re *replay) decideBefore() {
 	ta := re.table
-	ta.Silence(re.now)
-	ta.Paces(re.now)
-	ta.Share(re.now)
+	ta.EvictSilent(re.now)
+	ta.MeasurePace(re.now)
+	ta.ChargeUsage(re.now)
 	if re.known {
 		re.tellPaces()
 	}
-	ta.GiveUp(re.now)
+	ta.DropExpired(re.now)
 	if !re.baseline {
-		ta.Move(re.now)
-		ta.Relieve(re.now)
+		ta.MoveStragglers(re.now)
+		ta.RelieveMemory(re.now)
 	}
 }
 
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -84,7 +84,7 @@
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	enter(ta, 20, 1)
-	ta.Silence(begin.Add(silentAfter + time.Millisecond))
+	ta.EvictSilent(begin.Add(silentAfter + time.Millisecond))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 }
 
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -315,9 +315,9 @@
 func TestGivenUpInTime(t *testing.T) {
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	ta.steps["s"].step.MaxWait = 10 * time.Second
-	ta.GiveUp(begin.Add(10 * time.Second))
+	ta.DropExpired(begin.Add(10 * time.Second))
 	assert.Equal(t, ta.steps["s"].items[0].state, scoring)
-	ta.GiveUp(begin.Add(10*time.Second + giveUpSlack))
+	ta.DropExpired(begin.Add(10*time.Second + giveUpSlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
--- a/step/room.go
+++ b/step/room.go
@@ -40,7 +40,7 @@
 // crowded reports whether a service has too little room for its open steps.
 func (ta *Table) crowded(service string) bool {
 	rm := ta.rooms[service]
-	return rm != nil && rm.planner.Crowded()
+	return rm != nil && rm.planner.Overloaded()
 }
 
 // sendsAhead reports whether a full engine of a service of which a run is about to end is
@@ -60,7 +60,7 @@
 func (ta *Table) Rooms() map[string]RoomLoad {
 	rooms := make(map[string]RoomLoad, len(ta.rooms))
 	for service, rm := range ta.rooms {
-		rooms[service] = RoomLoad{Crowded: rm.planner.Crowded(), Load: rm.planner.Load()}
+		rooms[service] = RoomLoad{Crowded: rm.planner.Overloaded(), Load: rm.planner.Load()}
 	}
 	return rooms
 }
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -115,7 +115,7 @@
 	st.Service, st.Customer = "other", "small"
 	ta.Accept(st, Kept{}, false, begin)
 	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
-		ta.Share(now)
+		ta.ChargeUsage(now)
 		ta.Place(now)
 	}
 	assert.Assert(t, ta.sendsAhead("service"))
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -9,7 +9,7 @@
 // each customer ahead in turn. If smaller leads counted, these customers would take places
 // from each other's groups, and fewer groups would be whole in time.
 func (rm *room) rank(ranks map[string]int) map[string]int {
-	if rm == nil || !rm.planner.Crowded() {
+	if rm == nil || !rm.planner.Overloaded() {
 		return ranks
 	}
 	room := make(map[string]int, len(ranks))
@@ -35,7 +35,7 @@
 		if _, ok := asked[customer]; !ok {
 			total += ta.share.account.Weight(customer)
 		}
-		asked[customer] += st.Asks()
+		asked[customer] += st.Demand()
 	}
 	within := map[string]bool{}
 	for customer, count := range asked {
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -148,15 +148,15 @@
 	})
 }
 
-// Leads reports whether this process runs the steps.
-func (sc *Scheduler) Leads() bool {
+// IsLeader reports whether this process runs the steps.
+func (sc *Scheduler) IsLeader() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.term != nil
 }
 
-// Retire makes the scheduler never hold the lease again.
-func (sc *Scheduler) Retire() {
+// StepDown makes the scheduler never hold the lease again.
+func (sc *Scheduler) StepDown() {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.cancelHolder != nil {
@@ -201,7 +201,7 @@
 // two, the later one could act on an older standing of the lease and end the term that the
 // other had just continued.
 func (sc *Scheduler) round(ctx context.Context, now time.Time) {
-	epoch, st := sc.Holder.Standing(now)
+	epoch, st := sc.Holder.State(now)
 	if st == lease.None {
 		epoch = 0
 	}
@@ -254,7 +254,7 @@
 // has long been whole.
 func (te *term) goOn(epoch uint64) {
 	te.epoch = epoch
-	te.table.Renew(epoch)
+	te.table.SetEpoch(epoch)
 	notify(te.writes)
 }
 
@@ -279,16 +279,16 @@
 	}
 	sc.refresh(te, now)
 	ta := te.table
-	ta.Silence(now)
-	ta.Paces(now)
+	ta.EvictSilent(now)
+	ta.MeasurePace(now)
 	if sc.LiveFunc != nil {
 		ta.SetLive(sc.LiveFunc(now))
 	}
-	ta.Share(now)
-	ta.GiveUp(now)
+	ta.ChargeUsage(now)
+	ta.DropExpired(now)
 	if sc.mayPlace(te, now) {
-		ta.Move(now)
-		ta.Relieve(now)
+		ta.MoveStragglers(now)
+		ta.RelieveMemory(now)
 		ta.Place(now)
 		ta.Weights(now)
 		sc.measureRoom(ta)
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -23,7 +23,7 @@
 // than its part of a room has steps open there, or may soon have some. A customer that has
 // steps open at other services only doesn't count.
 func (ta *Table) competesWithinPart(rm *room) bool {
-	customers := ta.share.account.Standings()
+	customers := ta.share.account.Balances()
 	if len(customers) < 2 {
 		return false
 	}
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -43,7 +43,7 @@
 				ta.Accept(st, Kept{}, false, begin)
 			}
 			for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
-				ta.Share(now)
+				ta.ChargeUsage(now)
 				ta.Place(now)
 			}
 			assert.Assert(t, ta.crowded("service"))
--- a/step/share.go
+++ b/step/share.go
@@ -34,13 +34,13 @@
 	scarce    map[string]bool // services whose places are scarce while items wait
 }
 
-// Share counts what customers have of the engines.
+// ChargeUsage counts what customers have of the engines.
 //
 // Load pattern: one customer's trainers ask for many times its part. Placed by time to spare
 // alone, its items would take nearly all places, and the others' steps would be late as
 // often as its own. The places that customers have at one moment don't tell who had most:
 // steps come in bursts, and one of few long items has few places for a long time.
-func (ta *Table) Share(now time.Time) {
+func (ta *Table) ChargeUsage(now time.Time) {
 	fs := &ta.share
 	elapsed := time.Duration(0)
 	if !fs.countedAt.IsZero() {
@@ -59,7 +59,7 @@
 // logRanks logs the customers whose rank is another one than it was.
 func (ta *Table) logRanks() {
 	fs := &ta.share
-	sts := fs.account.Standings()
+	sts := fs.account.Balances()
 	before := fs.logged
 	fs.logged = map[string]int{}
 	lines := 0
@@ -78,7 +78,7 @@
 }
 
 // Shares returns how customers stand.
-func (ta *Table) Shares() map[string]fairshare.Standing { return ta.share.account.Standings() }
+func (ta *Table) Shares() map[string]fairshare.Standing { return ta.share.account.Balances() }
 
 // Parts returns which part of the engines' places that were taken within
 // fairshare.RecentTime each customer had.
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -33,7 +33,7 @@
 	if now.Sub(fs.savedAt) < accountEvery {
 		return nil
 	}
-	me := fs.account.Memory()
+	me := fs.account.Snapshot()
 	if len(me.Ahead) == 0 && len(fs.saved) == 0 {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.table.share.account.Recall(me)
+	te.table.share.account.Restore(me)
 	te.table.share.saved = data
 	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' parts are known again")
 	return nil
--- a/step/suspect.go
+++ b/step/suspect.go
@@ -124,9 +124,9 @@
 	}
 	for i := range weight {
 		// By the run, since the engine may have started again already.
-		ta.quarantine.Strike(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engine, ir.run.key.Attempt, i), now)
+		ta.quarantine.RecordCrash(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engine, ir.run.key.Attempt, i), now)
 	}
-	ve := ta.quarantine.JudgeItem(ir.digest, now)
+	ve := ta.quarantine.CheckItem(ir.digest, now)
 	ta.log("engine ended under an item", map[string]any{
 		attemptField: ir.run.key.Attempt, customerField: ir.step.step.Customer, "digest": ir.digest, engineField: ir.run.engine,
 		"held-ms": ve.HeldFor.Milliseconds(), itemField: ir.item.ID, "others": others, stepField: ir.step.step.ID,
@@ -136,7 +136,7 @@
 
 // rests reports whether an item must not be placed now.
 func (ta *Table) rests(ir *itemRow, now time.Time) bool {
-	return ta.quarantine.JudgeItem(ir.digest, now).Held()
+	return ta.quarantine.CheckItem(ir.digest, now).Held()
 }
 
 // tried reports whether an item is to be tried alone.
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -53,8 +53,8 @@
 		st.ID = step
 		ta.Accept(st, Kept{}, false, begin)
 		ir := ta.steps[step].items[0]
-		for shared.JudgeItem(ir.digest, begin).Strikes < 6 {
-			shared.Strike(ir.digest, string(rune('0'+shared.JudgeItem(ir.digest, begin).Strikes)), begin)
+		for shared.CheckItem(ir.digest, begin).Strikes < 6 {
+			shared.RecordCrash(ir.digest, string(rune('0'+shared.CheckItem(ir.digest, begin).Strikes)), begin)
 		}
 		ta.Place(begin.Add(time.Hour))
 		assert.Equal(t, ir.state, waiting)
--- a/step/table.go
+++ b/step/table.go
@@ -80,9 +80,9 @@
 	return ta
 }
 
-// Renew goes on under a new epoch. Attendants take it for that of a new scheduler, and
+// SetEpoch goes on under a new epoch. Attendants take it for that of a new scheduler, and
 // are told anew of all that they were told.
-func (ta *Table) Renew(epoch uint64) {
+func (ta *Table) SetEpoch(epoch uint64) {
 	ta.epoch, ta.attempt = epoch, epoch<<attemptBits
 	for _, en := range ta.engines {
 		for _, ir := range en.items {
@@ -329,5 +329,5 @@
 	return urgent
 }
 
-// Open reports whether any step has items to run or list.
-func (ta *Table) Open() bool { return len(ta.order) > 0 }
+// HasOpenWork reports whether any step has items to run or list.
+func (ta *Table) HasOpenWork() bool { return len(ta.order) > 0 }
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -117,7 +117,7 @@
 				ta.Place(begin.Add(time.Second))
 				end(ta, t, "s", 0, state, nil, begin)
 			}
-			ta.GiveUp(begin.Add(tc.after))
+			ta.DropExpired(begin.Add(tc.after))
 			assert.Equal(t, ta.steps["s"].items[0].state, tc.want)
 		})
 	}
@@ -184,8 +184,8 @@
 			}
 			hear(ta, id, re, now)
 		}
-		ta.Paces(now)
-		ta.Move(now)
+		ta.MeasurePace(now)
+		ta.MoveStragglers(now)
 	}
 	ir := ta.steps["s"].items[0]
 	assert.Assert(t, ir.run.stopping)
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -60,7 +60,7 @@
 	cps := ta.Checkpoints(begin.Add(checkpointEvery))
 	assert.Equal(t, len(cps), 1)
 	assert.Equal(t, len(cps[0].Partials), 1, "five events are soon made again")
-	ta.Saved(cps)
+	ta.CheckpointsSaved(cps)
 	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointEvery))), 0, "nothing new")
 
 	next := tableOf(t, 2, "a")
@@ -98,7 +98,7 @@
 		cps := ta.Checkpoints(begin.Add(time.Duration(second+1) * checkpointEvery))
 		assert.Equal(t, len(cps[0].Partials), 1)
 		saved[cps[0].Partials[0].Item] = true
-		ta.Saved(cps)
+		ta.CheckpointsSaved(cps)
 	}
 	assert.Equal(t, len(saved), 2)
 }
@@ -179,7 +179,7 @@
 	st := stepOf("s", 3)
 	st.Accepted, st.MaxWait = begin.Add(-time.Minute), 40*time.Second
 	ta.Accept(st, Kept{}, false, begin)
-	ta.GiveUp(begin.Add(time.Second))
+	ta.DropExpired(begin.Add(time.Second))
 	for _, ir := range ta.steps["s"].items {
 		assert.Equal(t, ir.state, waiting)
 	}
--- a/step/update.go
+++ b/step/update.go
@@ -62,7 +62,7 @@
 // Written takes in that an update is applied.
 func (ta *Table) Written(up Update, now time.Time) {
 	ta.Listed(up.Chunks, now)
-	ta.Saved(up.Checkpoints)
+	ta.CheckpointsSaved(up.Checkpoints)
 	ta.share.written(up.Account, now)
 	ta.Removed(len(up.Deletes))
 	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
--- a/step/witness.go
+++ b/step/witness.go
@@ -32,12 +32,12 @@
 	peer.Handle(sv, pingMethod, func(context.Context, message.Header, Empty) (Empty, error) { return Empty{}, nil })
 }
 
-// Suspect reports whether the scheduler at an address is dead: it can't be
+// IsDead reports whether the scheduler at an address is dead: it can't be
 // reached from here, and no attendant that can be has heard from it of late.
 //
 // While it is cut off from this process alone, attendants still hear from it;
 // without asking them, two schedulers would replace each other in turns.
-func (sc *Scheduler) Suspect(owner string) bool {
+func (sc *Scheduler) IsDead(owner string) bool {
 	sc.mu.Lock()
 	paused := time.Since(sc.replacedAt) < usurpPause && !sc.replacedAt.IsZero()
 	sc.mu.Unlock()
--- a/step/work_test.go
+++ b/step/work_test.go
@@ -38,7 +38,7 @@
 		"quarantined": func(_ *testing.T, ta *Table) {
 			ir := ta.steps["s"].items[0]
 			for _, engine := range []string{"1", "2", "3", "4", "5", "6"} {
-				ta.quarantine.Strike(ir.digest, engine, begin)
+				ta.quarantine.RecordCrash(ir.digest, engine, begin)
 			}
 		},
 	} {
--- a/step/write.go
+++ b/step/write.go
@@ -42,7 +42,7 @@
 		case errors.Is(err, keyvalue.ErrConflict):
 			// The term ends, or goes on under another epoch and repeats the update.
 			sc.Log.WithError(err).WithField("epoch", epoch).Warn("results were not listed: the lease is gone")
-			sc.Holder.Doubt(epoch)
+			sc.Holder.FenceFailed(epoch)
 			te.awaitWrites(ctx)
 		default:
 			sc.Log.WithError(err).Warn("results can't be listed")
--- a/usage/clock.go
+++ b/usage/clock.go
@@ -42,8 +42,8 @@
 	offset time.Duration
 }
 
-// Vote takes in what an instance's time of day is at a moment of the steady clock.
-func (cl *Clock) Vote(instance string, wall time.Time, steady time.Duration) {
+// AddSample takes in what an instance's time of day is at a moment of the steady clock.
+func (cl *Clock) AddSample(instance string, wall time.Time, steady time.Duration) {
 	if cl.votes == nil {
 		cl.votes, cl.began, cl.slewedAt = map[string]vote{}, steady, steady
 	}
@@ -54,10 +54,10 @@
 	}
 }
 
-// Believe takes in true time as an earlier holder told it. It goes before votes: days
+// Seed takes in true time as an earlier holder told it. It goes before votes: days
 // exist on which more than half of all instances have a wrong time of day, and it was
 // agreed on before.
-func (cl *Clock) Believe(at time.Time, steady time.Duration) {
+func (cl *Clock) Seed(at time.Time, steady time.Duration) {
 	if cl.believed {
 		return
 	}
--- a/usage/clock_test.go
+++ b/usage/clock_test.go
@@ -17,7 +17,7 @@
 			if i < skewed {
 				wall = wall.Add(skew)
 			}
-			cl.Vote(fmt.Sprint(i), wall, at)
+			cl.AddSample(fmt.Sprint(i), wall, at)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	cl.expectBelief(true)
 	voteAll(&cl, 0, 3*time.Second, 10, 6, time.Minute)
 	assert.Assert(t, !cl.Settled(3*time.Second), "an entry may still tell")
-	cl.Believe(time.Unix(1000, 0).Add(3*time.Second), 3*time.Second)
+	cl.Seed(time.Unix(1000, 0).Add(3*time.Second), 3*time.Second)
 	assert.Assert(t, cl.Settled(3*time.Second))
 	voteAll(&cl, 3*time.Second, 5*time.Second, 10, 6, time.Minute)
 	assert.Assert(t, cl.off(5*time.Second) < time.Millisecond)
@@ -62,7 +62,7 @@
 	const drift = 50e-6
 	for at := 3 * time.Second; at < 100*time.Second; at += 100 * time.Millisecond {
 		for i := range 5 {
-			cl.Vote(fmt.Sprint(i), time.Unix(1000, 0).Add(at-time.Duration(drift*float64(at))), at)
+			cl.AddSample(fmt.Sprint(i), time.Unix(1000, 0).Add(at-time.Duration(drift*float64(at))), at)
 		}
 	}
 	off := cl.Time(100 * time.Second).Sub(time.Unix(1000, 0).Add(100*time.Second - 5*time.Millisecond)).Abs()
--- a/usage/holder.go
+++ b/usage/holder.go
@@ -102,12 +102,12 @@
 	return ho.SteadyFunc()
 }
 
-// Vote takes in an instance's time of day, in Unix microseconds.
-func (ho *Holder) Vote(instance string, wall int64) {
+// AddClockSample takes in an instance's time of day, in Unix microseconds.
+func (ho *Holder) AddClockSample(instance string, wall int64) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	if wall != 0 {
-		ho.clock.Vote(instance, time.UnixMicro(wall), ho.steady())
+		ho.clock.AddSample(instance, time.UnixMicro(wall), ho.steady())
 	}
 }
 
@@ -117,9 +117,9 @@
 	defer ho.mu.Unlock()
 	now := ho.steady()
 	if rq.Believed != 0 {
-		ho.clock.Believe(time.UnixMicro(rq.Believed), now)
+		ho.clock.Seed(time.UnixMicro(rq.Believed), now)
 	}
-	ho.clock.Vote(rq.Instance, time.UnixMicro(rq.Wall), now)
+	ho.clock.AddSample(rq.Instance, time.UnixMicro(rq.Wall), now)
 	if _, held := ho.StandingFunc(time.Now()); !held || ho.tenure.Epoch() == 0 || !ho.clock.Settled(now) {
 		return PushResponse{}, ErrNotHolder
 	}
@@ -139,7 +139,7 @@
 
 // Step does what is to be done now.
 func (ho *Holder) Step(ctx context.Context) {
-	switch st, epoch := ho.tenure.Look(); st {
+	switch st, epoch := ho.tenure.State(); st {
 	case duty.Idle:
 	case duty.Behind:
 		ho.load(ctx, epoch)
@@ -162,7 +162,7 @@
 	ho.book.load(rec)
 	ho.durable = rec
 	ho.clock.expectBelief(len(rec.Sources) > 0)
-	wait := ho.tenure.Take(epoch, rec, version)
+	wait := ho.tenure.Adopt(epoch, rec, version)
 	lo.WithField("calls-in-ms", wait.Milliseconds()).Info("holds the reports of use")
 }
 
--- a/usage/pusher.go
+++ b/usage/pusher.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		pu.Log.WithError(err).WithFields(logrus.Fields{"batches": len(rq.Batches), "holder": address}).Warn("use can't be told")
 		if !errors.Is(err, ErrNotHolder) {
-			pu.Finder.Lose(address, err)
+			pu.Finder.Invalidate(address, err)
 		}
 		return 0, err
 	}
--- a/usage/world_test.go
+++ b/usage/world_test.go
@@ -242,9 +242,9 @@
 	for ctx.Err() == nil {
 		pr.await()
 		for i := range 5 { // attendants
-			pr.holder.Vote(fmt.Sprint("attendant-", i), time.Now().Add(time.Duration(i-2)*time.Millisecond).UnixMicro())
+			pr.holder.AddClockSample(fmt.Sprint("attendant-", i), time.Now().Add(time.Duration(i-2)*time.Millisecond).UnixMicro())
 		}
-		pr.holder.Vote(pr.name, time.Now().Add(pr.skew).UnixMicro())
+		pr.holder.AddClockSample(pr.name, time.Now().Add(pr.skew).UnixMicro())
 		pr.holder.Step(ctx)
 		time.Sleep(stepEvery)
 	}
