--- a/access/access.go
+++ b/access/access.go
@@ -8,18 +8,18 @@
 	"wisteriacroft/directory"
 )
 
-// An Outcome is what is done with a request.
-type Outcome int
+// A Verdict is what is done with a request.
+type Verdict int
 
 // The outcomes.
 const (
 	// Allowed requests run, for the customer that the grant names.
-	Allowed Outcome = iota
+	Allowed Verdict = iota
 	// Denied requests show no key that lets them run. Repeated, they get the same.
 	Denied
-	// Unsure requests show a key that this process does not know, and may be behind
+	// Undetermined requests show a key that this process does not know, and may be behind
 	// on: they have not run, and another process may know it.
-	Unsure
+	Undetermined
 )
 
 // A Reason says why a request got no grant. It never holds the key.
@@ -27,19 +27,19 @@
 
 // The reasons.
 const (
-	NoConfiguration Reason = "no configuration yet"
-	NoKey           Reason = "the request shows no key"
-	TwoKeys         Reason = "the request shows more than one key"
-	OtherScheme     Reason = "the request's key is not a bearer key"
-	EmptyKey        Reason = "the request's key is empty"
-	UnknownKey      Reason = "the request's key is unknown"
-	KeyNotHeardOf   Reason = "the request's key may be newer than the configuration known here"
+	NoConfiguration   Reason = "no configuration yet"
+	NoKey             Reason = "the request shows no key"
+	MultipleKeys      Reason = "the request shows more than one key"
+	UnsupportedScheme Reason = "the request's key is not a bearer key"
+	EmptyKey          Reason = "the request's key is empty"
+	UnknownKey        Reason = "the request's key is unknown"
+	KeyMaybeNewer     Reason = "the request's key may be newer than the configuration known here"
 )
 
 // A Grant is what a request may do.
 type Grant struct {
 	Customer directory.Customer // zero where no key is needed
-	Outcome  Outcome
+	Outcome  Verdict
 	Reason   Reason // unless Allowed
 }
 
@@ -65,7 +65,7 @@
 // have come with a configuration that the others have.
 func Decide(co *directory.Configuration, public bool, credentials []string, newsOld bool) Grant {
 	if co == nil {
-		return Grant{Outcome: Unsure, Reason: NoConfiguration}
+		return Grant{Outcome: Undetermined, Reason: NoConfiguration}
 	}
 	if len(co.Customers) == 0 || public {
 		return Grant{}
@@ -79,7 +79,7 @@
 	case ok:
 		return Grant{Customer: cu}
 	case newsOld:
-		return Grant{Outcome: Unsure, Reason: KeyNotHeardOf}
+		return Grant{Outcome: Undetermined, Reason: KeyMaybeNewer}
 	default:
 		return Grant{Outcome: Denied, Reason: UnknownKey}
 	}
@@ -91,11 +91,11 @@
 	case len(credentials) == 0:
 		return "", NoKey
 	case len(credentials) > 1: // which one would count is not the same everywhere
-		return "", TwoKeys
+		return "", MultipleKeys
 	}
 	name, key, _ := strings.Cut(strings.TrimSpace(credentials[0]), " ")
 	if !strings.EqualFold(name, scheme) {
-		return "", OtherScheme
+		return "", UnsupportedScheme
 	}
 	if key = strings.TrimSpace(key); key == "" {
 		return "", EmptyKey
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -28,7 +28,7 @@
 		credentials []string
 		newsOld     bool
 		customer    string
-		outcome     Outcome
+		outcome     Verdict
 		reason      Reason
 	}{
 		{name: "first key", co: customers(), credentials: []string{"Bearer key-1"}, customer: "ada"},
@@ -40,12 +40,12 @@
 		{name: "no customers, but a key", co: &directory.Configuration{}, credentials: []string{"Bearer x"}},
 		{name: "public", co: customers(), public: true},
 		{name: "public with a key that is gone", co: customers(), public: true, credentials: []string{"Bearer gone"}},
-		{name: "no configuration", outcome: Unsure, reason: NoConfiguration},
+		{name: "no configuration", outcome: Undetermined, reason: NoConfiguration},
 		{name: "no key", co: customers(), outcome: Denied, reason: NoKey},
 		{name: "no key, old news", co: customers(), newsOld: true, outcome: Denied, reason: NoKey},
-		{name: "two keys", co: customers(), credentials: []string{"Bearer key-1", "Bearer key-1"}, outcome: Denied, reason: TwoKeys},
-		{name: "other scheme", co: customers(), credentials: []string{"Basic key-1"}, outcome: Denied, reason: OtherScheme},
-		{name: "empty header", co: customers(), credentials: []string{""}, outcome: Denied, reason: OtherScheme},
+		{name: "two keys", co: customers(), credentials: []string{"Bearer key-1", "Bearer key-1"}, outcome: Denied, reason: MultipleKeys},
+		{name: "other scheme", co: customers(), credentials: []string{"Basic key-1"}, outcome: Denied, reason: UnsupportedScheme},
+		{name: "empty header", co: customers(), credentials: []string{""}, outcome: Denied, reason: UnsupportedScheme},
 		{name: "empty key", co: customers(), credentials: []string{"Bearer "}, outcome: Denied, reason: EmptyKey},
 		{name: "unknown key", co: customers(), credentials: []string{"Bearer key-4"}, outcome: Denied, reason: UnknownKey},
 		{name: "two words", co: customers(), credentials: []string{"Bearer key-1 key-2"}, outcome: Denied, reason: UnknownKey},
@@ -53,7 +53,7 @@
 		// Cut off from news, a process knows a key that is there, and can't tell a key
 		// that never was from one that came since.
 		{name: "known key, old news", co: customers(), credentials: []string{"Bearer key-1"}, newsOld: true, customer: "ada"},
-		{name: "unknown key, old news", co: customers(), credentials: []string{"Bearer key-4"}, newsOld: true, outcome: Unsure, reason: KeyNotHeardOf},
+		{name: "unknown key, old news", co: customers(), credentials: []string{"Bearer key-4"}, newsOld: true, outcome: Undetermined, reason: KeyMaybeNewer},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -79,11 +79,11 @@
 	di.SetConfiguration(customers())
 	ch := &Checker{Directory: di, Header: "Key", Metrics: metrics.NewSet()}
 	unknown := http.Header{"Key": {"Bearer key-4"}}
-	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Unsure)
+	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Undetermined)
 	di.ConfirmConfiguration(time.Now())
 	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Denied)
 	di.ConfirmConfiguration(time.Now().Add(-2 * time.Second))
-	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Unsure)
+	assert.Equal(t, ch.Check(di.Configuration(), false, unknown).Outcome, Undetermined)
 }
 
 func TestCountedCustomersAreBounded(t *testing.T) {
--- a/admission/answer.go
+++ b/admission/answer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// An Answer is what an endpoint's answer tells of its room.
-type Answer struct {
+// A Response is what an endpoint's answer tells of its room.
+type Response struct {
 	At       time.Time
 	InFlight int           // own requests there, that which is answered among them
 	Load     Load          // if it says so
@@ -16,7 +16,7 @@
 
 // UnloadedLatency returns how long the request would have taken by itself at the usual pace, as
 // far as the endpoint tells what it had beside.
-func (an Answer) UnloadedLatency() time.Duration {
+func (an Response) UnloadedLatency() time.Duration {
 	if !an.Told {
 		return an.Took
 	}
@@ -27,7 +27,7 @@
 	return time.Duration(one)
 }
 
-func (an Answer) slots() int {
+func (an Response) slots() int {
 	if an.Told && an.Load.Places > 0 {
 		return an.Load.Places
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -66,13 +66,13 @@
 }
 
 // MeetsGoal reports whether a request that came now would wait and still meet its goal.
-func (qu *Queue) MeetsGoal(wa Waiter, ou Outlook, now time.Time) bool {
+func (qu *Queue) MeetsGoal(wa Waiter, ou Forecast, now time.Time) bool {
 	start := qu.foreseen(wa, ou)
 	return start <= wa.patience()-now.Sub(wa.Arrived) && !now.Add(start+ou.Expected).After(wa.Goal)
 }
 
 // foreseen returns how long a request is likely to wait.
-func (qu *Queue) foreseen(wa Waiter, ou Outlook) time.Duration {
+func (qu *Queue) foreseen(wa Waiter, ou Forecast) time.Duration {
 	ahead := 0
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && qu.before(other, wa) {
@@ -92,7 +92,7 @@
 
 // Enqueue takes a request in, and returns who is refused for it: the request itself,
 // another, or no one.
-func (qu *Queue) Enqueue(wa Waiter, ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Enqueue(wa Waiter, ou Forecast, now time.Time) []Refusal {
 	qu.heldAt = now
 	if !qu.MeetsGoal(wa, ou, now) {
 		reason, ok := qu.lateRoom(wa, ou, now)
@@ -119,7 +119,7 @@
 // An answer that is late is worth something to its caller, but not at the price of
 // one in time. While more comes than the endpoints serve, each late one that runs
 // makes another late. When less comes, what is left over is theirs.
-func (qu *Queue) lateRoom(wa Waiter, ou Outlook, now time.Time) (Reason, bool) {
+func (qu *Queue) lateRoom(wa Waiter, ou Forecast, now time.Time) (Reason, bool) {
 	ahead := 1
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && (!other.Late || other.Priority <= wa.Priority) {
@@ -239,7 +239,7 @@
 
 // Expire refuses those that have waited as long as they may, but for those that are
 // still of use late.
-func (qu *Queue) Expire(ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Expire(ou Forecast, now time.Time) []Refusal {
 	var out []Refusal
 	for _, wa := range slices.Clone(qu.waiting) {
 		if now.Sub(wa.Arrived) < wa.patience() && !now.Add(ou.Expected).After(wa.Deadline) {
@@ -267,7 +267,7 @@
 // places still become free all the time, only too few. So callers are spread from when the
 // next place is free to the last time at which an answer still meets their goal: were all
 // told the same, they would come back together and be refused again.
-func (qu *Queue) refuse(wa Waiter, reason Reason, ou Outlook, now time.Time) Refusal {
+func (qu *Queue) refuse(wa Waiter, reason Reason, ou Forecast, now time.Time) Refusal {
 	qu.refusedAt = now
 	each := after(1, ou.Rate)
 	soonest := now.Add(after(len(qu.waiting)+1, ou.Total))
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -10,10 +10,10 @@
 
 // waiter returns a request with a goal of 150 ms.
 func waiter(id uint64, at time.Time) Waiter {
-	return Waiter{Arrived: at, ID: id, Needs: Needs{Deadline: at.Add(2 * time.Second), Goal: at.Add(150 * time.Millisecond)}}
+	return Waiter{Arrived: at, ID: id, Deadlines: Deadlines{Deadline: at.Add(2 * time.Second), Goal: at.Add(150 * time.Millisecond)}}
 }
 
-var steady = Outlook{Expected: 50 * time.Millisecond, Rate: 100, Total: 800}
+var steady = Forecast{Expected: 50 * time.Millisecond, Rate: 100, Total: 800}
 
 func ids(was []Waiter) []uint64 {
 	var out []uint64
@@ -30,7 +30,7 @@
 	for id, priority := range []int{2, 0, 1, 0} {
 		wa := waiter(uint64(id), begin)
 		wa.Priority = priority
-		assert.Equal(t, len(qu.Enqueue(wa, Outlook{Expected: time.Millisecond, Rate: 1000, Total: 1000}, begin)), 0)
+		assert.Equal(t, len(qu.Enqueue(wa, Forecast{Expected: time.Millisecond, Rate: 1000, Total: 1000}, begin)), 0)
 	}
 	assert.DeepEqual(t, ids(qu.Next(begin, all)), []uint64{1, 3, 2, 0})
 }
@@ -66,7 +66,7 @@
 }
 
 func TestQueueGivesUpTheLeastUrgent(t *testing.T) {
-	fast := Outlook{Expected: time.Millisecond, Rate: 1e6, Total: 1e6}
+	fast := Forecast{Expected: time.Millisecond, Rate: 1e6, Total: 1e6}
 	var qu Queue
 	for id := range uint64(maxWaiting) {
 		wa := waiter(id, begin)
@@ -100,7 +100,7 @@
 // and less than they promised. In order of arrival all would wait as long as they may,
 // those who are served too.
 func TestQueueThatStands(t *testing.T) {
-	hopeful := Outlook{Expected: 20 * time.Millisecond, Rate: 2000, Total: 2000}
+	hopeful := Forecast{Expected: 20 * time.Millisecond, Rate: 2000, Total: 2000}
 	var qu Queue
 	var waits []time.Duration
 	refused, stood := 0, false
@@ -151,13 +151,13 @@
 
 	var none Queue
 	none.Arrived(begin)
-	res := none.Enqueue(waiter(1, begin), Outlook{}, begin)
+	res := none.Enqueue(waiter(1, begin), Forecast{}, begin)
 	assert.Equal(t, res[0].RetryAfter, maxReturn, "no room is foreseen where nothing is served")
 }
 
 // Load: callers that were refused come again, with the rest of their time.
 func TestTries(t *testing.T) {
-	var tr Tries
+	var tr RetryHistogram
 	assert.Equal(t, tr.Elapsed(1900*time.Millisecond), time.Duration(0), "nothing is known yet")
 	for i := range 1000 {
 		tr.Observe(2 * time.Second)
@@ -184,7 +184,7 @@
 // TestSlowReaders replays callers that read their answers slowly while others of many
 // customers come: what is held stays within its bound, and no customer keeps the rest out.
 func TestSlowReaders(t *testing.T) {
-	he := NewHeld(1000)
+	he := NewMemoryBudget(1000)
 	slow := 0
 	for he.Fits("slow", 0, 10) && slow < 1000 {
 		he.Add("slow", 10)
@@ -205,7 +205,7 @@
 	assert.Assert(t, !he.Fits("other", 0, 1001))
 	assert.Assert(t, he.TooLarge(1001) && !he.TooLarge(1000))
 
-	var none Held
+	var none MemoryBudget
 	none.Add("a", 1<<40)
 	assert.Assert(t, none.Fits("a", 0, 1<<40), "no bound")
 	assert.Assert(t, !none.TooLarge(1<<40), "no bound")
@@ -216,14 +216,14 @@
 // parts. Cause: what had been read of it counted as held by others of its customer.
 func TestWhatFitsAloneIsTaken(t *testing.T) {
 	for _, size := range []int64{10, 500, 510, 1000} {
-		he := NewHeld(1000)
+		he := NewMemoryBudget(1000)
 		for taken := int64(0); taken < size; taken += 10 {
 			assert.Assert(t, he.Fits("a", taken, 10), "%d of %d", taken, size)
 			he.Add("a", 10)
 		}
 		assert.Equal(t, he.ReservesWhole(size), size > 500)
 	}
-	he := NewHeld(1000)
+	he := NewMemoryBudget(1000)
 	he.Add("a", 600)
 	assert.Assert(t, !he.Fits("a", 0, 300), "a second body of the same customer")
 	assert.Assert(t, !he.Fits("b", 0, 600), "two that are larger than half")
@@ -234,7 +234,7 @@
 // a quarter of its part. In order of arrival both are refused alike.
 func TestSmallCustomerBesideALargeOne(t *testing.T) {
 	const goal = 1200 * time.Millisecond
-	ou := Outlook{Expected: 300 * time.Millisecond, Rate: 40, Total: 40}
+	ou := Forecast{Expected: 300 * time.Millisecond, Rate: 40, Total: 40}
 	var qu Queue
 	id, asked, served := uint64(0), map[string]int{}, map[string]int{}
 	join := func(customer string, now time.Time) {
@@ -242,7 +242,7 @@
 		asked[customer]++
 		qu.Arrived(now)
 		qu.Enqueue(Waiter{
-			Arrived: now, Customer: customer, ID: id, Needs: Needs{Deadline: now.Add(4 * goal), Goal: now.Add(goal)},
+			Arrived: now, Customer: customer, ID: id, Deadlines: Deadlines{Deadline: now.Add(4 * goal), Goal: now.Add(goal)},
 		}, ou, now)
 	}
 	for ms := range 10_000 {
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -15,8 +15,8 @@
 	Yielded   Reason = "yielded"    // it made place for a more urgent one
 )
 
-// An Outlook is what a service's endpoints are likely to do for a sender.
-type Outlook struct {
+// A Forecast is what a service's endpoints are likely to do for a sender.
+type Forecast struct {
 	Expected time.Duration // of a request that is sent now, at the best of them
 	Rate     float64       // requests a second that the sender may have answered
 	Total    float64       // requests a second that they answer to all senders
@@ -31,6 +31,6 @@
 	// What decided, for the log.
 	Arrivals float64 // a second
 	Length   int
-	Outlook  Outlook
+	Outlook  Forecast
 	Standing bool
 }
--- a/admission/room.go
+++ b/admission/room.go
@@ -41,15 +41,15 @@
 	aimlessWork = 3
 )
 
-// A Room is what one sender may have in flight at an endpoint, learned from its
-// answers. The zero Room holds nothing back.
+// A Limiter is what one sender may have in flight at an endpoint, learned from its
+// answers. The zero Limiter holds nothing back.
 //
 // Load pattern: many entries before few endpoints, of which each sees only its own
 // requests. The limit is multiplied by how far the endpoint is from the time that a
 // request may spend there, by its load as told where it tells one, else by its
 // latency. Entries that each changed theirs by a number would all overshoot together;
 // a share of what each has adds up to the same for one entry and for a hundred.
-type Room struct {
+type Limiter struct {
 	best      [2]time.Duration // least recent latency in this span and the one before
 	bestUntil time.Time
 	cutAt     time.Time // when the limit was last halved
@@ -65,7 +65,7 @@
 }
 
 // Observe learns from an answer.
-func (ro *Room) Observe(an Answer) {
+func (ro *Limiter) Observe(an Response) {
 	ro.relax(an.At)
 	ro.heardAt = an.At
 	if an.Told {
@@ -80,7 +80,7 @@
 }
 
 // learn takes in how long a request took.
-func (ro *Room) learn(an Answer) {
+func (ro *Limiter) learn(an Response) {
 	one := float64(an.UnloadedLatency())
 	if ro.unit == 0 {
 		ro.unit, ro.recent = time.Duration(one), an.Took
@@ -95,7 +95,7 @@
 }
 
 // usual returns the time of a request that waits for none.
-func (ro *Room) usual() time.Duration {
+func (ro *Limiter) usual() time.Duration {
 	if !ro.loadAt.IsZero() || ro.best[0] == 0 {
 		return ro.unit
 	}
@@ -106,7 +106,7 @@
 }
 
 // steer moves the limit towards what the endpoint bears.
-func (ro *Room) steer(an Answer) {
+func (ro *Limiter) steer(an Response) {
 	spent := float64(ro.recent)
 	usual := float64(ro.usual())
 	if an.Told {
@@ -135,7 +135,7 @@
 }
 
 // grow lets more in flight, until the limit is as far off as it can matter.
-func (ro *Room) grow(bears float64, an Answer) {
+func (ro *Limiter) grow(bears float64, an Response) {
 	if ro.limit == 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // cut halves the limit of an endpoint that was full, once for all that were on their
 // way together.
-func (ro *Room) cut(an Answer) {
+func (ro *Limiter) cut(an Response) {
 	if ro.limit > 0 && an.At.Sub(ro.cutAt) < max(ro.recent, an.Took) {
 		return
 	}
@@ -164,7 +164,7 @@
 
 // relax doubles the limit with each while in which the endpoint did not answer: it may
 // have been emptied since.
-func (ro *Room) relax(now time.Time) {
+func (ro *Limiter) relax(now time.Time) {
 	for ro.limit > 0 && ro.limit < 1 && now.Sub(ro.heardAt) >= loadLife {
 		ro.limit = min(2*ro.limit, 1)
 		ro.heardAt = ro.heardAt.Add(loadLife)
@@ -172,7 +172,7 @@
 }
 
 // Available reports whether one more request may go to the endpoint.
-func (ro *Room) Available(inFlight, slots int, now time.Time) bool {
+func (ro *Limiter) Available(inFlight, slots int, now time.Time) bool {
 	ro.relax(now)
 	if ro.limit == 0 && ro.target == 0 {
 		return slots <= 0 || inFlight < firstRounds*slots
@@ -190,12 +190,12 @@
 
 // pause is the time from one use of the part of a limit beyond whole requests to the
 // next. A limit of a half is a request for half of the time.
-func (ro *Room) pause(part float64, inFlight, slots int, now time.Time) time.Duration {
+func (ro *Limiter) pause(part float64, inFlight, slots int, now time.Time) time.Duration {
 	return time.Duration(float64(ro.ExpectedLatency(inFlight, slots, now)) / part)
 }
 
 // Sent notes that a request goes to the endpoint.
-func (ro *Room) Sent(inFlight int, now time.Time) {
+func (ro *Limiter) Sent(inFlight int, now time.Time) {
 	if ro.limit > 0 && inFlight >= int(ro.limit) {
 		ro.extraAt = now
 	}
@@ -203,23 +203,23 @@
 
 // ExpectedLatency returns how long a request is likely to take that is sent now. What others
 // have there is what the endpoint told beyond the sender's own.
-func (ro *Room) ExpectedLatency(inFlight, slots int, now time.Time) time.Duration {
+func (ro *Limiter) ExpectedLatency(inFlight, slots int, now time.Time) time.Duration {
 	return time.Duration(float64(ro.usual()) * ro.Slowdown(now) * crowd(inFlight+ro.OthersInFlight(now), slots))
 }
 
 // UnloadedLatency returns how long a request takes with few exceptions that is alone: once more
 // than the usual time, as work is spread about its mean.
-func (ro *Room) UnloadedLatency(now time.Time) time.Duration {
+func (ro *Limiter) UnloadedLatency(now time.Time) time.Duration {
 	return time.Duration(spread * float64(ro.usual()) * ro.Slowdown(now))
 }
 
 // LatencyBound returns how long a request takes with few exceptions that is sent now.
-func (ro *Room) LatencyBound(inFlight, slots int, now time.Time) time.Duration {
+func (ro *Limiter) LatencyBound(inFlight, slots int, now time.Time) time.Duration {
 	return ro.ExpectedLatency(inFlight, slots, now) + time.Duration((spread-1)*float64(ro.usual())*ro.Slowdown(now))
 }
 
 // OthersInFlight returns how many requests of others are believed to be at the endpoint.
-func (ro *Room) OthersInFlight(now time.Time) int {
+func (ro *Limiter) OthersInFlight(now time.Time) int {
 	if ro.loadAt.IsZero() || now.Sub(ro.loadAt) >= loadLife {
 		return 0
 	}
@@ -228,7 +228,7 @@
 
 // ReportedLoad returns how many requests the endpoint last said to have, or 0 if that was long
 // ago.
-func (ro *Room) ReportedLoad(now time.Time) int {
+func (ro *Limiter) ReportedLoad(now time.Time) int {
 	if now.Sub(ro.loadAt) >= toldLife {
 		return 0
 	}
@@ -237,7 +237,7 @@
 
 // Slowdown returns how many times as long as usual work takes now: as told, and less
 // sure with its age.
-func (ro *Room) Slowdown(now time.Time) float64 {
+func (ro *Limiter) Slowdown(now time.Time) float64 {
 	age := now.Sub(ro.loadAt)
 	if ro.loadAt.IsZero() || age >= paceLife {
 		return 1
@@ -246,7 +246,7 @@
 }
 
 // Rate returns how many requests a second the sender may have answered there.
-func (ro *Room) Rate(inFlight, slots int, now time.Time) float64 {
+func (ro *Limiter) Rate(inFlight, slots int, now time.Time) float64 {
 	expected := ro.ExpectedLatency(inFlight, slots, now).Seconds()
 	limit := ro.limit
 	if limit == 0 {
@@ -256,13 +256,13 @@
 }
 
 // TotalRate returns how many requests a second the endpoint answers to all senders.
-func (ro *Room) TotalRate(slots int, now time.Time) float64 {
+func (ro *Limiter) TotalRate(slots int, now time.Time) float64 {
 	return float64(max(slots, 1)) / max(ro.usual().Seconds()*ro.Slowdown(now), time.Millisecond.Seconds())
 }
 
 // Limit returns how many requests the sender may have in flight there, or 0 while
 // nothing holds it back.
-func (ro *Room) Limit() float64 { return ro.limit }
+func (ro *Limiter) Limit() float64 { return ro.limit }
 
 // crowd returns how many times as long as alone a request takes beside busy others.
 func crowd(busy, slots int) float64 {
--- a/admission/room_test.go
+++ b/admission/room_test.go
@@ -40,7 +40,7 @@
 
 // answers lets a room learn from so many answers of an endpoint with a load, one each
 // ten milliseconds, and returns when the last came.
-func answers(ro *Room, from time.Time, count int, an Answer) time.Time {
+func answers(ro *Limiter, from time.Time, count int, an Response) time.Time {
 	for range count {
 		from = from.Add(10 * time.Millisecond)
 		an.At, an.Slots, an.Target = from, 6, target
@@ -50,10 +50,10 @@
 }
 
 func TestRoomFollowsLoad(t *testing.T) {
-	idle := Answer{InFlight: 1, Load: Load{Running: 1, Places: 6}, Told: true, Took: unit}
-	crowded := Answer{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
+	idle := Response{InFlight: 1, Load: Load{Running: 1, Places: 6}, Told: true, Took: unit}
+	crowded := Response{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
 
-	var ro Room
+	var ro Limiter
 	now := answers(&ro, begin, 20, idle)
 	assert.Equal(t, ro.Limit(), 0.0, "nothing is held back below the room")
 	assert.Assert(t, ro.Available(5, 6, now))
@@ -69,13 +69,13 @@
 
 // An endpoint that tells no load shows by its latency alone that it is crowded.
 func TestRoomFollowsLatency(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 20, Answer{InFlight: 2, Took: unit})
+	var ro Limiter
+	now := answers(&ro, begin, 20, Response{InFlight: 2, Took: unit})
 	assert.Equal(t, ro.Limit(), 0.0)
-	now = answers(&ro, now, 40, Answer{InFlight: 8, Took: 8 * unit})
+	now = answers(&ro, now, 40, Response{InFlight: 8, Took: 8 * unit})
 	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 7, ro.Limit())
 	held := ro.Limit()
-	answers(&ro, now, 40, Answer{InFlight: 2, Took: unit})
+	answers(&ro, now, 40, Response{InFlight: 2, Took: unit})
 	assert.Assert(t, ro.Limit() > held || ro.Limit() == 0, ro.Limit())
 }
 
@@ -83,14 +83,14 @@
 // Events: it turned away a dozen requests that were on their way together.
 // Cause: the limit was halved for each of them.
 func TestRoomIsCutOncePerRound(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 20, Answer{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
+	var ro Limiter
+	now := answers(&ro, begin, 20, Response{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
 	for range 12 {
-		ro.Observe(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+		ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	}
 	assert.Equal(t, ro.Limit(), 4.0)
 	now = now.Add(2 * unit)
-	ro.Observe(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+	ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	assert.Equal(t, ro.Limit(), 2.0)
 }
 
@@ -98,7 +98,7 @@
 // Events: refusals cut the limit to its least; nothing is sent, so nothing is answered.
 // Cause: only answers moved the limit.
 func TestRoomOpensWithTime(t *testing.T) {
-	ro := Room{heardAt: begin, limit: leastLimit, unit: unit}
+	ro := Limiter{heardAt: begin, limit: leastLimit, unit: unit}
 	assert.Assert(t, ro.Available(0, 6, begin))
 	ro.Sent(0, begin)
 	assert.Assert(t, !ro.Available(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
@@ -112,14 +112,14 @@
 // Load: an endpoint shares its machine, so that its work takes three times as long and
 // as usual again many times a second.
 func TestRoomFollowsPace(t *testing.T) {
-	var ro Room
+	var ro Limiter
 	now := begin
 	for i := range 50 {
 		pace := 100
 		if i%2 == 1 {
 			pace = 300
 		}
-		now = answers(&ro, now, 1, Answer{
+		now = answers(&ro, now, 1, Response{
 			InFlight: 1, Load: Load{Pace: pace, Places: 6, Running: 2}, Told: true, Took: unit * time.Duration(pace) / 100,
 		})
 		assert.Equal(t, ro.ExpectedLatency(0, 6, now), unit*time.Duration(pace)/100)
@@ -130,8 +130,8 @@
 }
 
 func TestRoomSeesOthers(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 5, Answer{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
+	var ro Limiter
+	now := answers(&ro, begin, 5, Response{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
 	assert.Equal(t, ro.OthersInFlight(now), 12)
 	assert.Equal(t, ro.ReportedLoad(now), 14)
 	assert.Equal(t, ro.ExpectedLatency(5, 6, now).Round(time.Millisecond), 3*unit)
@@ -144,13 +144,13 @@
 func TestRoomsShare(t *testing.T) {
 	for _, senders := range []int{1, 5, 40, 100} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
-			rooms := make([]Room, senders)
+			rooms := make([]Limiter, senders)
 			inFlight := make([]int, senders)
 			var queue []int // senders
 			sum, full, sent := 0, 0, 0
 			for at := range 8000 {
 				now := begin.Add(time.Duration(at) * time.Millisecond)
-				answer := func(se int, an Answer) {
+				answer := func(se int, an Response) {
 					inFlight[se]--
 					an.At, an.InFlight, an.Slots, an.Target, an.Told = now, inFlight[se]+1, 6, target, true
 					an.Load = Load{Running: min(len(queue), 6), Waiting: max(len(queue)-6, 0), Places: 6}
@@ -166,7 +166,7 @@
 					sent++
 					if len(queue) >= 30 {
 						full++
-						answer(se, Answer{Refused: true, Took: time.Millisecond})
+						answer(se, Response{Refused: true, Took: time.Millisecond})
 						continue
 					}
 					queue = append(queue, se)
@@ -174,7 +174,7 @@
 				if at%4 == 0 && len(queue) > 0 { // six places, 24 ms each
 					se := queue[0]
 					queue = queue[1:]
-					answer(se, Answer{Took: max(unit, time.Duration(len(queue))*4*time.Millisecond)})
+					answer(se, Response{Took: max(unit, time.Duration(len(queue))*4*time.Millisecond)})
 				}
 				if at == 4000 {
 					sum, full, sent = 0, 0, 0
--- a/admission/tries.go
+++ b/admission/tries.go
@@ -14,18 +14,18 @@
 	leastTimes = 8
 )
 
-// Tries knows how long callers of a route wait as a rule, and so how much of that one
-// has used before this try of its. The zero Tries knows nothing.
+// RetryHistogram knows how long callers of a route wait as a rule, and so how much of that one
+// has used before this try of its. The zero RetryHistogram knows nothing.
 //
 // Load pattern: a burst beyond the room, whose refused callers come again. A try says
 // how long its caller still waits, which is less each time. Taken for new ones, half of
 // the room goes to callers for whom it is late already, and others become late for it.
-type Tries struct {
+type RetryHistogram struct {
 	counts map[int]int // by time, in steps
 }
 
 // Observe counts the time that a try names.
-func (tr *Tries) Observe(left time.Duration) {
+func (tr *RetryHistogram) Observe(left time.Duration) {
 	if left <= 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-func (tr *Tries) fade() {
+func (tr *RetryHistogram) fade() {
 	for at := range tr.counts {
 		if tr.counts[at] /= 2; tr.counts[at] == 0 {
 			delete(tr.counts, at)
@@ -52,7 +52,7 @@
 
 // Elapsed returns how much of its time the caller of a try that names left has used
 // before: the rest of what callers mostly name.
-func (tr *Tries) Elapsed(left time.Duration) time.Duration {
+func (tr *RetryHistogram) Elapsed(left time.Duration) time.Duration {
 	usual, most := 0, leastTimes-1
 	for at, count := range tr.counts {
 		if count > most || count == most && at > usual {
--- a/admission/waiter.go
+++ b/admission/waiter.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Needs are what a request needs to be of use.
-type Needs struct {
+// Deadlines are what a request needs to be of use.
+type Deadlines struct {
 	Goal     time.Time // an answer until then is worth the most
 	Deadline time.Time // an answer after it is worth nothing
 }
 
 // A Waiter is a request that waits for room.
 type Waiter struct {
-	Needs
+	Deadlines
 	Arrived  time.Time
 	Customer string // empty where requests have none
 	ID       uint64
@@ -38,6 +38,8 @@
 	targetPart = 0.4
 )
 
-// Target returns how long a request may spend at its endpoint whose goal is so far
+// LatencyTarget returns how long a request may spend at its endpoint whose goal is so far
 // off.
-func Target(goal time.Duration) time.Duration { return time.Duration(targetPart * float64(goal)) }
+func LatencyTarget(goal time.Duration) time.Duration {
+	return time.Duration(targetPart * float64(goal))
+}
--- a/allotment/allotment.go
+++ b/allotment/allotment.go
@@ -37,18 +37,18 @@
 // Codes returns the errors of this package that cross processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-allotment-holder"}} }
 
-// A TellRequest holds what an entry has seen since it told before.
-type TellRequest struct {
+// A DemandRequest holds what an entry has seen since it told before.
+type DemandRequest struct {
 	Boot string // of the entry; changes with each of its starts
 	// Demands are customers' of services; nil while none compete, so that nothing is
 	// divided by them.
 	Demands  map[string]fairshare.ServiceDemand
-	Instance string                `cbor:",omitempty"` // of the entry; stays when it starts anew
-	Loads    map[string]scale.Seen `cbor:",omitempty"` // of plain services whose endpoints may be ordered
+	Instance string                       `cbor:",omitempty"` // of the entry; stays when it starts anew
+	Loads    map[string]scale.Observation `cbor:",omitempty"` // of plain services whose endpoints may be ordered
 }
 
-// A TellResponse is what the entry may give.
-type TellResponse struct {
+// A DemandResponse is what the entry may give.
+type DemandResponse struct {
 	Bounds  fairshare.Bounds
 	Entries int // that tell
 }
--- a/allotment/allotment_test.go
+++ b/allotment/allotment_test.go
@@ -22,7 +22,7 @@
 	entries []*deskEntry
 	epoch   uint64
 	held    bool
-	holder  *Holder
+	holder  *Allocator
 	mu      sync.Mutex  // guards all: entries tell while others ask
 	ends    []time.Time // of the requests that endpoints have
 	places  int
@@ -33,7 +33,7 @@
 	demands map[string]fairshare.Demand
 	ends    map[string][]time.Time
 	short   bool
-	teller  *Teller
+	teller  *DemandReporter
 }
 
 // A score counts a customer's requests.
@@ -52,12 +52,12 @@
 	de.newHolder(weights)
 	for i := range entries {
 		en := &deskEntry{demands: map[string]fairshare.Demand{}, ends: map[string][]time.Time{}}
-		en.teller = &Teller{
-			CallFunc: func(_ context.Context, rq TellRequest) (TellResponse, error) {
+		en.teller = &DemandReporter{
+			CallFunc: func(_ context.Context, rq DemandRequest) (DemandResponse, error) {
 				de.mu.Lock()
 				defer de.mu.Unlock()
 				if de.cut[i] {
-					return TellResponse{}, context.DeadlineExceeded
+					return DemandResponse{}, context.DeadlineExceeded
 				}
 				return de.holder.tell(rq, time.Now())
 			},
@@ -70,7 +70,7 @@
 }
 
 func (de *desk) newHolder(weights func() map[string]float64) {
-	de.holder = &Holder{
+	de.holder = &Allocator{
 		Log: quiet(), Metrics: metrics.NewSet(), StandingFunc: func(time.Time) (uint64, bool) { return de.epoch, de.held },
 		WeightsFunc: weights,
 	}
--- a/allotment/call.go
+++ b/allotment/call.go
@@ -11,7 +11,7 @@
 
 // callHolder makes a call to the holder of the lease. A holder that can't be reached is
 // looked for anew by the next call; one that is not sure that it holds stays.
-func callHolder[Req, Resp any](ctx context.Context, fi *lease.Finder, po *peer.Pool, method string, rq Req) (Resp, error) {
+func callHolder[Req, Resp any](ctx context.Context, fi *lease.Resolver, po *peer.Pool, method string, rq Req) (Resp, error) {
 	address := fi.Address(ctx)
 	if address == "" {
 		var none Resp
--- a/allotment/granter.go
+++ b/allotment/granter.go
@@ -28,12 +28,12 @@
 	Tokens int
 }
 
-// A Granter grants tokens of customers' quotas while the process holds a lease. Fill the
+// A TokenServer grants tokens of customers' quotas while the process holds a lease. Fill the
 // exported fields, then call Register.
 //
 // What it has granted need not last: the next holder begins without tokens, and those
 // that were granted before are void after their lives.
-type Granter struct {
+type TokenServer struct {
 	Metrics   *metrics.Set
 	Overshoot float64 // by which part of it a quota may be exceeded
 	// QuotaFunc returns a customer's quota, in requests a second; 0 means none.
@@ -47,14 +47,14 @@
 }
 
 // Register lets entries ask for tokens.
-func (gr *Granter) Register(sv *peer.Server) {
+func (gr *TokenServer) Register(sv *peer.Server) {
 	peer.Handle(sv, grantMethod, func(_ context.Context, _ message.Header, rq GrantRequest) (GrantResponse, error) {
 		return gr.grant(rq, time.Now())
 	})
 }
 
 // grant grants tokens.
-func (gr *Granter) grant(rq GrantRequest, now time.Time) (GrantResponse, error) {
+func (gr *TokenServer) grant(rq GrantRequest, now time.Time) (GrantResponse, error) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	epoch, held := gr.StandingFunc(now)
@@ -64,7 +64,7 @@
 	if gr.epoch != epoch || gr.buckets == nil {
 		gr.epoch, gr.buckets = epoch, map[string]*quota.Bucket{}
 	}
-	te := quota.Terms{Overshoot: gr.Overshoot, Rate: gr.QuotaFunc(rq.Customer)}
+	te := quota.Limit{Overshoot: gr.Overshoot, Rate: gr.QuotaFunc(rq.Customer)}
 	if te.Rate <= 0 { // the configuration here is another one than the entry's, or not read yet
 		te.Rate = rq.Rate
 	}
--- a/allotment/holder.go
+++ b/allotment/holder.go
@@ -18,14 +18,14 @@
 // divideEvery is how often places are divided anew at most.
 const divideEvery = 100 * time.Millisecond
 
-// A Holder divides places among entries while the process holds a lease. Fill the
+// An Allocator divides places among entries while the process holds a lease. Fill the
 // exported fields, then call Register.
 //
 // What it knows need not last: entries tell it again within entryLife, and go on with
 // what they were told meanwhile.
-type Holder struct {
+type Allocator struct {
 	// Census is told what entries see of plain services; nil is told nothing.
-	Census  *scale.Census
+	Census  *scale.LoadAggregator
 	Log     *logrus.Entry
 	Metrics *metrics.Set
 	// StandingFunc returns the epoch under which the lease is held, if it is.
@@ -36,7 +36,7 @@
 	begunAt   time.Time // of the epoch
 	bounds    map[string]fairshare.Bounds
 	dividedAt time.Time
-	division  fairshare.Division
+	division  fairshare.Divider
 	entries   map[string]told
 	epoch     uint64
 	mu        sync.Mutex
@@ -49,8 +49,8 @@
 }
 
 // Register lets entries tell.
-func (ho *Holder) Register(sv *peer.Server) {
-	peer.Handle(sv, tellMethod, func(_ context.Context, _ message.Header, rq TellRequest) (TellResponse, error) {
+func (ho *Allocator) Register(sv *peer.Server) {
+	peer.Handle(sv, tellMethod, func(_ context.Context, _ message.Header, rq DemandRequest) (DemandResponse, error) {
 		return ho.tell(rq, time.Now())
 	})
 }
@@ -59,35 +59,35 @@
 //
 // A new holder has heard of few entries. Divided among these, places would be given away
 // several times; so it decides nothing before all have had the time to tell.
-func (ho *Holder) tell(rq TellRequest, now time.Time) (TellResponse, error) {
+func (ho *Allocator) tell(rq DemandRequest, now time.Time) (DemandResponse, error) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	epoch, held := ho.StandingFunc(now)
 	if !held {
 		ho.epoch = 0
-		return TellResponse{}, ErrNotHolder
+		return DemandResponse{}, ErrNotHolder
 	}
 	if ho.epoch != epoch {
-		ho.epoch, ho.begunAt, ho.entries, ho.division = epoch, now, map[string]told{}, fairshare.Division{}
+		ho.epoch, ho.begunAt, ho.entries, ho.division = epoch, now, map[string]told{}, fairshare.Divider{}
 	}
 	if rq.Loads != nil && ho.Census != nil {
 		ho.Census.Report(rq.Instance, rq.Loads, now)
 	}
 	if rq.Demands == nil {
-		return TellResponse{}, nil
+		return DemandResponse{}, nil
 	}
 	ho.entries[rq.Boot] = told{at: now, demands: rq.Demands}
 	if now.Sub(ho.begunAt) < entryLife {
-		return TellResponse{}, ErrNotHolder
+		return DemandResponse{}, ErrNotHolder
 	}
 	if _, known := ho.bounds[rq.Boot]; !known || now.Sub(ho.dividedAt) >= divideEvery {
 		ho.divide(now)
 	}
-	return TellResponse{Bounds: ho.bounds[rq.Boot], Entries: len(ho.entries)}, nil
+	return DemandResponse{Bounds: ho.bounds[rq.Boot], Entries: len(ho.entries)}, nil
 }
 
 // divide divides the places by what is known. The lock is held.
-func (ho *Holder) divide(now time.Time) {
+func (ho *Allocator) divide(now time.Time) {
 	maps.DeleteFunc(ho.entries, func(_ string, to told) bool { return now.Sub(to.at) >= entryLife })
 	entries := map[string]map[string]fairshare.ServiceDemand{}
 	for boot, to := range ho.entries {
@@ -117,7 +117,7 @@
 
 // Parts returns which part of the places of a service that is short of them each
 // customer has; of several services that of which it has the most.
-func (ho *Holder) Parts(now time.Time) map[string]float64 {
+func (ho *Allocator) Parts(now time.Time) map[string]float64 {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	held, places := map[string]map[string]int{}, map[string]int{}
--- a/allotment/loads_test.go
+++ b/allotment/loads_test.go
@@ -19,14 +19,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		weights := func() map[string]float64 { return nil }
 		held, cut := true, false
-		ho := &Holder{
-			Census: &scale.Census{}, Log: quiet(), Metrics: metrics.NewSet(),
+		ho := &Allocator{
+			Census: &scale.LoadAggregator{}, Log: quiet(), Metrics: metrics.NewSet(),
 			StandingFunc: func(time.Time) (uint64, bool) { return 1, held }, WeightsFunc: weights,
 		}
-		te := &Teller{
-			CallFunc: func(_ context.Context, rq TellRequest) (TellResponse, error) {
+		te := &DemandReporter{
+			CallFunc: func(_ context.Context, rq DemandRequest) (DemandResponse, error) {
 				if cut {
-					return TellResponse{}, context.DeadlineExceeded
+					return DemandResponse{}, context.DeadlineExceeded
 				}
 				return ho.tell(rq, time.Now())
 			},
@@ -34,8 +34,8 @@
 				return map[string]fairshare.ServiceDemand{"desk": {Customers: map[string]fairshare.Demand{"a": {Asked: 9, Met: 9}}, Places: 1, Short: true}}
 			},
 			Instance: "entry-1", Log: quiet(),
-			LoadsFunc: func(time.Time) map[string]scale.Seen {
-				return map[string]scale.Seen{"desk": {Begun: 5, Span: tellEvery}}
+			LoadsFunc: func(time.Time) map[string]scale.Observation {
+				return map[string]scale.Observation{"desk": {Begun: 5, Span: tellEvery}}
 			},
 			Metrics: metrics.NewSet(), WeightsFunc: weights,
 		}
--- a/allotment/payer.go
+++ b/allotment/payer.go
@@ -24,13 +24,13 @@
 	leastRetry = 100 * time.Millisecond
 )
 
-// A Payer spends tokens of customers' quotas at an entry. Fill the exported fields before
+// A RateLimiter spends tokens of customers' quotas at an entry. Fill the exported fields before
 // use.
-type Payer struct {
+type RateLimiter struct {
 	// CallFunc asks for tokens; nil stands for a call to the holder that the finder
 	// knows.
 	CallFunc  func(ctx context.Context, rq GrantRequest) (GrantResponse, error)
-	Finder    *lease.Finder // of the holder
+	Finder    *lease.Resolver // of the holder
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
 	Overshoot float64
@@ -43,7 +43,7 @@
 // A purse is a customer's, used by one request at a time. The one that finds it empty
 // asks for tokens for all that wait behind it.
 type purse struct {
-	quota.Purse
+	quota.LocalBucket
 	turn chan struct{} // full while a request uses the purse
 }
 
@@ -52,8 +52,8 @@
 //
 // An entry that can't reach the holder spends what it has and then refuses: let through,
 // each entry that is cut off would exceed the quota once more.
-func (pa *Payer) Allow(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
-	te := quota.Terms{Overshoot: pa.Overshoot, Rate: rate}
+func (pa *RateLimiter) Allow(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
+	te := quota.Limit{Overshoot: pa.Overshoot, Rate: rate}
 	pu := pa.purse(customer)
 	select {
 	case pu.turn <- struct{}{}:
@@ -82,7 +82,7 @@
 }
 
 // purse returns a customer's purse. There are as many as customers with quotas.
-func (pa *Payer) purse(customer string) *purse {
+func (pa *RateLimiter) purse(customer string) *purse {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
 	if pa.purses == nil {
@@ -98,7 +98,7 @@
 
 // ask asks for tokens. The call doesn't end with the request that makes it, since others
 // wait for it too.
-func (pa *Payer) ask(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
+func (pa *RateLimiter) ask(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grantTimeout)
 	defer cancel()
 	if pa.CallFunc != nil {
--- a/allotment/quota_test.go
+++ b/allotment/quota_test.go
@@ -17,8 +17,8 @@
 	calls   atomic.Int64
 	cut     []atomic.Bool
 	epoch   uint64
-	granter *Granter
-	payers  []*Payer
+	granter *TokenServer
+	payers  []*RateLimiter
 	quota   float64
 }
 
@@ -26,7 +26,7 @@
 	co := &counter{cut: make([]atomic.Bool, entries), epoch: 1, quota: quota}
 	co.granter = co.newGranter()
 	for i := range entries {
-		co.payers = append(co.payers, &Payer{
+		co.payers = append(co.payers, &RateLimiter{
 			CallFunc: func(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
 				co.calls.Add(1)
 				time.Sleep(2 * time.Millisecond)
@@ -42,8 +42,8 @@
 	return co
 }
 
-func (co *counter) newGranter() *Granter {
-	return &Granter{
+func (co *counter) newGranter() *TokenServer {
+	return &TokenServer{
 		Metrics: metrics.NewSet(), Overshoot: 0.1, QuotaFunc: func(string) float64 { return co.quota },
 		StandingFunc: func(time.Time) (uint64, bool) { return co.epoch, true },
 	}
--- a/allotment/teller.go
+++ b/allotment/teller.go
@@ -16,25 +16,25 @@
 	"wisteriacroft/tick"
 )
 
-// A Teller tells the holder what an entry has seen, and knows what the entry may give
+// A DemandReporter tells the holder what an entry has seen, and knows what the entry may give
 // customers. Fill the exported fields, then call Run.
-type Teller struct {
+type DemandReporter struct {
 	// CallFunc makes the call; nil stands for one to the holder that the finder knows.
-	CallFunc func(ctx context.Context, rq TellRequest) (TellResponse, error)
+	CallFunc func(ctx context.Context, rq DemandRequest) (DemandResponse, error)
 	// DemandsFunc returns what the entry has seen since it was called before.
 	DemandsFunc func(now time.Time, shortFor time.Duration) map[string]fairshare.ServiceDemand
-	Finder      *lease.Finder // of the holder
-	Instance    string        // of the entry
+	Finder      *lease.Resolver // of the holder
+	Instance    string          // of the entry
 	// LoadsFunc returns what the entry has seen of plain services whose endpoints may be
 	// ordered since it was called before, nil if there are none. Nil has none.
-	LoadsFunc func(now time.Time) map[string]scale.Seen
+	LoadsFunc func(now time.Time) map[string]scale.Observation
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
 	Pool      *peer.Pool
 	// WeightsFunc returns the customers' weights.
 	WeightsFunc func() map[string]float64
 
-	alone   fairshare.Division
+	alone   fairshare.Divider
 	boot    string
 	bounds  fairshare.Bounds
 	entries int // that the holder last knew
@@ -44,14 +44,14 @@
 
 // CustomerBound returns how many places of a service the entry may give a customer now,
 // or fairshare.NoBound.
-func (te *Teller) CustomerBound(customer, service string) int {
+func (te *DemandReporter) CustomerBound(customer, service string) int {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	return te.bounds.Of(customer, service)
 }
 
 // Run tells until ctx ends.
-func (te *Teller) Run(ctx context.Context) {
+func (te *DemandReporter) Run(ctx context.Context) {
 	te.boot = uuid.NewString()
 	(&tick.Loop{Every: tellEvery, Systems: []tick.System{{Name: "tell demands", Run: func(time.Time) { te.round(ctx) }}}}).Run(ctx)
 }
@@ -59,9 +59,9 @@
 // round tells once, if customers compete for a service that is short of places or was
 // when the holder was told before, or if there are services whose endpoints may be ordered
 // by what entries see. An entry of an idle system without such tells nothing.
-func (te *Teller) round(ctx context.Context) {
+func (te *DemandReporter) round(ctx context.Context) {
 	now := time.Now()
-	rq := TellRequest{Boot: te.boot, Instance: te.Instance}
+	rq := DemandRequest{Boot: te.boot, Instance: te.Instance}
 	if te.LoadsFunc != nil {
 		rq.Loads = te.LoadsFunc(now)
 	}
@@ -85,7 +85,7 @@
 }
 
 // take takes in what the holder said to the demands that it was told.
-func (te *Teller) take(re TellResponse, err error, demands map[string]fairshare.ServiceDemand) {
+func (te *DemandReporter) take(re DemandResponse, err error, demands map[string]fairshare.ServiceDemand) {
 	now := time.Now()
 	te.mu.Lock()
 	defer te.mu.Unlock()
@@ -102,7 +102,7 @@
 }
 
 // bounding reports whether the entry bounds anyone, and notes in the demands of what.
-func (te *Teller) bounding(demands map[string]fairshare.ServiceDemand) bool {
+func (te *DemandReporter) bounding(demands map[string]fairshare.ServiceDemand) bool {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	for service := range te.bounds {
@@ -125,8 +125,8 @@
 }
 
 // call makes one call to the holder.
-func (te *Teller) call(ctx context.Context, rq TellRequest) (TellResponse, error) {
+func (te *DemandReporter) call(ctx context.Context, rq DemandRequest) (DemandResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	return callHolder[TellRequest, TellResponse](ctx, te.Finder, te.Pool, tellMethod, rq)
+	return callHolder[DemandRequest, DemandResponse](ctx, te.Finder, te.Pool, tellMethod, rq)
 }
--- a/attendant/attempt.go
+++ b/attendant/attempt.go
@@ -19,8 +19,8 @@
 	ErrStale = errors.New("weights are older than allowed")
 	// ErrTooLong means that the answer has more tokens than were asked for.
 	ErrTooLong = errors.New("answer is longer than asked for")
-	// ErrUnnamed means that a chunk does not name the version that made it.
-	ErrUnnamed = errors.New("chunk names no weight version")
+	// ErrNoVersion means that a chunk does not name the version that made it.
+	ErrNoVersion = errors.New("chunk names no weight version")
 )
 
 // An attempt gathers the tokens of one request to an engine and the versions
@@ -73,7 +73,7 @@
 	// failed or come in between. To guess would mark a sample with weights that
 	// did not make it, which nobody could notice later.
 	if ch.Version == 0 {
-		return errors.Wrapf(ErrUnnamed, "attempt %s: chunk at %d", at.id(), ch.First)
+		return errors.Wrapf(ErrNoVersion, "attempt %s: chunk at %d", at.id(), ch.First)
 	}
 	if uint64(ch.Version) < at.request.MinVersion {
 		return errors.Wrapf(ErrStale, "attempt %s: version %d, want %d", at.id(), ch.Version, at.request.MinVersion)
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -48,13 +48,13 @@
 	options   Options
 	partials  *partialTable
 	pool      *peer.Pool
-	profiles  *profile.Holder
+	profiles  *profile.Replica
 	random    *rand.Rand // used by systems only
 	reporter  *roster.Reporter
 	router    *mux.Router
 	server    *peer.Server
 	settleAt  time.Time // when former homes are asked next
-	spreader  *profile.Spreader
+	spreader  *profile.Syncer
 	startedAt time.Time
 	sweepAt   time.Time // when the data folder is swept next
 	work      *work
@@ -78,7 +78,7 @@
 			return nil, errors.Wrapf(err, "endpoint %s", eo.Name)
 		}
 	}
-	at.spreader = &profile.Spreader{Holder: op.Profiles, Rand: rand.New(rand.NewPCG(op.Seed, 1))}
+	at.spreader = &profile.Syncer{Holder: op.Profiles, Rand: rand.New(rand.NewPCG(op.Seed, 1))}
 	at.pool = &peer.Pool{
 		DialFunc:       op.DialFunc,
 		HeaderFunc:     at.header,
@@ -88,7 +88,7 @@
 		},
 	}
 	at.spreader.FetchFunc = configuration.Fetcher(at.pool, op.Profiles)
-	at.depot = NewDepotClient(at.pool)
+	at.depot = NewBlobClient(at.pool)
 	op.Metrics.GetOrCreateGauge("wisteriacroft_attendant_revision", func() float64 {
 		return float64(op.Profiles.Revision())
 	})
@@ -97,7 +97,7 @@
 	at.observeList(at.knownEntries())
 	at.server = at.newServer()
 	at.router = at.newRouter()
-	at.http = process.NewHTTPServer(process.CloseWhile(at.work.isLeaving, at))
+	at.http = process.NewHTTPServer(process.CloseConnectionsWhile(at.work.isLeaving, at))
 	return at, nil
 }
 
@@ -126,12 +126,12 @@
 func (at *Attendant) newServer() *peer.Server {
 	sv := &peer.Server{HeaderFunc: at.header, MaxMessageSize: MaxMessageSize}
 	configuration.Handle(sv, at.profiles)
-	order.MountFence(sv, at.fence)
+	order.RegisterFence(sv, at.fence)
 	peer.Handle(sv, PartialMethod, at.Partial)
 	peer.Handle(sv, YieldMethod, at.Yield)
 	peer.Handle(sv, message.AttendantStatusMethod, at.Status)
 	if at.options.Store != nil {
-		HandleDepot(sv, at.options.Store)
+		HandleBlobs(sv, at.options.Store)
 	}
 	return sv
 }
--- a/attendant/bench_test.go
+++ b/attendant/bench_test.go
@@ -152,8 +152,8 @@
 // BenchmarkCall measures what a live call costs in the attendant.
 func BenchmarkCall(b *testing.B) {
 	client := &plainservice.Client{
-		CallFunc: func(context.Context, plainservice.Request) (plainservice.Answer, error) {
-			return plainservice.Answer{Body: io.NopCloser(strings.NewReader("open")), Status: http.StatusOK}, nil
+		CallFunc: func(context.Context, plainservice.Request) (plainservice.Response, error) {
+			return plainservice.Response{Body: io.NopCloser(strings.NewReader("open")), Status: http.StatusOK}, nil
 		},
 	}
 	at, err := attendant.New(attendant.Options{Endpoints: []attendant.EndpointOptions{
--- a/attendant/call.go
+++ b/attendant/call.go
@@ -36,10 +36,10 @@
 // repeatable is not: to run it twice might do harm.
 func newCall(he http.Header) (call, error) {
 	ca := call{
-		ask:        he.Get(message.KeyAskHeader) == yes,
+		ask:        he.Get(message.KeyQueryHeader) == yes,
 		id:         he.Get(message.RequestIDHeader),
 		key:        he.Get(message.KeyHeader),
-		minted:     he.Get(message.KeyMintedHeader) == yes,
+		minted:     he.Get(message.KeyGeneratedHeader) == yes,
 		profile:    he.Get(message.ProfileHeader),
 		repeatable: he.Get(message.RepeatableHeader) == yes,
 	}
@@ -73,7 +73,7 @@
 
 // An answer is what a plain service answered, with its body whole.
 type answer struct {
-	once.Answer
+	once.Response
 	refusal *fate.Refusal // set if there is no answer
 }
 
@@ -98,7 +98,7 @@
 	defer cancel()
 	req := plainservice.Request{
 		Body:   body,
-		Header: message.PassOn(rq.Header),
+		Header: message.ForwardHeaders(rq.Header),
 		ID:     ca.id,
 		Method: rq.Method,
 		Path:   servicePath(rq),
@@ -145,7 +145,7 @@
 	if err != nil {
 		return answer{refusal: en.refusalOf(ctx, ca.id, err)}
 	}
-	return answer{Answer: an}
+	return answer{Response: an}
 }
 
 // live returns what the gate needs to know of a live call.
--- a/attendant/call_test.go
+++ b/attendant/call_test.go
@@ -24,7 +24,7 @@
 // requests at a time.
 func plainOptions(t *testing.T, fs *fakeService) attendant.Options {
 	t.Helper()
-	ho := &profile.Holder{}
+	ho := &profile.Replica{}
 	ho.Offer(deskDocument(t, 3, "desk-1"), profile.FromPeer)
 	return attendant.Options{
 		Endpoints: []attendant.EndpointOptions{{Name: "desk-1", Plain: fs.client(), Service: "order-desk"}},
@@ -76,7 +76,7 @@
 		se.call(ctx, "a:1", "desk-1/call/cards/7", id, "broken", repeatable, "yes")
 		fs.failWith(plainservice.ErrNotSent)
 		se.call(ctx, "a:1", "desk-1/call/cards/7", id, "not-sent", repeatable, "yes")
-		fs.failWith(plainservice.ErrCrossed)
+		fs.failWith(plainservice.ErrMismatchedResponse)
 		se.call(ctx, "a:1", "desk-1/call/cards/7", id, "crossed", repeatable, "yes")
 		se.note("ran: %v", fs.whatRan())
 	})
@@ -225,7 +225,7 @@
 		ke := newKey()
 		se.call(se.Context(), "b:1", "desk-2/call/orders", id, "new-home-without-word", key, ke)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "old-home", key, ke)
-		stop := se.startEntry("e:1", &profile.Holder{})
+		stop := se.startEntry("e:1", &profile.Replica{})
 		defer stop()
 		time.Sleep(5 * time.Second)
 		se.call(se.Context(), "b:1", "desk-2/call/orders", id, "repeat-at-new-home", key, ke)
--- a/attendant/callonce.go
+++ b/attendant/callonce.go
@@ -34,7 +34,7 @@
 	case de.Refusal != nil:
 		return answer{refusal: de.Refusal}
 	case de.Answer != nil:
-		return answer{Answer: *de.Answer}
+		return answer{Response: *de.Answer}
 	case !at.work.enter():
 		en.once.Release(time.Now(), ke)
 		return answer{refusal: leaving(ca.id)}
@@ -85,7 +85,7 @@
 	switch {
 	case err == nil:
 		en.once.Finish(time.Now(), ke, &an)
-		return answer{Answer: an}
+		return answer{Response: an}
 	case notSent(err):
 		en.once.Release(time.Now(), ke)
 	default:
--- a/attendant/depot.go
+++ b/attendant/depot.go
@@ -13,17 +13,17 @@
 	DepotDeleteMethod = "Depot.Delete"
 	DepotGetMethod    = "Depot.Get"
 	DepotListMethod   = "Depot.List"
-	DepotPutMethod    = "Depot.Put"
+	BlobPutMethod     = "Depot.Put"
 )
 
-// A DepotRequest names a payload, and holds it when it is to be kept.
-type DepotRequest struct {
+// A BlobRequest names a payload, and holds it when it is to be kept.
+type BlobRequest struct {
 	Data   []byte
 	Digest string
 }
 
-// A DepotReply holds a payload, or the list of payloads.
-type DepotReply struct {
+// A BlobResponse holds a payload, or the list of payloads.
+type BlobResponse struct {
 	Data    []byte
 	Entries []depot.Entry
 }
@@ -34,47 +34,47 @@
 	{Err: depot.ErrMissing, Name: "depot-missing"},
 }
 
-// HandleDepot serves a data folder over net/rpc.
-func HandleDepot(sv *peer.Server, st *depot.Store) {
+// HandleBlobs serves a data folder over net/rpc.
+func HandleBlobs(sv *peer.Server, st *depot.Store) {
 	sv.Codes = append(sv.Codes, depotCodes...)
-	handle := func(method string, fn func(req DepotRequest) (DepotReply, error)) {
-		peer.Handle(sv, method, func(_ context.Context, _ message.Header, req DepotRequest) (DepotReply, error) {
+	handle := func(method string, fn func(req BlobRequest) (BlobResponse, error)) {
+		peer.Handle(sv, method, func(_ context.Context, _ message.Header, req BlobRequest) (BlobResponse, error) {
 			return fn(req)
 		})
 	}
-	handle(DepotDeleteMethod, func(req DepotRequest) (DepotReply, error) {
-		return DepotReply{}, st.Delete(req.Digest)
+	handle(DepotDeleteMethod, func(req BlobRequest) (BlobResponse, error) {
+		return BlobResponse{}, st.Delete(req.Digest)
 	})
-	handle(DepotGetMethod, func(req DepotRequest) (DepotReply, error) {
+	handle(DepotGetMethod, func(req BlobRequest) (BlobResponse, error) {
 		data, err := st.Get(req.Digest)
-		return DepotReply{Data: data}, err
+		return BlobResponse{Data: data}, err
 	})
-	handle(DepotListMethod, func(DepotRequest) (DepotReply, error) {
+	handle(DepotListMethod, func(BlobRequest) (BlobResponse, error) {
 		entries, err := st.List()
-		return DepotReply{Entries: entries}, err
+		return BlobResponse{Entries: entries}, err
 	})
-	handle(DepotPutMethod, func(req DepotRequest) (DepotReply, error) {
-		return DepotReply{}, st.Put(req.Digest, req.Data)
+	handle(BlobPutMethod, func(req BlobRequest) (BlobResponse, error) {
+		return BlobResponse{}, st.Put(req.Digest, req.Data)
 	})
 }
 
-// NewDepotClient returns a client of the data folders of other processes.
-func NewDepotClient(po *peer.Pool) *depot.Client {
+// NewBlobClient returns a client of the data folders of other processes.
+func NewBlobClient(po *peer.Pool) *depot.Client {
 	po.Codes = append(po.Codes, depotCodes...)
-	call := func(ctx context.Context, pl message.Place, method string, req DepotRequest) (DepotReply, error) {
-		return peer.Call[DepotRequest, DepotReply](ctx, po, pl.Address, method, req)
+	call := func(ctx context.Context, pl message.BlobLocation, method string, req BlobRequest) (BlobResponse, error) {
+		return peer.Call[BlobRequest, BlobResponse](ctx, po, pl.Address, method, req)
 	}
 	return &depot.Client{
-		DeleteFunc: func(ctx context.Context, pl message.Place, digest string) error {
-			_, err := call(ctx, pl, DepotDeleteMethod, DepotRequest{Digest: digest})
+		DeleteFunc: func(ctx context.Context, pl message.BlobLocation, digest string) error {
+			_, err := call(ctx, pl, DepotDeleteMethod, BlobRequest{Digest: digest})
 			return err
 		},
-		GetFunc: func(ctx context.Context, pl message.Place, digest string) ([]byte, error) {
-			dr, err := call(ctx, pl, DepotGetMethod, DepotRequest{Digest: digest})
+		GetFunc: func(ctx context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
+			dr, err := call(ctx, pl, DepotGetMethod, BlobRequest{Digest: digest})
 			return dr.Data, err
 		},
-		PutFunc: func(ctx context.Context, pl message.Place, digest string, data []byte) error {
-			_, err := call(ctx, pl, DepotPutMethod, DepotRequest{Data: data, Digest: digest})
+		PutFunc: func(ctx context.Context, pl message.BlobLocation, digest string, data []byte) error {
+			_, err := call(ctx, pl, BlobPutMethod, BlobRequest{Data: data, Digest: digest})
 			return err
 		},
 	}
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -116,7 +116,7 @@
 }
 
 // outcome returns how a request left the endpoint.
-func outcome(ctx context.Context, err error) gate.Outcome {
+func outcome(ctx context.Context, err error) gate.Result {
 	switch {
 	case err == nil:
 		return gate.Whole
--- a/attendant/exchange.go
+++ b/attendant/exchange.go
@@ -19,30 +19,30 @@
 // that an answer cut short is never passed on as if it were one.
 func (at *Attendant) exchange(
 	ctx context.Context, en *endpoint, req plainservice.Request,
-) (an once.Answer, err error) {
+) (an once.Response, err error) {
 	ctx, sp := telemetry.Start(ctx, endpointSpan)
 	defer func() { telemetry.End(sp, err) }()
 	return at.callService(ctx, en, req)
 }
 
 // callService calls the service and reads its answer.
-func (at *Attendant) callService(ctx context.Context, en *endpoint, req plainservice.Request) (once.Answer, error) {
+func (at *Attendant) callService(ctx context.Context, en *endpoint, req plainservice.Request) (once.Response, error) {
 	an, err := en.plain.CallFunc(ctx, req)
 	if err != nil {
-		if errors.Is(err, plainservice.ErrCrossed) {
+		if errors.Is(err, plainservice.ErrMismatchedResponse) {
 			en.metrics.crossed.Inc()
 		}
-		return once.Answer{}, err
+		return once.Response{}, err
 	}
 	defer func() { _ = an.Body.Close() }() // a body read whole has no more to tell
 	body, err := io.ReadAll(io.LimitReader(an.Body, int64(at.options.MaxAnswerSize)+1))
 	if err != nil {
-		return once.Answer{}, errors.Wrapf(err, "read the answer of %s", en.name)
+		return once.Response{}, errors.Wrapf(err, "read the answer of %s", en.name)
 	}
 	if len(body) > at.options.MaxAnswerSize {
-		return once.Answer{}, errors.Newf("answer of %s exceeds %d bytes", en.name, at.options.MaxAnswerSize)
+		return once.Response{}, errors.Newf("answer of %s exceeds %d bytes", en.name, at.options.MaxAnswerSize)
 	}
-	return once.Answer{Body: body, Header: message.PassOn(an.Header), Status: an.Status}, nil
+	return once.Response{Body: body, Header: message.ForwardHeaders(an.Header), Status: an.Status}, nil
 }
 
 // writeAnswer passes an answer on.
--- a/attendant/fake_test.go
+++ b/attendant/fake_test.go
@@ -141,11 +141,11 @@
 
 func (fs *fakeService) client() *plainservice.Client {
 	return &plainservice.Client{
-		CallFunc: func(ctx context.Context, req plainservice.Request) (plainservice.Answer, error) {
+		CallFunc: func(ctx context.Context, req plainservice.Request) (plainservice.Response, error) {
 			fs.mu.Lock()
 			if err := fs.fail; err != nil {
 				fs.mu.Unlock()
-				return plainservice.Answer{}, err
+				return plainservice.Response{}, err
 			}
 			fs.ran = append(fs.ran, req.ID)
 			body := fmt.Sprintf("answer %d to %s", len(fs.ran), req.Body)
@@ -163,9 +163,9 @@
 				<-ctx.Done()
 			}
 			if ctx.Err() != nil {
-				return plainservice.Answer{}, plainservice.ErrBroken
+				return plainservice.Response{}, plainservice.ErrBroken
 			}
-			return plainservice.Answer{
+			return plainservice.Response{
 				Body:   io.NopCloser(strings.NewReader(body)),
 				Header: http.Header{"Content-Type": {"text/plain"}},
 				Status: http.StatusCreated,
--- a/attendant/harness_test.go
+++ b/attendant/harness_test.go
@@ -117,7 +117,7 @@
 func (se *session) start(address string, op attendant.Options) (*attendant.Attendant, func()) {
 	op.Address, op.DialFunc = address, se.net.dial
 	if op.Profiles == nil {
-		op.Profiles = &profile.Holder{}
+		op.Profiles = &profile.Replica{}
 	}
 	at, err := attendant.New(op)
 	assert.NilError(se, err)
@@ -217,14 +217,14 @@
 
 // places returns two data folders in two failure domains, each served by an
 // attendant of its own.
-func (se *session) places() ([]message.Place, func()) {
-	var pls []message.Place
+func (se *session) places() ([]message.BlobLocation, func()) {
+	var pls []message.BlobLocation
 	var stops []func()
 	for _, domain := range []string{"coventry-hall", "derby-hall"} {
 		address := domain + ":1"
 		_, stop := se.start(address, attendant.Options{Instance: domain, Store: &depot.Store{Folder: se.TempDir()}})
 		stops = append(stops, stop)
-		pls = append(pls, message.Place{Address: address, FailureDomain: domain, Instance: domain})
+		pls = append(pls, message.BlobLocation{Address: address, FailureDomain: domain, Instance: domain})
 	}
 	return pls, func() {
 		for _, stop := range stops {
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -25,8 +25,8 @@
 	Revision uint64
 }
 
-// A YieldReply is that word.
-type YieldReply struct{}
+// A YieldResponse is that word.
+type YieldResponse struct{}
 
 // A Location is where an endpoint's attendant is.
 type Location struct {
@@ -36,14 +36,14 @@
 
 // Yield gives an endpoint's word. After it the endpoint runs no key until this
 // process holds the revision, too.
-func (at *Attendant) Yield(_ context.Context, _ message.Header, req YieldRequest) (YieldReply, error) {
+func (at *Attendant) Yield(_ context.Context, _ message.Header, req YieldRequest) (YieldResponse, error) {
 	en := at.endpoint(req.Endpoint)
 	if en == nil {
 		// It may be beside another attendant, so nothing can be promised.
-		return YieldReply{}, fate.NewRefusal(fate.BadRequest, req.Endpoint, "no such endpoint here")
+		return YieldResponse{}, fate.NewRefusal(fate.BadRequest, req.Endpoint, "no such endpoint here")
 	}
 	en.once.Yield(req.Revision)
-	return YieldReply{}, nil
+	return YieldResponse{}, nil
 }
 
 // settleHomes asks the former homes of keys whose word is missing. It is a
@@ -75,9 +75,9 @@
 	switch {
 	case err != nil:
 	case lo.Gone:
-		revision = once.Gone
+		revision = once.RevisionGone
 	default:
-		_, err = peer.Call[YieldRequest, YieldReply](ctx, at.pool, lo.Address, YieldMethod,
+		_, err = peer.Call[YieldRequest, YieldResponse](ctx, at.pool, lo.Address, YieldMethod,
 			YieldRequest{Endpoint: former, Revision: revision})
 	}
 	if err != nil {
--- a/attendant/membership_test.go
+++ b/attendant/membership_test.go
@@ -22,7 +22,7 @@
 
 // startEntry starts what an attendant needs of an entry: its roster, its
 // configuration, and where desk-1 is.
-func (se *session) startEntry(address string, ho *profile.Holder) (stop func()) {
+func (se *session) startEntry(address string, ho *profile.Replica) (stop func()) {
 	ta := &roster.Table{
 		Address:  address,
 		Instance: "entry-1",
@@ -33,7 +33,7 @@
 	sv := &peer.Server{HeaderFunc: func() message.Header {
 		return message.Header{Revision: ho.Revision(), Sender: "entry-1"}
 	}}
-	roster.Mount(sv, ta)
+	roster.Register(sv, ta)
 	configuration.Handle(sv, ho)
 	attendant.HandleLocate(sv, func(string) (attendant.Location, error) {
 		return attendant.Location{Address: "a:1"}, nil
@@ -80,7 +80,7 @@
 		_, end := se.start("a:1", op)
 		time.Sleep(40 * time.Second)
 		se.status("a:1")
-		ho := &profile.Holder{}
+		ho := &profile.Replica{}
 		stop := se.startEntry("e:1", ho)
 		defer stop()
 		time.Sleep(10 * time.Second)
@@ -111,7 +111,7 @@
 			st, err := peer.Call[order.ProbeRequest, order.Status](se.Context(), po, "a:1", order.ProbeMethod,
 				order.ProbeRequest{Endpoint: "marker-1", Epoch: epoch})
 			assert.NilError(se, err)
-			an, err := peer.Call[order.Request, order.Answer](se.Context(), po, "a:1", order.OrderMethod, order.Request{
+			an, err := peer.Call[order.Request, order.Response](se.Context(), po, "a:1", order.OrderMethod, order.Request{
 				Endpoint:    "marker-1",
 				Incarnation: st.Incarnation,
 				Order:       engine.Order{Epoch: epoch, Kind: engine.LoadVersion, Version: ve},
--- a/attendant/options.go
+++ b/attendant/options.go
@@ -51,11 +51,11 @@
 	MaxAnswerSize int // of a plain service's answer, in bytes
 	MaxBodySize   int // of a request, in bytes
 	Metrics       *metrics.Set
-	PartialAge    time.Duration   // how long the tokens of an ended attempt are kept
-	PartialTokens int             // how many tokens of ended attempts are kept
-	Profiles      *profile.Holder // the configuration in force
-	ProgressEvery time.Duration   // between the signs of life of a live answer
-	ReportEvery   time.Duration   // between the reports that are read from an endpoint
+	PartialAge    time.Duration    // how long the tokens of an ended attempt are kept
+	PartialTokens int              // how many tokens of ended attempts are kept
+	Profiles      *profile.Replica // the configuration in force
+	ProgressEvery time.Duration    // between the signs of life of a live answer
+	ReportEvery   time.Duration    // between the reports that are read from an endpoint
 	ReportTimeout time.Duration
 	RunBound      time.Duration // of a request that goes on without its caller
 	SampleEvery   time.Duration // between the signs of life of an attempt
@@ -96,7 +96,7 @@
 		op.Metrics = metrics.NewSet()
 	}
 	if op.Profiles == nil {
-		op.Profiles = &profile.Holder{}
+		op.Profiles = &profile.Replica{}
 	}
 	return op
 }
--- a/attendant/partial.go
+++ b/attendant/partial.go
@@ -14,8 +14,8 @@
 	Cache   bool // whether the exported KV cache is wanted too
 }
 
-// A PartialReply holds the tokens of an attempt, each attributed.
-type PartialReply struct {
+// A PartialResponse holds the tokens of an attempt, each attributed.
+type PartialResponse struct {
 	Cache   *engine.CacheSnapshot
 	Found   bool // whether there are tokens to resume
 	Payload message.Payload
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -23,7 +23,7 @@
 		return http.StatusBadRequest
 	case fate.DeadlineExceeded:
 		return http.StatusGatewayTimeout
-	case fate.FateUnknown:
+	case fate.OutcomeUnknown:
 		return http.StatusBadGateway
 	case fate.InProgress:
 		return http.StatusConflict
@@ -105,6 +105,6 @@
 	case ctx.Err() != nil:
 		return fate.NewRefusal(fate.DeadlineExceeded, id, "given up while it ran: "+err.Error())
 	default:
-		return fate.NewRefusal(fate.FateUnknown, id, err.Error())
+		return fate.NewRefusal(fate.OutcomeUnknown, id, err.Error())
 	}
 }
--- a/attendant/resume.go
+++ b/attendant/resume.go
@@ -18,17 +18,17 @@
 
 // Partial returns the tokens that an attempt here has made. Tokens whose
 // version never arrived are not among them: they are made anew.
-func (at *Attendant) Partial(ctx context.Context, _ message.Header, req PartialRequest) (PartialReply, error) {
+func (at *Attendant) Partial(ctx context.Context, _ message.Header, req PartialRequest) (PartialResponse, error) {
 	pa := at.partials.get(req.Attempt)
 	if pa == nil || pa.attempt.finished() {
 		// An answer that ended must not be continued past its end.
-		return PartialReply{}, nil
+		return PartialResponse{}, nil
 	}
 	pl := pa.attempt.payload()
 	if len(pl.Tokens) == 0 {
-		return PartialReply{}, nil
+		return PartialResponse{}, nil
 	}
-	pr := PartialReply{Found: true, Payload: pl}
+	pr := PartialResponse{Found: true, Payload: pl}
 	if req.Cache && pa.endpoint.engine.ExportCacheFunc != nil {
 		cs, err := pa.endpoint.engine.ExportCacheFunc(ctx, req.Attempt)
 		// Without the cache the other engine computes it anew: slower, but
@@ -44,7 +44,7 @@
 // they can't be had, the attempt starts from its prompt.
 func (at *Attendant) resume(ctx context.Context, en *endpoint, atm *attempt) {
 	from := atm.request.ResumeFrom
-	pr, err := peer.Call[PartialRequest, PartialReply](ctx, at.pool, from.Address, PartialMethod,
+	pr, err := peer.Call[PartialRequest, PartialResponse](ctx, at.pool, from.Address, PartialMethod,
 		PartialRequest{Attempt: from.Attempt, Cache: en.engine.ImportCacheFunc != nil})
 	if err != nil || !pr.Found || !sameSlot(pr.Payload, atm.payload()) {
 		return
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -76,8 +76,8 @@
 	if req.MaxTokens <= 0 {
 		return 0, errors.Newf("max-tokens: %d", req.MaxTokens)
 	}
-	if len(req.StorePlaces) < depot.Copies {
-		return 0, errors.Newf("store-places: %d, want %d", len(req.StorePlaces), depot.Copies)
+	if len(req.StorePlaces) < depot.ReplicaCount {
+		return 0, errors.Newf("store-places: %d, want %d", len(req.StorePlaces), depot.ReplicaCount)
 	}
 	left, err := time.ParseDuration(req.Deadline)
 	return left, errors.Wrap(err, "deadline")
@@ -229,7 +229,7 @@
 }
 
 // replicate tries to store data until ctx ends.
-func (at *Attendant) replicate(ctx context.Context, places []message.Place, data []byte) ([]message.Place, error) {
+func (at *Attendant) replicate(ctx context.Context, places []message.BlobLocation, data []byte) ([]message.BlobLocation, error) {
 	wait := storeBackoff
 	for {
 		taken, err := depot.Replicate(ctx, at.depot, places, data)
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -25,9 +25,9 @@
 }
 
 // somePlaces are places that nothing is stored in.
-var somePlaces = []message.Place{{Address: "c:1", FailureDomain: "c"}, {Address: "d:1", FailureDomain: "d"}}
+var somePlaces = []message.BlobLocation{{Address: "c:1", FailureDomain: "c"}, {Address: "d:1", FailureDomain: "d"}}
 
-func sampleRequest(attempt string, pls []message.Place) message.SampleRequest {
+func sampleRequest(attempt string, pls []message.BlobLocation) message.SampleRequest {
 	return message.SampleRequest{
 		Attempt:     attempt,
 		Deadline:    "30s",
@@ -157,7 +157,7 @@
 	assert.Assert(se, ev.Result != nil)
 	po := &peer.Pool{DialFunc: se.net.dial, MaxMessageSize: attendant.MaxMessageSize}
 	defer po.Close()
-	data, err := depot.Fetch(se.Context(), attendant.NewDepotClient(po), ev.Result.Places, ev.Result.Digest)
+	data, err := depot.Fetch(se.Context(), attendant.NewBlobClient(po), ev.Result.Places, ev.Result.Digest)
 	assert.NilError(se, err)
 	var pl message.Payload
 	assert.NilError(se, decode(data, &pl))
--- a/attendant/sequence.go
+++ b/attendant/sequence.go
@@ -21,7 +21,7 @@
 	// A connection that two requests share can hand one the other's answer.
 	// It shows in the echoed id, and the chunk must not count for this one.
 	if ch.RequestID != sq.id {
-		return errors.Wrapf(engine.ErrCrossed, "request %s: chunk of %s", sq.id, ch.RequestID)
+		return errors.Wrapf(engine.ErrMismatchedResponse, "request %s: chunk of %s", sq.id, ch.RequestID)
 	}
 	// A chunk lost or doubled on the way shows in the position of its first
 	// token. Without the check the answer would silently lack tokens.
--- a/attendant/stream.go
+++ b/attendant/stream.go
@@ -38,7 +38,7 @@
 	defer watchdog.Stop()
 	err = en.engine.GenerateFunc(ctx, req, func(ch engine.Chunk) error {
 		err := take(ch)
-		if errors.Is(err, engine.ErrCrossed) {
+		if errors.Is(err, engine.ErrMismatchedResponse) {
 			en.metrics.crossed.Inc()
 			return nil
 		}
@@ -51,7 +51,7 @@
 	if err == nil {
 		return nil
 	}
-	if errors.Is(err, engine.ErrCrossed) {
+	if errors.Is(err, engine.ErrMismatchedResponse) {
 		en.metrics.crossed.Inc()
 	}
 	if !errors.Is(err, engine.ErrNotSent) {
--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -15,7 +15,7 @@
 // Each start of a trainer has a higher incarnation. A pull that the trainer
 // sent before it restarted may arrive late, and would acknowledge batches that
 // the restarted trainer wants again; so a lower incarnation is refused.
-func (ow *Owner) acknowledge(tr *trainer, cu message.Cursor, po position, st lease.Standing) error {
+func (ow *Owner) acknowledge(tr *trainer, cu message.Cursor, po position, st lease.State) error {
 	if cu.Incarnation < tr.cursor.Incarnation {
 		return refuse(fate.BadRequest, "trainer has restarted: incarnation %d after %d", cu.Incarnation, tr.cursor.Incarnation)
 	}
@@ -75,7 +75,7 @@
 // again. Of a step that it has taken in part, the ledger can't tell which groups.
 func (ow *Owner) skip(tr *trainer, cu message.Cursor, po position) error {
 	if tr.step(po.step) != nil && !tr.policy.WholeSteps {
-		return refuse(fate.FateUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
+		return refuse(fate.OutcomeUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
 	}
 	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that the ledger does not hold")
 	for len(tr.steps) > 0 && tr.steps[0].number <= po.step {
@@ -91,7 +91,7 @@
 // them again. The same incarnation can't go back: that is a late pull. Nor can
 // it go back into the middle of a step, of which it is not known any more which
 // groups the trainer has taken: the others would be lost to it.
-func (ow *Owner) rewind(tr *trainer, cu message.Cursor, po position, restarted bool, st lease.Standing) error {
+func (ow *Owner) rewind(tr *trainer, cu message.Cursor, po position, restarted bool, st lease.State) error {
 	if !restarted {
 		return refuse(fate.BadRequest, "cursor %q is behind the steps that are kept", cu.Batch)
 	}
--- a/batch/event.go
+++ b/batch/event.go
@@ -122,7 +122,7 @@
 
 // interned returns places that share their strings with equal ones, of which a
 // step names thousands.
-func (ow *Owner) interned(pls []message.Place) []message.Place {
+func (ow *Owner) interned(pls []message.BlobLocation) []message.BlobLocation {
 	for _, known := range ow.places {
 		if slices.Equal(known, pls) {
 			return known
@@ -141,7 +141,7 @@
 // validate returns an error if a result is not a whole sample with a payload
 // and a version for each of its tokens.
 func validate(sr *message.SampleResult) error {
-	if !depot.Valid(sr.Digest) || len(sr.Places) == 0 {
+	if !depot.ValidDigest(sr.Digest) || len(sr.Places) == 0 {
 		return errors.Wrapf(errInvalid, "digest %q in %d places", sr.Digest, len(sr.Places))
 	}
 	made := 0
--- a/batch/load.go
+++ b/batch/load.go
@@ -19,7 +19,7 @@
 // load fetches the requests of steps that a former owner accepted.
 func (ow *Owner) load(now time.Time) {
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.None {
+		if ow.stands(tr, now) == lease.NotHeld {
 			continue
 		}
 		for _, sp := range tr.steps {
--- a/batch/machine_test.go
+++ b/batch/machine_test.go
@@ -28,7 +28,7 @@
 
 // A held is an answer to a pull that the trainer has not acted on yet.
 type held struct {
-	answer message.PullAnswer
+	answer message.PullResponse
 	cursor message.Cursor
 	node   *node
 }
@@ -229,7 +229,7 @@
 		po := Policy{
 			KeptSteps:      rapid.IntRange(1, 2).Draw(rt, "kept"),
 			MaxOpenSteps:   rapid.IntRange(1, 2).Draw(rt, "open"),
-			Straggling:     rapid.SampledFrom([]Straggling{ResumeStragglers, RestartStragglers, KeepStragglers}).Draw(rt, "straggling"),
+			Straggling:     rapid.SampledFrom([]StragglerRule{ResumeStragglers, RestartStragglers, KeepStragglers}).Draw(rt, "straggling"),
 			StalenessBound: engine.Version(rapid.Uint64Range(0, 2).Draw(rt, "bound")),
 			WholeSteps:     rapid.Bool().Draw(rt, "whole"),
 		}
--- a/batch/own.go
+++ b/batch/own.go
@@ -26,7 +26,7 @@
 			tr.standing = st
 			tr.wake()
 		}
-		if st != lease.None {
+		if st != lease.NotHeld {
 			tr.noneSince = time.Time{}
 		} else if tr.noneSince.IsZero() {
 			tr.noneSince = now
@@ -86,10 +86,10 @@
 
 // stands returns how the trainer's lease stands for the rows at hand: None if
 // they are not those of the lease's epoch.
-func (ow *Owner) stands(tr *trainer, now time.Time) lease.Standing {
+func (ow *Owner) stands(tr *trainer, now time.Time) lease.State {
 	epoch, st := ow.LeaseFunc(tr.name, now)
 	if !tr.loaded || epoch != tr.epoch {
-		return lease.None
+		return lease.NotHeld
 	}
 	return st
 }
--- a/batch/owner.go
+++ b/batch/owner.go
@@ -39,17 +39,17 @@
 	CancelFunc func(id string)
 	Client     *keyvalue.Client
 	// DropFunc deletes a payload that no batch needs any more. Optional.
-	DropFunc func(ctx context.Context, places []message.Place, digest string)
+	DropFunc func(ctx context.Context, places []message.BlobLocation, digest string)
 	// FetchFunc returns a payload, or depot.ErrMissing if no copy is left.
-	FetchFunc func(ctx context.Context, places []message.Place, digest string) ([]byte, error)
+	FetchFunc func(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error)
 	// GoFunc runs a function that does I/O; nil means in a new goroutine.
 	GoFunc func(run func(ctx context.Context))
 	// LeaseFunc returns how the trainer's lease stands, without waiting.
-	LeaseFunc  func(trainer string, now time.Time) (epoch uint64, standing lease.Standing)
+	LeaseFunc  func(trainer string, now time.Time) (epoch uint64, standing lease.State)
 	Log        *logrus.Entry // optional
 	MaxRunning int           // attempts of all trainers; 0 means no bound
 	// ReplicateFunc puts a step's request into the data folders.
-	ReplicateFunc func(ctx context.Context, data []byte) ([]message.Place, error)
+	ReplicateFunc func(ctx context.Context, data []byte) ([]message.BlobLocation, error)
 	// StartFunc starts an attempt, or returns false if no endpoint can take it
 	// now.
 	StartFunc func(at Attempt) bool
@@ -58,9 +58,9 @@
 	attempts map[string]*attempt
 	lastID   uint64 // counts attempts
 	lengths  lengths
-	outbox   []func()          // decisions to act on once mu is free
-	places   [][]message.Place // shared by samples
-	trainers []*trainer        // by name
+	outbox   []func()                 // decisions to act on once mu is free
+	places   [][]message.BlobLocation // shared by samples
+	trainers []*trainer               // by name
 }
 
 // Add makes the owner ready to own a trainer, or changes its policy.
@@ -72,7 +72,7 @@
 		return
 	}
 	tr := &trainer{
-		book:    &ledger.Book{Client: ow.Client, Trainer: name},
+		book:    &ledger.Writer{Client: ow.Client, Trainer: name},
 		changed: make(chan struct{}),
 		name:    name,
 		policy:  po,
--- a/batch/payload.go
+++ b/batch/payload.go
@@ -22,7 +22,7 @@
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	tr := ow.trainer(name)
-	if tr == nil || ow.stands(tr, time.Now()) == lease.None {
+	if tr == nil || ow.stands(tr, time.Now()) == lease.NotHeld {
 		return nil, notHome(name)
 	}
 	ba := tr.sealed(id)
--- a/batch/policy.go
+++ b/batch/policy.go
@@ -7,37 +7,37 @@
 	"wisteriacroft/engine"
 )
 
-// An Order is the order in which the slots of a step are started.
-type Order int
+// A Discipline is the order in which the slots of a step are started.
+type Discipline int
 
 // The orders.
 const (
-	LongestFirst Order = iota // by expected length
+	LongestFirst Discipline = iota // by expected length
 	FirstInFirstOut
 )
 
-// A Gate says when a sample may start, given the weights that engines serve.
-type Gate int
+// A FreshnessRule says when a sample may start, given the weights that engines serve.
+type FreshnessRule int
 
 // The gates.
 const (
 	// FreshAtHandOver starts a sample only on weights that will still be
 	// within the bound when the trainer is expected to take its batch.
-	FreshAtHandOver Gate = iota
+	FreshAtHandOver FreshnessRule = iota
 	// StartAtOnce starts a sample on weights that are within the bound now.
 	StartAtOnce
 )
 
-// A Straggling is what is done about an attempt that makes no progress, or far
+// A StragglerRule is what is done about an attempt that makes no progress, or far
 // less than others. A sample is never dropped for being long: that would bias
 // the batch. All attempts of a slot share one seed for the same reason.
-type Straggling int
+type StragglerRule int
 
 // The ways to treat stragglers.
 const (
-	ResumeStragglers  Straggling = iota // elsewhere, with the tokens made so far
-	RestartStragglers                   // elsewhere, from the prompt
-	KeepStragglers                      // wait
+	ResumeStragglers  StragglerRule = iota // elsewhere, with the tokens made so far
+	RestartStragglers                      // elsewhere, from the prompt
+	KeepStragglers                         // wait
 )
 
 // A Policy says how a trainer's samples are made, as its profile declares.
@@ -46,19 +46,19 @@
 type Policy struct {
 	Deadline        time.Duration // after which an open step is reported as overdue; 0 means never
 	FreshnessWeight float64       // from 0, which weighs trainer idle time only, to 1, staleness only
-	Gate            Gate
+	Gate            FreshnessRule
 	KeptSteps       int // taken, for a trainer that restarts with an older cursor; 0 means 1
 	MaxAttempts     int // running at one time for a slot; 0 means 2
 	MaxOpenSteps    int // accepted and not yet taken, besides one that is sealed whole; 0 means 2
 	MaxRunning      int // attempts of the trainer; 0 means no bound
-	Order           Order
+	Order           Discipline
 	Patience        time.Duration  // how long the next step waits for fresher weights than the bound asks for; 0 means 30s
 	RetryAfter      time.Duration  // before the first new attempt after a failure; 0 means 1s
 	Share           float64        // of the running attempts, against other trainers; 0 means 1
 	StalenessBound  engine.Version // versions that a sample may be behind its trainer at hand-over
 	StragglerAfter  time.Duration  // without progress; 0 means 30s
 	StragglerRate   float64        // of the median rate of progress; slower is a straggler; 0 means 0.25
-	Straggling      Straggling
+	Straggling      StragglerRule
 	WholeSteps      bool // hand a step over whole, not groups as they complete
 }
 
--- a/batch/policy_test.go
+++ b/batch/policy_test.go
@@ -25,9 +25,9 @@
 		CancelFunc: func(string) {},
 		Client:     me.Client(),
 		GoFunc:     func(run func(ctx context.Context)) { run(context.Background()) },
-		LeaseFunc:  func(string, time.Time) (uint64, lease.Standing) { return 1, lease.Held },
-		ReplicateFunc: func(context.Context, []byte) ([]message.Place, error) {
-			return []message.Place{storeOne, storeTwo}, nil
+		LeaseFunc:  func(string, time.Time) (uint64, lease.State) { return 1, lease.Held },
+		ReplicateFunc: func(context.Context, []byte) ([]message.BlobLocation, error) {
+			return []message.BlobLocation{storeOne, storeTwo}, nil
 		},
 		StartFunc: func(at Attempt) bool { *started = append(*started, at); return true },
 	}
@@ -242,7 +242,7 @@
 	// Sequence: an attempt reports a result that is not whole, or says nothing for long.
 	// Cause: any result taken for a sample, or an attempt waited for that is gone.
 	good := message.SampleResult{
-		Digest: depot.Digest(nil), Places: []message.Place{storeOne}, Size: 1, Tokens: 9,
+		Digest: depot.Digest(nil), Places: []message.BlobLocation{storeOne}, Size: 1, Tokens: 9,
 		Segments: []engine.Segment{{Tokens: 4, Version: 1}, {Tokens: 5, Version: 2}},
 	}
 	for name, tc := range map[string]struct {
@@ -339,7 +339,7 @@
 		ow := newOwner(&me, &[]Attempt{})
 		ow.Add("a", Policy{})
 		ticks(ow, 1)
-		pull := func() (message.PullAnswer, error) {
+		pull := func() (message.PullResponse, error) {
 			return ow.Pull(t.Context(), "a", message.PullRequest{Wait: "1m"})
 		}
 		began := time.Now()
@@ -348,7 +348,7 @@
 		assert.Assert(t, errors.As(err, &re), "no step is open")
 		assert.Equal(t, time.Since(began), time.Minute)
 		submit(ow, "a", 0, 1, 1)
-		answers := make(chan message.PullAnswer)
+		answers := make(chan message.PullResponse)
 		go func() {
 			pu, _ := pull()
 			answers <- pu
@@ -365,7 +365,7 @@
 	tr := ow.trainer(trainer)
 	for len(tr.running) > 0 {
 		at := tr.running[0]
-		places := []message.Place{storeOne, storeTwo}
+		places := []message.BlobLocation{storeOne, storeTwo}
 		data, _ := json.Marshal(places) // as a codec would: strings of its own
 		_ = json.Unmarshal(data, &places)
 		ow.Finished(at.id, message.SampleResult{
--- a/batch/publish.go
+++ b/batch/publish.go
@@ -15,7 +15,7 @@
 func (ow *Owner) publish(now time.Time) {
 	for _, tr := range ow.trainers {
 		idle := tr.published == tr.wanted || tr.writing || now.Before(tr.retryAt)
-		if idle || ow.stands(tr, now) == lease.None {
+		if idle || ow.stands(tr, now) == lease.NotHeld {
 			continue
 		}
 		tr.writing = true
--- a/batch/pull.go
+++ b/batch/pull.go
@@ -16,14 +16,14 @@
 // new seal of the same slots. A refusal is a *fate.Refusal.
 func (ow *Owner) Pull(
 	ctx context.Context, name string, req message.PullRequest,
-) (message.PullAnswer, error) {
+) (message.PullResponse, error) {
 	po, err := positionOf(req.Cursor)
 	if err != nil {
-		return message.PullAnswer{}, refuse(fate.BadRequest, "cursor: %v", err)
+		return message.PullResponse{}, refuse(fate.BadRequest, "cursor: %v", err)
 	}
 	wait, err := time.ParseDuration(cmp.Or(req.Wait, "0s"))
 	if err != nil {
-		return message.PullAnswer{}, refuse(fate.BadRequest, "wait: %v", err)
+		return message.PullResponse{}, refuse(fate.BadRequest, "wait: %v", err)
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -31,16 +31,16 @@
 		var pu pulled
 		ow.locked(func() { pu = ow.pull(name, req.Cursor, po, time.Now()) })
 		if pu.err != nil {
-			return message.PullAnswer{}, pu.err
+			return message.PullResponse{}, pu.err
 		}
 		if pu.answer != nil {
 			return *pu.answer, nil
 		}
 		select {
 		case <-ctx.Done():
-			return message.PullAnswer{}, refuse(fate.DeadlineExceeded, "no batch in time")
+			return message.PullResponse{}, refuse(fate.DeadlineExceeded, "no batch in time")
 		case <-timeout.C:
-			return message.PullAnswer{RetryAfter: comeBack.String()}, pu.idle
+			return message.PullResponse{RetryAfter: comeBack.String()}, pu.idle
 		case <-pu.changed:
 		}
 	}
@@ -49,7 +49,7 @@
 // A pulled is the outcome of a pull: an answer, a refusal or a change to wait
 // for.
 type pulled struct {
-	answer  *message.PullAnswer
+	answer  *message.PullResponse
 	changed <-chan struct{}
 	err     error
 	idle    error // why there is nothing to wait for, unless that changes
@@ -67,7 +67,7 @@
 	}
 	epoch, st := ow.LeaseFunc(name, now)
 	switch mine := tr.loaded && epoch == tr.epoch; {
-	case st == lease.None:
+	case st == lease.NotHeld:
 		return pulled{err: notHome(name)}
 	case !mine && st == lease.Held:
 		return pulled{changed: tr.changed}
@@ -101,9 +101,9 @@
 }
 
 // handOver returns the answer that hands a batch over.
-func (tr *trainer) handOver(ba *batch) *message.PullAnswer {
+func (tr *trainer) handOver(ba *batch) *message.PullResponse {
 	tr.counts.HandOvers++
-	return &message.PullAnswer{
+	return &message.PullResponse{
 		Batch:    ba.id(),
 		Digest:   ba.digest,
 		Manifest: ba.entries,
--- a/batch/seal.go
+++ b/batch/seal.go
@@ -18,7 +18,7 @@
 // ledger holds them.
 func (ow *Owner) seal(now time.Time) {
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.None {
+		if ow.stands(tr, now) == lease.NotHeld {
 			continue
 		}
 		for _, sp := range tr.steps {
@@ -107,7 +107,7 @@
 }
 
 // discard notes a payload that can go once the ledger holds what is now wanted.
-func (tr *trainer) discard(places []message.Place, digest string) {
+func (tr *trainer) discard(places []message.BlobLocation, digest string) {
 	tr.garbage = append(tr.garbage, garbage{digest: digest, places: places, seq: tr.touch()})
 }
 
--- a/batch/start.go
+++ b/batch/start.go
@@ -83,7 +83,7 @@
 		}
 		ca := qu.candidates[0]
 		qu.candidates = qu.candidates[1:]
-		gone := ow.trainer(qu.trainer.name) != qu.trainer || ow.stands(qu.trainer, now) == lease.None
+		gone := ow.trainer(qu.trainer.name) != qu.trainer || ow.stands(qu.trainer, now) == lease.NotHeld
 		if gone || ca.slot.state != slotOpen || len(ca.slot.attempts) > 0 {
 			continue
 		}
@@ -126,7 +126,7 @@
 func (ow *Owner) queues(now time.Time) []*queue {
 	var qus []*queue
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.None {
+		if ow.stands(tr, now) == lease.NotHeld {
 			continue
 		}
 		qu := &queue{room: math.MaxInt, trainer: tr}
--- a/batch/step.go
+++ b/batch/step.go
@@ -18,7 +18,7 @@
 	loading     bool      // the request's body is being fetched
 	lost        bool      // no copy of the request's body is left
 	number      int
-	places      []message.Place // of the request's body
+	places      []message.BlobLocation // of the request's body
 	profile     string
 	request     *message.StepRequest // nil until it is known
 	retryAt     time.Time            // of loading
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -21,34 +21,34 @@
 // has restarted pulls before it submits, so that its cursor is known.
 func (ow *Owner) Submit(
 	ctx context.Context, name string, number int, req message.StepRequest,
-) (message.StepAnswer, error) {
+) (message.StepResponse, error) {
 	if err := checkRequest(number, &req); err != nil {
-		return message.StepAnswer{}, err
+		return message.StepResponse{}, err
 	}
 	body, err := json.Marshal(req)
 	if err != nil {
-		return message.StepAnswer{}, refuse(fate.BadRequest, "encode step %d: %v", number, err)
+		return message.StepResponse{}, refuse(fate.BadRequest, "encode step %d: %v", number, err)
 	}
 	digest := depot.Digest(body)
 	for {
 		su := ow.submitted(name, number, digest)
 		if su.err != nil {
-			return message.StepAnswer{}, su.err
+			return message.StepResponse{}, su.err
 		}
 		if su.accepted {
-			return message.StepAnswer{Samples: count(&req), Step: number}, nil
+			return message.StepResponse{Samples: count(&req), Step: number}, nil
 		}
 		if su.changed != nil {
 			select {
 			case <-ctx.Done():
-				return message.StepAnswer{}, refuse(fate.FateUnknown, "step %d may be accepted later", number)
+				return message.StepResponse{}, refuse(fate.OutcomeUnknown, "step %d may be accepted later", number)
 			case <-su.changed:
 			}
 			continue
 		}
 		places, err := ow.ReplicateFunc(ctx, body)
 		if len(places) == 0 {
-			return message.StepAnswer{}, refuse(fate.Overloaded, "no data folder took step %d: %v", number, err)
+			return message.StepResponse{}, refuse(fate.Overloaded, "no data folder took step %d: %v", number, err)
 		}
 		ow.locked(func() { ow.accept(name, number, digest, places, &req) })
 	}
@@ -73,7 +73,7 @@
 	epoch, st := ow.LeaseFunc(name, time.Now())
 	sp := tr.step(number)
 	switch {
-	case st == lease.None:
+	case st == lease.NotHeld:
 		return submission{err: notHome(name)}
 	case st == lease.Held && (!tr.loaded || epoch != tr.epoch):
 		return submission{changed: tr.changed}
@@ -100,9 +100,9 @@
 }
 
 // accept adds a step, or gives one its lost request back.
-func (ow *Owner) accept(name string, number int, digest string, places []message.Place, req *message.StepRequest) {
+func (ow *Owner) accept(name string, number int, digest string, places []message.BlobLocation, req *message.StepRequest) {
 	tr := ow.trainer(name)
-	if tr == nil || ow.stands(tr, time.Now()) == lease.None {
+	if tr == nil || ow.stands(tr, time.Now()) == lease.NotHeld {
 		return
 	}
 	sp := tr.step(number)
--- a/batch/trainer.go
+++ b/batch/trainer.go
@@ -12,7 +12,7 @@
 // A trainer is what its owner knows of a trainer.
 type trainer struct {
 	adopting  bool
-	book      *ledger.Book
+	book      *ledger.Writer
 	changed   chan struct{} // closed and replaced on each change that a call may wait for
 	counts    Counts
 	cursor    message.Cursor // newest
@@ -30,7 +30,7 @@
 	retryAt   time.Time  // of the next exchange with the ledger
 	running   []*attempt // oldest first
 	seals     int        // made so far
-	standing  lease.Standing
+	standing  lease.State
 	steps     []*step        // by number
 	version   engine.Version // that the trainer trains, as last heard
 	wanted    uint64         // last sequence number that the ledger should hold
@@ -40,7 +40,7 @@
 // A garbage is a payload that can go once the ledger no longer names it.
 type garbage struct {
 	digest string
-	places []message.Place
+	places []message.BlobLocation
 	seq    uint64
 }
 
--- a/batch/trainer_test.go
+++ b/batch/trainer_test.go
@@ -93,7 +93,7 @@
 }
 
 // pull asks a node for the next batch.
-func (tr *fakeTrainer) pull(no *node) (message.PullAnswer, error) {
+func (tr *fakeTrainer) pull(no *node) (message.PullResponse, error) {
 	cu := tr.cursor
 	cu.Version = tr.version
 	synctest.Wait()
@@ -117,7 +117,7 @@
 }
 
 // check holds an answer against what was promised of it.
-func (tr *fakeTrainer) check(no *node, pu *message.PullAnswer) {
+func (tr *fakeTrainer) check(no *node, pu *message.PullResponse) {
 	tr.wo.note("%s hands over %s at version %d", no.name, pu.Batch, tr.version)
 	if was, ok := tr.wo.manifest[pu.Batch]; ok && was != pu.Digest {
 		tr.wo.fail("immutable", "batch %s was handed over with other content", pu.Batch)
@@ -133,7 +133,7 @@
 }
 
 // take fetches a batch whole and records it.
-func (tr *fakeTrainer) take(no *node, pu message.PullAnswer) bool {
+func (tr *fakeTrainer) take(no *node, pu message.PullResponse) bool {
 	incarnation := tr.cursor.Incarnation
 	if event := tr.wo.onHandOver; event != nil {
 		tr.wo.onHandOver = nil
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -28,8 +28,8 @@
 
 var (
 	errDead  = errors.New("instance is dead")
-	storeOne = message.Place{FailureDomain: "coventry-hall", Instance: "store-1"}
-	storeTwo = message.Place{FailureDomain: "derby-hall", Instance: "store-2"}
+	storeOne = message.BlobLocation{FailureDomain: "coventry-hall", Instance: "store-1"}
+	storeTwo = message.BlobLocation{FailureDomain: "derby-hall", Instance: "store-2"}
 )
 
 // A run is an attempt at the fake engine.
@@ -121,12 +121,12 @@
 			}
 		},
 		Client:    cl,
-		DropFunc:  func(_ context.Context, pls []message.Place, digest string) { wo.drop(pls, digest) },
+		DropFunc:  func(_ context.Context, pls []message.BlobLocation, digest string) { wo.drop(pls, digest) },
 		FetchFunc: wo.fetch,
 		GoFunc:    func(job func(ctx context.Context)) { no.jobs = append(no.jobs, job) },
-		LeaseFunc: func(_ string, now time.Time) (uint64, lease.Standing) { return no.holder.State(now) },
-		ReplicateFunc: func(ctx context.Context, data []byte) ([]message.Place, error) {
-			return depot.Replicate(ctx, wo.depot(), []message.Place{storeOne, storeTwo}, data)
+		LeaseFunc: func(_ string, now time.Time) (uint64, lease.State) { return no.holder.State(now) },
+		ReplicateFunc: func(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
+			return depot.Replicate(ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
 		},
 		StartFunc: func(at Attempt) bool {
 			if wo.serving < at.MinVersion {
@@ -204,7 +204,7 @@
 
 func (wo *world) depot() *depot.Client {
 	return &depot.Client{
-		GetFunc: func(_ context.Context, pl message.Place, digest string) ([]byte, error) {
+		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
 			if wo.cutOff[digest] {
 				return nil, errDead
 			}
@@ -214,18 +214,18 @@
 			}
 			return data, nil
 		},
-		PutFunc: func(_ context.Context, pl message.Place, digest string, data []byte) error {
+		PutFunc: func(_ context.Context, pl message.BlobLocation, digest string, data []byte) error {
 			wo.folders[pl.Instance][digest] = data
 			return nil
 		},
 	}
 }
 
-func (wo *world) fetch(ctx context.Context, pls []message.Place, digest string) ([]byte, error) {
+func (wo *world) fetch(ctx context.Context, pls []message.BlobLocation, digest string) ([]byte, error) {
 	return depot.Fetch(ctx, wo.depot(), pls, digest)
 }
 
-func (wo *world) drop(pls []message.Place, digest string) {
+func (wo *world) drop(pls []message.BlobLocation, digest string) {
 	for _, pl := range pls {
 		delete(wo.folders[pl.Instance], digest)
 	}
@@ -325,7 +325,7 @@
 	data, _ := json.Marshal(pa)
 	digest := depot.Digest(data)
 	wo.truth[digest] = pa
-	pls, _ := depot.Replicate(wo.ctx, wo.depot(), []message.Place{storeOne, storeTwo}, data)
+	pls, _ := depot.Replicate(wo.ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
 	if ru.node.dead || ru.node.paused {
 		return
 	}
--- a/bench/world_test.go
+++ b/bench/world_test.go
@@ -107,7 +107,7 @@
 		profiles = append(profiles, pr)
 	}
 	st := &profile.Store{Client: keyvalue.NewHTTP(platform, nil)}
-	_, err := st.Apply(context.Background(), profile.Application{By: "bench", Message: "first", Wanted: profiles})
+	_, err := st.Apply(context.Background(), profile.ApplyRequest{By: "bench", Message: "first", Wanted: profiles})
 	assert.NilError(b, err)
 }
 
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -84,8 +84,8 @@
 		return
 	}
 	he.Set(message.KeyHeader, at.key)
-	he.Set(message.KeyMintedHeader, yesNo(at.minted))
-	he.Set(message.KeyAskHeader, yesNo(at.ask))
+	he.Set(message.KeyGeneratedHeader, yesNo(at.minted))
+	he.Set(message.KeyQueryHeader, yesNo(at.ask))
 }
 
 // yesNo returns a flag's value in a header.
@@ -154,9 +154,9 @@
 }
 
 // fateOf returns what is known of a request after an attempt that failed.
-func fateOf(err error) fate.Fate {
+func fateOf(err error) fate.Outcome {
 	if errors.Is(err, errNotSent) {
 		return fate.NotRun
 	}
-	return fate.Of(err)
+	return fate.FromError(err)
 }
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -77,7 +77,7 @@
 		{"broken before it came: barred, then run elsewhere", map[string][]http.HandlerFunc{
 			"a": {ok}, "b": {breaks, refuses(fate.Refused, "")},
 		}, Policy{}, do()},
-		{"broken, and its attendant restarted", one(breaks, refuses(fate.FateUnknown, "")), Policy{}, do()},
+		{"broken, and its attendant restarted", one(breaks, refuses(fate.OutcomeUnknown, "")), Policy{}, do()},
 		{"broken, and its attendant says not-run of what it doesn't know", one(breaks, refuses(fate.BadRequest, "")), Policy{}, do()},
 		{"broken, and its attendant is gone", one(breaks), Policy{}, do()},
 		{"crossed, repeatable", two(crosses, ok), repeatable, do()},
@@ -106,7 +106,7 @@
 			defer cancel()
 			se.do(rq.WithContext(ctx))
 		}},
-		{"reused connection breaks: not sent twice", one(ok, breaks, refuses(fate.FateUnknown, "")), Policy{}, func(se *session) {
+		{"reused connection breaks: not sent twice", one(ok, breaks, refuses(fate.OutcomeUnknown, "")), Policy{}, func(se *session) {
 			for range 2 {
 				se.do(newCall(http.MethodGet, "/v1/services/desk/call/next", "", message.RepeatableHeader, no))
 			}
@@ -114,7 +114,7 @@
 	})
 }
 
-func homesOf(names ...string) once.Set { return once.Set{Endpoints: names} }
+func homesOf(names ...string) once.EndpointSet { return once.EndpointSet{Endpoints: names} }
 
 func large(size, claimed int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
--- a/call/fake_test.go
+++ b/call/fake_test.go
@@ -93,7 +93,7 @@
 	at.got++
 	key := "none"
 	if rq.Header.Get(message.KeyHeader) != "" {
-		key = "minted " + rq.Header.Get(message.KeyMintedHeader) + ", ask " + rq.Header.Get(message.KeyAskHeader)
+		key = "minted " + rq.Header.Get(message.KeyGeneratedHeader) + ", ask " + rq.Header.Get(message.KeyQueryHeader)
 	}
 	fmt.Fprintf(&at.net.log, "  %6s %s: %s %s key %s\n", time.Since(at.net.start).Round(time.Millisecond), at.name, rq.Method, rq.URL, key)
 	at.net.mu.Unlock()
--- a/call/orders_test.go
+++ b/call/orders_test.go
@@ -34,7 +34,7 @@
 func newDesk(se *session) *desk { return &desk{place: se.attendants["a"], se: se} }
 
 // call is the service: it runs an order and says so in the log.
-func (de *desk) call(_ context.Context, req plainservice.Request) (plainservice.Answer, error) {
+func (de *desk) call(_ context.Context, req plainservice.Request) (plainservice.Response, error) {
 	time.Sleep(de.takes)
 	de.se.mu.Lock()
 	de.runs++
@@ -42,17 +42,17 @@
 	fmt.Fprintf(&de.se.log, "  %6s service: run %d of %s\n", time.Since(de.se.start).Round(time.Millisecond), de.runs, req.Body)
 	if de.fails {
 		de.fails = false
-		return plainservice.Answer{}, plainservice.ErrBroken
+		return plainservice.Response{}, plainservice.ErrBroken
 	}
 	body := io.NopCloser(bytes.NewReader(fmt.Appendf(nil, "order %d", de.runs)))
-	return plainservice.Answer{Body: body, Status: http.StatusCreated}, nil
+	return plainservice.Response{Body: body, Status: http.StatusCreated}, nil
 }
 
 // start starts an attendant in place of the one before, which was killed.
 func (de *desk) start(t *testing.T) *attendant.Attendant {
 	pr, findings := profile.Parse("desk", "desk.toml", "kind = \"service\"\nservice = \"desk\"\ntype = \"plain\"\nendpoints = [\"a\"]\n")
 	assert.Equal(t, len(findings), 0)
-	profiles := &profile.Holder{}
+	profiles := &profile.Replica{}
 	profiles.Offer(profile.NewDocument(3, pr), profile.FromPeer)
 	report := func(context.Context) (plainservice.Report, error) { return plainservice.Report{}, nil }
 	at, err := attendant.New(attendant.Options{
--- a/call/request.go
+++ b/call/request.go
@@ -60,7 +60,7 @@
 func claimNothing(re *fate.Refusal) {
 	re.Fate = fate.Unknown.String()
 	if re.Code == fate.Refused {
-		re.Code = fate.FateUnknown
+		re.Code = fate.OutcomeUnknown
 	}
 }
 
--- a/call/run.go
+++ b/call/run.go
@@ -278,7 +278,7 @@
 		re = req.refusal(fate.Refused, err.Error())
 		re.RetryAfter = noEndpointWait.String()
 	default:
-		re = req.refusal(fate.FateUnknown, err.Error())
+		re = req.refusal(fate.OutcomeUnknown, err.Error())
 	}
 	if fateOf(err) == fate.NotRun && !req.keyed {
 		re.Fate = fate.NotRun.String()
--- a/call/whole.go
+++ b/call/whole.go
@@ -57,7 +57,7 @@
 func (se *Server) whole(ctx context.Context, at *attempt, rw http.ResponseWriter, started *bool) error {
 	req := at.call
 	path := at.path(message.CallPath, req.path)
-	ex, err := se.send(ctx, at, req.method, path, req.body, message.PassOn(req.header, ownHeaders...))
+	ex, err := se.send(ctx, at, req.method, path, req.body, message.ForwardHeaders(req.header, ownHeaders...))
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		return err
 	}
 	he := rw.Header()
-	for name, values := range message.PassOn(ex.answer.Header, ownHeaders...) {
+	for name, values := range message.ForwardHeaders(ex.answer.Header, ownHeaders...) {
 		he[name] = values
 	}
 	he.Set(message.RequestIDHeader, req.id)
@@ -98,6 +98,6 @@
 
 // ownHeaders are written by each hop itself.
 var ownHeaders = []string{
-	message.DeadlineHeader, message.IdempotencyKeyHeader, message.KeyAskHeader, message.KeyHeader,
-	message.KeyMintedHeader, message.ProfileHeader, message.RepeatableHeader, message.RequestIDHeader,
+	message.DeadlineHeader, message.IdempotencyKeyHeader, message.KeyQueryHeader, message.KeyHeader,
+	message.KeyGeneratedHeader, message.ProfileHeader, message.RepeatableHeader, message.RequestIDHeader,
 }
--- a/capacity/document_test.go
+++ b/capacity/document_test.go
@@ -56,7 +56,7 @@
 		for i := range changes {
 			held, err := st.Read(b.Context())
 			assert.NilError(b, err)
-			_, err = st.Apply(b.Context(), profile.Application{
+			_, err = st.Apply(b.Context(), profile.ApplyRequest{
 				Base: profile.NewBase(held.Document), By: "capacity", Message: fmt.Sprintf("more may wait, OPS-%d", 4000+i), Wanted: declareAll(b, endpoints, i),
 			})
 			assert.NilError(b, err)
--- a/capacity/entry_test.go
+++ b/capacity/entry_test.go
@@ -73,7 +73,7 @@
 func newSite(b *testing.B, endpoints int) *site {
 	si := &site{}
 	si.serve(b)
-	holder := &profile.Holder{}
+	holder := &profile.Replica{}
 	holder.Offer(profile.NewDocument(1, declare(b, 1)...), profile.FromService)
 	var me keyvalue.Memory
 	si.entry = entry.New(entry.Options{
@@ -105,9 +105,9 @@
 	assert.NilError(b, err)
 	si.address = ln.Addr().String()
 	sv := &peer.Server{}
-	peer.Handle(sv, attendant.DepotPutMethod,
-		func(context.Context, message.Header, attendant.DepotRequest) (attendant.DepotReply, error) {
-			return attendant.DepotReply{}, nil
+	peer.Handle(sv, attendant.BlobPutMethod,
+		func(context.Context, message.Header, attendant.BlobRequest) (attendant.BlobResponse, error) {
+			return attendant.BlobResponse{}, nil
 		})
 	peer.Handle(sv, order.ProbeMethod,
 		func(_ context.Context, _ message.Header, rq order.ProbeRequest) (order.Status, error) {
@@ -175,14 +175,14 @@
 	defer po.Close()
 	for i := range (endpoints + 2) / 3 {
 		id := fmt.Sprintf("attendant-%03d", i)
-		ne := roster.News{Beat: 1, Incarnation: 1, Instance: id, Card: &roster.Card{
+		ne := roster.StateUpdate{Beat: 1, Incarnation: 1, Instance: id, Card: &roster.Descriptor{
 			Address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250), DataFolder: true, FailureDomain: fmt.Sprint("fd-", i%9),
 		}}
 		for e := range min(3, endpoints-3*i) {
-			ne.Card.Endpoints = append(ne.Card.Endpoints, roster.CardEndpoint{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
-			ne.Endpoints = append(ne.Endpoints, roster.EndpointNews{Running: 15, State: roster.Ready, Version: 7})
+			ne.Card.Endpoints = append(ne.Card.Endpoints, roster.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
+			ne.Endpoints = append(ne.Endpoints, roster.EndpointUpdate{Running: 15, State: roster.Ready, Version: 7})
 		}
-		_, err := peer.Call[roster.ReportRequest, roster.ReportAnswer](
+		_, err := peer.Call[roster.ReportRequest, roster.ReportResponse](
 			b.Context(), po, entryName(0), roster.ReportMethod, roster.ReportRequest{News: ne})
 		assert.NilError(b, err)
 	}
--- a/capacity/fleet_test.go
+++ b/capacity/fleet_test.go
@@ -73,7 +73,7 @@
 	fl := &fleet{entries: make([]*entry.Entry, entries), services: services}
 	fl.client = &http.Client{Transport: &http.Transport{DialContext: pipeDialer(&fl.network)}}
 	st := &profile.Store{Client: fl.me.Client()}
-	_, err := st.Apply(t.Context(), profile.Application{By: "capacity", Message: "first", Wanted: declare(t, services)})
+	_, err := st.Apply(t.Context(), profile.ApplyRequest{By: "capacity", Message: "first", Wanted: declare(t, services)})
 	assert.NilError(t, err)
 	fl.me.SetFaults(keyvalue.Faults{Delay: answerTime})
 	return fl
--- a/capacity/ledger_test.go
+++ b/capacity/ledger_test.go
@@ -28,7 +28,7 @@
 	stepTime  = 24 * time.Minute
 )
 
-var places = []message.Place{
+var places = []message.BlobLocation{
 	{Address: "10.0.12.31:7400", FailureDomain: "coventry-hall", Instance: "marker-07"},
 	{Address: "10.0.27.104:7400", FailureDomain: "derby-hall", Instance: "marker-19"},
 }
@@ -62,9 +62,9 @@
 	ma.owner = &batch.Owner{
 		CancelFunc:    func(string) {},
 		Client:        cl,
-		FetchFunc:     func(context.Context, []message.Place, string) ([]byte, error) { return nil, nil },
-		LeaseFunc:     func(string, time.Time) (uint64, lease.Standing) { return 1, lease.Held },
-		ReplicateFunc: func(context.Context, []byte) ([]message.Place, error) { return places, nil },
+		FetchFunc:     func(context.Context, []message.BlobLocation, string) ([]byte, error) { return nil, nil },
+		LeaseFunc:     func(string, time.Time) (uint64, lease.State) { return 1, lease.Held },
+		ReplicateFunc: func(context.Context, []byte) ([]message.BlobLocation, error) { return places, nil },
 		StartFunc: func(at batch.Attempt) bool {
 			ma.attempts = append(ma.attempts, at)
 			return true
@@ -196,7 +196,7 @@
 // write returns the size of a record in the key-value service, or its refusal.
 func write(t *testing.T, rec ledger.Record) (int, error) {
 	var me keyvalue.Memory
-	bo := &ledger.Book{Client: me.Client(), Trainer: "a"}
+	bo := &ledger.Writer{Client: me.Client(), Trainer: "a"}
 	_, _, err := bo.Adopt(t.Context(), 1)
 	assert.NilError(t, err)
 	if err := bo.Write(t.Context(), rec); err != nil {
--- a/capacity/message_test.go
+++ b/capacity/message_test.go
@@ -25,8 +25,8 @@
 	peer.Handle(sv, order.ProbeMethod, func(context.Context, message.Header, order.ProbeRequest) (order.Status, error) {
 		return answer, nil
 	})
-	peer.Handle(sv, order.OrderMethod, func(context.Context, message.Header, order.Request) (order.Answer, error) {
-		return order.Answer{Status: answer, Verdict: order.Taken}, nil
+	peer.Handle(sv, order.OrderMethod, func(context.Context, message.Header, order.Request) (order.Response, error) {
+		return order.Response{Status: answer, Verdict: order.Accepted}, nil
 	})
 	peer.Handle(sv, order.SettleMethod, func(context.Context, message.Header, order.Status) (struct{}, error) {
 		return struct{}{}, nil
@@ -46,7 +46,7 @@
 			return err
 		},
 		"order": func() error {
-			_, err := peer.Call[order.Request, order.Answer](b.Context(), po, "a", order.OrderMethod, request)
+			_, err := peer.Call[order.Request, order.Response](b.Context(), po, "a", order.OrderMethod, request)
 			return err
 		},
 		"settle": func() error {
--- a/cmd/holdcmd.go
+++ b/cmd/holdcmd.go
@@ -48,7 +48,7 @@
 
 // run makes a change, or says what it would be.
 func (hf HoldFlags) run(ctx context.Context, ac hold.Action, out io.Writer) error {
-	ke := &hold.Keeper{Client: hf.client()}
+	ke := &hold.Store{Client: hf.client()}
 	ch := hf.change(ac)
 	sh, err := ke.Read(ctx)
 	if err != nil {
@@ -69,7 +69,7 @@
 }
 
 // holdChange prints what a change makes different, and what undoes it.
-func (pr *printer) holdChange(hf HoldFlags, before *hold.Sheet, ch hold.Change, changed bool) {
+func (pr *printer) holdChange(hf HoldFlags, before *hold.Set, ch hold.Change, changed bool) {
 	if !changed {
 		pr.printf("%s is %s: nothing to change\n", ch.Target, choose(ch.Action == hold.Held, "held already", "not held"))
 		return
@@ -162,7 +162,7 @@
 func (hc *HoldsCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, hc.Timeout)
 	defer cancel()
-	sh, err := (&hold.Keeper{Client: hc.client()}).Read(ctx)
+	sh, err := (&hold.Store{Client: hc.client()}).Read(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/holdsession_test.go
+++ b/cmd/holdsession_test.go
@@ -29,8 +29,8 @@
 // schedulers, an entry, an attendant beside an engine, and a plain endpoint.
 type holdWorld struct {
 	*deployment
-	authority *standin.UsageAuthority
-	desk      *standin.Desk
+	authority *standin.UsageServer
+	desk      *standin.PlainEndpoint
 	engine    *standin.Engine
 	store     *standin.Store
 	subnet    string
@@ -46,7 +46,7 @@
 func newHoldWorld(t *testing.T) *holdWorld {
 	pid := os.Getpid()
 	hw := &holdWorld{
-		authority: &standin.UsageAuthority{}, desk: &standin.Desk{ID: "i-desk"}, deployment: &deployment{T: t, ended: make(chan string, 16), processes: map[string]*process{}},
+		authority: &standin.UsageServer{}, desk: &standin.PlainEndpoint{ID: "i-desk"}, deployment: &deployment{T: t, ended: make(chan string, 16), processes: map[string]*process{}},
 		engine: &standin.Engine{
 			Gap: 5 * time.Millisecond, ID: "i-engine", Length: func(string) int { return 4 }, Load: 10 * time.Millisecond, Models: []string{"menus"}, Slots: 4,
 			Text: func(item string, event int, _ uint64) string { return fmt.Sprint(item, event) },
@@ -79,7 +79,7 @@
 	route := func(name string, kind directory.Kind, service string) directory.Route {
 		return directory.Route{
 			Due: 8 * time.Second, Host: holdHost, Kind: kind, MaxAttempts: 3, MaxWait: 2 * time.Minute, Name: name, Prefix: "/" + name + "/",
-			Resumable: true, Shares: []directory.Share{{Service: service}}, Timeout: 5 * time.Second,
+			Resumable: true, Shares: []directory.WeightedService{{Service: service}}, Timeout: 5 * time.Second,
 		}
 	}
 	op := &standin.Operator{Keys: map[string][]string{"bakery": {"key-bakery"}, "mill": {"key-mill"}}, Store: hw.store}
@@ -92,7 +92,7 @@
 	})
 	op.Register(ctx, directory.Endpoint{Address: hw.ip(3) + ":8000", Domain: "a", ID: "i-desk", Service: "desk", Slots: 4})
 	op.Register(ctx, directory.Endpoint{
-		Address: hw.ip(2) + ":8000", Domain: "a", ID: "i-engine", Models: []directory.Serving{{Model: "menus"}}, Service: "llm", Slots: 4,
+		Address: hw.ip(2) + ":8000", Domain: "a", ID: "i-engine", Models: []directory.ModelVersion{{Model: "menus"}}, Service: "llm", Slots: 4,
 	})
 	op.NameVersion(ctx, "menus", 1)
 }
@@ -218,7 +218,7 @@
 	hw.until("the orders to be decided on", func() bool {
 		var ov scale.Overview
 		err := json.Unmarshal([]byte(hw.tell("scale", "--output", "json")), &ov)
-		return err == nil && slices.Equal(ov.Lines, []scale.Line{
+		return err == nil && slices.Equal(ov.Lines, []scale.OverviewRow{
 			{Max: 4, Min: 1, Ordered: -1, Serving: 1, Subject: scale.Subject{Domain: "a", Service: "desk"}, Wanted: 1},
 			{Held: true, Max: 4, Min: 2, Ordered: -1, Serving: 1, Subject: su, Wanted: 2},
 		})
@@ -253,7 +253,7 @@
 
 // ran reports whether the engine has begun an item of a step.
 func (hw *holdWorld) ran(id string) bool {
-	return slices.ContainsFunc(hw.engine.Notes(), func(no standin.RunNote) bool { return strings.HasPrefix(no.ID, id) })
+	return slices.ContainsFunc(hw.engine.Notes(), func(no standin.EngineRun) bool { return strings.HasPrefix(no.ID, id) })
 }
 
 // killLeader ends the scheduler that runs the steps as a loss of power does.
--- a/cmd/holdtarget.go
+++ b/cmd/holdtarget.go
@@ -72,7 +72,7 @@
 
 // missingStep returns why a step can't be held, or "".
 func missingStep(ctx context.Context, cl *keyvalue.Client, id string) (string, error) {
-	st, err := (&step.Keeper{Client: cl}).Load(ctx, id)
+	st, err := (&step.Store{Client: cl}).Load(ctx, id)
 	switch {
 	case errors.Is(err, step.ErrUnknownStep):
 		return "is no step that was accepted; `load` and the log's `step accepted` lines name steps", nil
--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -43,7 +43,7 @@
 	var out bytes.Buffer
 	pr := printer{out: &out}
 	subject := func(domain string) scale.Subject { return scale.Subject{Domain: domain, Service: "llm"} }
-	pr.scale(scale.Overview{Epoch: 4, Lines: []scale.Line{
+	pr.scale(scale.Overview{Epoch: 4, Lines: []scale.OverviewRow{
 		{Max: 8, Min: 2, Ordered: -1, Serving: 3, Subject: subject("a"), Wanted: 5},
 		{Held: true, Max: 8, Min: 2, Ordered: 6, Serving: 4, Subject: subject("b"), Wanted: 4},
 		{Max: 8, Min: 2, Ordered: 3, Serving: 3, Subject: subject("c"), Taken: true, Wanted: 3},
@@ -102,7 +102,7 @@
 		session += os.run(args...) + "\n"
 	}
 	golden.Assert(t, session, "holds.golden")
-	sh, err := (&hold.Keeper{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
+	sh, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, len(sh.Records()), 2)
 	for i, want := range []string{"held customer bakery", "held customer mill & sons", "held endpoint 10.0.0.1:80", "released customer mill & sons"} {
@@ -140,7 +140,7 @@
 		session += strings.ReplaceAll(said, strings.Repeat("w", 301), "WWW") + "\n"
 	}
 	golden.Assert(t, session, "holds-bad.golden")
-	sh, err := (&hold.Keeper{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
+	sh, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, sh.Version(), int64(0))
 }
--- a/cmd/platformattendantcmd.go
+++ b/cmd/platformattendantcmd.go
@@ -33,8 +33,8 @@
 		func(ctx context.Context, _ message.Header, rq runner.ExchangeRequest) (runner.ExchangeResponse, error) {
 			return rn.Exchange(ctx, rq)
 		})
-	peer.Handle(&ps, runner.WitnessMethod,
-		func(context.Context, message.Header, step.Empty) (runner.WitnessResponse, error) {
+	peer.Handle(&ps, runner.LastContactMethod,
+		func(context.Context, message.Header, step.Empty) (runner.LastContactResponse, error) {
 			return rn.LastContact(), nil
 		})
 	background(lc, rn.Run)
--- a/cmd/platformentrycmd.go
+++ b/cmd/platformentrycmd.go
@@ -45,11 +45,11 @@
 	te := ho.teller(fo)
 	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.payer().Allow
 	background(lc, te.Run)
-	su := &platform.Submissions{
+	su := &platform.StepHandler{
 		Access: fo.Access, Directory: ho.directory,
-		Door: &step.Door{
+		Door: &step.Frontend{
 			CutOffFunc: func() bool { return ho.directory.CutOff(time.Now()) },
-			Keeper:     &step.Keeper{Client: ho.store, Log: ho.log}, Log: ho.log, Pool: ho.pool, Scheduler: ho.finder,
+			Keeper:     &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log, Pool: ho.pool, Scheduler: ho.finder,
 		},
 		Live:       fo,
 		RetryAfter: stepRetry,
@@ -59,7 +59,7 @@
 	background(lc, expire(fo))
 	background(lc, ho.keepQuarantine())
 	ho.serveMetrics(lc)
-	sv := roleprocess.NewHTTPServer(roleprocess.CloseWhile(ga.stopping.Load, ga))
+	sv := roleprocess.NewHTTPServer(roleprocess.CloseConnectionsWhile(ga.stopping.Load, ga))
 	ho.guard().Protect(sv)
 	serve(lc, ho.settings.CallerAddress, sv, func(ctx context.Context) error {
 		ga.drain(ctx)
@@ -106,16 +106,16 @@
 
 // teller returns what tells the scheduler of live requests, and learns from it how many
 // places this entry may give each customer.
-func (ho *host) teller(fo *forward.Forwarder) *allotment.Teller {
-	return &allotment.Teller{
+func (ho *host) teller(fo *forward.Forwarder) *allotment.DemandReporter {
+	return &allotment.DemandReporter{
 		DemandsFunc: fo.Demands, Finder: ho.finder, Instance: ho.settings.Instance, LoadsFunc: fo.Loads, Log: ho.log,
 		Metrics: ho.metrics, Pool: ho.pool, WeightsFunc: ho.directory.Weights,
 	}
 }
 
 // payer returns what spends the tokens of customers' quotas that the scheduler grants.
-func (ho *host) payer() *allotment.Payer {
-	return &allotment.Payer{Finder: ho.finder, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
+func (ho *host) payer() *allotment.RateLimiter {
+	return &allotment.RateLimiter{Finder: ho.finder, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
 }
 
 // guard returns what holds callers to the limits of the configuration in force.
--- a/cmd/platformforwarder.go
+++ b/cmd/platformforwarder.go
@@ -56,7 +56,7 @@
 // keepQuarantine returns what saves, until it is told to end, what the process has
 // seen of requests that end their endpoints.
 func (ho *host) keepQuarantine() func(ctx context.Context) {
-	return (&quarantine.Keeper{Client: ho.store, Log: ho.log, Table: ho.requests}).Run
+	return (&quarantine.Store{Client: ho.store, Log: ho.log, Table: ho.requests}).Run
 }
 
 // expire returns what closes, until it is told to end, what concerns endpoints
--- a/cmd/platformhost.go
+++ b/cmd/platformhost.go
@@ -54,7 +54,7 @@
 // A host is what the roles on the platform share as processes.
 type host struct {
 	directory   *directory.Directory
-	finder      *lease.Finder
+	finder      *lease.Resolver
 	live        atomic.Pointer[forward.Forwarder] // what reaches plain endpoints; nil where the role has none
 	log         *logrus.Entry
 	memoryLimit atomic.Int64 // bytes; settings may change it
@@ -79,7 +79,7 @@
 	store := platform.NewStore(se.StoreAddress, forward.NewHTTPClient())
 	ho := &host{
 		directory: &directory.Directory{},
-		finder:    &lease.Finder{Client: store, Log: log, Name: step.LeaseName},
+		finder:    &lease.Resolver{Client: store, Log: log, Name: step.LeaseName},
 		log:       log,
 		metrics:   set,
 		pool: &peer.Pool{
--- a/cmd/platformload.go
+++ b/cmd/platformload.go
@@ -13,7 +13,7 @@
 // A loadView is what a scheduler's process knows of the load of services whose endpoints
 // may be ordered.
 type loadView struct {
-	census    *scale.Census // of what entries tell
+	census    *scale.LoadAggregator // of what entries tell
 	directory *directory.Directory
 	forwarder *forward.Forwarder // of calls of the process's own, which go to plain services
 	scheduler *step.Scheduler
@@ -39,7 +39,7 @@
 		case se.ScalesEngines():
 			out.Unknown, out.Work = !worksKnown, works[se.Name]
 		case se.ScalesPlain():
-			out.Slack, out.Unknown, out.Work = scale.Slack, !loadsKnown || out.Places == 0, loads[se.Name].Work(out.Places)
+			out.Slack, out.Unknown, out.Work = scale.PlainSlack, !loadsKnown || out.Places == 0, loads[se.Name].Work(out.Places)
 		default:
 			continue
 		}
--- a/cmd/platformload_test.go
+++ b/cmd/platformload_test.go
@@ -15,7 +15,7 @@
 func TestLoadView(t *testing.T) {
 	di := &directory.Directory{}
 	lv := &loadView{
-		census: &scale.Census{}, directory: di, forwarder: &forward.Forwarder{Directory: di}, scheduler: &step.Scheduler{},
+		census: &scale.LoadAggregator{}, directory: di, forwarder: &forward.Forwarder{Directory: di}, scheduler: &step.Scheduler{},
 	}
 	now := time.Now()
 	assert.Equal(t, len(lv.services(now)), 0, "no configuration")
@@ -28,12 +28,12 @@
 		Services: []directory.Service{{Name: "desk", Scale: bounds}, {Name: "other"}, engines}, Version: 2,
 	})
 	desk := scale.Service{
-		Bounds: scale.Bounds{Startup: 3 * time.Second, Max: 4, Min: 1}, Domains: map[string]int{}, Name: "desk", Slack: scale.Slack, Unknown: true,
+		Bounds: scale.Bounds{Startup: 3 * time.Second, Max: 4, Min: 1}, Domains: map[string]int{}, Name: "desk", Slack: scale.PlainSlack, Unknown: true,
 	}
 	llm := scale.Service{Bounds: desk.Bounds, Domains: map[string]int{}, Name: "llm", Places: 8, Unknown: true}
 	assert.DeepEqual(t, lv.services(now), []scale.Service{desk, llm})
 
-	lv.census.Report("entry-1", map[string]scale.Seen{"desk": {Begun: 10, Busy: 5 * time.Second, Span: time.Second}}, now)
+	lv.census.Report("entry-1", map[string]scale.Observation{"desk": {Begun: 10, Busy: 5 * time.Second, Span: time.Second}}, now)
 	assert.Assert(t, lv.services(now)[0].Unknown, "what one of its endpoints can do is not known")
 	for i, domain := range []string{"a", "a", "b"} {
 		di.SetEndpoint(directory.Endpoint{Address: string(rune('1' + i)), Domain: domain, ID: string(rune('x' + i)), Leaving: i == 1, Service: "desk", Slots: 4})
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -51,7 +51,7 @@
 			Client: ho.store, Follow: true, Log: ho.log, Name: step.LeaseName, Owner: ho.settings.PeerAddress,
 			ProbeEvery: probeEvery, TTL: leaseTime,
 		},
-		Holds: &hold.Keeper{Client: ho.store}, Keep: ho.settings.KeepResults, Keeper: &step.Keeper{Client: ho.store, Log: ho.log}, Log: ho.log,
+		Holds: &hold.Store{Client: ho.store}, Keep: ho.settings.KeepResults, Keeper: &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log,
 		Metrics:  ho.metrics,
 		PeerPort: ho.settings.PeerPort, Pool: ho.pool, Quarantine: ho.requests,
 	}
@@ -59,11 +59,11 @@
 	var ps peer.Server
 	sc.Register(&ps)
 	ho.reportUsage(lc, sc, &ps)
-	ce := &scale.Census{}
-	al := &allotment.Holder{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
+	ce := &scale.LoadAggregator{}
+	al := &allotment.Allocator{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
 	al.Register(&ps)
 	sc.LiveFunc = al.Parts
-	gr := &allotment.Granter{
+	gr := &allotment.TokenServer{
 		Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, QuotaFunc: ho.directory.Quota, StandingFunc: sc.Holder.Held,
 	}
 	gr.Register(&ps)
@@ -96,7 +96,7 @@
 	if ho.settings.UsageAddress == "" {
 		return
 	}
-	uh := &usage.Holder{
+	uh := &usage.Collector{
 		Client: ho.store, FenceFunc: sc.Holder.Fence, Log: ho.log, Metrics: ho.metrics, Overlap: ho.settings.UsageOverlap,
 		Owner: ho.settings.PeerAddress, SendFunc: platform.NewUsageSender(ho.settings.UsageAddress, ho.settings.Instance),
 		StandingFunc: sc.Holder.Held, Window: ho.settings.UsageWindow,
@@ -112,7 +112,7 @@
 	if ho.settings.ScaleAddress == "" {
 		return
 	}
-	so := &scale.Holder{
+	so := &scale.Scaler{
 		Census: lv.census,
 		HeldFunc: func(service string) bool {
 			_, held := ho.directory.Holds().Service(service)
@@ -120,7 +120,7 @@
 		},
 		Log: ho.log, Metrics: ho.metrics, SendFunc: platform.NewScaleSender(ho.settings.ScaleAddress, ho.settings.Instance),
 		ServicesFunc: lv.services,
-		Tenure: &duty.Tenure[scale.Record]{
+		Tenure: &duty.Term[scale.Record]{
 			Client: ho.store, FenceFunc: lv.scheduler.Holder.Fence, Overlap: ho.settings.ScaleOverlap, Owner: ho.settings.PeerAddress,
 			StandingFunc: lv.scheduler.Holder.Held,
 		},
--- a/cmd/profilecmd.go
+++ b/cmd/profilecmd.go
@@ -84,7 +84,7 @@
 		conflict  *profile.Conflict
 		findings  *finding.Error
 		reverted  *profile.Reverted
-		unsettled *profile.Unsettled
+		unsettled *profile.OutcomeUnknownError
 	)
 	switch {
 	case err == nil:
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	ou, err := st.Apply(ctx, profile.Application{
+	ou, err := st.Apply(ctx, profile.ApplyRequest{
 		AtLeast:  pa.AtLeast,
 		Base:     base,
 		By:       pa.By,
@@ -235,7 +235,7 @@
 }
 
 // report prints what was done, or would be.
-func (pa *ProfileApplyCmd) report(env *ProfileEnv, ou profile.Outcome) error {
+func (pa *ProfileApplyCmd) report(env *ProfileEnv, ou profile.ApplyResult) error {
 	pr := printer{out: env.Stdout}
 	revision := ou.Document.Revision()
 	switch {
--- a/cmd/quarantinecmd.go
+++ b/cmd/quarantinecmd.go
@@ -32,10 +32,10 @@
 }
 
 // keeper returns what reads and writes the records.
-func (qf QuarantineFlags) keeper(env *ProfileEnv) (*quarantine.Keeper, error) {
+func (qf QuarantineFlags) keeper(env *ProfileEnv) (*quarantine.Store, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard) // what goes wrong is the command's error
-	ke := &quarantine.Keeper{Log: logrus.NewEntry(log), Table: &quarantine.Table{}}
+	ke := &quarantine.Store{Log: logrus.NewEntry(log), Table: &quarantine.Table{}}
 	switch {
 	case qf.Store != "":
 		ke.Client = platform.NewStore(qf.Store, forward.NewHTTPClient())
--- a/cmd/scalecmd.go
+++ b/cmd/scalecmd.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	ov, err := askScheduler[scale.OverviewRequest, scale.Overview](ctx, sc.client(), scale.OverviewMethod, scale.OverviewRequest{})
 	if errors.Is(err, peer.ErrUnknownMethod) {
-		ov, err = scale.Overview{Lines: []scale.Line{}}, nil // its settings name no one who takes orders
+		ov, err = scale.Overview{Lines: []scale.OverviewRow{}}, nil // its settings name no one who takes orders
 	}
 	if err != nil {
 		return err
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -18,29 +18,29 @@
 	Held uint64 // revision that the asking process holds
 }
 
-// A FetchReply holds the document of the process asked, or the zero Document if
+// A FetchResponse holds the document of the process asked, or the zero Document if
 // that is no newer than the one held.
-type FetchReply struct {
+type FetchResponse struct {
 	Document profile.Document
 }
 
 // Handle serves the document that ho holds.
-func Handle(sv *peer.Server, ho *profile.Holder) {
-	peer.Handle(sv, FetchMethod, func(_ context.Context, _ message.Header, req FetchRequest) (FetchReply, error) {
+func Handle(sv *peer.Server, ho *profile.Replica) {
+	peer.Handle(sv, FetchMethod, func(_ context.Context, _ message.Header, req FetchRequest) (FetchResponse, error) {
 		do := ho.Current()
 		if do.Revision() <= req.Held {
-			return FetchReply{}, nil
+			return FetchResponse{}, nil
 		}
-		return FetchReply{Document: do}, nil
+		return FetchResponse{Document: do}, nil
 	})
 }
 
 // Fetcher returns a FetchFunc for a profile.Spreader whose peers are named by
 // their addresses. It fetches over a pool, for the holder's process.
-func Fetcher(po *peer.Pool, ho *profile.Holder) func(ctx context.Context, address string) (profile.Document, error) {
+func Fetcher(po *peer.Pool, ho *profile.Replica) func(ctx context.Context, address string) (profile.Document, error) {
 	return func(ctx context.Context, address string) (profile.Document, error) {
 		req := FetchRequest{Held: ho.Revision()}
-		re, err := peer.Call[FetchRequest, FetchReply](ctx, po, address, FetchMethod, req)
+		re, err := peer.Call[FetchRequest, FetchResponse](ctx, po, address, FetchMethod, req)
 		return re.Document, err
 	}
 }
--- a/depot/client.go
+++ b/depot/client.go
@@ -8,28 +8,28 @@
 	"wisteriacroft/message"
 )
 
-// Copies is how many failure domains keep a payload.
-const Copies = 2
+// ReplicaCount is how many failure domains keep a payload.
+const ReplicaCount = 2
 
 // A Client reaches the data folders of other processes. Each field is a seam.
 type Client struct {
-	DeleteFunc func(ctx context.Context, pl message.Place, digest string) error
+	DeleteFunc func(ctx context.Context, pl message.BlobLocation, digest string) error
 	// GetFunc returns the payload, or ErrMissing.
-	GetFunc func(ctx context.Context, pl message.Place, digest string) ([]byte, error)
-	PutFunc func(ctx context.Context, pl message.Place, digest string, data []byte) error
+	GetFunc func(ctx context.Context, pl message.BlobLocation, digest string) ([]byte, error)
+	PutFunc func(ctx context.Context, pl message.BlobLocation, digest string, data []byte) error
 }
 
 // Replicate puts data into Copies of the places, in different failure domains,
 // trying them in order and passing over those that fail. It returns the places
 // that took it; with fewer than Copies of them, ErrTooFewCopies too.
 func Replicate(
-	ctx context.Context, cl *Client, places []message.Place, data []byte,
-) ([]message.Place, error) {
-	var taken []message.Place
+	ctx context.Context, cl *Client, places []message.BlobLocation, data []byte,
+) ([]message.BlobLocation, error) {
+	var taken []message.BlobLocation
 	var failed error
 	digest := Digest(data)
 	for _, pl := range places {
-		if len(taken) == Copies {
+		if len(taken) == ReplicaCount {
 			break
 		}
 		if sharesDomain(taken, pl) {
@@ -41,15 +41,15 @@
 		}
 		taken = append(taken, pl)
 	}
-	if len(taken) < Copies {
+	if len(taken) < ReplicaCount {
 		return taken, errors.CombineErrors(
-			errors.Wrapf(ErrTooFewCopies, "%d of %d", len(taken), Copies), failed)
+			errors.Wrapf(ErrTooFewCopies, "%d of %d", len(taken), ReplicaCount), failed)
 	}
 	return taken, nil
 }
 
 // sharesDomain reports whether a place lies in the failure domain of one taken.
-func sharesDomain(taken []message.Place, pl message.Place) bool {
+func sharesDomain(taken []message.BlobLocation, pl message.BlobLocation) bool {
 	for _, ta := range taken {
 		if ta.FailureDomain == pl.FailureDomain {
 			return true
@@ -62,9 +62,9 @@
 // it that lost theirs. It returns ErrMissing only if every place says so: one
 // that cannot be reached may still have its copy.
 func Fetch(
-	ctx context.Context, cl *Client, places []message.Place, digest string,
+	ctx context.Context, cl *Client, places []message.BlobLocation, digest string,
 ) ([]byte, error) {
-	var lost []message.Place
+	var lost []message.BlobLocation
 	var failed error
 	for _, pl := range places {
 		data, err := cl.GetFunc(ctx, pl, digest)
--- a/depot/depot_test.go
+++ b/depot/depot_test.go
@@ -18,7 +18,7 @@
 	stores map[string]*Store
 }
 
-var places = []message.Place{
+var places = []message.BlobLocation{
 	{FailureDomain: "alm-medeu", Instance: "store-1"},
 	{FailureDomain: "alm-medeu", Instance: "store-2"},
 	{FailureDomain: "alm-alatau", Instance: "store-3"},
@@ -33,16 +33,16 @@
 	}
 	errDown := errors.New("no route")
 	return ra, &Client{
-		DeleteFunc: func(_ context.Context, pl message.Place, digest string) error {
+		DeleteFunc: func(_ context.Context, pl message.BlobLocation, digest string) error {
 			return ra.stores[pl.Instance].Delete(digest)
 		},
-		GetFunc: func(_ context.Context, pl message.Place, digest string) ([]byte, error) {
+		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
 			if ra.down[pl.Instance] {
 				return nil, errDown
 			}
 			return ra.stores[pl.Instance].Get(digest)
 		},
-		PutFunc: func(_ context.Context, pl message.Place, digest string, data []byte) error {
+		PutFunc: func(_ context.Context, pl message.BlobLocation, digest string, data []byte) error {
 			if ra.down[pl.Instance] {
 				return errDown
 			}
@@ -51,7 +51,7 @@
 	}
 }
 
-func instances(pls []message.Place) []string {
+func instances(pls []message.BlobLocation) []string {
 	var names []string
 	for _, pl := range pls {
 		names = append(names, pl.Instance)
--- a/depot/digest.go
+++ b/depot/digest.go
@@ -28,8 +28,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Valid reports whether digest has the form that Digest returns.
-func Valid(digest string) bool {
+// ValidDigest reports whether digest has the form that Digest returns.
+func ValidDigest(digest string) bool {
 	sum, err := hex.DecodeString(digest)
 	return err == nil && len(sum) == sha256.Size && hex.EncodeToString(sum) == digest
 }
--- a/depot/store.go
+++ b/depot/store.go
@@ -84,7 +84,7 @@
 // trainer as a sample that nobody made. The digest tells it from a whole one;
 // it is removed, so that the other copy can take its place.
 func (st *Store) Get(digest string) ([]byte, error) {
-	if !Valid(digest) {
+	if !ValidDigest(digest) {
 		return nil, errors.Wrapf(ErrBadDigest, "get %q", digest)
 	}
 	data, err := os.ReadFile(st.path(digest))
@@ -105,7 +105,7 @@
 
 // Delete removes a payload. One that is not there is no error.
 func (st *Store) Delete(digest string) error {
-	if !Valid(digest) {
+	if !ValidDigest(digest) {
 		return errors.Wrapf(ErrBadDigest, "delete %q", digest)
 	}
 	st.mu.Lock()
@@ -117,7 +117,7 @@
 func (st *Store) List() ([]Entry, error) {
 	var ens []Entry
 	err := st.walk(func(path string, fi fs.FileInfo) error {
-		if Valid(filepath.Base(path)) {
+		if ValidDigest(filepath.Base(path)) {
 			ens = append(ens, Entry{Digest: filepath.Base(path), Size: fi.Size(), Stored: fi.ModTime()})
 		}
 		return nil
--- a/directory/bounds_test.go
+++ b/directory/bounds_test.go
@@ -28,7 +28,7 @@
 
 func TestIsPart(t *testing.T) {
 	for value, want := range map[float64]bool{0: true, 0.5: true, 1e9: true, -1: false, math.Inf(1): false, math.Inf(-1): false} {
-		assert.Equal(t, IsPart(value), want, "%v", value)
+		assert.Equal(t, ValidRatio(value), want, "%v", value)
 	}
-	assert.Assert(t, !IsPart(math.NaN()))
+	assert.Assert(t, !ValidRatio(math.NaN()))
 }
--- a/directory/configuration.go
+++ b/directory/configuration.go
@@ -16,7 +16,7 @@
 // The kinds of routes.
 const (
 	Repeatable Kind = "repeatable" // running more than once does no harm
-	Once       Kind = ""           // runs at most once for each request: safe for a kind that is not known
+	AtMostOnce Kind = ""           // runs at most once for each request: safe for a kind that is not known
 	Steps      Kind = "steps"      // whole steps of a trainer, kept and run later
 )
 
@@ -28,8 +28,8 @@
 	IdleTimeout   time.Duration // for a kept connection between two requests
 }
 
-// A Share is a part of a route's requests that goes to a service.
-type Share struct {
+// A WeightedService is a part of a route's requests that goes to a service.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -47,7 +47,7 @@
 	Priority      int    // 0 goes first
 	Public        bool   // callers need no key
 	Resumable     bool   // a broken stream may go on at another endpoint
-	Shares        []Share
+	Shares        []WeightedService
 	SingleVersion bool // one version of the weights makes a whole sample
 	Sticky        bool // requests with the same prompt prefix do best at one endpoint
 	Streaming     bool // the answer is a series of events
--- a/directory/customer.go
+++ b/directory/customer.go
@@ -28,8 +28,8 @@
 	Weight float64
 }
 
-// IsPart reports whether a number makes sense as a customer's quota or weight.
-func IsPart(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
+// ValidRatio reports whether a number makes sense as a customer's quota or weight.
+func ValidRatio(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
 // PriorityWeight returns the customer's weight among those that compete: the first priority
 // weighs 1, the next ones a half, a third and so on. Not even the last goes without.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -36,7 +36,7 @@
 	synced        bool                 // endpoints have been read once
 	confirmedAt   time.Time            // the service last told of the endpoints
 	generation    uint64               // of the endpoints; their models' versions don't count
-	holds         *hold.Sheet          // of operators
+	holds         *hold.Set            // of operators
 	awaySince     time.Time            // zero while the service answers
 	backAt        time.Time
 	heardAt       time.Time // of the service, or of the process that feeds this one
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -10,8 +10,8 @@
 	"wisteriacroft/incarnation"
 )
 
-// A Serving is a model and the version of its weights that an engine serves.
-type Serving struct {
+// A ModelVersion is a model and the version of its weights that an engine serves.
+type ModelVersion struct {
 	Model   string
 	Version uint64
 }
@@ -25,7 +25,7 @@
 	// Incarnation is the start that wrote the entry.
 	Incarnation incarnation.Number
 	Leaving     bool // takes no new work
-	Models      []Serving
+	Models      []ModelVersion
 	Revision    int64 // of its entry in the key-value service
 	Service     string
 	Slots       int
--- a/directory/endpointset_test.go
+++ b/directory/endpointset_test.go
@@ -19,11 +19,11 @@
 	}{
 		{"models", func() {
 			en, _ := di.Endpoint("endpoint-0001")
-			en.Models = []Serving{{Model: "m", Version: 2}}
+			en.Models = []ModelVersion{{Model: "m", Version: 2}}
 			di.SetEndpoint(en)
 		}},
 		{"left", func() { di.RemoveEndpoint("endpoint-0002", time.Time{}) }},
-		{"operator's hold", func() { di.SetHolds(&hold.Sheet{}) }},
+		{"operator's hold", func() { di.SetHolds(&hold.Set{}) }},
 	}
 	for _, tc := range changes {
 		t.Run(tc.name, func(t *testing.T) {
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -66,7 +66,7 @@
 	Fresh         bool // they are not those that were asked with
 	Generation    uint64
 	Held          uint64
-	Holds         *hold.Sheet         `cbor:",omitempty"` // if other than the caller's
+	Holds         *hold.Set           `cbor:",omitempty"` // if other than the caller's
 	Quarantine    []quarantine.Record `cbor:",omitempty"`
 	// Stale means that there is nothing but Quarantine: the process does not feed,
 	// or its endpoints are old.
--- a/directory/feed_test.go
+++ b/directory/feed_test.go
@@ -27,7 +27,7 @@
 
 		known := FeedRequest{Boot: first.Boot, Generation: first.Generation}
 		en, _ := di.Endpoint("a")
-		en.Models = []Serving{{Model: "m", Version: 2}}
+		en.Models = []ModelVersion{{Model: "m", Version: 2}}
 		di.SetEndpoint(en)
 		begun := time.Now()
 		second, err := fo.feed(t.Context(), "boot", known)
@@ -91,7 +91,7 @@
 		log := logrus.NewEntry(logger)
 		fo := &Follower{
 			Client: me.Client(), DirectFunc: func() bool { return false }, Directory: &Directory{},
-			Feeder: &lease.Finder{Client: me.Client(), Log: log, Name: "scheduler"}, Log: log, Source: source(),
+			Feeder: &lease.Resolver{Client: me.Client(), Log: log, Name: "scheduler"}, Log: log, Source: source(),
 		}
 		go fo.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
@@ -188,7 +188,7 @@
 		logger.SetLevel(logrus.PanicLevel)
 		log := logrus.NewEntry(logger)
 		fo := &Follower{
-			Directory: &Directory{}, Feeder: &lease.Finder{Client: me.Client(), Log: log, Name: "scheduler"}, lastFeeder: "10.0.0.1:1",
+			Directory: &Directory{}, Feeder: &lease.Resolver{Client: me.Client(), Log: log, Name: "scheduler"}, lastFeeder: "10.0.0.1:1",
 		}
 		me.SetFaults(keyvalue.Faults{Outage: true})
 		assert.Equal(t, fo.feederAddress(t.Context()), "10.0.0.1:1")
@@ -225,7 +225,7 @@
 				}
 				fo := &Follower{
 					Client: cl, DirectFunc: func() bool { return false }, Directory: &Directory{},
-					Feeder: &lease.Finder{Client: cl, Log: log, Name: "scheduler"}, Log: log, Patience: tc.patience, Source: source(),
+					Feeder: &lease.Resolver{Client: cl, Log: log, Name: "scheduler"}, Log: log, Patience: tc.patience, Source: source(),
 				}
 				var stale atomic.Int64
 				cl.ScanStaleFunc = func(ctx context.Context, prefix string) (keyvalue.Changes, error) {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -42,8 +42,8 @@
 // revisionField is the field of log lines that holds a key's version.
 const revisionField = "revision"
 
-// A Source says where in the key-value service things lie and how they read.
-type Source struct {
+// A Schema says where in the key-value service things lie and how they read.
+type Schema struct {
 	ConfigurationKey string
 	EndpointPrefix   string
 	VersionPrefix    string // after it stands the model's name
@@ -61,13 +61,13 @@
 	Client    *keyvalue.Client
 	Directory *Directory
 	Log       *logrus.Entry
-	Source    Source
+	Source    Schema
 	// DirectFunc reports whether the process reads all from the key-value
 	// service itself. Else it takes endpoints and the configuration from Feeder,
 	// which it reaches over Pool, and reads only what concerns its own instance.
 	// Nil means that it does.
 	DirectFunc func() bool
-	Feeder     *lease.Finder
+	Feeder     *lease.Resolver
 	// Own is the key of what the operators ask of this instance, or "".
 	Own  string
 	Pool *peer.Pool
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -14,8 +14,8 @@
 	"wisteriacroft/keyvalue"
 )
 
-func source() Source {
-	return Source{
+func source() Schema {
+	return Schema{
 		ConfigurationKey: "op/config", EndpointPrefix: "servers/", OperatorPrefix: "op/", VersionPrefix: "op/version/",
 		DecodeConfigurationFunc: func(value []byte) (*Configuration, error) {
 			co := &Configuration{}
--- a/directory/holds.go
+++ b/directory/holds.go
@@ -12,14 +12,14 @@
 
 // Holds returns what operators hold back, or nil before it is known. It is kept while
 // the key-value service is away.
-func (di *Directory) Holds() *hold.Sheet {
+func (di *Directory) Holds() *hold.Set {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.holds
 }
 
 // SetHolds puts a sheet in force unless a newer one is. It returns whether it did.
-func (di *Directory) SetHolds(sh *hold.Sheet) bool {
+func (di *Directory) SetHolds(sh *hold.Set) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	if sh == nil || di.holds != nil && sh.Version() <= di.holds.Version() {
@@ -37,7 +37,7 @@
 // back, and what was held after the copy stays held until the revision is as high again.
 // A lower version from another process may just be late. But the service's own answer, asked
 // for after the higher one was known, is what lasts.
-func (di *Directory) restoreHolds(sh, known *hold.Sheet) bool {
+func (di *Directory) restoreHolds(sh, known *hold.Set) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	if known == nil || di.holds != known || sh.Version() >= known.Version() {
@@ -49,7 +49,7 @@
 
 // putHolds replaces the sheet, and the lists of endpoints, which say who drains. The lock is
 // held.
-func (di *Directory) putHolds(sh *hold.Sheet) {
+func (di *Directory) putHolds(sh *hold.Set) {
 	di.holds = sh
 	di.endpoints.forgetLists()
 }
@@ -57,7 +57,7 @@
 // ReadHolds reads what operators hold from the key-value service itself and puts it in
 // force, also if it is older than what is known. It returns the sheet that it put in force,
 // nil if it put none.
-func (di *Directory) ReadHolds(ctx context.Context, ke *hold.Keeper) (*hold.Sheet, error) {
+func (di *Directory) ReadHolds(ctx context.Context, ke *hold.Store) (*hold.Set, error) {
 	known := di.Holds()
 	sh, err := ke.Read(ctx)
 	if err != nil {
@@ -118,13 +118,13 @@
 }
 
 // takeHolds puts a sheet in force and logs it.
-func (fo *Follower) takeHolds(from string, sh *hold.Sheet) {
+func (fo *Follower) takeHolds(from string, sh *hold.Set) {
 	if fo.Directory.SetHolds(sh) {
 		fo.logHolds(from, sh)
 	}
 }
 
-func (fo *Follower) logHolds(from string, sh *hold.Sheet) {
+func (fo *Follower) logHolds(from string, sh *hold.Set) {
 	fields := logrus.Fields{"from": from, revisionField: sh.Version()}
 	for _, ki := range hold.Kinds {
 		fields[string(ki)+"s"] = sh.Count(ki)
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
 	before := fo.Directory.Holds().Version()
-	sh, err := fo.Directory.ReadHolds(ctx, &hold.Keeper{Client: fo.Client})
+	sh, err := fo.Directory.ReadHolds(ctx, &hold.Store{Client: fo.Client})
 	fo.hear(err)
 	switch {
 	case errors.Is(err, hold.ErrUndecodable):
--- a/directory/holds_test.go
+++ b/directory/holds_test.go
@@ -23,7 +23,7 @@
 // change makes a change in the key-value service.
 func change(t *testing.T, cl *keyvalue.Client, ac hold.Action, ki hold.Kind, name string) {
 	t.Helper()
-	_, err := (&hold.Keeper{Client: cl}).Change(t.Context(), hold.Change{
+	_, err := (&hold.Store{Client: cl}).Change(t.Context(), hold.Change{
 		Action: ac, ID: time.Now().String() + string(ac) + name,
 		Record: hold.Record{Target: hold.Target{Kind: ki, Name: name}, By: "ada", Why: "test"},
 	})
@@ -125,7 +125,7 @@
 func lone(ctx context.Context, me *keyvalue.Memory) *Follower {
 	fo := &Follower{
 		Client: me.Client(), DirectFunc: func() bool { return false }, Directory: &Directory{},
-		Feeder: &lease.Finder{Client: me.Client(), Log: quiet(), Name: "scheduler"}, Log: quiet(), Source: source(),
+		Feeder: &lease.Resolver{Client: me.Client(), Log: quiet(), Name: "scheduler"}, Log: quiet(), Source: source(),
 	}
 	go fo.Run(ctx)
 	return fo
--- a/directory/quarantine_test.go
+++ b/directory/quarantine_test.go
@@ -80,7 +80,7 @@
 		logger.SetLevel(logrus.PanicLevel)
 		log := logrus.NewEntry(logger)
 		var before quarantine.Table
-		go (&quarantine.Keeper{Client: me.Client(), Log: log, Table: &before}).Run(ctx)
+		go (&quarantine.Store{Client: me.Client(), Log: log, Table: &before}).Run(ctx)
 		for _, endpoint := range []string{"a", "b", "c"} {
 			before.RecordCrash("request", endpoint, time.Now())
 		}
@@ -88,7 +88,7 @@
 		for _, direct := range []bool{false, true} {
 			fo := &Follower{
 				Client: me.Client(), DirectFunc: func() bool { return direct }, Directory: &Directory{}, Log: log,
-				Feeder:     &lease.Finder{Client: me.Client(), Log: log, Name: "scheduler"},
+				Feeder:     &lease.Resolver{Client: me.Client(), Log: log, Name: "scheduler"},
 				Quarantine: &quarantine.Table{}, Patience: time.Second, Source: source(),
 			}
 			go fo.Run(ctx)
--- a/duty/tenure.go
+++ b/duty/tenure.go
@@ -25,24 +25,24 @@
 	retryPause = 300 * time.Millisecond
 )
 
-// ErrOvertaken means that another process has written.
-var ErrOvertaken = errors.New("another process has written")
+// ErrSuperseded means that another process has written.
+var ErrSuperseded = errors.New("another process has written")
 
-// A Mark says which holder wrote a record.
-type Mark struct {
+// An Author says which holder wrote a record.
+type Author struct {
 	Epoch  uint64
 	Sender string // address of the process
 }
 
-// A Tenure is what a process knows of holding a duty, whose record is a Rec. Fill the
+// A Term is what a process knows of holding a duty, whose record is a Rec. Fill the
 // exported fields, then call Begin. One goroutine writes and calls; others may ask.
-type Tenure[Rec any] struct {
+type Term[Rec any] struct {
 	Client *keyvalue.Client
 	// FenceFunc returns what a write expects that only the holder may make.
 	FenceFunc func(epoch uint64) (keyvalue.Expectation, bool)
 	Key       string // of the record in the key-value service
 	// MarkFunc returns who wrote a record.
-	MarkFunc func(rec Rec) Mark
+	MarkFunc func(rec Rec) Author
 	// Overlap is within what time holders must not take turns.
 	Overlap time.Duration
 	// Owner is the address of the process, which no other machine has.
@@ -55,44 +55,44 @@
 	epoch   uint64        // of the record that was taken; 0 while none is
 	mu      sync.Mutex    // guards all of these
 	pauseAt time.Duration // no call is made before
-	turn    Turn
+	turn    CallWindow
 	version int64 // of the record in the key-value service
 }
 
-// A Standing is what a process is to do.
-type Standing int
+// A State is what a process is to do.
+type State int
 
 // The standings of a process.
 const (
-	Idle   Standing = iota // it doesn't hold the lease, or pauses
-	Behind                 // it is to read the record and take it
+	Idle      State = iota // it doesn't hold the lease, or pauses
+	MustAdopt              // it is to read the record and take it
 	Ready                  // it is to do its duty
 )
 
 // Begin notes the process's start, which may have called before.
-func (te *Tenure[Rec]) Begin() {
+func (te *Term[Rec]) Begin() {
 	te.mu.Lock()
 	defer te.mu.Unlock()
-	te.turn = NewTurn(te.Overlap, te.Now())
+	te.turn = NewCallWindow(te.Overlap, te.Now())
 }
 
 // Now returns the time of the process's steady clock.
-func (te *Tenure[Rec]) Now() time.Duration {
+func (te *Term[Rec]) Now() time.Duration {
 	if te.SteadyFunc == nil {
-		return Steady()
+		return MonotonicClock()
 	}
 	return te.SteadyFunc()
 }
 
 // Epoch returns the epoch under which the process does its duty, 0 if it doesn't.
-func (te *Tenure[Rec]) Epoch() uint64 {
+func (te *Term[Rec]) Epoch() uint64 {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	return te.epoch
 }
 
 // State returns what is to be done now, and under which epoch.
-func (te *Tenure[Rec]) State() (Standing, uint64) {
+func (te *Term[Rec]) State() (State, uint64) {
 	epoch, held := te.StandingFunc(time.Now())
 	te.mu.Lock()
 	defer te.mu.Unlock()
@@ -103,14 +103,14 @@
 	case te.Now() < te.pauseAt:
 		return Idle, epoch
 	case te.epoch != epoch:
-		return Behind, epoch
+		return MustAdopt, epoch
 	default:
 		return Ready, epoch
 	}
 }
 
 // Read returns the record, and its version. One that was never written is zero.
-func (te *Tenure[Rec]) Read(ctx context.Context) (Rec, int64, error) {
+func (te *Term[Rec]) Read(ctx context.Context) (Rec, int64, error) {
 	var rec Rec
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -126,7 +126,7 @@
 
 // Adopt begins a turn with a record that was read, and returns how long it is until calls
 // are allowed.
-func (te *Tenure[Rec]) Adopt(epoch uint64, rec Rec, version int64) time.Duration {
+func (te *Term[Rec]) Adopt(epoch uint64, rec Rec, version int64) time.Duration {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
@@ -136,7 +136,7 @@
 }
 
 // Pause lets some time pass before the next call.
-func (te *Tenure[Rec]) Pause() {
+func (te *Term[Rec]) Pause() {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.pauseAt = te.Now() + retryPause
@@ -144,7 +144,7 @@
 
 // Write writes a record, which the service refuses to anyone but the holder. After
 // ErrOvertaken the record has to be read and taken again.
-func (te *Tenure[Rec]) Write(ctx context.Context, rec Rec) error {
+func (te *Term[Rec]) Write(ctx context.Context, rec Rec) error {
 	te.mu.Lock()
 	epoch, version, sent := te.epoch, te.version, te.Now()
 	te.mu.Unlock()
@@ -156,8 +156,8 @@
 	defer te.mu.Unlock()
 	switch {
 	case te.epoch != epoch:
-		return ErrOvertaken
-	case errors.Is(err, ErrOvertaken):
+		return ErrSuperseded
+	case errors.Is(err, ErrSuperseded):
 		te.epoch = 0 // what lasts is another's: it is read again, if the lease is still held
 	case err == nil:
 		te.version = version
@@ -172,10 +172,10 @@
 // version that it did not expect. The record's mark tells that it is this holder's own.
 // A decision is never changed once it is in a record, so that whichever of a holder's
 // writes came last holds the same decisions as this one, or fewer.
-func (te *Tenure[Rec]) put(ctx context.Context, epoch uint64, version int64, rec Rec) (int64, error) {
+func (te *Term[Rec]) put(ctx context.Context, epoch uint64, version int64, rec Rec) (int64, error) {
 	fence, ok := te.FenceFunc(epoch)
 	if !ok {
-		return 0, errors.Wrap(ErrOvertaken, "the lease is gone")
+		return 0, errors.Wrap(ErrSuperseded, "the lease is gone")
 	}
 	value, err := cbor.Marshal(rec)
 	if err != nil {
@@ -198,12 +198,12 @@
 		te.adopt(found)
 		return 0, errors.Wrap(err, "an earlier write came after all")
 	default:
-		return 0, errors.Wrapf(ErrOvertaken, "%s of epoch %d", mark.Sender, mark.Epoch)
+		return 0, errors.Wrapf(ErrSuperseded, "%s of epoch %d", mark.Sender, mark.Epoch)
 	}
 }
 
 // adopt notes the version that an earlier write of this holder made.
-func (te *Tenure[Rec]) adopt(version int64) {
+func (te *Term[Rec]) adopt(version int64) {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.version = version
@@ -211,7 +211,7 @@
 
 // MayCall reports whether calls are allowed, and whether the last write is fresh enough
 // for one to follow.
-func (te *Tenure[Rec]) MayCall() (allowed, confirmed bool) {
+func (te *Term[Rec]) MayCall() (allowed, confirmed bool) {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
@@ -220,7 +220,7 @@
 
 // Call makes a call under an epoch, and returns how long it took. After the context that
 // send gets ends, no byte may be sent any more.
-func (te *Tenure[Rec]) Call(ctx context.Context, epoch uint64, send func(ctx context.Context, epoch uint64) error) (time.Duration, error) {
+func (te *Term[Rec]) Call(ctx context.Context, epoch uint64, send func(ctx context.Context, epoch uint64) error) (time.Duration, error) {
 	te.mu.Lock()
 	begun := te.Now()
 	left := te.turn.Call(begun)
--- a/duty/turn.go
+++ b/duty/turn.go
@@ -20,7 +20,7 @@
 	settleTime = callTime + 500*time.Millisecond
 )
 
-// A Turn says when a process may make calls as the holder. Times are by its steady
+// A CallWindow says when a process may make calls as the holder. Times are by its steady
 // clock.
 //
 // A holder that is cut off from the others, but not from the platform, may be replaced
@@ -31,7 +31,7 @@
 // Holders that take each other's place would call in turns: A, B, A within a moment. A
 // process that another one has replaced calls no sooner again than its own last call,
 // or its start, is Overlap ago.
-type Turn struct {
+type CallWindow struct {
 	overlap time.Duration // holders must not take turns within it
 
 	allowedAt   time.Duration
@@ -40,15 +40,15 @@
 	confirmedAt time.Duration // the last write that only the holder could make was sent
 }
 
-// NewTurn returns the turn of a process that starts at a moment. One that ran before it
+// NewCallWindow returns the turn of a process that starts at a moment. One that ran before it
 // on the same machine may have called just now.
-func NewTurn(overlap, now time.Duration) Turn {
-	return Turn{allowedAt: now + max(settleTime, overlap), calledAt: now, overlap: overlap}
+func NewCallWindow(overlap, now time.Duration) CallWindow {
+	return CallWindow{allowedAt: now + max(settleTime, overlap), calledAt: now, overlap: overlap}
 }
 
 // Begin begins a turn. Again means that the process wrote last before, so that no other
 // one has called since; what it waits for, it waits for still.
-func (tu *Turn) Begin(now time.Duration, again bool) {
+func (tu *CallWindow) Begin(now time.Duration, again bool) {
 	tu.confirmedAt = now - callTime
 	if !again {
 		tu.allowedAt = max(now+settleTime, tu.calledAt+tu.overlap)
@@ -57,29 +57,29 @@
 
 // Confirm takes in that a write that only the holder could make was sent at a moment,
 // and applied.
-func (tu *Turn) Confirm(sent time.Duration) { tu.called, tu.confirmedAt = false, sent }
+func (tu *CallWindow) Confirm(sent time.Duration) { tu.called, tu.confirmedAt = false, sent }
 
 // Allowed reports whether a call may be made after a write.
-func (tu *Turn) Allowed(now time.Duration) bool { return now >= tu.allowedAt }
+func (tu *CallWindow) Allowed(now time.Duration) bool { return now >= tu.allowedAt }
 
 // Confirmed reports whether the last write is fresh enough to call.
 //
 // A slow service may need longer for a write than confirmLife, so that no call would ever
 // follow one. The first call after a write may begin as long as its time will do: what
 // makes a holder's claim certain is that its calls end at callTime, whenever they begin.
-func (tu *Turn) Confirmed(now time.Duration) bool {
+func (tu *CallWindow) Confirmed(now time.Duration) bool {
 	age := now - tu.confirmedAt
 	return age <= confirmLife || !tu.called && age <= callTime-leastTime
 }
 
 // Called notes that a call has ended.
-func (tu *Turn) Called(now time.Duration) { tu.calledAt = now }
+func (tu *CallWindow) Called(now time.Duration) { tu.calledAt = now }
 
 // AllowedIn returns how long it is until calls are allowed.
-func (tu *Turn) AllowedIn(now time.Duration) time.Duration { return tu.allowedAt - now }
+func (tu *CallWindow) AllowedIn(now time.Duration) time.Duration { return tu.allowedAt - now }
 
 // Call notes a call and returns for how long it may last.
-func (tu *Turn) Call(now time.Duration) time.Duration {
+func (tu *CallWindow) Call(now time.Duration) time.Duration {
 	tu.called, tu.calledAt = true, now
 	return tu.confirmedAt + callTime - now
 }
--- a/duty/turn_test.go
+++ b/duty/turn_test.go
@@ -25,7 +25,7 @@
 	durable int // the count that it knows to last, or 0
 	epoch   uint64
 	holds   bool // as it believes
-	turn    Turn
+	turn    CallWindow
 }
 
 type modelCall struct {
@@ -112,7 +112,7 @@
 		return
 	}
 	mo.restarted = true
-	mo.processes[i] = modelProcess{turn: NewTurn(testOverlap, mo.now)}
+	mo.processes[i] = modelProcess{turn: NewCallWindow(testOverlap, mo.now)}
 	for j := range mo.underWay {
 		if mo.underWay[j].owner == i+1 {
 			mo.underWay[j] = modelCall{}
@@ -209,7 +209,7 @@
 	}
 	var mo model
 	for i := range mo.processes {
-		mo.processes[i].turn = NewTurn(testOverlap, -time.Hour)
+		mo.processes[i].turn = NewCallWindow(testOverlap, -time.Hour)
 	}
 	ex.visit(mo)
 	return ex
@@ -240,7 +240,7 @@
 // had called a moment before it lost the lease.
 func TestTakingTurns(t *testing.T) {
 	at := 10 * time.Second
-	first, second := NewTurn(testOverlap, -time.Hour), NewTurn(testOverlap, -time.Hour)
+	first, second := NewCallWindow(testOverlap, -time.Hour), NewCallWindow(testOverlap, -time.Hour)
 	first.Confirm(at)
 	first.Call(at)
 	second.Begin(at, false)
@@ -249,7 +249,7 @@
 	first.Begin(at+100*time.Millisecond, false)
 	assert.Assert(t, !first.Allowed(at+testOverlap-time.Millisecond))
 
-	alone := NewTurn(testOverlap, -time.Hour)
+	alone := NewCallWindow(testOverlap, -time.Hour)
 	alone.Call(at)
 	alone.Begin(at+100*time.Millisecond, true)
 	assert.Assert(t, alone.Allowed(at+100*time.Millisecond), "no one has called since")
@@ -259,7 +259,7 @@
 // its own write for a sign that no one had called, and called in the time that it had
 // still to wait.
 func TestOwnWriteEndsNoWait(t *testing.T) {
-	tu := NewTurn(testOverlap, -time.Hour)
+	tu := NewCallWindow(testOverlap, -time.Hour)
 	tu.Begin(0, false)
 	tu.Confirm(100 * time.Millisecond)
 	tu.Begin(200*time.Millisecond, true)
@@ -270,7 +270,7 @@
 // A write that took long allows the call for which it was made, with what is left of its
 // time, and no other.
 func TestSlowWriteAllowsOneCall(t *testing.T) {
-	tu := NewTurn(testOverlap, -time.Hour)
+	tu := NewCallWindow(testOverlap, -time.Hour)
 	tu.Confirm(0)
 	assert.Assert(t, tu.Confirmed(storeTimeout))
 	assert.Equal(t, tu.Call(storeTimeout), callTime-storeTimeout)
--- a/engine/client.go
+++ b/engine/client.go
@@ -11,8 +11,8 @@
 
 // Errors that a Client returns, to be matched with errors.Is.
 var (
-	// ErrCrossed means that an answer belongs to another request.
-	ErrCrossed = errors.New("answer belongs to another request")
+	// ErrMismatchedResponse means that an answer belongs to another request.
+	ErrMismatchedResponse = errors.New("answer belongs to another request")
 	// ErrFenced means that the engine refused an order with an old epoch.
 	ErrFenced = errors.New("order carries an old epoch")
 	// ErrNotSent means that no byte of the request was written to the engine:
--- a/engine/http.go
+++ b/engine/http.go
@@ -29,7 +29,7 @@
 // hc means a client of its own.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	ht := httpClient{roundtrip.New(baseURL, hc, ErrBroken)}
-	ht.Crossed = ErrCrossed
+	ht.Crossed = ErrMismatchedResponse
 	ht.NotSent = ErrNotSent
 	return &Client{
 		CacheEventsFunc: ht.cacheEvents,
@@ -72,7 +72,7 @@
 func (ht httpClient) exportCache(ctx context.Context, requestID string) (CacheSnapshot, error) {
 	cs, err := call[CacheSnapshot](ctx, ht, http.MethodPost, "/export-cache", CallID{requestID})
 	if err == nil && cs.RequestID != requestID {
-		err = errors.Wrapf(ErrCrossed, "cache of %q came for %q", cs.RequestID, requestID)
+		err = errors.Wrapf(ErrMismatchedResponse, "cache of %q came for %q", cs.RequestID, requestID)
 	}
 	return cs, err
 }
@@ -134,7 +134,7 @@
 			return errors.Wrapf(ErrBroken, "decode a chunk: %v", err)
 		}
 		if ch.RequestID != req.ID {
-			return errors.Wrapf(ErrCrossed, "chunk of %q came for %q", ch.RequestID, req.ID)
+			return errors.Wrapf(ErrMismatchedResponse, "chunk of %q came for %q", ch.RequestID, req.ID)
 		}
 		if ch.First != next {
 			return errors.Wrapf(ErrBroken, "chunk at %d came for %d", ch.First, next)
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -26,7 +26,7 @@
 		"cut":       {body: first, emitted: 1, want: ErrBroken},
 		"cut-line":  {body: first + last[:20], emitted: 1, want: ErrBroken},
 		"empty":     {want: ErrBroken},
-		"crossed":   {body: first + `{"done":true,"first":2,"request-id":"b"}` + "\n", emitted: 1, want: ErrCrossed},
+		"crossed":   {body: first + `{"done":true,"first":2,"request-id":"b"}` + "\n", emitted: 1, want: ErrMismatchedResponse},
 		"skipped":   {body: first + `{"done":true,"first":3,"request-id":"a"}` + "\n", emitted: 1, want: ErrBroken},
 		"repeated":  {body: first + first, emitted: 1, want: ErrBroken},
 		"from-zero": {body: `{"done":true,"first":0,"request-id":"a"}` + "\n", want: ErrBroken},
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -49,8 +49,8 @@
 	goFunc   func(run func(context.Context)) // runs until the entry ends
 	log      *logrus.Entry
 	owner    *batch.Owner
-	places   func() []message.Place
-	profiles *profile.Holder
+	places   func() []message.BlobLocation
+	profiles *profile.Replica
 	routes   *route.Table
 
 	mu      sync.Mutex
@@ -103,12 +103,12 @@
 
 // spread tells whether the places lie in enough failure domains to keep a
 // payload. Until the roster knows of them, an attempt would be made in vain.
-func spread(places []message.Place) bool {
+func spread(places []message.BlobLocation) bool {
 	domains := map[string]bool{}
 	for _, pl := range places {
 		domains[pl.FailureDomain] = true
 	}
-	return len(domains) >= depot.Copies
+	return len(domains) >= depot.ReplicaCount
 }
 
 // cancel implements batch.Owner's CancelFunc. The attendant sees the
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,13 +50,13 @@
 	ownership  *ownership
 	poller     *roster.Poller
 	pool       *peer.Pool
-	profiles   *profile.Holder
-	quarantine *quarantine.Keeper // of calls under which endpoints ended
+	profiles   *profile.Replica
+	quarantine *quarantine.Store // of calls under which endpoints ended
 	rollouts   *rollouts
 	roster     *roster.Table
 	routes     *route.Table
 	server     *peer.Server
-	spreader   *profile.Spreader
+	spreader   *profile.Syncer
 	startedAt  time.Time
 	transport  *http.Transport
 	trainers   *trainers
@@ -85,8 +85,8 @@
 		MaxMessageSize: attendant.MaxMessageSize,
 		ObserveFunc:    en.observe,
 	}
-	en.depot = attendant.NewDepotClient(en.pool)
-	en.quarantine = &quarantine.Keeper{
+	en.depot = attendant.NewBlobClient(en.pool)
+	en.quarantine = &quarantine.Store{
 		Client: op.KeyValue, Log: en.log, Rand: rand.New(rand.NewPCG(op.Seed, quarantineStream)), Table: &quarantine.Table{},
 	}
 	en.ownership = &ownership{
@@ -171,12 +171,12 @@
 }
 
 // trainerLease returns how the lease of a trainer's batches stands here.
-func (en *Entry) trainerLease(trainer string, now time.Time) (uint64, lease.Standing) {
+func (en *Entry) trainerLease(trainer string, now time.Time) (uint64, lease.State) {
 	return en.ownership.standing(trainerLeasePrefix+trainer, now)
 }
 
 // dropPayload deletes a payload from the data folders that can be reached.
-func (en *Entry) dropPayload(ctx context.Context, places []message.Place, digest string) {
+func (en *Entry) dropPayload(ctx context.Context, places []message.BlobLocation, digest string) {
 	for _, pl := range places {
 		if err := en.depot.DeleteFunc(ctx, pl, digest); err != nil {
 			en.log.WithError(err).WithFields(logrus.Fields{
@@ -187,11 +187,11 @@
 	}
 }
 
-func (en *Entry) fetchPayload(ctx context.Context, places []message.Place, digest string) ([]byte, error) {
+func (en *Entry) fetchPayload(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error) {
 	return depot.Fetch(ctx, en.depot, places, digest)
 }
 
-func (en *Entry) replicate(ctx context.Context, data []byte) ([]message.Place, error) {
+func (en *Entry) replicate(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
 	return depot.Replicate(ctx, en.depot, en.places(), data)
 }
 
@@ -205,7 +205,7 @@
 		Rand:   random,
 		Store:  &profile.Store{Client: en.options.KeyValue},
 	}
-	en.spreader = &profile.Spreader{
+	en.spreader = &profile.Syncer{
 		FetchFunc: configuration.Fetcher(en.pool, en.profiles),
 		Holder:    en.profiles,
 		Rand:      rand.New(rand.NewPCG(en.options.Seed, spreadStream)),
@@ -220,8 +220,8 @@
 		ObserveFunc:    en.observeCaller,
 	}
 	attendant.HandleLocate(sv, en.locate)
-	roster.Mount(sv, en.roster)
-	order.MountRollouts(sv, en.rollouts.all)
+	roster.Register(sv, en.roster)
+	order.RegisterRollouts(sv, en.rollouts.all)
 	configuration.Handle(sv, en.profiles)
 	peer.Handle(sv, message.EntryStatusMethod, en.Status)
 	return sv
@@ -242,7 +242,7 @@
 		Seed:       en.options.Seed,
 	}
 	calls.Register(ro)
-	return process.NewHTTPServer(process.CloseWhile(en.leaving, ro))
+	return process.NewHTTPServer(process.CloseConnectionsWhile(en.leaving, ro))
 }
 
 // header returns the header of this process's messages.
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -33,7 +33,7 @@
 	}
 	an, err := fo.send(req.http.Context(), req, address)
 	if err != nil {
-		re := fate.NewRefusal(fate.FateUnknown, "", "owner at "+address+": "+err.Error())
+		re := fate.NewRefusal(fate.OutcomeUnknown, "", "owner at "+address+": "+err.Error())
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
@@ -73,7 +73,7 @@
 func writeRefusal(rw http.ResponseWriter, err error) {
 	var re *fate.Refusal
 	if !errors.As(err, &re) {
-		re = fate.NewRefusal(fate.FateUnknown, "", err.Error())
+		re = fate.NewRefusal(fate.OutcomeUnknown, "", err.Error())
 	}
 	message.WriteRefusal(rw, re)
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -22,10 +22,10 @@
 // A members is what the entry derives from its roster.
 type members struct {
 	mu     sync.Mutex
-	beside map[string]string        // attendants, by endpoint
-	gone   map[string]bool          // endpoints whose instance was removed
-	places map[string]message.Place // data folders, by instance
-	seen   map[string]string        // addresses, by instance
+	beside map[string]string               // attendants, by endpoint
+	gone   map[string]bool                 // endpoints whose instance was removed
+	places map[string]message.BlobLocation // data folders, by instance
+	seen   map[string]string               // addresses, by instance
 }
 
 // addMembers wires the roster to the routes and the rollouts.
@@ -33,7 +33,7 @@
 	en.members = members{
 		beside: map[string]string{},
 		gone:   map[string]bool{},
-		places: map[string]message.Place{},
+		places: map[string]message.BlobLocation{},
 		seen:   map[string]string{},
 	}
 	en.roster = &roster.Table{
@@ -125,7 +125,7 @@
 	me.beside[ro.ID()] = ro.Attendant()
 	me.seen[ro.Attendant()] = ro.Address()
 	if ro.DataFolder() && ro.State() != roster.Leaving {
-		me.places[ro.Attendant()] = message.Place{
+		me.places[ro.Attendant()] = message.BlobLocation{
 			Address:       ro.Address(),
 			FailureDomain: ro.FailureDomain(),
 			Instance:      ro.Attendant(),
@@ -167,9 +167,9 @@
 //
 // They go along with each attempt and are held while it runs. All folders of a
 // large deployment would take more than all else of the attempt.
-func (en *Entry) places() []message.Place {
+func (en *Entry) places() []message.BlobLocation {
 	en.members.mu.Lock()
-	var pls []message.Place
+	var pls []message.BlobLocation
 	for _, pl := range en.members.places {
 		pls = append(pls, pl)
 	}
@@ -181,14 +181,14 @@
 
 // choosePlaces returns at most maxPlaces of pls: the first of each failure
 // domain before the second of any, since copies must lie in different ones.
-func choosePlaces(pls []message.Place) []message.Place {
+func choosePlaces(pls []message.BlobLocation) []message.BlobLocation {
 	seen := map[string]int{}
 	turns := make([]int, len(pls))
 	for i, pl := range pls {
 		turns[i] = seen[pl.FailureDomain]
 		seen[pl.FailureDomain]++
 	}
-	var chosen []message.Place
+	var chosen []message.BlobLocation
 	for turn := 0; len(chosen) < min(maxPlaces, len(pls)); turn++ {
 		for i, pl := range pls {
 			if turns[i] == turn && len(chosen) < maxPlaces {
--- a/entry/members_test.go
+++ b/entry/members_test.go
@@ -20,12 +20,12 @@
 		"one far folder":     {near: 363, far: 1, want: maxPlaces},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var pls []message.Place
+			var pls []message.BlobLocation
 			for i := range tc.near {
-				pls = append(pls, message.Place{FailureDomain: "near", Instance: fmt.Sprint(i)})
+				pls = append(pls, message.BlobLocation{FailureDomain: "near", Instance: fmt.Sprint(i)})
 			}
 			for i := range tc.far {
-				pls = append(pls, message.Place{FailureDomain: "far", Instance: fmt.Sprint("far-", i)})
+				pls = append(pls, message.BlobLocation{FailureDomain: "far", Instance: fmt.Sprint("far-", i)})
 			}
 			chosen := choosePlaces(pls)
 			assert.Equal(t, len(chosen), tc.want)
--- a/entry/options.go
+++ b/entry/options.go
@@ -39,9 +39,9 @@
 	Linger        time.Duration // how long a shutdown goes on refusing before it stops listening
 	Log           *logrus.Logger
 	Metrics       *metrics.Set
-	Peers         []string        // entries to ask while the instance list is away
-	Profiles      *profile.Holder // the configuration in force
-	Seed          uint64          // of the jitter and of routing
+	Peers         []string         // entries to ask while the instance list is away
+	Profiles      *profile.Replica // the configuration in force
+	Seed          uint64           // of the jitter and of routing
 	TickEvery     time.Duration
 	Weights       *weightstore.Client
 }
@@ -59,7 +59,7 @@
 		op.Metrics = metrics.NewSet()
 	}
 	if op.Profiles == nil {
-		op.Profiles = &profile.Holder{}
+		op.Profiles = &profile.Replica{}
 	}
 	return op
 }
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -64,16 +64,16 @@
 type heldLease struct {
 	epoch    uint64
 	name     string
-	standing lease.Standing
+	standing lease.State
 }
 
 // standing returns how the lease of name stands here.
-func (ow *ownership) standing(name string, now time.Time) (uint64, lease.Standing) {
+func (ow *ownership) standing(name string, now time.Time) (uint64, lease.State) {
 	ow.mu.Lock()
 	cl, ok := ow.claims[name]
 	ow.mu.Unlock()
 	if !ok {
-		return 0, lease.None
+		return 0, lease.NotHeld
 	}
 	return cl.holder.State(now)
 }
@@ -82,7 +82,7 @@
 // acquire its lease if no one holds it. The error wraps errOwnerUnknown.
 func (ow *ownership) find(ctx context.Context, name string) (string, error) {
 	now := time.Now()
-	if _, st := ow.standing(name, now); st != lease.None {
+	if _, st := ow.standing(name, now); st != lease.NotHeld {
 		ow.claim(name, now)
 		return ow.address, nil
 	}
@@ -197,7 +197,7 @@
 	defer ow.mu.Unlock()
 	for name, cl := range ow.claims {
 		_, st := cl.holder.State(now)
-		if st == lease.None && now.Sub(cl.asked) > claimIdleTime {
+		if st == lease.NotHeld && now.Sub(cl.asked) > claimIdleTime {
 			cl.stop()
 			delete(ow.claims, name)
 		}
@@ -210,7 +210,7 @@
 	defer ow.mu.Unlock()
 	var hes []heldLease
 	for name, cl := range ow.claims {
-		if epoch, st := cl.holder.State(now); st != lease.None {
+		if epoch, st := cl.holder.State(now); st != lease.NotHeld {
 			hes = append(hes, heldLease{epoch: epoch, name: name, standing: st})
 		}
 	}
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -33,7 +33,7 @@
 		AttemptTimeout: pr.AttemptTimeout(),
 		Deadline:       pr.Deadline(),
 		FailureDomain:  preferred(se),
-		Homes:          once.Set{Endpoints: se.Endpoints(), Revision: do.Revision()},
+		Homes:          once.EndpointSet{Endpoints: se.Endpoints(), Revision: do.Revision()},
 		Kind:           call.Kind(se.ServiceType()),
 		MaxAnswerHeld:  int(pr.MaxAnswerSize()),
 		MaxBodySize:    int(pr.MaxRequestSize()),
@@ -95,7 +95,7 @@
 }
 
 // straggling returns the batch package's value of a profile's rule.
-func straggling(ru profile.StragglerRule) batch.Straggling {
+func straggling(ru profile.StragglerRule) batch.StragglerRule {
 	switch ru {
 	case profile.Race:
 		return batch.RestartStragglers
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -32,7 +32,7 @@
 	goFunc    func(run func(context.Context))
 	log       *logrus.Entry
 	ownership *ownership
-	profiles  *profile.Holder
+	profiles  *profile.Replica
 	seed      uint64
 	weights   *weightstore.Client
 
--- a/entry/status.go
+++ b/entry/status.go
@@ -32,7 +32,7 @@
 		st.Leases = append(st.Leases, message.LeaseStatus{Epoch: he.epoch, Name: he.name})
 	}
 	for _, bs := range en.batches.Status() {
-		if bs.Standing != lease.None.String() {
+		if bs.Standing != lease.NotHeld.String() {
 			addTrainer(&st, bs)
 		}
 	}
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -30,7 +30,7 @@
 	log       *logrus.Entry
 	owner     *batch.Owner
 	ownership *ownership
-	profiles  *profile.Holder
+	profiles  *profile.Replica
 }
 
 // register adds the trainers' paths to a router.
@@ -140,7 +140,7 @@
 // A pull may wait for a minute. A shutdown would wait for it too, past its
 // grace, and then cut it off; the trainer would learn only then that it has to
 // go elsewhere. So it is told at once, with a time to come back.
-func (tr *trainers) waitPull(req trainerRequest, pr message.PullRequest) (message.PullAnswer, error) {
+func (tr *trainers) waitPull(req trainerRequest, pr message.PullRequest) (message.PullResponse, error) {
 	ctx, cancel := context.WithCancel(req.http.Context())
 	defer cancel()
 	done := make(chan struct{})
@@ -154,7 +154,7 @@
 	}()
 	an, err := tr.owner.Pull(ctx, req.trainer, pr)
 	if err != nil && ctx.Err() != nil && req.http.Context().Err() == nil {
-		return message.PullAnswer{RetryAfter: ownerRetryAfter.String()}, nil
+		return message.PullResponse{RetryAfter: ownerRetryAfter.String()}, nil
 	}
 	return an, err
 }
--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -32,8 +32,8 @@
 	maxRows = 1000
 )
 
-// A Use is what a customer has at a moment, each as a part of the whole.
-type Use struct {
+// A Usage is what a customer has at a moment, each as a part of the whole.
+type Usage struct {
 	Memory float64 // of the engines
 	Places float64
 	Waits  bool    // more of its work waits
@@ -42,11 +42,11 @@
 
 // dominant returns the part of what the customer has the most of: work that fills
 // memory takes as much from others as work that fills places.
-func (us Use) dominant() float64 { return max(us.Memory, us.Places) }
+func (us Usage) dominant() float64 { return max(us.Memory, us.Places) }
 
 // foreseen returns the part that the customer is about to have if it gets what it asks
 // for.
-func (us Use) foreseen() float64 { return max(us.dominant(), min(us.Wants, 1)) }
+func (us Usage) foreseen() float64 { return max(us.dominant(), min(us.Wants, 1)) }
 
 // A row is what an account knows of a customer.
 type row struct {
@@ -54,7 +54,7 @@
 	level  int     // quanta ahead of the one that is furthest behind of those that wait
 	rated  bool    // it has a level
 	served float64 // in virtual time: parts of the whole times seconds, by weight
-	use    Use
+	use    Usage
 }
 
 // An Account keeps what customers have had, by start-time fair queueing. The zero
@@ -88,7 +88,7 @@
 //
 // While no one waits, or no one has anything that is scarce, nothing is counted, and leads
 // shrink with time.
-func (ac *Account) Advance(uses map[string]Use, elapsed time.Duration) {
+func (ac *Account) Advance(uses map[string]Usage, elapsed time.Duration) {
 	if ac.rows == nil {
 		ac.rows = map[string]*row{}
 	}
@@ -96,7 +96,7 @@
 	scarce := isScarce(uses)
 	total := ac.total(uses)
 	for _, ro := range ac.rows {
-		ro.use = Use{}
+		ro.use = Usage{}
 	}
 	for customer, us := range uses {
 		ro := ac.rows[customer]
@@ -118,7 +118,7 @@
 
 // isScarce reports whether some customer waits while some has something, so that what they
 // have is to be counted.
-func isScarce(uses map[string]Use) bool {
+func isScarce(uses map[string]Usage) bool {
 	waits, has := false, false
 	for _, us := range uses {
 		waits = waits || us.Waits
@@ -128,7 +128,7 @@
 }
 
 // join lets customers begin at the virtual time.
-func (ac *Account) join(uses map[string]Use) {
+func (ac *Account) join(uses map[string]Usage) {
 	for customer := range uses {
 		ro := ac.rows[customer]
 		if ro == nil {
@@ -140,7 +140,7 @@
 }
 
 // total returns the weight of all customers that have something or wait.
-func (ac *Account) total(uses map[string]Use) float64 {
+func (ac *Account) total(uses map[string]Usage) float64 {
 	total := 0.0
 	for customer := range uses {
 		total += ac.Weight(customer)
@@ -149,7 +149,7 @@
 }
 
 // bound lets no one be further behind than mostClaim.
-func (ac *Account) bound(uses map[string]Use, total float64) {
+func (ac *Account) bound(uses map[string]Usage, total float64) {
 	most := math.Inf(-1)
 	for customer := range uses {
 		most = max(most, ac.rows[customer].served)
@@ -162,7 +162,7 @@
 
 // least returns what the customer has had that is furthest behind among those that
 // wait.
-func (ac *Account) least(uses map[string]Use) float64 {
+func (ac *Account) least(uses map[string]Usage) float64 {
 	least := math.Inf(1)
 	for customer, us := range uses {
 		if us.Waits {
@@ -174,7 +174,7 @@
 
 // prune drops customers that have and want nothing and would begin at the virtual time,
 // and beyond maxRows those that are the least ahead.
-func (ac *Account) prune(uses map[string]Use) {
+func (ac *Account) prune(uses map[string]Usage) {
 	maps.DeleteFunc(ac.rows, func(customer string, ro *row) bool {
 		_, present := uses[customer]
 		return !present && ro.served <= ac.virtual
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, ro := range ac.rows {
-		if ro.use == (Use{}) || math.IsInf(least, 1) {
+		if ro.use == (Usage{}) || math.IsInf(least, 1) {
 			ro.rated = false
 			continue
 		}
@@ -235,19 +235,19 @@
 	return 0
 }
 
-// Standing is how far a customer is ahead.
-type Standing struct {
+// Balance is how far a customer is ahead.
+type Balance struct {
 	Ahead float64 // seconds of its part that it has had before the others
-	Use   Use
+	Use   Usage
 	Rank  int
 }
 
 // Balances returns how all customers stand that have something, wait or are ahead.
-func (ac *Account) Balances() map[string]Standing {
-	out := make(map[string]Standing, len(ac.rows))
+func (ac *Account) Balances() map[string]Balance {
+	out := make(map[string]Balance, len(ac.rows))
 	total := ac.present()
 	for customer, ro := range ac.rows {
-		out[customer] = Standing{Ahead: (ro.served - ac.virtual) * total, Rank: ac.Rank(customer), Use: ro.use}
+		out[customer] = Balance{Ahead: (ro.served - ac.virtual) * total, Rank: ac.Rank(customer), Use: ro.use}
 	}
 	return out
 }
@@ -256,7 +256,7 @@
 func (ac *Account) present() float64 {
 	total := 0.0
 	for customer, ro := range ac.rows {
-		if ro.use != (Use{}) {
+		if ro.use != (Usage{}) {
 			total += ac.Weight(customer)
 		}
 	}
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -56,12 +56,12 @@
 	return count
 }
 
-func (sh *shop) uses() map[string]Use {
-	uses := map[string]Use{}
+func (sh *shop) uses() map[string]Usage {
+	uses := map[string]Usage{}
 	for customer, wants := range sh.wants {
 		held := sh.held(customer)
 		if held+wants > 0 {
-			uses[customer] = Use{
+			uses[customer] = Usage{
 				Places: float64(held) / float64(sh.places), Waits: wants > 0, Wants: float64(held+wants) / float64(sh.places),
 			}
 		}
@@ -110,7 +110,7 @@
 func TestMemoryCountsWhereItIsTheMost(t *testing.T) {
 	// Few places with most of the memory are as much as many places.
 	var ac Account
-	uses := map[string]Use{"long": {Places: 0.2, Memory: 0.8, Waits: true}, "short": {Places: 0.7, Memory: 0.1, Waits: true}}
+	uses := map[string]Usage{"long": {Places: 0.2, Memory: 0.8, Waits: true}, "short": {Places: 0.7, Memory: 0.1, Waits: true}}
 	for range 20 {
 		ac.Advance(uses, testTick)
 	}
@@ -143,33 +143,33 @@
 	// Sequence: it is far ahead, has nothing for a moment and comes back.
 	// Cause: what it had was forgotten as soon as it left.
 	var ac Account
-	large, small := Use{Places: 0.9, Waits: true, Wants: 2}, Use{Places: 0.1, Waits: true, Wants: 2}
+	large, small := Usage{Places: 0.9, Waits: true, Wants: 2}, Usage{Places: 0.1, Waits: true, Wants: 2}
 	for range 40 {
-		ac.Advance(map[string]Use{"large": large, "small": small}, testTick)
+		ac.Advance(map[string]Usage{"large": large, "small": small}, testTick)
 	}
-	ac.Advance(map[string]Use{"small": small}, testTick)
-	ac.Advance(map[string]Use{"large": small, "small": small}, testTick)
+	ac.Advance(map[string]Usage{"small": small}, testTick)
+	ac.Advance(map[string]Usage{"large": small, "small": small}, testTick)
 	assert.Assert(t, ac.Rank("large") > ac.Rank("small"))
 }
 
 func TestIdleTimePaysBack(t *testing.T) {
 	var ac Account
 	for range 40 {
-		ac.Advance(map[string]Use{"large": {Places: 1, Waits: true, Wants: 2}, "small": {Waits: true, Wants: 2}}, testTick)
+		ac.Advance(map[string]Usage{"large": {Places: 1, Waits: true, Wants: 2}, "small": {Waits: true, Wants: 2}}, testTick)
 	}
 	assert.Assert(t, ac.Balances()["large"].Ahead > 0)
 	for range 10 * 20 {
-		ac.Advance(map[string]Use{}, testTick)
+		ac.Advance(map[string]Usage{}, testTick)
 	}
 	assert.Equal(t, len(ac.Balances()), 0)
 }
 
 func TestMemoryOfAnAccountIsBounded(t *testing.T) {
 	var ac Account
-	uses := map[string]Use{"behind": {Waits: true, Wants: 1}}
+	uses := map[string]Usage{"behind": {Waits: true, Wants: 1}}
 	for i := range 3 * maxRows {
 		customer := fmt.Sprint("customer-", i)
-		uses[customer] = Use{Places: 0.5, Waits: true, Wants: 1}
+		uses[customer] = Usage{Places: 0.5, Waits: true, Wants: 1}
 		ac.Advance(uses, testTick)
 		delete(uses, customer)
 	}
@@ -183,7 +183,7 @@
 	// Sequence: one customer is far ahead; the scheduler changes.
 	// Cause: the next scheduler's account began with all customers equal.
 	var ac, next Account
-	uses := map[string]Use{"large": {Places: 0.9, Waits: true, Wants: 3}, "small": {Places: 0.1, Waits: true, Wants: 3}}
+	uses := map[string]Usage{"large": {Places: 0.9, Waits: true, Wants: 3}, "small": {Places: 0.1, Waits: true, Wants: 3}}
 	for range 40 {
 		ac.Advance(uses, testTick)
 	}
@@ -191,7 +191,7 @@
 	next.Advance(uses, 0)
 	assert.Equal(t, next.Rank("large"), ac.Rank("large"))
 	assert.Equal(t, next.Rank("small"), ac.Rank("small"))
-	next.Restore(Memory{Ahead: map[string]float64{"large": 1e300, "small": -1}})
+	next.Restore(Snapshot{Ahead: map[string]float64{"large": 1e300, "small": -1}})
 	next.Advance(uses, testTick)
 	assert.Assert(t, next.Balances()["large"].Ahead <= mostClaim)
 }
--- a/fairshare/division.go
+++ b/fairshare/division.go
@@ -59,13 +59,13 @@
 	return NoBound
 }
 
-// A Division divides the places of services among customers and entries. The zero
-// Division is ready to use.
+// A Divider divides the places of services among customers and entries. The zero
+// Divider is ready to use.
 //
 // Load pattern: one customer's callers ask for many times what endpoints can serve, spread
 // over all entries. No entry alone sees enough to tell whose requests are too many, and
 // without bounds the callers of all customers would be refused alike.
-type Division struct{ turn int }
+type Divider struct{ turn int }
 
 // Divide returns the bounds of each entry, by what entries have seen.
 //
@@ -73,7 +73,7 @@
 // that refusals alone would make bounds come and go. So a service also counts as short while
 // an entry bounds customers, until all ask for no more than there is. Entries tell whether
 // they do, so that another process that divides next knows.
-func (di *Division) Divide(entries map[string]map[string]ServiceDemand, weights map[string]float64) map[string]Bounds {
+func (di *Divider) Divide(entries map[string]map[string]ServiceDemand, weights map[string]float64) map[string]Bounds {
 	out := map[string]Bounds{}
 	for entry := range entries {
 		out[entry] = Bounds{}
@@ -84,7 +84,7 @@
 		if len(wants) < 2 || !short {
 			continue
 		}
-		for customer, part := range Fill(places*overcommit, wants, weights) {
+		for customer, part := range MaxMinShares(places*overcommit, wants, weights) {
 			if part >= wants[customer] {
 				continue
 			}
@@ -130,7 +130,7 @@
 // split divides a customer's part among entries by what each wants, in whole places. What
 // doesn't come out even goes to other entries each time, so that none has nothing for
 // good.
-func (di *Division) split(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
+func (di *Divider) split(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
 	names := slices.Sorted(maps.Keys(entries))
 	wants := map[string]float64{}
 	sum := 0.0
@@ -163,7 +163,7 @@
 //
 // What the other entries let through isn't known, so that it neither refuses all nor lets
 // all through.
-func (di *Division) Standalone(demands map[string]ServiceDemand, weights map[string]float64, entries int) Bounds {
+func (di *Divider) Standalone(demands map[string]ServiceDemand, weights map[string]float64, entries int) Bounds {
 	own := map[string]ServiceDemand{}
 	for service, sd := range demands {
 		sd.Places = max(sd.Places/max(entries, 1), 1)
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestIdleSystemBoundsNoOne(t *testing.T) {
-	var di Division
+	var di Divider
 	large := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 3, Met: 3}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(false, large)}, nil)
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "no endpoint refused a request")
@@ -27,7 +27,7 @@
 }
 
 func TestOnlyWhoAsksForTooMuchIsBounded(t *testing.T) {
-	var di Division
+	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 27}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"a": demandOf(true, seen), "b": demandOf(true, seen)}, nil)
 	for _, entry := range []string{"a", "b"} {
@@ -41,7 +41,7 @@
 	// Sequence: bounds keep a customer's requests from endpoints, which refuse none any
 	// more; the bounds are lifted, and the customer floods them again.
 	// Cause: only refusals of endpoints counted as want of places.
-	var di Division
+	var di Divider
 	bounded := func(customers map[string]Demand) map[string]map[string]ServiceDemand {
 		demands := demandOf(false, customers)
 		sd := demands["desk"]
@@ -60,7 +60,7 @@
 	// Symptom: callers of some entries are refused for as long as places are short.
 	// Sequence: there are fewer places than entries, and they are divided again and again.
 	// Cause: what didn't come out even went to the same entries each time.
-	var di Division
+	var di Divider
 	entries := map[string]map[string]ServiceDemand{}
 	for i := range 30 {
 		entries[fmt.Sprintf("entry-%02d", i)] = demandOf(true, map[string]Demand{"large": {Asked: 50, Met: 250}, "other": {Asked: 50, Met: 250}})
@@ -84,7 +84,7 @@
 	// Sequence: endpoints are short of places; the entry divides them by itself, as one of few
 	// entries and as one of many.
 	// Cause: its part of the places was taken for none, or for all of them.
-	var di Division
+	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 9}}
 	bounds := di.Standalone(demandOf(true, seen), nil, 5)
 	assert.Equal(t, bounds.Of("large", "desk"), 3)
@@ -97,7 +97,7 @@
 // its part has no bound.
 func TestExploreDivision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var di Division
+		var di Divider
 		places := rapid.IntRange(1, 12).Draw(rt, "places")
 		for range rapid.IntRange(1, 5).Draw(rt, "rounds") {
 			entries := map[string]map[string]ServiceDemand{}
--- a/fairshare/fill.go
+++ b/fairshare/fill.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Fill divides a whole among customers by what they want and their weights (max-min
+// MaxMinShares divides a whole among customers by what they want and their weights (max-min
 // fairness): one that wants no more than its part gets all that it wants, and what it leaves
 // goes to the others.
-func Fill(whole float64, wants, weights map[string]float64) map[string]float64 {
+func MaxMinShares(whole float64, wants, weights map[string]float64) map[string]float64 {
 	weight := func(customer string) float64 { return weightOf(weights, customer) }
 	customers := slices.SortedFunc(maps.Keys(wants), func(a, b string) int {
 		return cmp.Or(cmp.Compare(wants[a]/weight(a), wants[b]/weight(b)), cmp.Compare(a, b))
--- a/fairshare/fill_test.go
+++ b/fairshare/fill_test.go
@@ -22,7 +22,7 @@
 		"nothing": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := Fill(tc.whole, tc.wants, tc.weights)
+			got := MaxMinShares(tc.whole, tc.wants, tc.weights)
 			assert.Equal(t, len(got), len(tc.wants))
 			for customer, part := range tc.want {
 				assert.Assert(t, got[customer] > part-1e-9 && got[customer] < part+1e-9, "%s: %f", customer, got[customer])
@@ -45,7 +45,7 @@
 			sumWeights += weights[customer]
 		}
 		const slack = 1e-9
-		for customer, part := range Fill(whole, wants, weights) {
+		for customer, part := range MaxMinShares(whole, wants, weights) {
 			given += part
 			if part > wants[customer]+slack || part < min(wants[customer], whole*weights[customer]/sumWeights)-slack {
 				rt.Fatalf("%s wants %f and has %f", customer, wants[customer], part)
--- a/fairshare/memory.go
+++ b/fairshare/memory.go
@@ -3,13 +3,13 @@
 // maxKept bounds how many customers a Memory holds.
 const maxKept = 200
 
-// A Memory is what lasts of an account: how far customers are ahead of the virtual
+// A Snapshot is what lasts of an account: how far customers are ahead of the virtual
 // time. One that it does not name is not ahead.
-type Memory struct{ Ahead map[string]float64 }
+type Snapshot struct{ Ahead map[string]float64 }
 
 // Snapshot returns what is to last of the account.
-func (ac *Account) Snapshot() Memory {
-	me := Memory{Ahead: map[string]float64{}}
+func (ac *Account) Snapshot() Snapshot {
+	me := Snapshot{Ahead: map[string]float64{}}
 	customers := ac.byServed()
 	for _, customer := range customers[max(0, len(customers)-maxKept):] {
 		if ahead := ac.rows[customer].served - ac.virtual; ahead > 0 {
@@ -21,7 +21,7 @@
 
 // Restore sets an account to what was kept of another one. An empty account would rank a
 // customer that has had far more than its part with those that had less.
-func (ac *Account) Restore(me Memory) {
+func (ac *Account) Restore(me Snapshot) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
 	for customer, ahead := range me.Ahead {
 		if ahead > 0 && len(ac.rows) < maxRows {
--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -10,19 +10,19 @@
 	spanTime    = RecentTime / recentSpans
 )
 
-// A Recent counts the places that customers had within RecentTime, so that a customer whose
-// steps were late for want of room can see who had it. The zero Recent is empty and ready
+// A RecentUsage counts the places that customers had within RecentTime, so that a customer whose
+// steps were late for want of room can see who had it. The zero RecentUsage is empty and ready
 // to use.
 //
 // An Account can't tell this: it counts only places that were scarce, and drops customers
 // with which the others have caught up.
-type Recent struct {
+type RecentUsage struct {
 	spans  [recentSpans]map[string]float64 // places times seconds, by customer
 	number int64                           // of the newest span, counted from the Unix epoch
 }
 
 // Add counts the places that customers had for a time that ends now.
-func (re *Recent) Add(places map[string]int, elapsed time.Duration, now time.Time) {
+func (re *RecentUsage) Add(places map[string]int, elapsed time.Duration, now time.Time) {
 	re.forget(now)
 	span := re.spans[re.number%recentSpans]
 	if span == nil {
@@ -38,7 +38,7 @@
 
 // Parts returns which part of the places that were taken each customer had, over
 // RecentTime.
-func (re *Recent) Parts(now time.Time) map[string]float64 {
+func (re *RecentUsage) Parts(now time.Time) map[string]float64 {
 	re.forget(now)
 	parts, total := map[string]float64{}, 0.0
 	for _, span := range re.spans {
@@ -56,7 +56,7 @@
 }
 
 // forget moves on to the span of now, and empties the spans that have become too old.
-func (re *Recent) forget(now time.Time) {
+func (re *RecentUsage) forget(now time.Time) {
 	number := now.UnixNano() / int64(spanTime)
 	for range min(max(number-re.number, 0), recentSpans) {
 		re.number++
--- a/fairshare/recent_test.go
+++ b/fairshare/recent_test.go
@@ -11,7 +11,7 @@
 // A customer took three quarters of the places for ten seconds and left. It is seen for a
 // minute, and then forgotten.
 func TestRecent(t *testing.T) {
-	var re Recent
+	var re RecentUsage
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 10 {
 		now = now.Add(time.Second)
@@ -32,7 +32,7 @@
 }
 
 func TestRecentIsBounded(t *testing.T) {
-	var re Recent
+	var re RecentUsage
 	places := map[string]int{}
 	for i := range 2 * maxRows {
 		places[fmt.Sprint("c", i)] = 1
--- a/fate/fate.go
+++ b/fate/fate.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A Fate is what became of a request that got no whole answer. The zero Fate
+// An Outcome is what became of a request that got no whole answer. The zero Outcome
 // is Unknown, so that whoever forgets to set it claims nothing.
-type Fate int
+type Outcome int
 
 // The fates.
 const (
 	// Unknown means that the request may or may not have run.
-	Unknown Fate = iota
+	Unknown Outcome = iota
 	// NotRun means that the request was never written to an endpoint.
 	NotRun
 	// Ran means that the request ran and that its answer is at hand.
@@ -25,13 +25,13 @@
 var names = [...]string{Unknown: "fate-unknown", NotRun: "not-run", Ran: "ran"}
 
 // String returns the fate's name on the wire.
-func (fa Fate) String() string { return names[fa] }
+func (fa Outcome) String() string { return names[fa] }
 
 // Parse returns the fate of a name on the wire; any other name is Unknown.
-func Parse(name string) Fate {
+func Parse(name string) Outcome {
 	for fa, na := range names {
 		if na == name {
-			return Fate(fa)
+			return Outcome(fa)
 		}
 	}
 	return Unknown
@@ -44,7 +44,7 @@
 const (
 	BadRequest       Code = "bad-request"       // not run: the request itself is wrong
 	DeadlineExceeded Code = "deadline-exceeded" // see the refusal's fate
-	FateUnknown      Code = "fate-unknown"      // may have run; the caller must look before repeating
+	OutcomeUnknown   Code = "fate-unknown"      // may have run; the caller must look before repeating
 	InProgress       Code = "in-progress"       // the same idempotency key is running now
 	Leaving          Code = "leaving"           // not run: the endpoint or process is draining
 	NotHome          Code = "not-home"          // not run: this endpoint may not run the key
@@ -77,9 +77,9 @@
 
 // implied returns the fate of a code. A deadline may pass before or after the
 // request was written, so whoever knows better sets the fate itself.
-func implied(code Code) Fate {
+func implied(code Code) Outcome {
 	switch code {
-	case DeadlineExceeded, FateUnknown, InProgress:
+	case DeadlineExceeded, OutcomeUnknown, InProgress:
 		return Unknown
 	default:
 		return NotRun
@@ -90,7 +90,7 @@
 func (re *Refusal) Error() string { return string(re.Code) + ": " + re.Message }
 
 // Outcome returns the refusal's fate.
-func (re *Refusal) Outcome() Fate { return Parse(re.Fate) }
+func (re *Refusal) Outcome() Outcome { return Parse(re.Fate) }
 
 // RetryDelay returns how long the caller should wait before it asks again, or 0.
 func (re *Refusal) RetryDelay() time.Duration {
@@ -101,9 +101,9 @@
 	return wait
 }
 
-// Of returns the fate that err tells: that of the Refusal it wraps, or
+// FromError returns the fate that err tells: that of the Refusal it wraps, or
 // Unknown.
-func Of(err error) Fate {
+func FromError(err error) Outcome {
 	var re *Refusal
 	if errors.As(err, &re) {
 		return re.Outcome()
