--- a/standin/trainer_test.go
+++ b/standin/trainer_test.go
@@ -57,9 +57,9 @@
 
 func (li *liar) handler() http.Handler {
 	ro := mux.NewRouter()
-	ro.HandleFunc(message.StepPath, handle(func(_ context.Context, req message.StepRequest) (message.StepAnswer, error) {
+	ro.HandleFunc(message.StepPath, handle(func(_ context.Context, req message.StepRequest) (message.StepResponse, error) {
 		li.steps = append(li.steps, req)
-		return message.StepAnswer{}, nil
+		return message.StepResponse{}, nil
 	}))
 	ro.HandleFunc(message.PullPath, func(w http.ResponseWriter, r *http.Request) {
 		if li.refusals++; li.refusals == 1 {
@@ -73,7 +73,7 @@
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		step := req.Cursor.Step + 1
 		entries, _ := li.batch(step)
-		answer(w, message.PullAnswer{Batch: fmt.Sprint(step), Manifest: entries, Step: step, Whole: true}, nil)
+		answer(w, message.PullResponse{Batch: fmt.Sprint(step), Manifest: entries, Step: step, Whole: true}, nil)
 	})
 	ro.HandleFunc(message.BatchPath, func(w http.ResponseWriter, r *http.Request) {
 		var step int
--- a/step/archive.go
+++ b/step/archive.go
@@ -30,7 +30,7 @@
 }
 
 // chunk returns one chunk of a step.
-func (ar *archive) chunk(ctx context.Context, ke *Keeper, id string, number int) ([]Result, error) {
+func (ar *archive) chunk(ctx context.Context, ke *Store, id string, number int) ([]Result, error) {
 	key := listedKey(id, number)
 	ar.mu.Lock()
 	if ar.recent == nil {
@@ -53,7 +53,7 @@
 }
 
 // whole returns all chunks of a step.
-func (ar *archive) whole(ctx context.Context, ke *Keeper, id string) ([][]Result, error) {
+func (ar *archive) whole(ctx context.Context, ke *Store, id string) ([][]Result, error) {
 	return share(ctx, &ar.fetches, id, func(ctx context.Context) ([][]Result, error) { return ke.Listed(ctx, id) })
 }
 
--- a/step/archive_test.go
+++ b/step/archive_test.go
@@ -24,16 +24,16 @@
 		t.Run(fmt.Sprintf("ended before the term %v", before), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
-				ke := &Keeper{Client: me.Client()}
+				ke := &Store{Client: me.Client()}
 				chunks := [][]Result{{{Item: "a"}, {Item: "b"}}, {{Item: "c"}}, {{Item: "d"}}}
 				for number, results := range chunks {
-					_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+					_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 						Chunks: []Chunk{{Number: number, Results: results, Step: "s"}},
 					})
 					assert.NilError(t, err)
 				}
 				ta := NewTable(1, nil)
-				ta.Accept(stepOf("s", 5), Kept{Listed: chunks}, before, begin)
+				ta.Accept(stepOf("s", 5), StoredStep{Listed: chunks}, before, begin)
 				ta.End("s")
 				ta.steps["s"].results = nil // as when they leave memory
 				te := &term{epoch: 1, ready: true, table: ta}
@@ -75,8 +75,8 @@
 	// Cause: the fetch ended with the one that had begun it.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Keeper{Client: me.Client()}
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
+		ke := &Store{Client: me.Client()}
+		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
 		assert.NilError(t, err)
 		me.SetFaults(keyvalue.Faults{Delay: time.Second})
 		var ar archive
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -18,7 +18,7 @@
 	// makes in just that time; one that had one fewer waited for a second more.
 	for _, pace := range []time.Duration{36 * time.Millisecond, 49 * time.Millisecond, 53 * time.Millisecond} {
 		ta := tableOf(t, 1, "a")
-		ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+		ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 		ta.Place(begin)
 		engine, key := keyOf(t, ta, "s", 0)
 		made, most := 0, time.Duration(0)
@@ -44,7 +44,7 @@
 	// Most items end soon. Keeping the text of each that has just begun would cost more than
 	// making it again.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, checkpointEvents-1, 1), Key: key}}}, begin)
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -143,7 +143,7 @@
 	for _, customer := range []string{"large", "small"} {
 		st := stepOf(customer, 8)
 		st.Customer = customer
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	end = begin.Add(2 * time.Second)
@@ -167,7 +167,7 @@
 		for _, sr := range ta.order {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
-		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, Update{Account: ta.share.due(end)})
+		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.due(end)})
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 
@@ -220,7 +220,7 @@
 
 func TestOneCustomerHasNoRank(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 4), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 4), StoredStep{}, false, begin)
 	ta.ChargeUsage(begin)
 	assert.Equal(t, len(ta.customerRank(ta.waitingCustomers(begin))), 0)
 	for range 40 {
@@ -247,7 +247,7 @@
 		}
 		st := stepOf(fmt.Sprint("step-", i), sizes...)
 		st.Customer = fmt.Sprint("customer-", i)
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	now := begin
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -55,7 +55,7 @@
 }
 
 // newReplay returns a replay of the heavyLoad's steps, so many times as large.
-func (hl *heavyLoad) newReplay(times float64, way overload.Way) *replay {
+func (hl *heavyLoad) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
 	for i, sh := range hl.shapes {
 		sheet := hl.sheet
@@ -70,7 +70,7 @@
 
 // run replays the heavyLoad, and returns how many groups were in time and how many were
 // scheduled, and the least part of them that a trainer got.
-func (hl *heavyLoad) run(times float64, way overload.Way) (inTime, owed int, least float64) {
+func (hl *heavyLoad) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
 	re := hl.newReplay(times, way)
 	re.play(dayLength, nil)
 	least = 1
@@ -85,8 +85,8 @@
 // ways are the orders that were weighed.
 var ways = []struct {
 	name string
-	way  overload.Way
-}{{"standing", overload.BySpare}, {"handed-in", overload.HandedIn}, {"cheapest", overload.Cheapest}, {"alike", overload.Alike}}
+	way  overload.Discipline
+}{{"standing", overload.LeastSlack}, {"handed-in", overload.FirstInFirstOut}, {"cheapest", overload.ShortestFirst}, {"alike", overload.EqualProgress}}
 
 // TestStepsBeyondTheRoom replays steps of two and a half and of four times the usual
 // size. By their time to spare alone, all items end at once, and late.
@@ -140,7 +140,7 @@
 	plan := func(epoch uint64, order []*Step) string {
 		ta := tableOf(t, epoch, "a", "b")
 		for _, st := range order {
-			ta.Accept(st, Kept{}, false, begin.Add(time.Second))
+			ta.Accept(st, StoredStep{}, false, begin.Add(time.Second))
 		}
 		hear(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
 		hear(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
@@ -166,7 +166,7 @@
 		ta := tableOf(t, 1, "a")
 		st := stepOf("large", 100, 100)
 		st.Due = due
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ta.planRoom(begin)
 		assert.Equal(t, ta.crowded("service"), want, "due after %s", due)
 	}
@@ -240,7 +240,7 @@
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, owed, least := hl.run(times, overload.HandedIn)
+		inTime, owed, least := hl.run(times, overload.FirstInFirstOut)
 		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, owed, least)
 	}
 	golden.Assert(t, text, "other-make.golden")
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -15,12 +15,12 @@
 	// lost, and its successor reads all steps.
 	// Cause: those that had ended were kept with the bodies of all their items.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	ta := tableOf(t, 1, "a", "b")
 	for _, id := range []string{"ended", "open"} {
 		st := stepOf(id, 2)
 		assert.NilError(t, ke.Accept(t.Context(), st))
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	ta.End("ended")
@@ -49,7 +49,7 @@
 	assert.Equal(t, len(in.steps["open"].Items), 2)
 
 	next := NewTable(2, nil)
-	next.Accept(in.steps["ended"], Kept{}, in.ended["ended"], begin)
+	next.Accept(in.steps["ended"], StoredStep{}, in.ended["ended"], begin)
 	assert.Assert(t, !next.HasOpenWork())
 	assert.Equal(t, len(next.cuts), 0)
 	assert.Equal(t, next.steps["ended"].listing(0).Total, 2)
@@ -63,14 +63,14 @@
 func TestCutOfALargeStep(t *testing.T) {
 	// The values beyond the first go, and a step that is dropped is not cut any more.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	st := stepOf("s", 1)
 	st.Items[0].Body = make([]byte, 2*partSize)
 	assert.NilError(t, ke.Accept(t.Context(), st))
 	st, err := ke.Load(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Equal(t, st.Parts, 3)
-	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Chunks: []Chunk{{Step: "s"}}, Cuts: []*Step{st.cut()},
 	})
 	assert.NilError(t, err)
@@ -79,7 +79,7 @@
 	assert.Equal(t, len(ch.Items), 1)
 
 	ta := NewTable(1, nil)
-	ta.Accept(st, Kept{}, true, begin)
+	ta.Accept(st, StoredStep{}, true, begin)
 	assert.Equal(t, len(ta.cuts), 1)
 	ta.Forget(0, begin.Add(1))
 	assert.Equal(t, len(ta.cuts), 0)
--- a/step/door.go
+++ b/step/door.go
@@ -32,16 +32,16 @@
 	askTimeout = 1200 * time.Millisecond
 )
 
-// A Door is an entry's part in steps: it keeps what trainers hand in, and asks
+// A Frontend is an entry's part in steps: it keeps what trainers hand in, and asks
 // the scheduler for what they read. Fill the exported fields before use.
-type Door struct {
+type Frontend struct {
 	// CutOffFunc reports whether neither the service nor the scheduler can be
 	// reached from here, of late. Nil means that it never is so.
 	CutOffFunc func() bool
-	Keeper     *Keeper
+	Keeper     *Store
 	Log        *logrus.Entry
 	Pool       *peer.Pool
-	Scheduler  *lease.Finder
+	Scheduler  *lease.Resolver
 }
 
 // Accept keeps a step. ErrUnavailable means that it is not kept and won't be;
@@ -55,7 +55,7 @@
 // keep the step. It tries for as long as trainers wait, since an outage in which
 // the scheduler is lost too looks the same: refused at once by every entry, a
 // trainer had used up its tries before the service was back.
-func (do *Door) Accept(ctx context.Context, st *Step) error {
+func (do *Frontend) Accept(ctx context.Context, st *Step) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTime)
 	defer cancel()
 	begun, unsure := time.Now(), false
@@ -84,7 +84,7 @@
 var errCutOff = errors.Wrap(keyvalue.ErrUnavailable, "cut off")
 
 // cutOff reports whether nothing can be kept or read from here.
-func (do *Door) cutOff() bool { return do.CutOffFunc != nil && do.CutOffFunc() }
+func (do *Frontend) cutOff() bool { return do.CutOffFunc != nil && do.CutOffFunc() }
 
 // notWritten reports whether a failed write surely has no effect.
 func notWritten(err error) bool {
@@ -93,7 +93,7 @@
 
 // write makes a write, over the scheduler if the service is away from here: it
 // turns single instances away at times, and the scheduler holds a lease of it.
-func (do *Door) write(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
+func (do *Frontend) write(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
 	cx, cancel := context.WithTimeout(ctx, writeTimeout)
 	err := direct(cx)
 	cancel()
@@ -120,7 +120,7 @@
 }
 
 // End keeps that a step has ended.
-func (do *Door) End(ctx context.Context, id string) error {
+func (do *Frontend) End(ctx context.Context, id string) error {
 	if do.cutOff() {
 		return errCutOff
 	}
@@ -129,7 +129,7 @@
 
 // Read returns a step's results from a position on. ErrUnknownStep means that
 // there is no such step, any other error that it can't be told now.
-func (do *Door) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
+func (do *Frontend) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
 	if do.cutOff() {
 		return Listing{}, errCutOff
 	}
@@ -144,7 +144,7 @@
 }
 
 // Body returns the body of a step's item.
-func (do *Door) Body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
+func (do *Frontend) Body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
 	if do.cutOff() {
 		return BodyResponse{}, errCutOff
 	}
@@ -162,7 +162,7 @@
 }
 
 // ask calls the scheduler, and once more the one that replaced it.
-func ask[Req, Resp any](ctx context.Context, do *Door, method string, rq Req, timeout time.Duration) (Resp, error) {
+func ask[Req, Resp any](ctx context.Context, do *Frontend, method string, rq Req, timeout time.Duration) (Resp, error) {
 	var resp Resp
 	err := errNotScheduler
 	for range 2 {
--- a/step/engines.go
+++ b/step/engines.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		if ir.run.said < len(ir.events)+1 {
-			rq.Seen = append(rq.Seen, runner.Seen{Events: len(ir.events), Key: key})
+			rq.Seen = append(rq.Seen, runner.Ack{Events: len(ir.events), Key: key})
 		}
 		if ir.run.stopping {
 			rq.Stops = append(rq.Stops, key)
@@ -123,14 +123,14 @@
 	}
 	for key, ir := range en.kept {
 		if !ir.run.saidEnd || ir.run.saidScore != ir.reward.score {
-			rq.Seen = append(rq.Seen, runner.Seen{Ended: true, Events: len(ir.events), Key: key, Score: ir.reward.score})
+			rq.Seen = append(rq.Seen, runner.Ack{Ended: true, Events: len(ir.events), Key: key, Score: ir.reward.score})
 		}
 	}
 	for key := range en.forget {
 		rq.Forget = append(rq.Forget, key)
 	}
 	// Engines admit in the order of arrival, so what was placed first goes first.
-	slices.SortFunc(rq.Launches, func(a, b runner.Launch) int { return cmp.Compare(a.Key.Attempt, b.Key.Attempt) })
+	slices.SortFunc(rq.Launches, func(a, b runner.RunRequest) int { return cmp.Compare(a.Key.Attempt, b.Key.Attempt) })
 	return rq, true
 }
 
@@ -173,8 +173,8 @@
 	return false
 }
 
-func (ta *Table) launch(ir *itemRow) runner.Launch {
-	return runner.Launch{
+func (ta *Table) launch(ir *itemRow) runner.RunRequest {
+	return runner.RunRequest{
 		Body: ir.item.Body, Customer: ir.step.step.Customer, Endpoint: ir.run.engine, Header: ir.item.Header, Host: ir.step.step.Host, Key: ir.run.key,
 		Path: ir.item.Path, Prior: ir.events[:ir.run.prior], Version: ir.run.version,
 	}
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -32,7 +32,7 @@
 			ta.SetEngines(infos, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), idleExchange, "no step is open")
 
-			ta.Accept(stepOf("step", 1), Kept{}, false, begin)
+			ta.Accept(stepOf("step", 1), StoredStep{}, false, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
 
 			for _, en := range ta.sorted {
--- a/step/follow.go
+++ b/step/follow.go
@@ -77,10 +77,10 @@
 
 // kept reads what earlier schedulers kept of steps that are open, and for a new term what
 // operators hold. The results of steps that have ended are read when someone asks.
-func (sc *Scheduler) kept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]Kept, error) {
+func (sc *Scheduler) kept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	kept := map[string]Kept{}
+	kept := map[string]StoredStep{}
 	var mu sync.Mutex
 	var gr errgroup.Group
 	if !te.ready {
@@ -124,7 +124,7 @@
 }
 
 func (sc *Scheduler) takeIntake(
-	te *term, in *intake, accepted []*Step, ended []string, kept map[string]Kept,
+	te *term, in *intake, accepted []*Step, ended []string, kept map[string]StoredStep,
 ) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/step/heard.go
+++ b/step/heard.go
@@ -34,7 +34,7 @@
 }
 
 // said takes in what an attendant has been told of runs.
-func (en *engineRow) said(seen []runner.Seen) {
+func (en *engineRow) said(seen []runner.Ack) {
 	for _, se := range seen {
 		if ir, ok := en.items[se.Key]; ok {
 			ir.run.said = max(ir.run.said, se.Events+1)
--- a/step/held.go
+++ b/step/held.go
@@ -9,7 +9,7 @@
 
 // SetHolds takes in what operators hold back, unless what is known is as new, and logs
 // the steps that this changes.
-func (ta *Table) SetHolds(sh *hold.Sheet, now time.Time) {
+func (ta *Table) SetHolds(sh *hold.Set, now time.Time) {
 	if !sh.Newer(ta.holds) {
 		return
 	}
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -11,9 +11,9 @@
 )
 
 // sheetOf returns a sheet that holds some targets, newer than another.
-func sheetOf(t *testing.T, after *hold.Sheet, targets ...hold.Target) *hold.Sheet {
+func sheetOf(t *testing.T, after *hold.Set, targets ...hold.Target) *hold.Set {
 	t.Helper()
-	var sh *hold.Sheet
+	var sh *hold.Set
 	for _, ta := range targets {
 		var err error
 		sh, _, err = sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: ta, Why: "test"}})
@@ -30,8 +30,8 @@
 	first.Customer, second.Customer = "bakery", "mill"
 	sh := sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
 	ta.SetHolds(sh, begin)
-	ta.Accept(first, Kept{}, false, begin)
-	ta.Accept(second, Kept{}, false, begin)
+	ta.Accept(first, StoredStep{}, false, begin)
+	ta.Accept(second, StoredStep{}, false, begin)
 	ta.Place(begin)
 	for i := range 2 {
 		assert.Equal(t, ta.steps["s"].items[i].state, waiting)
@@ -55,8 +55,8 @@
 	ta := tableOf(t, 1, "a")
 	large, small := stepOf("s", 40, 40, 40), stepOf("t", 1)
 	large.Customer, small.Customer = "bakery", "mill"
-	ta.Accept(large, Kept{}, false, begin)
-	ta.Accept(small, Kept{}, false, begin)
+	ta.Accept(large, StoredStep{}, false, begin)
+	ta.Accept(small, StoredStep{}, false, begin)
 	ta.planRoom(begin)
 	assert.Assert(t, ta.crowded("service"))
 	asked := ta.Rooms()["service"].Load
@@ -72,7 +72,7 @@
 	// Cause: an item that has begun was taken for new work as soon as it had to wait for
 	// another engine.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 3), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 3), StoredStep{}, false, begin)
 	ta.Place(begin)
 	_, key := keyOf(t, ta, "s", 0)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 5, 1), Key: key}}}, begin)
@@ -89,7 +89,7 @@
 func TestHeldResultsAreListed(t *testing.T) {
 	// A hold keeps items from beginning, and not what is whole from being listed.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1, 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1, 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
@@ -105,7 +105,7 @@
 	st := stepOf("s", 1)
 	st.MaxWait = 10 * time.Second
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 	ta.DropExpired(begin.Add(st.MaxWait + giveUpSlack))
@@ -118,7 +118,7 @@
 	// before it begins at the other one.
 	// Cause: between the two engines it looked like an item that never began.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	ir := ta.steps["s"].items[0]
 	addEngines(ta, begin, "a", "b")
--- a/step/keep.go
+++ b/step/keep.go
@@ -49,8 +49,8 @@
 	Data  []byte
 }
 
-// A Keeper reads and writes what must last of steps.
-type Keeper struct {
+// A Store reads and writes what must last of steps.
+type Store struct {
 	Client *keyvalue.Client
 	Log    *logrus.Entry // optional
 
@@ -59,7 +59,7 @@
 
 // Accept keeps a step. It may be repeated with the same step; only the first
 // counts. ErrOutcomeUnknown means that the step may be kept, now or later.
-func (ke *Keeper) Accept(ctx context.Context, st *Step) error {
+func (ke *Store) Accept(ctx context.Context, st *Step) error {
 	values, err := st.values()
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 }
 
 // End keeps that a step has ended. It may be repeated.
-func (ke *Keeper) End(ctx context.Context, id string) error {
+func (ke *Store) End(ctx context.Context, id string) error {
 	_, err := ke.Client.Put(ctx, endPrefix+id, []byte("ended"), 0, 0)
 	if errors.Is(err, keyvalue.ErrConflict) {
 		return nil
@@ -107,7 +107,7 @@
 }
 
 // Load returns a step, or ErrUnknownStep.
-func (ke *Keeper) Load(ctx context.Context, id string) (*Step, error) {
+func (ke *Store) Load(ctx context.Context, id string) (*Step, error) {
 	ch, err := ke.Client.Scan(ctx, stepPrefix+id+"/")
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 }
 
 // Listed returns the chunks of a step's results in order.
-func (ke *Keeper) Listed(ctx context.Context, id string) ([][]Result, error) {
+func (ke *Store) Listed(ctx context.Context, id string) ([][]Result, error) {
 	ch, err := ke.Client.Scan(ctx, listedPrefix+id+"/")
 	if err != nil {
 		return nil, err
@@ -142,7 +142,7 @@
 }
 
 // Chunk returns one chunk of a step's results.
-func (ke *Keeper) Chunk(ctx context.Context, id string, number int) ([]Result, error) {
+func (ke *Store) Chunk(ctx context.Context, id string, number int) ([]Result, error) {
 	it, err := ke.Client.Get(ctx, listedKey(id, number))
 	if err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 }
 
 // Read returns a step's results from what is kept.
-func (ke *Keeper) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
+func (ke *Store) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
 	st, err := ke.Load(ctx, rq.ID)
 	if err != nil {
 		return Listing{}, err
@@ -169,7 +169,7 @@
 }
 
 // Drop removes all that is kept of a step.
-func (ke *Keeper) Drop(ctx context.Context, id string) error {
+func (ke *Store) Drop(ctx context.Context, id string) error {
 	keys := []string{endPrefix + id}
 	for _, prefix := range []string{stepPrefix + id + "/", listedPrefix + id + "/", checkpointPrefix + id + "/"} {
 		ch, err := ke.Client.Scan(ctx, prefix)
@@ -197,8 +197,8 @@
 	Step    string
 }
 
-// An Update is what a scheduler writes at once.
-type Update struct {
+// A WriteSet is what a scheduler writes at once.
+type WriteSet struct {
 	Account     []byte // of customers' parts; empty while it need not be written
 	Checkpoints []Checkpoint
 	Chunks      []Chunk
@@ -207,7 +207,7 @@
 }
 
 // transaction returns the update as one that is applied only under a fence.
-func (up Update) transaction(fence keyvalue.Expectation) (keyvalue.Transaction, error) {
+func (up WriteSet) transaction(fence keyvalue.Expectation) (keyvalue.Transaction, error) {
 	tx := keyvalue.Transaction{Deletes: up.Deletes, Expects: []keyvalue.Expectation{fence}}
 	add := func(key string, value any) error {
 		data, err := cbor.Marshal(value)
@@ -248,7 +248,7 @@
 
 // Write applies an update, if fence still holds. It may be repeated with the
 // same update; done tells that it is applied.
-func (ke *Keeper) Write(ctx context.Context, fence keyvalue.Expectation, up Update) (done bool, err error) {
+func (ke *Store) Write(ctx context.Context, fence keyvalue.Expectation, up WriteSet) (done bool, err error) {
 	tx, err := up.transaction(fence)
 	if err != nil {
 		return false, err
@@ -264,7 +264,7 @@
 }
 
 // writeOnce applies a transaction unless it was applied before.
-func (ke *Keeper) writeOnce(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
+func (ke *Store) writeOnce(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	if _, err = ke.settle(ctx, tx); !errors.Is(err, keyvalue.ErrConflict) {
 		return err == nil, err
 	}
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -23,16 +23,16 @@
 	return logrus.NewEntry(logger)
 }
 
-func doorOf(ke *Keeper) *Door {
-	return &Door{
+func doorOf(ke *Store) *Frontend {
+	return &Frontend{
 		Keeper: ke, Log: quiet(), Pool: &peer.Pool{},
-		Scheduler: &lease.Finder{Client: ke.Client, Log: quiet(), Name: LeaseName},
+		Scheduler: &lease.Resolver{Client: ke.Client, Log: quiet(), Name: LeaseName},
 	}
 }
 
 func TestAcceptOnce(t *testing.T) {
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	large := stepOf("s", 3)
 	for i := range large.Items {
 		large.Items[i].Body = make([]byte, partSize) // more than one value holds
@@ -53,7 +53,7 @@
 	for i := range st.Items {
 		st.Items[i].Body = make([]byte, partSize)
 	}
-	err := (&Keeper{Client: me.Client()}).Accept(t.Context(), st)
+	err := (&Store{Client: me.Client()}).Accept(t.Context(), st)
 	assert.Assert(t, errors.Is(err, ErrTooManyParts))
 }
 
@@ -62,9 +62,9 @@
 	// Sequence: results are written, the answer is lost, they are written again.
 	// Cause: the repeat was taken for other results, at the next positions.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	fence := keyvalue.Expectation{Key: "lease"}
-	up := Update{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a", Text: []byte("x"), Versions: []uint64{1}}}}}}
+	up := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a", Text: []byte("x"), Versions: []uint64{1}}}}}}
 	for range 2 {
 		done, err := ke.Write(t.Context(), fence, up)
 		assert.NilError(t, err)
@@ -81,10 +81,10 @@
 	// written other results at the same position.
 	// Cause: the write did not depend on the lease.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	_, err := me.Client().Put(t.Context(), "lease", []byte("successor"), 0, 0)
 	assert.NilError(t, err)
-	up := Update{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}}}
+	up := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}}}
 	done, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease", Version: 7}, up)
 	assert.Assert(t, !done)
 	assert.Assert(t, errors.Is(err, keyvalue.ErrConflict))
@@ -92,11 +92,11 @@
 
 func TestDropRemovesAll(t *testing.T) {
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 1)))
 	assert.NilError(t, ke.End(t.Context(), "s"))
 	assert.NilError(t, ke.End(t.Context(), "s"))
-	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Checkpoints: []Checkpoint{{Step: "s", Partials: []Partial{{Item: "a"}}}},
 		Chunks:      []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}},
 	})
@@ -138,7 +138,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
 				tc.faults(&me)
-				do := doorOf(&Keeper{Client: me.Client()})
+				do := doorOf(&Store{Client: me.Client()})
 				begun := time.Now()
 				err := do.Accept(t.Context(), stepOf("s", 1))
 				took := time.Since(begun)
@@ -161,7 +161,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := doorOf(&Keeper{Client: me.Client()})
+		do := doorOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
 		do.CutOffFunc = cutOff.Load
 		time.AfterFunc(2*time.Second, func() { cutOff.Store(true) })
@@ -191,7 +191,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := doorOf(&Keeper{Client: me.Client()})
+		do := doorOf(&Store{Client: me.Client()})
 		do.CutOffFunc = func() bool { return true }
 		time.AfterFunc(cutOffTime/2, func() { me.SetFaults(keyvalue.Faults{}) })
 		assert.NilError(t, do.Accept(t.Context(), stepOf("s", 1)))
@@ -206,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Delay: time.Minute})
-		do := doorOf(&Keeper{Client: me.Client()})
+		do := doorOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
 		do.CutOffFunc = cutOff.Load
 		time.AfterFunc(time.Second, func() { cutOff.Store(true) })
@@ -220,10 +220,10 @@
 	// Cause: what no scheduler knows was taken for what does not exist.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Keeper{Client: me.Client()}
+		ke := &Store{Client: me.Client()}
 		do := doorOf(ke)
 		assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 			Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}},
 		})
 		assert.NilError(t, err)
@@ -250,14 +250,14 @@
 	// Cause: the answer was taken from the table, which takes nothing in once its
 	// term is over.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
-	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}, {Item: "b"}}}},
 	})
 	assert.NilError(t, err)
 	ta := NewTable(1, nil)
-	ta.Accept(stepOf("s", 2), Kept{}, true, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, true, begin)
 	te := &term{epoch: 1, ready: true, table: ta}
 	for _, tc := range []struct {
 		name string
@@ -277,7 +277,7 @@
 	// Sequence: steps are accepted, end, and are dropped when no one reads them.
 	// Cause: what follows the steps kept every one that it had ever seen.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 1)))
 	assert.NilError(t, ke.End(t.Context(), "s"))
 	assert.NilError(t, ke.Drop(t.Context(), "s"))
@@ -301,7 +301,7 @@
 	for i := range 10 {
 		st := stepOf(fmt.Sprint("s", i), 2)
 		st.Groups = 1
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	for id := range ta.steps {
@@ -312,7 +312,7 @@
 	for i := range 20 {
 		ta.garbage = append(ta.garbage, checkpointKey("old", i))
 	}
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	now, listed, saved := begin.Add(time.Minute), 0, map[string]bool{}
 	for range 8 {
 		up := ta.Update(now)
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -63,7 +63,7 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1, 1)
 	st.Items[1].Hint, st.Items[1].Tokens = 4000, 8000 // it runs for seconds
-	ta.Accept(st, Kept{}, false, now)
+	ta.Accept(st, StoredStep{}, false, now)
 	ta.Place(now)
 	end(ta, t, "s", 0, runner.Complete, []runner.Event{{Data: make([]byte, 300<<10), ID: 1, Version: 1}}, now)
 	return ta, ta.steps["s"]
@@ -162,7 +162,7 @@
 	ta := tableOf(t, 1, "a", "b")
 	st := stepOf("s", 1, 1, 1)
 	st.Groups = 1
-	ta.Accept(st, Kept{}, false, now)
+	ta.Accept(st, StoredStep{}, false, now)
 	ta.Place(now)
 	for i, read := range []bool{false, false, true} {
 		end(ta, t, "s", i, runner.Complete, events(1, 1, 1), now)
@@ -180,7 +180,7 @@
 	// A text that waits for its score is expected to be listed as soon as others were,
 	// not to run as long again.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 100, 1), begin)
 	sr := ta.steps["s"]
@@ -195,8 +195,8 @@
 	// step lacks nothing more, another one has megabytes and lacks an item.
 	// Cause: all went into one write, which took as long as its megabytes.
 	ta := tableOf(t, 1, "a", "b", "c")
-	ta.Accept(stepOf("large", 3), Kept{}, false, begin)
-	ta.Accept(stepOf("small", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("large", 3), StoredStep{}, false, begin)
+	ta.Accept(stepOf("small", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	big := events(1, 1, 1)
 	big[0].Data = make([]byte, partSize)
--- a/step/mark.go
+++ b/step/mark.go
@@ -41,14 +41,14 @@
 
 // Stored returns what earlier schedulers kept of an open step: marks in place of results, if all
 // chunks have one.
-func (ke *Keeper) Stored(ctx context.Context, id string) (Kept, error) {
+func (ke *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
 	ch, err := ke.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
-		return Kept{}, err
+		return StoredStep{}, err
 	}
 	kept, gapless, err := decodeKept(id, ch.Items)
 	if err != nil {
-		return Kept{}, err
+		return StoredStep{}, err
 	}
 	if gapless {
 		// A chunk without a mark was written by an earlier version of the program.
@@ -57,7 +57,7 @@
 			return kept, nil
 		}
 		if err != nil {
-			return Kept{}, err
+			return StoredStep{}, err
 		}
 	}
 	kept.Marked = nil
@@ -67,13 +67,13 @@
 
 // decodeKept decodes marks and checkpoints of a step, and reports whether the marks are those
 // of the first chunks without a gap.
-func decodeKept(id string, items []keyvalue.Item) (kept Kept, gapless bool, err error) {
+func decodeKept(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
 	gapless = true
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, markPrefix(id)) {
 			var ma mark
 			if err := cbor.Unmarshal(it.Value, &ma); err != nil {
-				return Kept{}, false, errors.Wrapf(err, "decode %s", it.Key)
+				return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 			}
 			gapless = gapless && it.Key == markKey(id, len(kept.Marked))
 			kept.Marked = append(kept.Marked, ma.Listed)
@@ -81,7 +81,7 @@
 		}
 		var cp Checkpoint
 		if err := cbor.Unmarshal(it.Value, &cp); err != nil {
-			return Kept{}, false, errors.Wrapf(err, "decode %s", it.Key)
+			return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 		}
 		kept.Checkpoints = append(kept.Checkpoints, cp)
 	}
@@ -89,7 +89,7 @@
 }
 
 // chunks returns the items of each chunk that is listed.
-func (ke Kept) chunks() [][]string {
+func (ke StoredStep) chunks() [][]string {
 	if ke.Listed == nil {
 		return ke.Marked
 	}
@@ -102,7 +102,7 @@
 
 // takeKept takes over what earlier schedulers listed of a step, and returns the items whose
 // results these are.
-func (sr *stepRow) takeKept(ke Kept) map[string]bool {
+func (sr *stepRow) takeKept(ke StoredStep) map[string]bool {
 	sr.results = slices.Concat(ke.Listed...)
 	listed := map[string]bool{}
 	var counts []int
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -15,10 +15,10 @@
 )
 
 // writeListed lists results of a step in chunks, as a scheduler does.
-func writeListed(t *testing.T, ke *Keeper, chunks [][]Result) {
+func writeListed(t *testing.T, ke *Store, chunks [][]Result) {
 	t.Helper()
 	for number, results := range chunks {
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 			Chunks: []Chunk{{Number: number, Results: results, Step: "s"}},
 		})
 		assert.NilError(t, err)
@@ -66,9 +66,9 @@
 	// Cause: it read the texts of all results, some megabytes, of which it needed to know
 	// only which items they are of.
 	var me keyvalue.Memory
-	writeListed(t, &Keeper{Client: me.Client()}, chunksOf(2, 1))
+	writeListed(t, &Store{Client: me.Client()}, chunksOf(2, 1))
 	size := 0
-	kept, err := (&Keeper{Client: counting(me.Client(), &size)}).Stored(t.Context(), "s")
+	kept, err := (&Store{Client: counting(me.Client(), &size)}).Stored(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Assert(t, size < 1000, "%d bytes were read", size)
 	ta := tableOf(t, 2, "a")
@@ -97,7 +97,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
-				ke := &Keeper{Client: me.Client()}
+				ke := &Store{Client: me.Client()}
 				writeListed(t, ke, chunksOf(2, 1))
 				if !tt.marks {
 					dropMarks(t, &me)
@@ -130,7 +130,7 @@
 				check(3)
 				all := chunksOf(2, 1, 1)
 				ch := Chunk{Number: 2, Results: all[2], Step: "s"}
-				_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{Chunks: []Chunk{ch}})
+				_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{ch}})
 				assert.NilError(t, err)
 				ta.Listed([]Chunk{ch}, begin)
 				check(4)
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -68,7 +68,7 @@
 
 func schedulerOf(cl *keyvalue.Client) *Scheduler {
 	return &Scheduler{
-		Directory: &directory.Directory{}, Keeper: &Keeper{Client: cl}, Log: quiet(), Metrics: metrics.NewSet(),
+		Directory: &directory.Directory{}, Keeper: &Store{Client: cl}, Log: quiet(), Metrics: metrics.NewSet(),
 	}
 }
 
@@ -91,7 +91,7 @@
 			silent.Store(true)
 			time.Sleep(6 * time.Second)
 			silent.Store(false)
-			assert.NilError(t, (&Keeper{Client: me.Client()}).Accept(t.Context(), stepOf("s", 1)))
+			assert.NilError(t, (&Store{Client: me.Client()}).Accept(t.Context(), stepOf("s", 1)))
 			time.Sleep(probeTimeout + retryAfter + 10*time.Millisecond)
 			sc.mu.Lock()
 			assert.Assert(t, te.table.steps["s"] != nil)
@@ -113,19 +113,19 @@
 			ended := 0
 			sc := schedulerOf((&keyvalue.Memory{}).Client())
 			sc.Directory.SetConfiguration(&directory.Configuration{Version: 1, Routes: []directory.Route{
-				{Host: "desk", Prefix: "/", Shares: []directory.Share{{Service: "desk"}}},
+				{Host: "desk", Prefix: "/", Shares: []directory.WeightedService{{Service: "desk"}}},
 			}})
-			sc.CallFunc = func(ctx context.Context, _ forward.Call) forward.Reply {
+			sc.CallFunc = func(ctx context.Context, _ forward.Call) forward.Response {
 				<-ctx.Done()
 				ended++
-				return forward.Reply{Err: ctx.Err()}
+				return forward.Response{Err: ctx.Err()}
 			}
 			te := &term{
 				begin: func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
 				calls: map[*itemRow]context.CancelFunc{}, table: tableOf(t, 1, "a"),
 			}
 			sc.term = te
-			te.table.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+			te.table.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 			te.table.Place(begin)
 			end(te.table, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 			sc.mu.Lock()
@@ -173,7 +173,7 @@
 			assert.Equal(t, st, lease.Held)
 			te := &term{epoch: epoch, ready: true, table: tableOf(t, epoch, "a")}
 			sc.term = te
-			te.table.Accept(stepOf("s", 1), Kept{}, false, time.Now())
+			te.table.Accept(stepOf("s", 1), StoredStep{}, false, time.Now())
 			te.table.Place(time.Now())
 			go sc.follow(ctx, te)
 			go sc.write(ctx, te)
@@ -219,7 +219,7 @@
 			}
 			go sc.Run(ctx)
 			time.Sleep(time.Second)
-			assert.NilError(t, (&Keeper{Client: me.Client()}).Accept(ctx, stepOf("s", 1)))
+			assert.NilError(t, (&Store{Client: me.Client()}).Accept(ctx, stepOf("s", 1)))
 			time.Sleep(100 * time.Millisecond)
 			sc.mu.Lock()
 			ta := sc.term.table
--- a/step/overview.go
+++ b/step/overview.go
@@ -33,20 +33,20 @@
 }
 
 // situation copies what an overview is made of.
-func (sc *Scheduler) situation(now time.Time) (load.Situation, error) {
+func (sc *Scheduler) situation(now time.Time) (load.Snapshot, error) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te, err := sc.current()
 	if err != nil {
-		return load.Situation{}, err
+		return load.Snapshot{}, err
 	}
 	return te.table.Situation(now.Sub(te.freshAt), now), nil
 }
 
 // Situation returns what an overview of the load is made of. The key-value service last
 // answered storeHeard ago.
-func (ta *Table) Situation(storeHeard time.Duration, now time.Time) load.Situation {
-	si := load.Situation{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
+func (ta *Table) Situation(storeHeard time.Duration, now time.Time) load.Snapshot {
+	si := load.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
 	paces := map[string]time.Duration{} // of an event beside what the engine runs
 	for _, en := range ta.sorted {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
@@ -172,12 +172,12 @@
 	lo := load.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.turn(ir, now)}
 	switch ir.state {
 	case running:
-		lo.Engine, lo.Stand = ir.run.engine, load.Runs
+		lo.Engine, lo.Stand = ir.run.engine, load.ItemRunning
 		if pace := paces[ir.run.engine]; pace > 0 {
 			lo.Left = max(ir.runsAt(pace, now), 0)
 		}
 	case scoring:
-		lo.Left, lo.Stand = ir.step.rewards.usual(), load.Scores
+		lo.Left, lo.Stand = ir.step.rewards.usual(), load.ItemScoring
 	default:
 		lo.Wait = ta.itemWait(ir, wait, now)
 	}
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -31,12 +31,12 @@
 		}, 0, load.WeightsLoad},
 		"places": {func(ta *Table, _ *Step) { ta.engines["a"].foreign = 2 }, 0, load.NoPlace},
 		"memory": {func(ta *Table, _ *Step) {
-			ta.Accept(stepOf("u", 1), Kept{}, false, begin)
+			ta.Accept(stepOf("u", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
 			ta.engines["a"].report.Tokens = 9999
 		}, 0, load.NoMemory},
 		"hold": {func(ta *Table, _ *Step) {
-			sh, _, _ := (*hold.Sheet)(nil).Apply(hold.Change{
+			sh, _, _ := (*hold.Set)(nil).Apply(hold.Change{
 				Action: hold.Held, Record: hold.Record{By: "ada", Target: hold.Target{Kind: hold.Step, Name: "s"}, Why: "test"},
 			})
 			ta.SetHolds(sh, begin)
@@ -52,7 +52,7 @@
 			ta := tableOf(t, 1, "a")
 			st := stepOf("s", 1)
 			tc.prepare(ta, st)
-			ta.Accept(st, Kept{}, false, begin)
+			ta.Accept(st, StoredStep{}, false, begin)
 			si := ta.Situation(tc.away, begin)
 			row := si.Steps[len(si.Steps)-1]
 			assert.Equal(t, row.ID, "s")
@@ -63,7 +63,7 @@
 
 func TestItemThatOthersGoBefore(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	si := ta.Situation(0, begin.Add(placeSoon+1))
 	assert.Equal(t, si.Steps[0].Open[0].Wait, load.HeldBack)
 }
@@ -73,7 +73,7 @@
 	ta := tableOf(t, 7, "a", "b")
 	st := stepOf("s", 2, 2, 2)
 	st.Customer, st.Groups = "bakery", 2
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
@@ -106,11 +106,11 @@
 	ta.log = func(event string, fields map[string]any) { lines[event] = append(lines[event], fields) }
 	first, second := stepOf("s", 2), stepOf("t", 1)
 	first.Customer, second.Customer = "bakery", "mill"
-	ta.Accept(first, Kept{}, false, begin)
+	ta.Accept(first, StoredStep{}, false, begin)
 	ta.Place(begin)
 	ta.LogLoad(0, begin)
 	assert.Equal(t, len(lines["load"]), 0, "nothing waits")
-	ta.Accept(second, Kept{}, false, begin)
+	ta.Accept(second, StoredStep{}, false, begin)
 	ta.LogLoad(0, begin.Add(time.Second))
 	assert.Equal(t, lines["load"][0]["waiting"], 1)
 	assert.Equal(t, lines["load"][0]["places"], 2)
@@ -123,7 +123,7 @@
 	for i := range 3 * loadLines {
 		st := stepOf(fmt.Sprint("u", i), 1)
 		st.Customer = fmt.Sprint("c", i)
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	clear(lines)
 	ta.LogLoad(0, begin.Add(time.Second))
@@ -177,7 +177,7 @@
 		sizes[i] = 8
 	}
 	for i := range trainers {
-		ta.Accept(stepOf(fmt.Sprint("s", i), sizes...), Kept{}, false, begin)
+		ta.Accept(stepOf(fmt.Sprint("s", i), sizes...), StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	return ta
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -19,7 +19,7 @@
 	for i, prompt := range prompts {
 		st.Items[i].Prompt, st.Items[i].Tokens = prompt, prompt+1000
 	}
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.engines["a"].tokens = 0 // no bound while they are placed
 	ta.Place(begin)
 	ta.engines["a"].tokens = 10000
@@ -105,7 +105,7 @@
 	// Cause: the scheduler heard of it with its next exchange, and placed the item at its
 	// next tick.
 	ta := tableOf(t, 1, "a", "b")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -69,7 +69,7 @@
 	}
 	st.Groups = groups
 	tw.serial++
-	tw.both(func(ta *Table) { ta.Accept(st, Kept{}, false, tw.now) })
+	tw.both(func(ta *Table) { ta.Accept(st, StoredStep{}, false, tw.now) })
 }
 
 // drawEngines changes what engines there are.
@@ -168,13 +168,13 @@
 			return cmp.Or(cmp.Compare(a.step.step.ID, b.step.step.ID), cmp.Compare(a.item.ID, b.item.ID))
 		})
 		for _, ir := range irs[:len(irs)/2] {
-			ta.rewarded(ir, forward.Reply{Signature: "score"}, took, tw.now)
+			ta.rewarded(ir, forward.Response{Signature: "score"}, took, tw.now)
 		}
 	})
 }
 
 func (tw *twinTable) drawHold(t *rapid.T) {
-	sh := &hold.Sheet{}
+	sh := &hold.Set{}
 	if customer := rapid.SampledFrom(twinCustomers).Draw(t, "held customer"); customer != "" {
 		target := hold.Target{Kind: hold.Customer, Name: customer}
 		held, _, err := sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: target, Why: "test"}})
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -80,7 +80,7 @@
 	ta := NewTable(1, nil)
 	enter(ta, 10, 1)
 	hear(ta, "a", reportOf(10, 1), begin)
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	enter(ta, 20, 1)
--- a/step/reward.go
+++ b/step/reward.go
@@ -152,7 +152,7 @@
 // rewarded takes in what became of an item's reward call. An item is lost only
 // after as many answers that an endpoint failed as its step and the call's route
 // both allow: refusals, cut connections and silence say nothing of the item.
-func (ta *Table) rewarded(ir *itemRow, re forward.Reply, took time.Duration, now time.Time) {
+func (ta *Table) rewarded(ir *itemRow, re forward.Response, took time.Duration, now time.Time) {
 	ir.reward.calling = false
 	ir.reward.failures += re.Failures
 	ta.log("reward call answered", map[string]any{
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -32,7 +32,7 @@
 func wholeTexts(t *testing.T, st *Step) *Table {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	for i := range st.Items {
 		ta.Place(begin)
 		end(ta, t, st.ID, i, runner.Complete, events(1, 3, 1), begin)
@@ -40,8 +40,8 @@
 	return ta
 }
 
-func signed(ir *itemRow) forward.Reply {
-	return forward.Reply{MaxAttempts: 2, Signature: "mark of " + ir.item.Reward.ID, Status: 200}
+func signed(ir *itemRow) forward.Response {
+	return forward.Response{MaxAttempts: 2, Signature: "mark of " + ir.item.Reward.ID, Status: 200}
 }
 
 func listed(ta *Table, now time.Time) []Result {
@@ -73,19 +73,19 @@
 	// Sequence: its call is refused, cut or not answered many times; or fails, at
 	// one endpoint or at several, among other answers.
 	// Cause: every call without a score counted.
-	refused := forward.Reply{MaxAttempts: 3, NotRun: true}
-	silent := forward.Reply{Err: errSilent, MaxAttempts: 3}
-	failed := forward.Reply{Failures: 1, MaxAttempts: 3, Status: 500}
-	both := forward.Reply{Failures: 2, MaxAttempts: 3, Status: 500}
+	refused := forward.Response{MaxAttempts: 3, NotRun: true}
+	silent := forward.Response{Err: errSilent, MaxAttempts: 3}
+	failed := forward.Response{Failures: 1, MaxAttempts: 3, Status: 500}
+	both := forward.Response{Failures: 2, MaxAttempts: 3, Status: 500}
 	for _, tc := range []struct {
 		name    string
-		replies []forward.Reply
+		replies []forward.Response
 		state   itemState
 	}{
-		{"never taken", []forward.Reply{refused, silent, refused, silent, refused, silent}, scoring},
-		{"failed as often as its step allows, not its route", []forward.Reply{failed, failed}, scoring},
-		{"failed as often as both allow", []forward.Reply{failed, silent, failed, refused, failed}, lost},
-		{"failed at two endpoints, and once more", []forward.Reply{both, failed}, lost},
+		{"never taken", []forward.Response{refused, silent, refused, silent, refused, silent}, scoring},
+		{"failed as often as its step allows, not its route", []forward.Response{failed, failed}, scoring},
+		{"failed as often as both allow", []forward.Response{failed, silent, failed, refused, failed}, lost},
+		{"failed at two endpoints, and once more", []forward.Response{both, failed}, lost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := wholeTexts(t, scored(stepOf("s", 1)))
@@ -112,7 +112,7 @@
 	for now := begin; now.Before(begin.Add(5 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		for _, ir := range ta.startRewards(at(6), now) {
 			calls++
-			ta.rewarded(ir, forward.Reply{NotRun: true}, time.Millisecond, now)
+			ta.rewarded(ir, forward.Response{NotRun: true}, time.Millisecond, now)
 		}
 	}
 	assert.Equal(t, calls, 8, "after 0.1, 0.2, 0.4 and 0.8 s, and then each second")
@@ -127,7 +127,7 @@
 	older, newer := scored(stepOf("older", 3, 2)), scored(stepOf("newer", 1))
 	older.Due -= time.Second
 	for _, st := range []*Step{newer, older} {
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	for _, sr := range ta.order {
@@ -204,7 +204,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
-			ta.Accept(scored(stepOf("s", 2)), Kept{}, false, begin)
+			ta.Accept(scored(stepOf("s", 2)), StoredStep{}, false, begin)
 			ta.Place(begin)
 			end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 			irs := ta.startRewards(at(6), begin)
@@ -213,7 +213,7 @@
 			again := scored(stepOf("s", 2))
 			again.ID, again.MinVersion = "again", tc.min
 			tc.change(again.Items[0].Reward)
-			ta.Accept(again, Kept{}, false, begin)
+			ta.Accept(again, StoredStep{}, false, begin)
 			ir := ta.steps["again"].items[0]
 			assert.Equal(t, ir.state, tc.state)
 			assert.Equal(t, ir.reward.score != "", tc.state == complete)
@@ -242,7 +242,7 @@
 			for epoch := range uint64(2) {
 				next := NewTable(epoch+2, nil)
 				addEngines(next, begin, "a")
-				next.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+				next.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 				hear(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 					{Events: events(1, 3, 1), Key: key, State: runner.Complete},
 				}}, begin)
@@ -270,15 +270,15 @@
 	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
 	rq, _ := ta.Request("a")
 	key := ta.steps["s"].items[0].run.key
-	want := runner.Seen{Ended: true, Events: 3, Key: key, Score: "mark of call-s-0-0"}
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{want})
+	want := runner.Ack{Ended: true, Events: 3, Key: key, Score: "mark of call-s-0-0"}
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{want})
 	hear(ta, "a", runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, len(rq.Seen), 0)
 
 	next := NewTable(2, nil)
 	addEngines(next, begin, "a")
-	next.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+	next.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 	hear(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 3, 1), Key: key, Score: want.Score, State: runner.Complete},
 	}}, begin)
@@ -304,7 +304,7 @@
 	// Sequence: all plain endpoints are away for seconds; all instances lose power.
 	// Cause: only runs that were under way were kept.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, checkpointEvents, 1), begin)
 	cps := ta.Checkpoints(begin.Add(checkpointEvery))
@@ -329,7 +329,7 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 2)
 	st.Items[1].Reward = &forward.Call{Host: "desk", ID: "call", Path: "/"}
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	spare := func(item int) time.Duration { return ta.steps["s"].items[item].timeToSpare(begin) }
 	assert.Equal(t, spare(0)-spare(1), usualReward)
 	for range 200 {
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -35,7 +35,7 @@
 	for i := range st.Items {
 		st.Items[i].Hint, st.Items[i].Tokens = 1600, 6400
 	}
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	return ta
 }
 
@@ -58,7 +58,7 @@
 	ta := twoServices(t, 1, 20, 30)
 	st := stepOf("t", 1)
 	st.Service = "other"
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.planRoom(begin)
 	assert.Assert(t, plannedGroups(ta, "s") < 20)
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
@@ -72,7 +72,7 @@
 	ta := twoServices(t, 1, 4, 300)
 	st := stepOf("t", 1)
 	st.Service = "other"
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.SetVersion("model", 2)
 	ta.SetVersion("second", 2)
 	ta.planRoom(begin)
@@ -98,7 +98,7 @@
 	ta.End("s")
 	st := stepOf("t", 1)
 	st.Service = "other"
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.planRoom(begin.Add(planEvery))
 	rooms := ta.Rooms()
 	assert.Assert(t, !rooms["service"].Crowded && !rooms["other"].Crowded)
@@ -113,7 +113,7 @@
 	ta.steps["s"].step.Customer = "large"
 	st := stepOf("t", 8)
 	st.Service, st.Customer = "other", "small"
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
 		ta.ChargeUsage(now)
 		ta.Place(now)
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -78,16 +78,16 @@
 // fields, then call Run.
 type Scheduler struct {
 	// CallFunc makes a reward call.
-	CallFunc  func(ctx context.Context, ca forward.Call) forward.Reply
+	CallFunc  func(ctx context.Context, ca forward.Call) forward.Response
 	Directory *directory.Directory
 	Holder    *lease.Holder
 	Keep      time.Duration // results stay readable for it
-	Keeper    *Keeper
+	Keeper    *Store
 	// LiveFunc returns which part customers' live requests have of plain services that
 	// are short of places; nil stands for none.
 	LiveFunc func(now time.Time) map[string]float64
 	// Holds reads what operators hold when a term begins; nil reads nothing.
-	Holds    *hold.Keeper
+	Holds    *hold.Store
 	Log      *logrus.Entry
 	Metrics  *metrics.Set
 	PeerPort int // of all attendants
@@ -202,7 +202,7 @@
 // other had just continued.
 func (sc *Scheduler) round(ctx context.Context, now time.Time) {
 	epoch, st := sc.Holder.State(now)
-	if st == lease.None {
+	if st == lease.NotHeld {
 		epoch = 0
 	}
 	sc.stand(ctx, epoch)
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -17,7 +17,7 @@
 	for i := range st.Items {
 		st.Items[i].Hint, st.Items[i].Tokens = hint, 4*hint
 	}
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.engines["a"].tokens = 0 // memory is not what lacks
 	return ta
 }
@@ -40,7 +40,7 @@
 			if tc.small {
 				st := stepOf("small", 1)
 				st.Customer = "small"
-				ta.Accept(st, Kept{}, false, begin)
+				ta.Accept(st, StoredStep{}, false, begin)
 			}
 			for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
 				ta.ChargeUsage(now)
--- a/step/settle.go
+++ b/step/settle.go
@@ -25,7 +25,7 @@
 // Either way the caller, and all later writes, would wait for as long as a call may take.
 // What the first key holds tells the two apart: if it isn't what was written, the
 // transaction is sent once more, and the one that arrives first counts.
-func (ke *Keeper) settle(ctx context.Context, tx keyvalue.Transaction) (version int64, err error) {
+func (ke *Store) settle(ctx context.Context, tx keyvalue.Transaction) (version int64, err error) {
 	begun, looks := time.Now(), 0
 	defer func() { ke.logLooks(tx, looks, time.Since(begun), err) }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -86,7 +86,7 @@
 }
 
 // logLooks logs a transaction that was looked for.
-func (ke *Keeper) logLooks(tx keyvalue.Transaction, looks int, took time.Duration, err error) {
+func (ke *Store) logLooks(tx keyvalue.Transaction, looks int, took time.Duration, err error) {
 	if ke.Log == nil || looks == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 
 // look returns the version of what a transaction wrote if it is found to have been applied,
 // and sends it once more if it is not.
-func (ke *Keeper) look(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
+func (ke *Store) look(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
 	version, err := ke.applied(ctx, tx)
 	if version != 0 || err != nil {
 		return version, err
@@ -109,7 +109,7 @@
 
 // applied returns the version of the first key of a transaction if it holds what that
 // writes, or else 0.
-func (ke *Keeper) applied(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
+func (ke *Store) applied(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
 	it, err := ke.Client.Get(ctx, tx.Writes[0].Key)
 	if errors.Is(err, keyvalue.ErrNotFound) || err == nil && !bytes.Equal(it.Value, tx.Writes[0].Value) {
 		return 0, nil
--- a/step/settle_test.go
+++ b/step/settle_test.go
@@ -65,21 +65,21 @@
 				ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
 				defer cancel()
 				begun := time.Now()
-				assert.NilError(t, (&Keeper{Client: losing(&me, tc.losses...)}).Accept(ctx, stepOf("s", 1)))
+				assert.NilError(t, (&Store{Client: losing(&me, tc.losses...)}).Accept(ctx, stepOf("s", 1)))
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
 
 				ho := &lease.Holder{Client: me.Client(), Name: "name", Owner: "owner", TTL: time.Minute}
 				ho.Step(t.Context())
 				fence, _ := ho.Fence(1)
-				up := Update{Chunks: []Chunk{{Results: []Result{{Item: "s-0-0"}}, Step: "s"}}}
+				up := WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "s-0-0"}}, Step: "s"}}}
 				ctx, cancel = context.WithTimeout(t.Context(), listTimeout)
 				defer cancel()
 				begun = time.Now()
-				done, err := (&Keeper{Client: losing(&me, tc.losses...)}).Write(ctx, fence, up)
+				done, err := (&Store{Client: losing(&me, tc.losses...)}).Write(ctx, fence, up)
 				assert.NilError(t, err)
 				assert.Assert(t, done)
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
-				chunks, err := (&Keeper{Client: me.Client()}).Listed(t.Context(), "s")
+				chunks, err := (&Store{Client: me.Client()}).Listed(t.Context(), "s")
 				assert.NilError(t, err)
 				assert.Equal(t, len(chunks), 1)
 			})
@@ -100,7 +100,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
 		defer cancel()
-		err := (&Keeper{Client: cl}).Accept(ctx, stepOf("s", 1))
+		err := (&Store{Client: cl}).Accept(ctx, stepOf("s", 1))
 		assert.Assert(t, errors.Is(err, keyvalue.ErrOutcomeUnknown), "%v", err)
 	})
 }
@@ -132,7 +132,7 @@
 }
 
 // write makes one update last.
-func write(t *testing.T, ke *Keeper, up Update) {
+func write(t *testing.T, ke *Store, up WriteSet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
 	defer cancel()
@@ -148,21 +148,21 @@
 func TestLateWritesUndoNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ls lateStore
-		ke := &Keeper{Client: ls.client()}
-		write(t, ke, Update{Account: []byte("a"), Deletes: []string{"x"}})
-		write(t, ke, Update{Account: []byte("b"), Deletes: []string{"y"}})
+		ke := &Store{Client: ls.client()}
+		write(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		write(t, ke, WriteSet{Account: []byte("b"), Deletes: []string{"y"}})
 		ls.arrive(t)
 		account, err := ke.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "b")
-		write(t, ke, Update{Account: []byte("c"), Deletes: []string{"z"}})
+		write(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"z"}})
 	})
 	t.Run("another process wrote the account", func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Keeper{Client: me.Client()}
-		write(t, ke, Update{Account: []byte("a"), Deletes: []string{"x"}})
-		write(t, &Keeper{Client: me.Client()}, Update{Account: []byte("b"), Deletes: []string{"x"}})
-		write(t, ke, Update{Account: []byte("c"), Deletes: []string{"x"}})
+		ke := &Store{Client: me.Client()}
+		write(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		write(t, &Store{Client: me.Client()}, WriteSet{Account: []byte("b"), Deletes: []string{"x"}})
+		write(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"x"}})
 		account, err := ke.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "c")
@@ -170,11 +170,11 @@
 	t.Run("a cut", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var ls lateStore
-			other := &Keeper{Client: ls.Client()}
+			other := &Store{Client: ls.Client()}
 			assert.NilError(t, other.Accept(t.Context(), stepOf("s", 2)))
 			assert.NilError(t, other.End(t.Context(), "s"))
-			ke := &Keeper{Client: ls.client()}
-			write(t, ke, Update{Cuts: []*Step{stepOf("s", 2).cut()}, Deletes: []string{"x"}})
+			ke := &Store{Client: ls.client()}
+			write(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).cut()}, Deletes: []string{"x"}})
 			assert.NilError(t, ke.Drop(t.Context(), "s"))
 			ls.arrive(t)
 			ch, err := ls.Client().Scan(t.Context(), intakePrefix)
@@ -187,18 +187,18 @@
 	t.Run("a checkpoint", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var ls lateStore
-			ke := &Keeper{Client: ls.client()}
+			ke := &Store{Client: ls.client()}
 			cp := Checkpoint{Step: "s", Partials: []Partial{{Item: "s-0-0", Events: events(1, 20, 1)}}}
 			next := Checkpoint{Number: 1, Step: "s", Partials: []Partial{{Item: "s-0-0", First: 20, Events: events(21, 40, 1)}}}
-			write(t, ke, Update{Checkpoints: []Checkpoint{cp}})
-			write(t, ke, Update{Checkpoints: []Checkpoint{next}})
+			write(t, ke, WriteSet{Checkpoints: []Checkpoint{cp}})
+			write(t, ke, WriteSet{Checkpoints: []Checkpoint{next}})
 			ls.arrive(t)
 			kept, err := ke.Stored(t.Context(), "s")
 			assert.NilError(t, err)
 			ta := NewTable(1, nil)
 			ta.Accept(stepOf("s", 1), kept, false, begin)
 			assert.Equal(t, len(ta.steps["s"].items[0].events), 40)
-			write(t, ke, Update{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // it has ended
+			write(t, ke, WriteSet{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // it has ended
 			ls.arrive(t)
 			ta = NewTable(1, nil)
 			kept, err = ke.Stored(t.Context(), "s")
--- a/step/share.go
+++ b/step/share.go
@@ -28,8 +28,8 @@
 	live      map[string]float64 // by customer, parts of plain services' places that live requests have
 	logged    map[string]int     // ranks
 	loggedAt  time.Time
-	recent    fairshare.Recent // places that customers had
-	saved     []byte           // the account as last kept in the key-value service
+	recent    fairshare.RecentUsage // places that customers had
+	saved     []byte                // the account as last kept in the key-value service
 	savedAt   time.Time
 	scarce    map[string]bool // services whose places are scarce while items wait
 }
@@ -78,7 +78,7 @@
 }
 
 // Shares returns how customers stand.
-func (ta *Table) Shares() map[string]fairshare.Standing { return ta.share.account.Balances() }
+func (ta *Table) Shares() map[string]fairshare.Balance { return ta.share.account.Balances() }
 
 // Parts returns which part of the engines' places that were taken within
 // fairshare.RecentTime each customer had.
@@ -108,13 +108,13 @@
 
 // uses returns what customers have and want of services for which items wait. What they
 // have counts only where places are scarce.
-func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Use {
+func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
 	for key, co := range counts {
 		waits[key.service] = waits[key.service] || co.ready
 		held[key.service] += co.held
 	}
-	uses := map[string]fairshare.Use{}
+	uses := map[string]fairshare.Usage{}
 	ta.share.scarce = map[string]bool{}
 	for service, some := range waits {
 		if !some {
@@ -191,7 +191,7 @@
 }
 
 // addUses adds what customers have of a service's engines, if they are scarce, and want.
-func addUses(uses map[string]fairshare.Use, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
+func addUses(uses map[string]fairshare.Usage, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
 	for key, co := range counts {
 		if key.service != service || co.held+co.waits == 0 {
 			continue
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -68,10 +68,10 @@
 	if err != nil {
 		return err
 	}
-	var me fairshare.Memory
+	var me fairshare.Snapshot
 	if errDecode := cbor.Unmarshal(data, &me); len(data) > 0 && errDecode != nil {
 		sc.Log.WithError(errDecode).Warn("customers' parts can't be read and begin anew")
-		me = fairshare.Memory{}
+		me = fairshare.Snapshot{}
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -82,7 +82,7 @@
 }
 
 // Account returns what earlier schedulers kept of customers' parts, or nothing.
-func (ke *Keeper) Account(ctx context.Context) ([]byte, error) {
+func (ke *Store) Account(ctx context.Context) ([]byte, error) {
 	it, err := ke.Client.Get(ctx, accountKey)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return nil, err
@@ -99,7 +99,7 @@
 // again. After a conflict the same transaction is sent for the version that is there, unless
 // it was applied before. As it also expects the lease, its account is the newest. So nothing
 // else in it may depend on the account that it replaces.
-func (ke *Keeper) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
+func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
 	for range accountTries {
 		version, known := ke.account.get()
--- a/step/simengine_test.go
+++ b/step/simengine_test.go
@@ -26,7 +26,7 @@
 }
 
 type simRun struct {
-	launch runner.Launch
+	launch runner.RunRequest
 	length int // events
 	model  string
 	made   float64
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -160,7 +160,7 @@
 	for _, name := range names {
 		st.Items = append(st.Items, tr.names[name]...)
 	}
-	re.table.Accept(st, Kept{}, false, re.now)
+	re.table.Accept(st, StoredStep{}, false, re.now)
 	tr.open = append(tr.open, &simStep{row: re.table.steps[st.ID], step: st, asked: re.now, first: first, reader: simReader{lookAt: re.now}})
 	tr.asked += tr.target
 	tr.next++
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a", "b", "c")
-			ta.Accept(stepOf("s", 1, 1), Kept{}, false, begin)
+			ta.Accept(stepOf("s", 1, 1), StoredStep{}, false, begin)
 			runs := 0
 			for at := begin; at.Before(begin.Add(time.Second)); at = at.Add(50 * time.Millisecond) {
 				ta.Place(at)
@@ -51,7 +51,7 @@
 		ta.quarantine = shared
 		st := stepOf("s", 1)
 		st.ID = step
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ir := ta.steps[step].items[0]
 		for shared.CheckItem(ir.digest, begin).Strikes < 6 {
 			shared.RecordCrash(ir.digest, string(rune('0'+shared.CheckItem(ir.digest, begin).Strikes)), begin)
@@ -95,7 +95,7 @@
 	for _, en := range ta.engines {
 		en.slots = 5
 	}
-	ta.Accept(stepOf("s", 8, 8, 8, 8, 8), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 8, 8, 8, 8, 8), StoredStep{}, false, begin)
 	items := ta.steps["s"].items
 	deadly := map[*itemRow]int{items[3]: 0, items[20]: 0}
 	for at := begin; at.Before(begin.Add(20 * time.Second)); at = at.Add(100 * time.Millisecond) {
@@ -134,7 +134,7 @@
 	for _, en := range ta.engines {
 		en.slots = 6
 	}
-	ta.Accept(stepOf("s", 8, 8, 8, 8), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 8, 8, 8, 8), StoredStep{}, false, begin)
 	lastRun := map[*itemRow]time.Time{}
 	for at := begin; at.Before(begin.Add(8 * time.Second)); at = at.Add(50 * time.Millisecond) {
 		ta.Place(at)
@@ -157,7 +157,7 @@
 func TestWavesOfCrashesMakeNoSuspects(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
-	ta.Accept(stepOf("s", 4, 4), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 4, 4), StoredStep{}, false, begin)
 	at := begin
 	for range 2 {
 		ta.Place(at)
--- a/step/table.go
+++ b/step/table.go
@@ -20,15 +20,15 @@
 	sorted    []*engineRow             // engines by ID, so that equal loads are decided equally
 	gaveUp    map[string]time.Duration // age at which a trainer ended a step that was not whole
 	plannedAt time.Time
-	rooms     map[string]*room // by service
-	way       overload.Way     // of all rooms
+	rooms     map[string]*room    // by service
+	way       overload.Discipline // of all rooms
 	// rank tells how good engines are for an item; nil goes by all that is known of them.
 	rank      func(en *engineRow, ir *itemRow, now time.Time) float64
 	paceRound int         // number of the round in which engines' paces are held
 	stale     []*groupRow // whose items have changed since they were gathered
 	epoch     uint64
-	holds     *hold.Sheet // of operators; nil holds nothing
-	anyShare  bool        // customers aren't ranked, as measurements compare with
+	holds     *hold.Set // of operators; nil holds nothing
+	anyShare  bool      // customers aren't ranked, as measurements compare with
 	// lengths are the most events that items of ended steps are known to have:
 	// groups that come again bring the items that last longest.
 	lengths map[itemKey]length
@@ -106,15 +106,15 @@
 // a step is never older than it is.
 func (sr *stepRow) age(now time.Time) time.Duration { return now.Sub(sr.seenAt) }
 
-// A Kept is what earlier schedulers kept of a step.
-type Kept struct {
+// A StoredStep is what earlier schedulers kept of a step.
+type StoredStep struct {
 	Checkpoints []Checkpoint
 	Listed      [][]Result // by chunk; nil if Marked tells their items
 	Marked      [][]string
 }
 
 // Accept adds a step with what is kept of it.
-func (ta *Table) Accept(st *Step, ke Kept, ended bool, now time.Time) {
+func (ta *Table) Accept(st *Step, ke StoredStep, ended bool, now time.Time) {
 	if _, ok := ta.steps[st.ID]; ok {
 		return
 	}
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -12,7 +12,7 @@
 
 func TestListing(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 2, 1), begin)
 	assert.Equal(t, len(ta.Due(begin)), 0, "half a group")
@@ -33,7 +33,7 @@
 	// Sequence: an engine breaks a run after three events; another goes on.
 	// Cause: the text that was made was thrown away, or not told to the next.
 	ta := tableOf(t, 1, "a", "b")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	first, _ := keyOf(t, ta, "s", 0)
 	end(ta, t, "s", 0, runner.Broken, events(1, 3, 1), begin)
@@ -79,7 +79,7 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1)
 	st.MinVersion = 2
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 	ta.SetVersion("model", 2)
@@ -112,7 +112,7 @@
 			ta := tableOf(t, 1, "a", "b")
 			st := stepOf("s", 1)
 			st.MaxWait = 40 * time.Second
-			ta.Accept(st, Kept{}, false, begin)
+			ta.Accept(st, StoredStep{}, false, begin)
 			for _, state := range tc.states {
 				ta.Place(begin.Add(time.Second))
 				end(ta, t, "s", 0, state, nil, begin)
@@ -125,7 +125,7 @@
 
 func TestEndedStepsStop(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	_, key := keyOf(t, ta, "s", 0)
 	ta.End("s")
@@ -144,7 +144,7 @@
 		ta := tableOf(t, 1, "a")
 		st := stepOf("s", 100, 100)
 		st.Due = due
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ta.Place(begin)
 		assert.Equal(t, ta.crowded(st.Service), due > 0)
 		assert.Equal(t, ta.steps["s"].queue.built, due == 0)
@@ -170,7 +170,7 @@
 	ta := tableOf(t, 1, "a", "b", "c")
 	long := stepOf("s", 1)
 	long.Items[0].Tokens = 8000
-	ta.Accept(long, Kept{}, false, begin)
+	ta.Accept(long, StoredStep{}, false, begin)
 	ta.Place(begin)
 	from, key := keyOf(t, ta, "s", 0)
 	now := begin
@@ -190,7 +190,7 @@
 	ir := ta.steps["s"].items[0]
 	assert.Assert(t, ir.run.stopping)
 	to := ir.target
-	ta.Accept(stepOf("t", 9), Kept{}, false, begin)
+	ta.Accept(stepOf("t", 9), StoredStep{}, false, begin)
 	ta.Place(now)
 	hear(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
 	ta.Place(now)
@@ -215,7 +215,7 @@
 	for model, size := range map[string]int{"x": 60, "y": 30, "z": 10} {
 		st := stepOf("step-"+model, size)
 		st.Model = model
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ta.SetVersion(model, 2)
 	}
 	have := map[string]int{}
@@ -242,7 +242,7 @@
 		id := fmt.Sprint("step-", i)
 		st := stepOf(id, 1)
 		st.Accepted = begin.Add(time.Duration(i) * time.Second)
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ta.Listed([]Chunk{{Step: id, Results: []Result{{Item: id + "-0-0", Text: make([]byte, cachedResults/2)}}}}, begin)
 		ta.End(id)
 	}
@@ -301,8 +301,8 @@
 	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
 	st := stepOf("other-step", 1)
 	st.Model = "other"
-	ta.Accept(st, Kept{}, false, begin)
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	assert.Equal(t, ta.steps["other-step"].items[0].state, waiting)
@@ -315,7 +315,7 @@
 	// Cause: only groups that were not whole were noted.
 	for _, listed := range []bool{false, true} {
 		ta := tableOf(t, 1, "a")
-		ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+		ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 		ta.Place(begin)
 		end(ta, t, "s", 0, runner.Complete, events(1, 40, 1), begin)
 		if listed {
@@ -324,7 +324,7 @@
 		ta.End("s")
 		again := stepOf("s", 1)
 		again.ID, again.MinVersion = "again", 2
-		ta.Accept(again, Kept{}, false, begin)
+		ta.Accept(again, StoredStep{}, false, begin)
 		assert.Equal(t, ta.steps["again"].items[0].known, 40)
 		ta.End("again")
 		ta.Forget(time.Hour, begin.Add(reuseTime+1))
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -17,7 +17,7 @@
 	// Cause: items that no attendant has spoken of yet looked as if they waited.
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	old := func(item string) runner.Key { return runner.Key{Attempt: 7, Item: item, Step: "s"} }
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 4, 1), Key: old("s-0-0")}}}, begin)
 	ta.Place(begin)
@@ -36,7 +36,7 @@
 func TestSilentAttendantDoesNotHoldPlacingUp(t *testing.T) {
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	hear(ta, "a", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
@@ -50,7 +50,7 @@
 	// Sequence: all instances lose power; the next scheduler finds the steps.
 	// Cause: the text of runs that were under way was in memory alone.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	_, other := keyOf(t, ta, "s", 1)
@@ -64,7 +64,7 @@
 	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointEvery))), 0, "nothing new")
 
 	next := tableOf(t, 2, "a")
-	next.Accept(stepOf("s", 2), Kept{Checkpoints: cps}, false, begin)
+	next.Accept(stepOf("s", 2), StoredStep{Checkpoints: cps}, false, begin)
 	next.Place(begin)
 	rq, _ := next.Request("a")
 	assert.Equal(t, len(rq.Launches[0].Prior)+len(rq.Launches[1].Prior), 25)
@@ -78,7 +78,7 @@
 	// Sequence: more text is made in a second than one value holds.
 	// Cause: items were taken in the order of their step, the last ones never.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	big := func(from, to int) []runner.Event {
 		evs := events(from, to, 1)
@@ -116,14 +116,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
-			ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+			ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
 			engine, key := keyOf(t, ta, "s", 0)
 			hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
 			ta.End("s")
 			again := stepOf("t", 1)
 			again.Items[0].ID, again.MinVersion = "s-0-0", tc.min
-			ta.Accept(again, Kept{}, false, begin)
+			ta.Accept(again, StoredStep{}, false, begin)
 			ir := ta.steps["t"].items[0]
 			assert.Equal(t, len(ir.events), tc.prior)
 			assert.Equal(t, ir.known, 3)
@@ -138,12 +138,12 @@
 	// Cause: attendants were let forget a run when it ended, not when it was
 	// listed.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 2, 1), begin)
 	key := runner.Key{Attempt: ta.attempt, Item: "s-0-0", Step: "s"}
 	rq, _ := ta.Request("a")
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Ended: true, Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
 	again := runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}
 	hear(ta, "a", again, begin)
 	rq, _ = ta.Request("a")
@@ -160,7 +160,7 @@
 	// Cause: the exchange for the one took the other's runs for unknown, and had
 	// the attendant forget them.
 	ta := tableOf(t, 1, "old", "new")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	hear(ta, "old", runner.ExchangeResponse{Engine: "new"}, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
@@ -178,7 +178,7 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 3)
 	st.Accepted, st.MaxWait = begin.Add(-time.Minute), 40*time.Second
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.DropExpired(begin.Add(time.Second))
 	for _, ir := range ta.steps["s"].items {
 		assert.Equal(t, ir.state, waiting)
@@ -189,12 +189,12 @@
 	// A run is spoken of when the scheduler has more of it than it last said, until
 	// an answer shows that this came.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key}}}, begin)
 	rq, _ := ta.Request(engine)
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Events: 2, Key: key}})
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 1, "no answer yet")
 	hear(ta, engine, runner.ExchangeResponse{}, begin)
@@ -202,7 +202,7 @@
 	assert.Equal(t, len(rq.Seen), 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}, begin)
 	rq, _ = ta.Request(engine)
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Ended: true, Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
 	hear(ta, engine, runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 0)
@@ -226,7 +226,7 @@
 			addEngines(ta, begin, "a")
 			st := stepOf("s", 1)
 			cp := Checkpoint{Partials: []Partial{{Events: events(1, checkpointEvents, 1), Item: st.Items[0].ID}}, Step: "s"}
-			ta.Accept(st, Kept{Checkpoints: []Checkpoint{cp}}, false, begin)
+			ta.Accept(st, StoredStep{Checkpoints: []Checkpoint{cp}}, false, begin)
 			hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 				{Events: events(1, checkpointEvents+5, tc.version), Key: runner.Key{Attempt: 7, Item: st.Items[0].ID, Step: "s"}},
 			}}, begin)
@@ -251,7 +251,7 @@
 	ta := tableOf(t, 1, "old")
 	addEngines(ta, begin, "new")
 	hear(ta, "new", runner.ExchangeResponse{Engine: "old"}, begin)
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, _ := keyOf(t, ta, "s", 0)
 	assert.Equal(t, engine, "new")
--- a/step/update.go
+++ b/step/update.go
@@ -14,9 +14,9 @@
 // An update is repeated as it is until its outcome is known. One that the service
 // will never take would be repeated for good, and nothing would be listed any
 // more: the results of some steps, their checkpoints and old keys are too many entries.
-func (ta *Table) Update(now time.Time) Update {
+func (ta *Table) Update(now time.Time) WriteSet {
 	room := keyvalue.MaxTransaction - fenceEntries - accountEntries
-	up := Update{Chunks: ta.Due(now)}
+	up := WriteSet{Chunks: ta.Due(now)}
 	room -= (entriesEach + markEntries) * len(up.Chunks)
 	if !ta.final(up.Chunks) {
 		cps := ta.Checkpoints(now)
@@ -60,7 +60,7 @@
 )
 
 // Written takes in that an update is applied.
-func (ta *Table) Written(up Update, now time.Time) {
+func (ta *Table) Written(up WriteSet, now time.Time) {
 	ta.Listed(up.Chunks, now)
 	ta.CheckpointsSaved(up.Checkpoints)
 	ta.share.written(up.Account, now)
@@ -68,6 +68,6 @@
 	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
 }
 
-func (up Update) empty() bool {
+func (up WriteSet) empty() bool {
 	return len(up.Chunks) == 0 && len(up.Checkpoints) == 0 && len(up.Deletes) == 0
 }
--- a/step/update_test.go
+++ b/step/update_test.go
@@ -17,8 +17,8 @@
 	// Cause: both went in one write, and the listing waited for megabytes of text that
 	// no one waits for.
 	ta := tableOf(t, 1, "a", "b")
-	ta.Accept(stepOf("whole", 1), Kept{}, false, begin)
-	ta.Accept(stepOf("open", 1, 1), Kept{}, false, begin)
+	ta.Accept(stepOf("whole", 1), StoredStep{}, false, begin)
+	ta.Accept(stepOf("open", 1, 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "open", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, checkpointEvents, 1), Key: key}}}, begin)
--- a/step/work_test.go
+++ b/step/work_test.go
@@ -15,8 +15,8 @@
 	ta := tableOf(t, 1, "a")
 	first, second := stepOf("s", 2), stepOf("t", 1)
 	second.Service = "other"
-	ta.Accept(first, Kept{}, false, begin)
-	ta.Accept(second, Kept{}, false, begin)
+	ta.Accept(first, StoredStep{}, false, begin)
+	ta.Accept(second, StoredStep{}, false, begin)
 	ta.Place(begin)
 	works := ta.openWork(begin.Add(time.Second))
 	assert.Equal(t, len(works), 2)
@@ -45,8 +45,8 @@
 		t.Run(name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
 			ta.quarantine = &quarantine.Table{}
-			ta.Accept(stepOf("s", 1), Kept{}, false, begin)
-			ta.Accept(stepOf("t", 1), Kept{}, false, begin)
+			ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
+			ta.Accept(stepOf("t", 1), StoredStep{}, false, begin)
 			assert.Equal(t, len(ta.openWork(begin)["service"]), 2)
 			stop(t, ta)
 			assert.Equal(t, len(ta.openWork(begin)["service"]), 1)
@@ -57,7 +57,7 @@
 // An item that runs keeps its endpoint, held or not.
 func TestHeldWorkThatRunsIsCounted(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	assert.Equal(t, len(ta.openWork(begin)["service"]), 1)
--- a/step/write.go
+++ b/step/write.go
@@ -12,7 +12,7 @@
 // write writes results and checkpoints while the term lasts, one update at a
 // time. One whose outcome is not known is repeated as it was.
 func (sc *Scheduler) write(ctx context.Context, te *term) {
-	var up Update
+	var up WriteSet
 	timeout := listTimeout
 	for ctx.Err() == nil {
 		back := te.revival.next()
@@ -38,7 +38,7 @@
 			sc.mu.Lock()
 			te.table.Written(up, time.Now())
 			sc.mu.Unlock()
-			up = Update{}
+			up = WriteSet{}
 		case errors.Is(err, keyvalue.ErrConflict):
 			// The term ends, or goes on under another epoch and repeats the update.
 			sc.Log.WithError(err).WithField("epoch", epoch).Warn("results were not listed: the lease is gone")
@@ -61,7 +61,7 @@
 	}
 }
 
-func (sc *Scheduler) writeOnce(ctx context.Context, te *term, epoch uint64, up Update, timeout time.Duration) (bool, error) {
+func (sc *Scheduler) writeOnce(ctx context.Context, te *term, epoch uint64, up WriteSet, timeout time.Duration) (bool, error) {
 	fence, ok := sc.Holder.Fence(epoch)
 	if !ok {
 		return false, keyvalue.ErrConflict
--- a/trial/operators.go
+++ b/trial/operators.go
@@ -53,7 +53,7 @@
 	var gr errgroup.Group
 	for i, name := range names {
 		gr.Go(func() error {
-			_, errs[i] = ru.world.store.Apply(ctx, profile.Application{
+			_, errs[i] = ru.world.store.Apply(ctx, profile.ApplyRequest{
 				Base:    profile.NewBase(do),
 				By:      "operator " + strconv.Itoa(i+1),
 				Message: "race",
--- a/trial/watch.go
+++ b/trial/watch.go
@@ -177,7 +177,7 @@
 }
 
 // read reads the profiles that the platform holds, again while it is away.
-func (wo *world) read(ctx context.Context) (profile.Stored, error) {
+func (wo *world) read(ctx context.Context) (profile.VersionedDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
--- a/trial/world.go
+++ b/trial/world.go
@@ -117,7 +117,7 @@
 
 // apply puts the deployment's profiles in force and returns their revision.
 func (wo *world) apply(ctx context.Context) (uint64, error) {
-	ou, err := wo.store.Apply(ctx, profile.Application{
+	ou, err := wo.store.Apply(ctx, profile.ApplyRequest{
 		By:      "trial",
 		Message: "first declarations",
 		Wanted:  wo.deployment.profiles,
--- a/usage/book.go
+++ b/usage/book.go
@@ -45,9 +45,9 @@
 	Sources map[string]Source
 }
 
-// A Book counts, and decides what is reported. It holds no clock: times are true time
-// as the caller knows it. The zero Book is empty; Size must be set.
-type Book struct {
+// An Aggregator counts, and decides what is reported. It holds no clock: times are true time
+// as the caller knows it. The zero Aggregator is empty; Size must be set.
+type Aggregator struct {
 	Size time.Duration // of a window
 
 	record Record
@@ -55,7 +55,7 @@
 }
 
 // load replaces what the book holds by what lasts.
-func (bo *Book) load(rec Record) {
+func (bo *Aggregator) load(rec Record) {
 	bo.record, bo.dirty = rec.clone(), false
 	if bo.record.Open == nil {
 		bo.record.Open = map[Window]map[string]uint64{}
@@ -81,7 +81,7 @@
 //
 // A batch that was counted before is passed over: an entry repeats what it does not
 // know to last, to a new holder above all.
-func (bo *Book) Apply(rq PushRequest, now time.Time) (late uint64) {
+func (bo *Aggregator) Apply(rq PushRequest, now time.Time) (late uint64) {
 	so := bo.record.Sources[rq.Boot]
 	when := func(at time.Duration) time.Time { return now.Add(at - rq.Now) }
 	for _, ba := range rq.Batches {
@@ -103,7 +103,7 @@
 }
 
 // count counts a start, and returns 1 if its window is decided already.
-func (bo *Book) count(customer string, wi Window) uint64 {
+func (bo *Aggregator) count(customer string, wi Window) uint64 {
 	if wi < bo.record.Next {
 		return 1
 	}
@@ -121,7 +121,7 @@
 // A window waits for all entries that were heard of late to have told what began in
 // it, so that a count is whole, but no longer than mostWait: one that was killed
 // never tells.
-func (bo *Book) Decide(now time.Time) []Report {
+func (bo *Aggregator) Decide(now time.Time) []Report {
 	current := WindowOf(now, bo.Size)
 	if bo.record.Next == 0 {
 		bo.record.Next = current
@@ -148,7 +148,7 @@
 }
 
 // ready reports whether a window can be decided.
-func (bo *Book) ready(wi Window, now time.Time) bool {
+func (bo *Aggregator) ready(wi Window, now time.Time) bool {
 	over := now.Sub(wi.End(bo.Size))
 	if over < leastWait {
 		return false
@@ -157,7 +157,7 @@
 }
 
 // missing returns the instances whose entries may have more to tell of a window.
-func (bo *Book) missing(wi Window, now time.Time) []string {
+func (bo *Aggregator) missing(wi Window, now time.Time) []string {
 	var out []string
 	for _, so := range bo.record.Sources {
 		if now.Sub(time.UnixMicro(so.HeardAt)) < sourceLife && time.UnixMicro(so.Settled).Before(wi.End(bo.Size)) {
@@ -169,7 +169,7 @@
 }
 
 // prune drops what is not needed any more.
-func (bo *Book) prune(now time.Time) {
+func (bo *Aggregator) prune(now time.Time) {
 	maps.DeleteFunc(bo.record.Open, func(wi Window, _ map[string]uint64) bool { return wi < bo.record.Next })
 	maps.DeleteFunc(bo.record.Sources, func(_ string, so Source) bool {
 		return now.Sub(time.UnixMicro(so.HeardAt)) > 2*batchLife
@@ -183,7 +183,7 @@
 }
 
 // unsent returns the reports that no one is known to have taken, the oldest first.
-func (bo *Book) unsent() []Report {
+func (bo *Aggregator) unsent() []Report {
 	var res []Report
 	for _, re := range bo.record.Reports {
 		if re.Window >= bo.record.Sent {
@@ -195,4 +195,4 @@
 }
 
 // sent takes in that a report was taken.
-func (bo *Book) sent(wi Window) { bo.record.Sent = max(bo.record.Sent, wi+1) }
+func (bo *Aggregator) sent(wi Window) { bo.record.Sent = max(bo.record.Sent, wi+1) }
--- a/usage/book_test.go
+++ b/usage/book_test.go
@@ -9,8 +9,8 @@
 
 var bookBegin = WindowOf(time.Unix(1_000_000, 0), testWindow).End(testWindow) // the first moment of a window
 
-func newBook() *Book {
-	bo := &Book{Size: testWindow}
+func newBook() *Aggregator {
+	bo := &Aggregator{Size: testWindow}
 	bo.load(Record{})
 	bo.Decide(bookBegin)
 	return bo
@@ -126,7 +126,7 @@
 func TestOnlyDecisionsThatLastAreSent(t *testing.T) {
 	bo := newBook()
 	re := bo.Decide(bookBegin.Add(testWindow + mostWait))[0]
-	ho := &Holder{book: *bo, durable: Record{Next: re.Window}}
+	ho := &Collector{book: *bo, durable: Record{Next: re.Window}}
 	_, ok := ho.next()
 	assert.Assert(t, !ok)
 	ho.durable.Next = re.Window + 1
--- a/usage/holder.go
+++ b/usage/holder.go
@@ -41,9 +41,9 @@
 // Codes returns the errors of this package that cross processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-usage-holder"}} }
 
-// A Holder gathers what entries count, and reports it while the process holds a lease.
+// A Collector gathers what entries count, and reports it while the process holds a lease.
 // Fill the exported fields, then call Run.
-type Holder struct {
+type Collector struct {
 	Client *keyvalue.Client
 	// FenceFunc returns what a write expects that only the holder may make.
 	FenceFunc func(epoch uint64) (keyvalue.Expectation, bool)
@@ -62,48 +62,48 @@
 	SteadyFunc func() time.Duration
 	Window     time.Duration // size of a window
 
-	book    Book
+	book    Aggregator
 	clock   Clock
 	durable Record     // what lasts, as last written or read
 	mu      sync.Mutex // guards all of these
 	savedAt time.Duration
-	tenure  duty.Tenure[Record]
+	tenure  duty.Term[Record]
 }
 
 // Register lets entries push.
-func (ho *Holder) Register(sv *peer.Server) {
+func (ho *Collector) Register(sv *peer.Server) {
 	peer.Handle(sv, pushMethod, func(_ context.Context, _ message.Header, rq PushRequest) (PushResponse, error) {
 		return ho.push(rq)
 	})
 }
 
 // Run gathers and reports until ctx ends.
-func (ho *Holder) Run(ctx context.Context) {
+func (ho *Collector) Run(ctx context.Context) {
 	ho.begin()
 	(&tick.Loop{Every: stepEvery, Systems: []tick.System{{Name: "report use", Run: func(time.Time) { ho.Step(ctx) }}}}).Run(ctx)
 }
 
 // begin notes the process's start, which may have called before.
-func (ho *Holder) begin() {
+func (ho *Collector) begin() {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	ho.book.Size = ho.Window
 	te := &ho.tenure
 	te.Client, te.FenceFunc, te.Key, te.Overlap, te.Owner = ho.Client, ho.FenceFunc, Key, ho.Overlap, ho.Owner
-	te.MarkFunc = func(rec Record) duty.Mark { return duty.Mark{Epoch: rec.Epoch, Sender: rec.Sender} }
+	te.MarkFunc = func(rec Record) duty.Author { return duty.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
 	te.StandingFunc, te.SteadyFunc = ho.StandingFunc, ho.SteadyFunc
 	te.Begin()
 }
 
-func (ho *Holder) steady() time.Duration {
+func (ho *Collector) steady() time.Duration {
 	if ho.SteadyFunc == nil {
-		return duty.Steady()
+		return duty.MonotonicClock()
 	}
 	return ho.SteadyFunc()
 }
 
 // AddClockSample takes in an instance's time of day, in Unix microseconds.
-func (ho *Holder) AddClockSample(instance string, wall int64) {
+func (ho *Collector) AddClockSample(instance string, wall int64) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	if wall != 0 {
@@ -112,7 +112,7 @@
 }
 
 // push takes in what an entry has counted.
-func (ho *Holder) push(rq PushRequest) (PushResponse, error) {
+func (ho *Collector) push(rq PushRequest) (PushResponse, error) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	now := ho.steady()
@@ -138,10 +138,10 @@
 }
 
 // Step does what is to be done now.
-func (ho *Holder) Step(ctx context.Context) {
+func (ho *Collector) Step(ctx context.Context) {
 	switch st, epoch := ho.tenure.State(); st {
 	case duty.Idle:
-	case duty.Behind:
+	case duty.MustAdopt:
 		ho.load(ctx, epoch)
 	case duty.Ready:
 		ho.work(ctx)
@@ -149,7 +149,7 @@
 }
 
 // load reads what lasts, and begins a turn.
-func (ho *Holder) load(ctx context.Context, epoch uint64) {
+func (ho *Collector) load(ctx context.Context, epoch uint64) {
 	rec, version, err := ho.tenure.Read(ctx)
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -167,7 +167,7 @@
 }
 
 // work decides, writes and sends.
-func (ho *Holder) work(ctx context.Context) {
+func (ho *Collector) work(ctx context.Context) {
 	now := ho.steady()
 	ho.mu.Lock()
 	if !ho.clock.Settled(now) {
@@ -185,7 +185,7 @@
 
 // decide decides on the windows that are over, and reports whether there were any.
 // The lock is held.
-func (ho *Holder) decide(at time.Time) bool {
+func (ho *Collector) decide(at time.Time) bool {
 	missing := ho.book.missing(ho.book.record.Next, at)
 	res := ho.book.Decide(at)
 	for _, re := range res {
@@ -198,7 +198,7 @@
 }
 
 // write writes what the book holds, and returns whether it lasts.
-func (ho *Holder) write(ctx context.Context) bool {
+func (ho *Collector) write(ctx context.Context) bool {
 	epoch := ho.tenure.Epoch()
 	ho.mu.Lock()
 	rec := ho.book.record.clone()
@@ -219,7 +219,7 @@
 
 // sendAll sends the reports that no one is known to have taken. Only those that last
 // are sent: a successor must send the very same.
-func (ho *Holder) sendAll(ctx context.Context) {
+func (ho *Collector) sendAll(ctx context.Context) {
 	for {
 		ho.mu.Lock()
 		re, ok := ho.next()
@@ -240,7 +240,7 @@
 
 // next returns the oldest report that lasts and that no one is known to have taken.
 // The lock is held.
-func (ho *Holder) next() (Report, bool) {
+func (ho *Collector) next() (Report, bool) {
 	for _, re := range ho.book.unsent() {
 		if re.Window < ho.durable.Next {
 			return re, true
@@ -250,7 +250,7 @@
 }
 
 // send sends a report, and returns whether it was taken.
-func (ho *Holder) send(ctx context.Context, epoch uint64, re Report) bool {
+func (ho *Collector) send(ctx context.Context, epoch uint64, re Report) bool {
 	took, err := ho.tenure.Call(ctx, epoch, func(ctx context.Context, epoch uint64) error { return ho.SendFunc(ctx, epoch, re) })
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
--- a/usage/pusher.go
+++ b/usage/pusher.go
@@ -28,7 +28,7 @@
 // A Pusher tells the holder what an entry has recorded. Fill the exported fields, then
 // call Run.
 type Pusher struct {
-	Finder   *lease.Finder // of the holder
+	Finder   *lease.Resolver // of the holder
 	Instance string
 	Log      *logrus.Entry
 	Pool     *peer.Pool
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -121,7 +121,7 @@
 
 func (re *Recorder) steady() time.Duration {
 	if re.SteadyFunc == nil {
-		return duty.Steady()
+		return duty.MonotonicClock()
 	}
 	return re.SteadyFunc()
 }
--- a/usage/world_test.go
+++ b/usage/world_test.go
@@ -98,7 +98,7 @@
 	cancel context.CancelFunc
 	cut    bool // from the key-value service
 	frozen bool
-	holder *Holder
+	holder *Collector
 	lease  *lease.Holder
 	mu     sync.Mutex
 	name   string
@@ -222,7 +222,7 @@
 	pr := &process{cancel: cancel, name: name, wo: wo}
 	cl := pr.reaches(wo.memory.Client())
 	pr.lease = &lease.Holder{Client: cl, Name: "scheduler", Owner: name, SuspectFunc: pr.believesDead, TTL: testLease}
-	pr.holder = &Holder{
+	pr.holder = &Collector{
 		Client: cl, FenceFunc: pr.lease.Fence, Log: silentLog(), Metrics: metrics.NewSet(), Overlap: testOverlap, Owner: name,
 		SendFunc: func(ctx context.Context, epoch uint64, re Report) error {
 			return wo.authority.take(ctx, name, epoch, re)
