--- a/admission/queue.go
+++ b/admission/queue.go
@@ -51,8 +51,8 @@
 // Len returns how many wait.
 func (qu *Queue) Len() int { return len(qu.waiting) }
 
-// Standing reports whether the newest go first.
-func (qu *Queue) Standing() bool { return qu.standing }
+// NewestFirst reports whether the newest go first.
+func (qu *Queue) NewestFirst() bool { return qu.standing }
 
 // Arrived counts a request, whether it must wait or not.
 func (qu *Queue) Arrived(now time.Time) {
@@ -65,14 +65,14 @@
 	return max(qu.arrivals.rate(now, arrivalSpan), qu.burst.rate(now, burstSpan))
 }
 
-// InTime reports whether a request that came now would wait and still meet its goal.
-func (qu *Queue) InTime(wa Waiter, ou Outlook, now time.Time) bool {
+// MeetsGoal reports whether a request that came now would wait and still meet its goal.
+func (qu *Queue) MeetsGoal(wa Waiter, ou Forecast, now time.Time) bool {
 	start := qu.foreseen(wa, ou)
 	return start <= wa.patience()-now.Sub(wa.Arrived) && !now.Add(start+ou.Expected).After(wa.Goal)
 }
 
 // foreseen returns how long a request is likely to wait.
-func (qu *Queue) foreseen(wa Waiter, ou Outlook) time.Duration {
+func (qu *Queue) foreseen(wa Waiter, ou Forecast) time.Duration {
 	ahead := 0
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && qu.before(other, wa) {
@@ -90,11 +90,11 @@
 	return min(time.Duration(float64(count)/rate*float64(time.Second)), maxReturn)
 }
 
-// Join takes a request in, and returns who is refused for it: the request itself,
+// Enqueue takes a request in, and returns who is refused for it: the request itself,
 // another, or no one.
-func (qu *Queue) Join(wa Waiter, ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Enqueue(wa Waiter, ou Forecast, now time.Time) []Refusal {
 	qu.heldAt = now
-	if !qu.InTime(wa, ou, now) {
+	if !qu.MeetsGoal(wa, ou, now) {
 		reason, ok := qu.lateRoom(wa, ou, now)
 		if !ok {
 			return []Refusal{qu.refuse(wa, reason, ou, now)}
@@ -119,7 +119,7 @@
 // An answer that is late is worth something to its caller, but not at the price of
 // one in time. While more comes than the endpoints serve, each late one that runs
 // makes another late. When less comes, what is left over is theirs.
-func (qu *Queue) lateRoom(wa Waiter, ou Outlook, now time.Time) (Reason, bool) {
+func (qu *Queue) lateRoom(wa Waiter, ou Forecast, now time.Time) (Reason, bool) {
 	ahead := 1
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && (!other.Late || other.Priority <= wa.Priority) {
@@ -237,15 +237,15 @@
 	qu.standing = qu.standing || now.Sub(qu.overSince) >= standingSpan
 }
 
-// Sweep refuses those that have waited as long as they may, but for those that are
+// Expire refuses those that have waited as long as they may, but for those that are
 // still of use late.
-func (qu *Queue) Sweep(ou Outlook, now time.Time) []Refusal {
+func (qu *Queue) Expire(ou Forecast, now time.Time) []Refusal {
 	var out []Refusal
 	for _, wa := range slices.Clone(qu.waiting) {
 		if now.Sub(wa.Arrived) < wa.patience() && !now.Add(ou.Expected).After(wa.Deadline) {
 			continue
 		}
-		qu.Leave(wa.ID)
+		qu.Remove(wa.ID)
 		if _, ok := qu.lateRoom(wa, ou, now); ok && !wa.Late {
 			wa.Late = true
 			qu.add(wa)
@@ -256,8 +256,8 @@
 	return out
 }
 
-// Leave takes out a waiter whose caller has left.
-func (qu *Queue) Leave(id uint64) {
+// Remove takes out a waiter whose caller has left.
+func (qu *Queue) Remove(id uint64) {
 	if at := slices.IndexFunc(qu.waiting, func(wa Waiter) bool { return wa.ID == id }); at >= 0 {
 		qu.drop(at)
 	}
@@ -267,7 +267,7 @@
 // places still become free all the time, only too few. So callers are spread from when the
 // next place is free to the last time at which an answer still meets their goal: were all
 // told the same, they would come back together and be refused again.
-func (qu *Queue) refuse(wa Waiter, reason Reason, ou Outlook, now time.Time) Refusal {
+func (qu *Queue) refuse(wa Waiter, reason Reason, ou Forecast, now time.Time) Refusal {
 	qu.refusedAt = now
 	each := after(1, ou.Rate)
 	soonest := now.Add(after(len(qu.waiting)+1, ou.Total))
@@ -287,8 +287,8 @@
 	return !qu.refusedAt.IsZero() && now.Sub(qu.refusedAt) < tightSpan
 }
 
-// Tight reports whether a request had to wait or was refused within tightSpan. Then what
+// Contended reports whether a request had to wait or was refused within tightSpan. Then what
 // isn't needed, such as a second attempt beside the first, is not sent.
-func (qu *Queue) Tight(now time.Time) bool {
+func (qu *Queue) Contended(now time.Time) bool {
 	return !qu.heldAt.IsZero() && now.Sub(qu.heldAt) < tightSpan
 }
--- a/admission/room_test.go
+++ b/admission/room_test.go
@@ -39,100 +39,100 @@
 )
 
 // answers passes count copies of a response, 10 ms apart, and returns the time of the last one.
-func answers(ro *Room, from time.Time, count int, an Answer) time.Time {
+func answers(ro *Limiter, from time.Time, count int, an Response) time.Time {
 	for range count {
 		from = from.Add(10 * time.Millisecond)
 		an.At, an.Slots, an.Target = from, 6, target
-		ro.Take(an)
+		ro.Observe(an)
 	}
 	return from
 }
 
 func TestRoomFollowsLoad(t *testing.T) {
-	idle := Answer{InFlight: 1, Load: Load{Running: 1, Places: 6}, Told: true, Took: unit}
-	crowded := Answer{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
+	idle := Response{InFlight: 1, Load: Load{Running: 1, Places: 6}, Told: true, Took: unit}
+	crowded := Response{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
 
-	var ro Room
+	var ro Limiter
 	now := answers(&ro, begin, 20, idle)
 	assert.Equal(t, ro.Limit(), 0.0, "nothing is held back below the room")
-	assert.Assert(t, ro.Free(5, 6, now))
+	assert.Assert(t, ro.Available(5, 6, now))
 
 	now = answers(&ro, now, 20, crowded)
 	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 1, ro.Limit())
-	assert.Assert(t, !ro.Free(1, 6, now))
+	assert.Assert(t, !ro.Available(1, 6, now))
 
 	now = answers(&ro, now, 20, idle)
 	assert.Assert(t, ro.Limit() >= 1, ro.Limit())
-	assert.Assert(t, ro.Free(0, 6, now))
+	assert.Assert(t, ro.Available(0, 6, now))
 }
 
 // Without load reports the limit follows the latency alone.
 func TestRoomFollowsLatency(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 20, Answer{InFlight: 2, Took: unit})
+	var ro Limiter
+	now := answers(&ro, begin, 20, Response{InFlight: 2, Took: unit})
 	assert.Equal(t, ro.Limit(), 0.0)
-	now = answers(&ro, now, 40, Answer{InFlight: 8, Took: 8 * unit})
+	now = answers(&ro, now, 40, Response{InFlight: 8, Took: 8 * unit})
 	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 7, ro.Limit())
 	held := ro.Limit()
-	answers(&ro, now, 40, Answer{InFlight: 2, Took: unit})
+	answers(&ro, now, 40, Response{InFlight: 2, Took: unit})
 	assert.Assert(t, ro.Limit() > held || ro.Limit() == 0, ro.Limit())
 }
 
 // Rejections of requests that were in flight together halve the limit once. Halved for each, it
 // would leave the endpoint idle for seconds after a burst.
 func TestRoomIsCutOncePerRound(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 20, Answer{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
+	var ro Limiter
+	now := answers(&ro, begin, 20, Response{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
 	for range 12 {
-		ro.Take(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+		ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	}
 	assert.Equal(t, ro.Limit(), 4.0)
 	now = now.Add(2 * unit)
-	ro.Take(Answer{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+	ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	assert.Equal(t, ro.Limit(), 2.0)
 }
 
 // A limit at its minimum recovers with time. If only responses raised it, an idle endpoint would
 // get no requests and so never recover.
 func TestRoomOpensWithTime(t *testing.T) {
-	ro := Room{heardAt: begin, limit: leastLimit, unit: unit}
-	assert.Assert(t, ro.Free(0, 6, begin))
+	ro := Limiter{heardAt: begin, limit: leastLimit, unit: unit}
+	assert.Assert(t, ro.Available(0, 6, begin))
 	ro.Sent(0, begin)
-	assert.Assert(t, !ro.Free(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
-	assert.Assert(t, ro.Free(0, 6, begin.Add(16*unit)))
-	assert.Assert(t, ro.Free(0, 6, begin.Add(loadLife)))
+	assert.Assert(t, !ro.Available(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
+	assert.Assert(t, ro.Available(0, 6, begin.Add(16*unit)))
+	assert.Assert(t, ro.Available(0, 6, begin.Add(loadLife)))
 	assert.Equal(t, ro.Limit(), 2*leastLimit)
-	assert.Assert(t, ro.Free(0, 6, begin.Add(time.Minute)))
+	assert.Assert(t, ro.Available(0, 6, begin.Add(time.Minute)))
 	assert.Equal(t, ro.Limit(), 1.0)
 }
 
 // An endpoint whose speed changes many times a second, because it shares its machine, changes the
 // expected duration but not the limit.
 func TestRoomFollowsPace(t *testing.T) {
-	var ro Room
+	var ro Limiter
 	now := begin
 	for i := range 50 {
 		pace := 100
 		if i%2 == 1 {
 			pace = 300
 		}
-		now = answers(&ro, now, 1, Answer{
+		now = answers(&ro, now, 1, Response{
 			InFlight: 1, Load: Load{Pace: pace, Places: 6, Running: 2}, Told: true, Took: unit * time.Duration(pace) / 100,
 		})
-		assert.Equal(t, ro.Expected(0, 6, now), unit*time.Duration(pace)/100)
+		assert.Equal(t, ro.ExpectedLatency(0, 6, now), unit*time.Duration(pace)/100)
 	}
 	assert.Equal(t, ro.Limit(), 0.0, "slow for a moment is not full")
-	assert.Assert(t, ro.Expected(0, 6, now.Add(paceLife/2)) < 3*unit)
-	assert.Equal(t, ro.Expected(0, 6, now.Add(paceLife)), unit)
+	assert.Assert(t, ro.ExpectedLatency(0, 6, now.Add(paceLife/2)) < 3*unit)
+	assert.Equal(t, ro.ExpectedLatency(0, 6, now.Add(paceLife)), unit)
 }
 
 func TestRoomSeesOthers(t *testing.T) {
-	var ro Room
-	now := answers(&ro, begin, 5, Answer{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
-	assert.Equal(t, ro.Others(now), 12)
-	assert.Equal(t, ro.Told(now), 14)
-	assert.Equal(t, ro.Expected(5, 6, now).Round(time.Millisecond), 3*unit)
-	assert.Equal(t, ro.Others(now.Add(loadLife)), 0)
+	var ro Limiter
+	now := answers(&ro, begin, 5, Response{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
+	assert.Equal(t, ro.OthersInFlight(now), 12)
+	assert.Equal(t, ro.ReportedLoad(now), 14)
+	assert.Equal(t, ro.ExpectedLatency(5, 6, now).Round(time.Millisecond), 3*unit)
+	assert.Equal(t, ro.OthersInFlight(now.Add(loadLife)), 0)
 }
 
 // Many senders with separate limits and delayed feedback converge near the capacity of the
@@ -140,21 +140,21 @@
 func TestRoomsShare(t *testing.T) {
 	for _, senders := range []int{1, 5, 40, 100} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
-			rooms := make([]Room, senders)
+			rooms := make([]Limiter, senders)
 			inFlight := make([]int, senders)
 			var queue []int // senders
 			sum, full, sent := 0, 0, 0
 			for at := range 8000 {
 				now := begin.Add(time.Duration(at) * time.Millisecond)
-				answer := func(se int, an Answer) {
+				answer := func(se int, an Response) {
 					inFlight[se]--
 					an.At, an.InFlight, an.Slots, an.Target, an.Told = now, inFlight[se]+1, 6, target, true
 					an.Load = Load{Running: min(len(queue), 6), Waiting: max(len(queue)-6, 0), Places: 6}
-					rooms[se].Take(an)
+					rooms[se].Observe(an)
 				}
 				for i := range rooms {
 					se := (i + at) % senders
-					if !rooms[se].Free(inFlight[se], 6, now) {
+					if !rooms[se].Available(inFlight[se], 6, now) {
 						continue
 					}
 					rooms[se].Sent(inFlight[se], now)
@@ -162,7 +162,7 @@
 					sent++
 					if len(queue) >= 30 {
 						full++
-						answer(se, Answer{Refused: true, Took: time.Millisecond})
+						answer(se, Response{Refused: true, Took: time.Millisecond})
 						continue
 					}
 					queue = append(queue, se)
@@ -170,7 +170,7 @@
 				if at%4 == 0 && len(queue) > 0 { // six slots, 24 ms per request
 					se := queue[0]
 					queue = queue[1:]
-					answer(se, Answer{Took: max(unit, time.Duration(len(queue))*4*time.Millisecond)})
+					answer(se, Response{Took: max(unit, time.Duration(len(queue))*4*time.Millisecond)})
 				}
 				if at == 4000 {
 					sum, full, sent = 0, 0, 0
--- a/allotment/allotment_test.go
+++ b/allotment/allotment_test.go
@@ -21,7 +21,7 @@
 	entries []*deskEntry
 	epoch   uint64
 	held    bool
-	holder  *Holder
+	holder  *Allocator
 	mu      sync.Mutex  // guards all fields: entries report in the background
 	ends    []time.Time // end times of running and queued requests
 	places  int
@@ -32,7 +32,7 @@
 	demands map[string]fairshare.Demand
 	ends    map[string][]time.Time
 	short   bool
-	teller  *Teller
+	teller  *DemandReporter
 }
 
 // A score counts a customer's requests.
@@ -51,12 +51,12 @@
 	de.newHolder(weights)
 	for i := range entries {
 		en := &deskEntry{demands: map[string]fairshare.Demand{}, ends: map[string][]time.Time{}}
-		en.teller = &Teller{
-			CallFunc: func(_ context.Context, rq TellRequest) (TellResponse, error) {
+		en.teller = &DemandReporter{
+			CallFunc: func(_ context.Context, rq DemandRequest) (DemandResponse, error) {
 				de.mu.Lock()
 				defer de.mu.Unlock()
 				if de.cut[i] {
-					return TellResponse{}, context.DeadlineExceeded
+					return DemandResponse{}, context.DeadlineExceeded
 				}
 				return de.holder.tell(rq, time.Now())
 			},
@@ -69,7 +69,7 @@
 }
 
 func (de *desk) newHolder(weights func() map[string]float64) {
-	de.holder = &Holder{
+	de.holder = &Allocator{
 		Log: quiet(), Metrics: metrics.NewSet(), StandingFunc: func(time.Time) (uint64, bool) { return de.epoch, de.held },
 		WeightsFunc: weights,
 	}
--- a/allotment/quota_test.go
+++ b/allotment/quota_test.go
@@ -17,8 +17,8 @@
 	calls   atomic.Int64
 	cut     []atomic.Bool
 	epoch   uint64
-	granter *Granter
-	payers  []*Payer
+	granter *TokenServer
+	payers  []*RateLimiter
 	quota   float64
 }
 
@@ -26,7 +26,7 @@
 	co := &counter{cut: make([]atomic.Bool, entries), epoch: 1, quota: quota}
 	co.granter = co.newGranter()
 	for i := range entries {
-		co.payers = append(co.payers, &Payer{
+		co.payers = append(co.payers, &RateLimiter{
 			CallFunc: func(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
 				co.calls.Add(1)
 				time.Sleep(2 * time.Millisecond)
@@ -42,8 +42,8 @@
 	return co
 }
 
-func (co *counter) newGranter() *Granter {
-	return &Granter{
+func (co *counter) newGranter() *TokenServer {
+	return &TokenServer{
 		Metrics: metrics.NewSet(), Overshoot: 0.1, QuotaFunc: func(string) float64 { return co.quota },
 		StandingFunc: func(time.Time) (uint64, bool) { return co.epoch, true },
 	}
@@ -55,7 +55,7 @@
 	begun := time.Now()
 	for i := 0; time.Since(begun) < length; i++ {
 		go func() {
-			if _, ok := co.payers[i%len(co.payers)].Spend(ctx, "ada", co.quota); ok {
+			if _, ok := co.payers[i%len(co.payers)].Allow(ctx, "ada", co.quota); ok {
 				served.Add(1)
 			}
 		}()
@@ -122,11 +122,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		co := newCounter(1, 10)
 		cutAll(co)
-		retry, ok := co.payers[0].Spend(t.Context(), "ada", 10)
+		retry, ok := co.payers[0].Allow(t.Context(), "ada", 10)
 		assert.Assert(t, !ok)
 		assert.Equal(t, retry, unheardRetry)
 		calls := co.calls.Load()
-		retry, ok = co.payers[0].Spend(t.Context(), "ada", 10)
+		retry, ok = co.payers[0].Allow(t.Context(), "ada", 10)
 		assert.Assert(t, !ok && retry > 0)
 		assert.Equal(t, co.calls.Load(), calls, "it is refused at once")
 	})
@@ -139,11 +139,11 @@
 		var retry time.Duration
 		ok := true
 		for ok {
-			retry, ok = co.payers[0].Spend(t.Context(), "ada", 2)
+			retry, ok = co.payers[0].Allow(t.Context(), "ada", 2)
 		}
 		assert.Assert(t, retry > 0 && retry <= 500*time.Millisecond, "%s", retry)
 		time.Sleep(retry)
-		_, ok = co.payers[0].Spend(t.Context(), "ada", 2)
+		_, ok = co.payers[0].Allow(t.Context(), "ada", 2)
 		assert.Assert(t, ok, "what the caller was told is true")
 	})
 }
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -23,7 +23,7 @@
 		return http.StatusBadRequest
 	case fate.DeadlineExceeded:
 		return http.StatusGatewayTimeout
-	case fate.FateUnknown:
+	case fate.OutcomeUnknown:
 		return http.StatusBadGateway
 	case fate.InProgress:
 		return http.StatusConflict
@@ -56,7 +56,7 @@
 	he.Set(message.FateHeader, re.Fate)
 	he.Set(message.RequestIDHeader, re.RequestID)
 	he.Set(message.RevisionHeader, strconv.FormatUint(at.profiles.Revision(), 10))
-	if wait := re.Wait(); wait > 0 {
+	if wait := re.RetryDelay(); wait > 0 {
 		he.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 	rw.WriteHeader(httpStatus(re.Code))
@@ -105,6 +105,6 @@
 	case ctx.Err() != nil:
 		return fate.NewRefusal(fate.DeadlineExceeded, id, "given up while it ran: "+err.Error())
 	default:
-		return fate.NewRefusal(fate.FateUnknown, id, err.Error())
+		return fate.NewRefusal(fate.OutcomeUnknown, id, err.Error())
 	}
 }
--- a/batch/machine_test.go
+++ b/batch/machine_test.go
@@ -27,7 +27,7 @@
 
 // A held is a pull answer that the trainer has not processed yet.
 type held struct {
-	answer message.PullAnswer
+	answer message.PullResponse
 	cursor message.Cursor
 	node   *node
 }
@@ -226,7 +226,7 @@
 		po := Policy{
 			KeptSteps:      rapid.IntRange(1, 2).Draw(rt, "kept"),
 			MaxOpenSteps:   rapid.IntRange(1, 2).Draw(rt, "open"),
-			Straggling:     rapid.SampledFrom([]Straggling{ResumeStragglers, RestartStragglers, KeepStragglers}).Draw(rt, "straggling"),
+			Straggling:     rapid.SampledFrom([]StragglerRule{ResumeStragglers, RestartStragglers, KeepStragglers}).Draw(rt, "straggling"),
 			StalenessBound: engine.Version(rapid.Uint64Range(0, 2).Draw(rt, "bound")),
 			WholeSteps:     rapid.Bool().Draw(rt, "whole"),
 		}
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -84,8 +84,8 @@
 		return
 	}
 	he.Set(message.KeyHeader, at.key)
-	he.Set(message.KeyMintedHeader, yesNo(at.minted))
-	he.Set(message.KeyAskHeader, yesNo(at.ask))
+	he.Set(message.KeyGeneratedHeader, yesNo(at.minted))
+	he.Set(message.KeyQueryHeader, yesNo(at.ask))
 }
 
 // yesNo returns a flag's value in a header.
@@ -129,8 +129,8 @@
 	switch {
 	case err == nil, errors.Is(err, errCallerGone), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		se.Routes.Succeeded(now, id)
-	case errors.As(err, &re) && re.Truth() == fate.NotRun && re.Code != fate.BadRequest:
-		se.Routes.Refused(now, id, re.Wait())
+	case errors.As(err, &re) && re.Outcome() == fate.NotRun && re.Code != fate.BadRequest:
+		se.Routes.Refused(now, id, re.RetryDelay())
 	case errors.As(err, &re):
 		se.Routes.Succeeded(now, id)
 	case errors.Is(err, errSilent):
@@ -154,9 +154,9 @@
 }
 
 // fateOf returns what is known of a request after an attempt that failed.
-func fateOf(err error) fate.Fate {
+func fateOf(err error) fate.Outcome {
 	if errors.Is(err, errNotSent) {
 		return fate.NotRun
 	}
-	return fate.Of(err)
+	return fate.FromError(err)
 }
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -51,24 +51,24 @@
 			Client: ho.store, Follow: true, Log: ho.log, Name: step.LeaseName, Owner: ho.settings.PeerAddress,
 			ProbeEvery: probeEvery, TTL: leaseTime,
 		},
-		Holds: &hold.Keeper{Client: ho.store}, Keep: ho.settings.KeepResults, Keeper: &step.Keeper{Client: ho.store, Log: ho.log}, Log: ho.log,
+		Holds: &hold.Store{Client: ho.store}, Keep: ho.settings.KeepResults, Keeper: &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log,
 		Metrics:  ho.metrics,
 		PeerPort: ho.settings.PeerPort, Pool: ho.pool, Quarantine: ho.requests,
 	}
-	sc.Holder.SuspectFunc = sc.Suspect
+	sc.Holder.SuspectFunc = sc.IsDead
 	var ps peer.Server
 	sc.Register(&ps)
 	ho.reportUsage(lc, sc, &ps)
-	ce := &scale.Census{}
-	al := &allotment.Holder{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
+	ce := &scale.LoadAggregator{}
+	al := &allotment.Allocator{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
 	al.Register(&ps)
 	sc.LiveFunc = al.Parts
-	gr := &allotment.Granter{
+	gr := &allotment.TokenServer{
 		Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, QuotaFunc: ho.directory.Quota, StandingFunc: sc.Holder.Held,
 	}
 	gr.Register(&ps)
 	ho.orderEndpoints(lc, &ps, &loadView{census: ce, directory: ho.directory, forwarder: fw, scheduler: sc})
-	fo := ho.follower(sc.Leads)
+	fo := ho.follower(sc.IsLeader)
 	fo.Own = platform.RetireKey(ho.settings.Instance)
 	directory.RegisterFeed(&ps, fo, uuid.NewString())
 	fo.OperatorFunc = func(it keyvalue.Item) {
@@ -85,7 +85,7 @@
 	// Stops first, so that another scheduler takes over while this one still
 	// answers.
 	lc.Append(fx.Hook{OnStop: func(ctx context.Context) error {
-		sc.Retire()
+		sc.StepDown()
 		return release(ctx, sc)
 	}})
 }
@@ -96,12 +96,12 @@
 	if ho.settings.UsageAddress == "" {
 		return
 	}
-	uh := &usage.Holder{
+	uh := &usage.Collector{
 		Client: ho.store, FenceFunc: sc.Holder.Fence, Log: ho.log, Metrics: ho.metrics, Overlap: ho.settings.UsageOverlap,
 		Owner: ho.settings.PeerAddress, SendFunc: platform.NewUsageSender(ho.settings.UsageAddress, ho.settings.Instance),
 		StandingFunc: sc.Holder.Held, Window: ho.settings.UsageWindow,
 	}
-	sc.WallFunc = uh.Vote
+	sc.WallFunc = uh.AddClockSample
 	uh.Register(ps)
 	background(lc, uh.Run)
 }
@@ -112,7 +112,7 @@
 	if ho.settings.ScaleAddress == "" {
 		return
 	}
-	so := &scale.Holder{
+	so := &scale.Scaler{
 		Census: lv.census,
 		HeldFunc: func(service string) bool {
 			_, held := ho.directory.Holds().Service(service)
@@ -120,7 +120,7 @@
 		},
 		Log: ho.log, Metrics: ho.metrics, SendFunc: platform.NewScaleSender(ho.settings.ScaleAddress, ho.settings.Instance),
 		ServicesFunc: lv.services,
-		Tenure: &duty.Tenure[scale.Record]{
+		Tenure: &duty.Term[scale.Record]{
 			Client: ho.store, FenceFunc: lv.scheduler.Holder.Fence, Overlap: ho.settings.ScaleOverlap, Owner: ho.settings.PeerAddress,
 			StandingFunc: lv.scheduler.Holder.Held,
 		},
@@ -141,7 +141,7 @@
 func (ho *host) retire(sc *step.Scheduler) {
 	ctx := context.Background()
 	ho.log.Info("instance is to be emptied")
-	sc.Retire()
+	sc.StepDown()
 	if err := release(ctx, sc); err != nil {
 		ho.log.WithError(err).Warn("lease can't be released and ends by itself")
 	}
--- a/directory/feed_test.go
+++ b/directory/feed_test.go
@@ -18,7 +18,7 @@
 func TestFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		fo := &Follower{Directory: di}
 		first, err := fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -27,7 +27,7 @@
 
 		known := FeedRequest{Boot: first.Boot, Generation: first.Generation}
 		en, _ := di.Endpoint("a")
-		en.Models = []Serving{{Model: "m", Version: 2}}
+		en.Models = []ModelVersion{{Model: "m", Version: 2}}
 		di.SetEndpoint(en)
 		begun := time.Now()
 		second, err := fo.feed(t.Context(), "boot", known)
@@ -35,7 +35,7 @@
 		assert.Assert(t, !second.Fresh, "new weights are no news")
 		assert.Assert(t, time.Since(begun) >= feedWait)
 
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		time.AfterFunc(100*time.Millisecond, func() {
 			en.Leaving = true
 			di.SetEndpoint(en)
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.SetConfiguration(&Configuration{Version: 3})
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		feeder := &Follower{Directory: di}
 		first, err := feeder.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -91,7 +91,7 @@
 		log := logrus.NewEntry(logger)
 		fo := &Follower{
 			Client: me.Client(), DirectFunc: func() bool { return false }, Directory: &Directory{},
-			Feeder: &lease.Finder{Client: me.Client(), Log: log, Name: "scheduler"}, Log: log, Source: source(),
+			Feeder: &lease.Resolver{Client: me.Client(), Log: log, Name: "scheduler"}, Log: log, Source: source(),
 		}
 		go fo.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
@@ -131,13 +131,13 @@
 	// Cause: the feeder answered with what it had last heard, however old.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		fo := &Follower{Directory: di}
 		time.Sleep(feedAge + time.Millisecond)
 		_, err := fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.Assert(t, errors.Is(err, ErrOldEndpoints))
 		fo.DirectFunc = func() bool { return false }
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		_, err = fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.Assert(t, errors.Is(err, ErrNotFeeder), "it does not follow the service itself")
 	})
@@ -188,7 +188,7 @@
 		logger.SetLevel(logrus.PanicLevel)
 		log := logrus.NewEntry(logger)
 		fo := &Follower{
-			Directory: &Directory{}, Feeder: &lease.Finder{Client: me.Client(), Log: log, Name: "scheduler"}, lastFeeder: "10.0.0.1:1",
+			Directory: &Directory{}, Feeder: &lease.Resolver{Client: me.Client(), Log: log, Name: "scheduler"}, lastFeeder: "10.0.0.1:1",
 		}
 		me.SetFaults(keyvalue.Faults{Outage: true})
 		assert.Equal(t, fo.feederAddress(t.Context()), "10.0.0.1:1")
@@ -225,7 +225,7 @@
 				}
 				fo := &Follower{
 					Client: cl, DirectFunc: func() bool { return false }, Directory: &Directory{},
-					Feeder: &lease.Finder{Client: cl, Log: log, Name: "scheduler"}, Log: log, Patience: tc.patience, Source: source(),
+					Feeder: &lease.Resolver{Client: cl, Log: log, Name: "scheduler"}, Log: log, Patience: tc.patience, Source: source(),
 				}
 				var stale atomic.Int64
 				cl.ScanStaleFunc = func(ctx context.Context, prefix string) (keyvalue.Changes, error) {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -42,8 +42,8 @@
 // revisionField is the field of log lines that holds a key's version.
 const revisionField = "revision"
 
-// A Source says where in the key-value service things lie and how they read.
-type Source struct {
+// A Schema says where in the key-value service things lie and how they read.
+type Schema struct {
 	ConfigurationKey string
 	EndpointPrefix   string
 	VersionPrefix    string // after it stands the model's name
@@ -61,13 +61,13 @@
 	Client    *keyvalue.Client
 	Directory *Directory
 	Log       *logrus.Entry
-	Source    Source
+	Source    Schema
 	// DirectFunc reports whether the process reads all from the key-value
 	// service itself. Else it takes endpoints and the configuration from Feeder,
 	// which it reaches over Pool, and reads only what concerns its own instance.
 	// Nil means that it does.
 	DirectFunc func() bool
-	Feeder     *lease.Finder
+	Feeder     *lease.Resolver
 	// Own is the key of what the operators ask of this instance, or "".
 	Own  string
 	Pool *peer.Pool
@@ -172,9 +172,9 @@
 		}
 		switch prefix {
 		case fo.Source.EndpointPrefix:
-			fo.Directory.Confirm(time.Now())
+			fo.Directory.ConfirmEndpoints(time.Now())
 		case fo.Source.OperatorPrefix, fo.Source.ConfigurationKey:
-			fo.Directory.HearNews(time.Now())
+			fo.Directory.ConfirmConfiguration(time.Now())
 		}
 		if scan || len(ch.Items) > 0 {
 			sleep(ctx, pause)
@@ -197,14 +197,14 @@
 // hear takes in the outcome of a call. What a process refuses it has answered.
 func (fo *Follower) hear(err error) {
 	if err == nil || errors.IsAny(err, keyvalue.ErrHistoryGone, ErrNotFeeder, ErrOldEndpoints) {
-		fo.Directory.Hear(time.Now())
+		fo.Directory.RecordContact(time.Now())
 	}
 }
 
 // away notes whether the service answers.
 func (fo *Follower) away(prefix string, err error) {
 	gone := err != nil && !errors.Is(err, keyvalue.ErrHistoryGone)
-	if !fo.Directory.SetAway(gone, time.Now()) {
+	if !fo.Directory.SetUnavailable(gone, time.Now()) {
 		return
 	}
 	en := fo.Log.WithFields(logrus.Fields{"dependency": "key-value", "prefix": prefix})
--- a/directory/holds_test.go
+++ b/directory/holds_test.go
@@ -23,7 +23,7 @@
 // change makes a change in the key-value service.
 func change(t *testing.T, cl *keyvalue.Client, ac hold.Action, ki hold.Kind, name string) {
 	t.Helper()
-	_, err := (&hold.Keeper{Client: cl}).Change(t.Context(), hold.Change{
+	_, err := (&hold.Store{Client: cl}).Change(t.Context(), hold.Change{
 		Action: ac, ID: time.Now().String() + string(ac) + name,
 		Record: hold.Record{Target: hold.Target{Kind: ki, Name: name}, By: "ada", Why: "test"},
 	})
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		di := withEndpoint()
-		di.Confirm(time.Now())
+		di.ConfirmEndpoints(time.Now())
 		feeder := &Follower{Directory: di, Log: quiet()}
 		first, err := feeder.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
@@ -125,7 +125,7 @@
 func lone(ctx context.Context, me *keyvalue.Memory) *Follower {
 	fo := &Follower{
 		Client: me.Client(), DirectFunc: func() bool { return false }, Directory: &Directory{},
-		Feeder: &lease.Finder{Client: me.Client(), Log: quiet(), Name: "scheduler"}, Log: quiet(), Source: source(),
+		Feeder: &lease.Resolver{Client: me.Client(), Log: quiet(), Name: "scheduler"}, Log: quiet(), Source: source(),
 	}
 	go fo.Run(ctx)
 	return fo
@@ -216,7 +216,7 @@
 		fed.readHolds(t.Context())
 		assert.Assert(t, isHeld(fed, "bakery"))
 		ask := func() {
-			feeder.Directory.Confirm(time.Now())
+			feeder.Directory.ConfirmEndpoints(time.Now())
 			begun := time.Now()
 			re, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: 1, Holds: fed.Directory.Holds().Version()})
 			assert.NilError(t, err)
--- a/duty/turn_test.go
+++ b/duty/turn_test.go
@@ -25,7 +25,7 @@
 	durable int // the count that it knows to last, or 0
 	epoch   uint64
 	holds   bool // as it believes
-	turn    Turn
+	turn    CallWindow
 }
 
 type modelCall struct {
@@ -100,7 +100,7 @@
 	mo.epoch++
 	pr := &mo.processes[i]
 	pr.holds, pr.epoch, pr.durable = true, mo.epoch, mo.count
-	pr.turn.Take(mo.now, mo.sender == i+1)
+	pr.turn.Begin(mo.now, mo.sender == i+1)
 	if ex.early {
 		pr.turn.allowedAt = mo.now
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	mo.restarted = true
-	mo.processes[i] = modelProcess{turn: NewTurn(testOverlap, mo.now)}
+	mo.processes[i] = modelProcess{turn: NewCallWindow(testOverlap, mo.now)}
 	for j := range mo.underWay {
 		if mo.underWay[j].owner == i+1 {
 			mo.underWay[j] = modelCall{}
@@ -209,7 +209,7 @@
 	}
 	var mo model
 	for i := range mo.processes {
-		mo.processes[i].turn = NewTurn(testOverlap, -time.Hour)
+		mo.processes[i].turn = NewCallWindow(testOverlap, -time.Hour)
 	}
 	ex.visit(mo)
 	return ex
@@ -240,18 +240,18 @@
 // had called a moment before it lost the lease.
 func TestTakingTurns(t *testing.T) {
 	at := 10 * time.Second
-	first, second := NewTurn(testOverlap, -time.Hour), NewTurn(testOverlap, -time.Hour)
+	first, second := NewCallWindow(testOverlap, -time.Hour), NewCallWindow(testOverlap, -time.Hour)
 	first.Confirm(at)
 	first.Call(at)
-	second.Take(at, false)
+	second.Begin(at, false)
 	assert.Assert(t, !second.Allowed(at+callTime), "a call of the first may still arrive")
 	assert.Assert(t, second.Allowed(at+settleTime))
-	first.Take(at+100*time.Millisecond, false)
+	first.Begin(at+100*time.Millisecond, false)
 	assert.Assert(t, !first.Allowed(at+testOverlap-time.Millisecond))
 
-	alone := NewTurn(testOverlap, -time.Hour)
+	alone := NewCallWindow(testOverlap, -time.Hour)
 	alone.Call(at)
-	alone.Take(at+100*time.Millisecond, true)
+	alone.Begin(at+100*time.Millisecond, true)
 	assert.Assert(t, alone.Allowed(at+100*time.Millisecond), "no one has called since")
 }
 
@@ -259,10 +259,10 @@
 // its own write for a sign that no one had called, and called in the time that it had
 // still to wait.
 func TestOwnWriteEndsNoWait(t *testing.T) {
-	tu := NewTurn(testOverlap, -time.Hour)
-	tu.Take(0, false)
+	tu := NewCallWindow(testOverlap, -time.Hour)
+	tu.Begin(0, false)
 	tu.Confirm(100 * time.Millisecond)
-	tu.Take(200*time.Millisecond, true)
+	tu.Begin(200*time.Millisecond, true)
 	assert.Assert(t, !tu.Allowed(300*time.Millisecond))
 	assert.Assert(t, tu.Allowed(settleTime))
 }
@@ -270,7 +270,7 @@
 // A write that took long allows the call for which it was made, with what is left of its
 // time, and no other.
 func TestSlowWriteAllowsOneCall(t *testing.T) {
-	tu := NewTurn(testOverlap, -time.Hour)
+	tu := NewCallWindow(testOverlap, -time.Hour)
 	tu.Confirm(0)
 	assert.Assert(t, tu.Confirmed(storeTimeout))
 	assert.Equal(t, tu.Call(storeTimeout), callTime-storeTimeout)
@@ -281,6 +281,6 @@
 	tu.Confirm(4 * time.Second)
 	tu.Call(4 * time.Second)
 	assert.Assert(t, tu.Confirmed(4*time.Second+confirmLife), "a fast one allows more")
-	tu.Take(5*time.Second, true)
+	tu.Begin(5*time.Second, true)
 	assert.Assert(t, !tu.Confirmed(5*time.Second))
 }
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestIdleSystemBoundsNoOne(t *testing.T) {
-	var di Division
+	var di Divider
 	large := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 3, Met: 3}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(false, large)}, nil)
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "no endpoint refused a request")
@@ -27,7 +27,7 @@
 }
 
 func TestOnlyWhoAsksForTooMuchIsBounded(t *testing.T) {
-	var di Division
+	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 27}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"a": demandOf(true, seen), "b": demandOf(true, seen)}, nil)
 	for _, entry := range []string{"a", "b"} {
@@ -39,7 +39,7 @@
 func TestBoundsDoNotComeAndGo(t *testing.T) {
 	// Guards against oscillation: bounds stop the refusals of endpoints, which must not lift
 	// the bounds while customers still ask for too much.
-	var di Division
+	var di Divider
 	bounded := func(customers map[string]Demand) map[string]map[string]ServiceDemand {
 		demands := demandOf(false, customers)
 		sd := demands["desk"]
@@ -57,7 +57,7 @@
 func TestFewPlacesGoRound(t *testing.T) {
 	// With fewer slots than entries, the remainder of the division rotates, so that no entry
 	// stays without slots.
-	var di Division
+	var di Divider
 	entries := map[string]map[string]ServiceDemand{}
 	for i := range 30 {
 		entries[fmt.Sprintf("entry-%02d", i)] = demandOf(true, map[string]Demand{"large": {Asked: 50, Met: 250}, "other": {Asked: 50, Met: 250}})
@@ -78,12 +78,12 @@
 
 func TestEntryAloneNeitherRefusesAllNorLetsAllThrough(t *testing.T) {
 	// An isolated entry takes its own fraction of the slots, and at least one for each customer.
-	var di Division
+	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 9}}
-	bounds := di.Alone(demandOf(true, seen), nil, 5)
+	bounds := di.Standalone(demandOf(true, seen), nil, 5)
 	assert.Equal(t, bounds.Of("large", "desk"), 3)
 	assert.Equal(t, bounds.Of("small", "desk"), NoBound)
-	bounds = di.Alone(demandOf(true, seen), nil, 500)
+	bounds = di.Standalone(demandOf(true, seen), nil, 500)
 	assert.Equal(t, bounds.Of("large", "desk"), 1)
 }
 
@@ -91,7 +91,7 @@
 // is unbounded.
 func TestExploreDivision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var di Division
+		var di Divider
 		places := rapid.IntRange(1, 12).Draw(rt, "places")
 		for range rapid.IntRange(1, 5).Draw(rt, "rounds") {
 			entries := map[string]map[string]ServiceDemand{}
--- a/fairshare/recent_test.go
+++ b/fairshare/recent_test.go
@@ -10,7 +10,7 @@
 
 // A customer that left is included for RecentTime, and then dropped.
 func TestRecent(t *testing.T) {
-	var re Recent
+	var re RecentUsage
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 10 {
 		now = now.Add(time.Second)
@@ -31,7 +31,7 @@
 }
 
 func TestRecentIsBounded(t *testing.T) {
-	var re Recent
+	var re RecentUsage
 	places := map[string]int{}
 	for i := range 2 * maxRows {
 		places[fmt.Sprint("c", i)] = 1
--- a/forward/table.go
+++ b/forward/table.go
@@ -40,7 +40,7 @@
 	born     incarnation.Number // the start that the rest is known of
 	latency  time.Duration
 	penalty  time.Time // passed over until then
-	room     admission.Room
+	room     admission.Limiter
 	seenAt   time.Time
 }
 
@@ -141,7 +141,7 @@
 const penaltyCost = 1000
 
 func (ro *row) cost(en directory.Endpoint, now time.Time) float64 {
-	busy := max(ro.inFlight, ro.room.Told(now))
+	busy := max(ro.inFlight, ro.room.ReportedLoad(now))
 	cost := ro.latency.Seconds() * ro.room.Slowdown(now) * (1 + float64(busy)/float64(max(en.Slots, 1)))
 	if now.Before(ro.penalty) {
 		cost += penaltyCost + ro.penalty.Sub(now).Seconds()
@@ -152,17 +152,17 @@
 // Answered counts an answer of an endpoint whose request is Done, and returns how many
 // may now be in flight there, or 0 while nothing holds them back. An endpoint that was
 // full answers soon: its latency says nothing of what it does.
-func (ta *Table) Answered(id string, an admission.Answer) float64 {
+func (ta *Table) Answered(id string, an admission.Response) float64 {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.row(id)
 	ro.failures = 0
 	ro.penalty = time.Time{}
 	if !an.Refused {
-		ro.latency += time.Duration(latencyWeight * float64(an.Alone()-ro.latency))
+		ro.latency += time.Duration(latencyWeight * float64(an.UnloadedLatency()-ro.latency))
 	}
 	an.InFlight = ro.inFlight + 1
-	ro.room.Take(an)
+	ro.room.Observe(an)
 	return ro.room.Limit()
 }
 
--- a/once/table.go
+++ b/once/table.go
@@ -22,7 +22,7 @@
 
 // A Decision says what to do with a request.
 type Decision struct {
-	Answer  *Answer       // recorded: hand it out again
+	Answer  *Response     // recorded: hand it out again
 	Refusal *fate.Refusal // with its true fate
 	Run     bool          // run it, then call Finish, Lose or Release
 }
@@ -81,7 +81,7 @@
 // about can't be kept from running later without one, so its fate is unknown.
 func (ta *Table) refuseFull(req Request) Decision {
 	const message = "table of idempotency keys is full"
-	de := refuse(fate.FateUnknown, req, message)
+	de := refuse(fate.OutcomeUnknown, req, message)
 	if !req.Ask {
 		de.Refusal = fate.NewRefusal(fate.Overloaded, req.ID, message)
 	}
@@ -118,15 +118,15 @@
 		re.Refusal.RetryAfter = time.Second.String()
 		return re
 	case ro.answer != nil:
-		return Decision{Answer: &Answer{
+		return Decision{Answer: &Response{
 			Body:   ro.answer.Body,
 			Header: ro.answer.Header.Clone(),
 			Status: ro.answer.Status,
 		}}
 	case ro.state == ran:
-		return refuse(fate.FateUnknown, req, "the request ran; its answer is no longer kept")
+		return refuse(fate.OutcomeUnknown, req, "the request ran; its answer is no longer kept")
 	default:
-		return refuse(fate.FateUnknown, req, "the request may have run; no answer to it is at hand")
+		return refuse(fate.OutcomeUnknown, req, "the request may have run; no answer to it is at hand")
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // Finish records the whole answer of a key that ran. With nil, the key ran
 // but the answer can't be handed out again.
-func (ta *Table) Finish(_ time.Time, ke Key, an *Answer) {
+func (ta *Table) Finish(_ time.Time, ke Key, an *Response) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.rows[ke]
@@ -158,7 +158,7 @@
 	if an == nil || an.size() > ta.options.MaxAnswerSize {
 		return
 	}
-	ro.answer = &Answer{Body: an.Body, Header: an.Header.Clone(), Status: an.Status}
+	ro.answer = &Response{Body: an.Body, Header: an.Header.Clone(), Status: an.Status}
 	ta.answered = append(ta.answered, ke)
 	ta.size += an.size()
 	ta.evict()
@@ -182,8 +182,8 @@
 	ro.answer = nil
 }
 
-// Lose records that the fate of a key is unknown: it never runs again here.
-func (ta *Table) Lose(_ time.Time, ke Key) {
+// MarkUnknown records that the fate of a key is unknown: it never runs again here.
+func (ta *Table) MarkUnknown(_ time.Time, ke Key) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.rows[ke]
@@ -206,16 +206,16 @@
 // SetHomes takes in the set of the revision in force, and the sets before it
 // that may still be believed in somewhere, oldest first. A set with the same
 // endpoints as the one before it is no change.
-func (ta *Table) SetHomes(_ time.Time, set Set, former []Set) {
+func (ta *Table) SetHomes(_ time.Time, set EndpointSet, former []EndpointSet) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.homes.take(set, former)
 }
 
-// Settle records that an endpoint's attendant has promised, by Yield, to run
+// RecordYield records that an endpoint's attendant has promised, by Yield, to run
 // nothing under sets older than the revision, or that its instance is Gone.
 // The time is when this was learned.
-func (ta *Table) Settle(now time.Time, endpoint string, revision uint64) {
+func (ta *Table) RecordYield(now time.Time, endpoint string, revision uint64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.homes.settle(now, endpoint, revision)
@@ -229,20 +229,20 @@
 	ta.homes.yielded = max(ta.homes.yielded, revision)
 }
 
-// Unsettled returns the former homes whose word is missing, by name, so that
+// PendingYields returns the former homes whose word is missing, by name, so that
 // the attendant asks them to Yield to the revision that it holds.
-func (ta *Table) Unsettled() []string {
+func (ta *Table) PendingYields() []string {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return ta.homes.unsettled(ta.options.Endpoint)
 }
 
-// SetKeep changes how long after its mint time a key is served. With 0, it
+// SetRetention changes how long after its mint time a key is served. With 0, it
 // stays as it is.
 //
 // Were the time just raised, a key that ran and expired under the shorter one
 // would seem new, and run twice. So what may have expired before stays too old.
-func (ta *Table) SetKeep(keep time.Duration) {
+func (ta *Table) SetRetention(keep time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if keep <= 0 || keep == ta.options.Keep {
@@ -261,8 +261,8 @@
 	return len(ta.rows)
 }
 
-// Tick drops what has expired.
-func (ta *Table) Tick(now time.Time) {
+// Expire drops what has expired.
+func (ta *Table) Expire(now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.see(now)
--- a/order/edge_test.go
+++ b/order/edge_test.go
@@ -51,10 +51,10 @@
 		ro.SetLimit(1)
 		ro.SetWanted(7)
 		order.Connect(ctx, entry, ro)
-		order.MountRollouts(servers["entry"], func() []*order.Rollout { return []*order.Rollout{ro} })
+		order.RegisterRollouts(servers["entry"], func() []*order.Rollout { return []*order.Rollout{ro} })
 		ta := &roster.Table{Address: "entry", Instance: "entry", RemoveFunc: func(en roster.Endpoint) { ro.Remove(en.ID()) }, UpsertFunc: ro.Observe}
 		roster.Connect(ctx, entry, ta)
-		roster.Mount(servers["entry"], ta)
+		roster.Register(servers["entry"], ta)
 
 		var loaded atomic.Uint64
 		loaded.Store(6)
@@ -65,14 +65,14 @@
 			return nil
 		}
 		order.ConnectFence(ctx, attendant, fe)
-		order.MountFence(servers["attendant"], fe)
+		order.RegisterFence(servers["attendant"], fe)
 		rp := &roster.Reporter{Address: "attendant", Incarnation: 1, Instance: "attendant"}
 		rp.Add("e1", "marker-llm")
 		rp.ObserveList([]instancelist.Instance{{Address: "entry", ID: "entry", Role: "entry", State: instancelist.Live}})
 		roster.ConnectReporter(ctx, attendant, rp)
 		poll := tick.System{Run: func(now time.Time) {
 			version := engine.Version(loaded.Load())
-			fe.Reported("e1", engine.Report{At: now, Version: version})
+			fe.Observe("e1", engine.Report{At: now, Version: version})
 			rp.Set("e1", roster.Ready, version, 0, 0)
 		}}
 		for _, systems := range [][]tick.System{append(ta.Systems(), ro.Systems()...), append(rp.Systems(), poll)} {
--- a/order/harness_test.go
+++ b/order/harness_test.go
@@ -128,15 +128,15 @@
 			}
 			done(st, err)
 		},
-		SendOrderFunc: func(id string, rq order.Request, done func(order.Answer, error)) {
+		SendOrderFunc: func(id string, rq order.Request, done func(order.Response, error)) {
 			if si.lose("order") { // or delayed; the owner can't tell which
 				delay := time.Duration(si.rand.IntN(100)) * step
 				si.after(delay, func() { _, _ = si.find(id).fence.Order(si.t.Context(), rq) })
-				done(order.Answer{}, peer.ErrSilent)
+				done(order.Response{}, peer.ErrSilent)
 				return
 			}
 			an, err := si.find(id).fence.Order(si.t.Context(), rq)
-			if an.Verdict != order.Taken {
+			if an.Verdict != order.Accepted {
 				si.say("%s refuses version %d under epoch %d: %v", rq.Endpoint, rq.Order.Version, rq.Order.Epoch, an.Verdict)
 			}
 			if si.lose("order-answer") {
@@ -205,7 +205,7 @@
 	if tenths := int(now.Sub(si.start) / step); (tenths+i)%5 == 0 && !ma.crashed {
 		re := engine.Report{At: now, Loading: ma.loading != 0, Version: ma.version}
 		fe := ma.fence
-		si.after(5*step, func() { fe.Reported(ma.id, re) })
+		si.after(5*step, func() { fe.Observe(ma.id, re) })
 	} else if (tenths+i)%10 == 1 {
 		si.report(ma, -1)
 	}
@@ -214,21 +214,21 @@
 func (si *site) report(ma *machine, domain int) {
 	ma.beat++
 	st, _ := ma.fence.Status(ma.id)
-	ne := roster.News{
-		Beat: ma.beat, Endpoints: []roster.EndpointNews{{State: roster.Ready, Version: st.Version}},
+	ne := roster.StateUpdate{
+		Beat: ma.beat, Endpoints: []roster.EndpointUpdate{{State: roster.Ready, Version: st.Version}},
 		Incarnation: ma.incarnation, Instance: ma.id,
 	}
 	switch {
 	case ma.crashed:
 		ne.Endpoints[0].State = roster.Unhealthy
-	case !ma.fence.Bound(ma.id):
+	case !ma.fence.VersionStable(ma.id):
 		ne.Endpoints[0].State = roster.Loading
 	}
 	if domain < 0 {
 		domain = int(ma.id[len(ma.id)-1]-'0') % 9
 	}
-	ne.Card = &roster.Card{
-		Address: ma.id, Endpoints: []roster.CardEndpoint{{ID: ma.id, Service: "marker-llm"}},
+	ne.Card = &roster.Descriptor{
+		Address: ma.id, Endpoints: []roster.EndpointDescriptor{{ID: ma.id, Service: "marker-llm"}},
 		FailureDomain: fmt.Sprintf("fd-%d", domain),
 	}
 	si.table.UpsertFunc = func(en roster.Endpoint) {
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -53,7 +53,7 @@
 			first.SendOrderFunc("e0000", order.Request{
 				Endpoint: "e0000", Incarnation: incarnation, Token: token,
 				Order: engine.Order{Epoch: 1, Kind: engine.LoadVersion, Version: 7},
-			}, func(order.Answer, error) {})
+			}, func(order.Response, error) {})
 		}
 		order7("as it last knew it", 1, 0)
 		order7("with the new incarnation", 2, 0)
@@ -308,9 +308,9 @@
 				fe := &order.Fence{Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 				fe.PassFunc = func(context.Context, string, engine.Order) error { return ca.err }
 				fe.Add("e1")
-				assert.Assert(t, !fe.Bound("e1"), "nothing is known yet")
-				fe.Reported("e1", engine.Report{At: time.Now().Add(time.Minute), Version: 6})
-				assert.Assert(t, fe.Bound("e1"))
+				assert.Assert(t, !fe.VersionStable("e1"), "nothing is known yet")
+				fe.Observe("e1", engine.Report{At: time.Now().Add(time.Minute), Version: 6})
+				assert.Assert(t, fe.VersionStable("e1"))
 				time.Sleep(time.Minute)
 				give := func(epoch uint64) order.Verdict {
 					st, err := fe.Probe(order.ProbeRequest{Endpoint: "e1", Epoch: epoch})
@@ -330,12 +330,12 @@
 					{At: time.Now(), Version: 7}, // older than the report before
 					{At: time.Now().Add(10 * time.Second), Version: 6},
 				} {
-					fe.Reported("e1", re)
+					fe.Observe("e1", re)
 					st, err := fe.Status("e1")
 					assert.NilError(t, err)
 					phases = append(phases, st.Phase.String())
 					if ph := st.Phase; ph == order.Settling || ph == order.Unknown {
-						assert.Assert(t, !fe.Bound("e1"))
+						assert.Assert(t, !fe.VersionStable("e1"))
 						assert.Equal(t, give(2), order.Busy)
 					}
 				}
@@ -356,9 +356,9 @@
 			ta := roster.Table{UpsertFunc: ro.Observe}
 			for i := range n {
 				id := fmt.Sprintf("e%04d", i)
-				ta.Report(message.Header{}, roster.ReportRequest{News: roster.News{
-					Beat: 1, Card: &roster.Card{Address: id, Endpoints: []roster.CardEndpoint{{ID: id}}},
-					Endpoints: []roster.EndpointNews{{Version: 6}}, Incarnation: 1, Instance: id,
+				ta.Report(message.Header{}, roster.ReportRequest{News: roster.StateUpdate{
+					Beat: 1, Card: &roster.Descriptor{Address: id, Endpoints: []roster.EndpointDescriptor{{ID: id}}},
+					Endpoints: []roster.EndpointUpdate{{Version: 6}}, Incarnation: 1, Instance: id,
 				}})
 			}
 			ro.SetWanted(7) // the default limit of 0 makes each tick examine all candidates
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -64,9 +64,9 @@
 	work time.Duration // of the groups that this plan keeps room for
 }
 
-// Asks returns how many places the groups that the trainer waits for need in the time that
+// Demand returns how many places the groups that the trainer waits for need in the time that
 // the step may take.
-func (st *Step) Asks() float64 { return float64(st.wantedWork()) / float64(max(st.Due, 1)) }
+func (st *Step) Demand() float64 { return float64(st.wantedWork()) / float64(max(st.Due, 1)) }
 
 // wantedWork returns what the groups that the trainer waits for take still: those that go
 // first.
@@ -78,19 +78,19 @@
 	return work
 }
 
-// A Way is an order in which steps share too little room.
-type Way int
+// A Discipline is an order in which steps share too little room.
+type Discipline int
 
 // The ways.
 const (
-	// HandedIn ends one step after the other, as they were handed in.
-	HandedIn Way = iota
-	// Cheapest ends groups in the order of their work, of whatever step.
-	Cheapest
-	// Alike lets all steps get on alike.
-	Alike
-	// BySpare leaves the order to the time that items have to spare: it is never crowded.
-	BySpare
+	// FirstInFirstOut ends one step after the other, as they were handed in.
+	FirstInFirstOut Discipline = iota
+	// ShortestFirst ends groups in the order of their work, of whatever step.
+	ShortestFirst
+	// EqualProgress lets all steps get on alike.
+	EqualProgress
+	// LeastSlack leaves the order to the time that items have to spare: it is never crowded.
+	LeastSlack
 )
 
 // A Planner decides. The zero Planner is ready to use.
@@ -102,15 +102,15 @@
 	// to spare again, those that will be late anyway would go first, and make the steps late
 	// that room was kept for.
 	Lingers bool
-	Way     Way
+	Way     Discipline
 
 	crowded bool
 	starved map[string]*starvation // by trainer
 	load    float64
 }
 
-// Crowded reports whether there is too little room for all open steps.
-func (pl *Planner) Crowded() bool { return pl.crowded }
+// Overloaded reports whether there is too little room for all open steps.
+func (pl *Planner) Overloaded() bool { return pl.crowded }
 
 // Load returns the work that is asked for, as a part of the room in the time that a
 // step may take.
@@ -147,7 +147,7 @@
 // waited for is short of room.
 func (pl *Planner) setCrowded(short bool) {
 	switch {
-	case pl.Way == BySpare:
+	case pl.Way == LeastSlack:
 	case pl.load >= crowdedPart:
 		pl.crowded = true
 	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
@@ -242,11 +242,11 @@
 		}
 	}
 	switch pl.Way {
-	case Cheapest:
+	case ShortestFirst:
 		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.group.Work, b.group.Work) })
-	case Alike:
+	case EqualProgress:
 		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.part, b.part) })
-	case HandedIn, BySpare:
+	case FirstInFirstOut, LeastSlack:
 	}
 	return cds
 }
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -50,7 +50,7 @@
 		cd.group.position = position
 	}
 	switch {
-	case pl.Way == BySpare:
+	case pl.Way == LeastSlack:
 	case pl.load >= crowdedPart:
 		pl.crowded = true
 	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
@@ -101,7 +101,7 @@
 }
 
 func describe(pl *Planner, steps []*Step) []string {
-	lines := []string{fmt.Sprint(pl.Crowded(), " ", pl.Load())}
+	lines := []string{fmt.Sprint(pl.Overloaded(), " ", pl.Load())}
 	for i, st := range steps {
 		for _, gr := range st.Groups {
 			lines = append(lines, fmt.Sprint("step ", i, " again ", gr.Again, " longest ", gr.Longest, " work ", gr.Work, " room ", gr.InTime(), " ", gr.Position()))
@@ -113,7 +113,7 @@
 // Guards against optimizations of Plan that change its result.
 func TestPlansAsAPlainPlanDoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		way := rapid.SampledFrom([]Way{HandedIn, Cheapest, Alike, BySpare}).Draw(t, "way")
+		way := rapid.SampledFrom([]Discipline{FirstInFirstOut, ShortestFirst, EqualProgress, LeastSlack}).Draw(t, "way")
 		lingers := rapid.Bool().Draw(t, "lingers")
 		pl, twin := &Planner{Lingers: lingers, Way: way}, &Planner{Lingers: lingers, Way: way}
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,19 +14,19 @@
 type system struct {
 	bucket Bucket
 	now    time.Time
-	purses []Purse
+	purses []LocalBucket
 	spent  []time.Time
 }
 
 // ask sends a request to an entry, which cannot reach the holder if cut.
-func (sy *system) ask(entry int, te Terms, cut bool) bool {
+func (sy *system) ask(entry int, te Limit, cut bool) bool {
 	pu := &sy.purses[entry]
 	if !pu.Spend(te, sy.now) {
-		if cut || pu.Denied(te, sy.now) > 0 {
+		if cut || pu.RetryDelay(te, sy.now) > 0 {
 			return false
 		}
-		tokens, next := sy.bucket.Take(te, pu.Want(), sy.now)
-		pu.Fill(te, tokens, next, sy.now)
+		tokens, next := sy.bucket.Take(te, pu.RefillSize(), sy.now)
+		pu.Refill(te, tokens, next, sy.now)
 		if !pu.Spend(te, sy.now) {
 			return false
 		}
@@ -53,8 +53,8 @@
 
 func TestQuotaIsUsedAndKept(t *testing.T) {
 	for _, rate := range []float64{0.5, 3, 40, 500} {
-		te := Terms{Overshoot: 0.1, Rate: rate}
-		sy := &system{now: begin, purses: make([]Purse, 6)}
+		te := Limit{Overshoot: 0.1, Rate: rate}
+		sy := &system{now: begin, purses: make([]LocalBucket, 6)}
 		for i := range 60 * 200 {
 			sy.now = begin.Add(time.Duration(i) * 5 * time.Millisecond)
 			for range 1 + int(rate/20) {
@@ -70,8 +70,8 @@
 
 func TestQuotaThatGoesFarDown(t *testing.T) {
 	// Tokens granted under a higher quota must not be spent after the quota is lowered.
-	sy := &system{now: begin, purses: make([]Purse, 6)}
-	high, low := Terms{Overshoot: 0.1, Rate: 1000}, Terms{Overshoot: 0.1, Rate: 10}
+	sy := &system{now: begin, purses: make([]LocalBucket, 6)}
+	high, low := Limit{Overshoot: 0.1, Rate: 1000}, Limit{Overshoot: 0.1, Rate: 10}
 	for i := range 4000 {
 		sy.now = begin.Add(time.Duration(i) * time.Millisecond)
 		sy.ask(i%6, high, false)
@@ -88,8 +88,8 @@
 func TestCutOffEntrySpendsWhatItHas(t *testing.T) {
 	// Tokens of an entry that cannot reach the holder must expire: other entries are granted tokens in
 	// the meantime, and together they would exceed the quota.
-	te := Terms{Overshoot: 0.1, Rate: 100}
-	sy := &system{now: begin, purses: make([]Purse, 1)}
+	te := Limit{Overshoot: 0.1, Rate: 100}
+	sy := &system{now: begin, purses: make([]LocalBucket, 1)}
 	for i := range 1000 {
 		sy.now = begin.Add(time.Duration(i) * 5 * time.Millisecond)
 		sy.ask(0, te, false)
@@ -100,7 +100,7 @@
 		sy.now = cut.Add(time.Duration(i) * 5 * time.Millisecond)
 		sy.ask(0, te, true)
 	}
-	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.Life().Seconds())
+	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.TokenTTL().Seconds())
 }
 
 // Whatever the rates, network failures, restarts and holder changes, the requests in any 10 s after
@@ -108,8 +108,8 @@
 func TestExploreQuota(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		overshoot := rapid.SampledFrom([]float64{0.02, 0.1, 0.5}).Draw(rt, "overshoot")
-		te := Terms{Overshoot: overshoot, Rate: rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")}
-		sy := &system{now: begin, purses: make([]Purse, rapid.IntRange(1, 4).Draw(rt, "entries"))}
+		te := Limit{Overshoot: overshoot, Rate: rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")}
+		sy := &system{now: begin, purses: make([]LocalBucket, rapid.IntRange(1, 4).Draw(rt, "entries"))}
 		cut := make([]bool, len(sy.purses))
 		changed := begin
 		for range rapid.IntRange(1, 60).Draw(rt, "phases") {
@@ -118,7 +118,7 @@
 			case 0:
 				cut[entry] = !cut[entry]
 			case 1:
-				sy.purses[entry] = Purse{} // restart of an entry
+				sy.purses[entry] = LocalBucket{} // restart of an entry
 			case 2:
 				sy.bucket = Bucket{} // new holder
 			case 3:
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -97,7 +97,7 @@
 		old := at.reporter
 		var late []func()
 		send := old.SendFunc
-		old.SendFunc = func(to string, rq roster.ReportRequest, done func(roster.ReportAnswer, error)) {
+		old.SendFunc = func(to string, rq roster.ReportRequest, done func(roster.ReportResponse, error)) {
 			late = append(late, func() { send(to, rq, done) })
 		}
 		old.Leave()
@@ -161,7 +161,7 @@
 	session(t, 3, 9, 9, func(t *testing.T, pl *plant) {
 		pl.watch(watched)
 		pl.say("entry-01, the home of attendant-001, dies")
-		assert.Equal(t, pl.attendants[1].reporter.Home(), "entry-01")
+		assert.Equal(t, pl.attendants[1].reporter.EntryID(), "entry-01")
 		pl.entries[1].dead = true
 		pl.run(time.Minute, nil)
 		pl.say("version 7")
@@ -215,7 +215,7 @@
 						assert.Assert(t, late || en.count(roster.Suspect) == 0)
 					}
 				})
-				assert.Equal(t, pl.attendants[1].reporter.Home(), "entry-01")
+				assert.Equal(t, pl.attendants[1].reporter.EntryID(), "entry-01")
 				for _, en := range pl.entries {
 					assert.Equal(t, en.count(roster.Ready), 9, en.id)
 				}
@@ -327,10 +327,10 @@
 		rate                           int
 		rollout                        bool
 	}{
-		{2, 8, 24, roster.DefaultLoadShare, roster.DefaultNewsRate, false},
-		{4, 96, 288, roster.DefaultLoadShare, roster.DefaultNewsRate, false},
-		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultNewsRate, false},
-		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultNewsRate, true},
+		{2, 8, 24, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
+		{4, 96, 288, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
+		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
+		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultGossipRate, true},
 		{16, 364, 1092, 1e-9, unlimited, false},
 		{16, 364, 1092, 0.25, unlimited, false},
 		{16, 364, 1092, 0.5, unlimited, false},
--- a/step/archive_test.go
+++ b/step/archive_test.go
@@ -20,16 +20,16 @@
 		t.Run(fmt.Sprintf("ended before the term %v", before), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
-				ke := &Keeper{Client: me.Client()}
+				ke := &Store{Client: me.Client()}
 				chunks := [][]Result{{{Item: "a"}, {Item: "b"}}, {{Item: "c"}}, {{Item: "d"}}}
 				for number, results := range chunks {
-					_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+					_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 						Chunks: []Chunk{{Number: number, Results: results, Step: "s"}},
 					})
 					assert.NilError(t, err)
 				}
 				ta := NewTable(1, nil)
-				ta.Accept(stepOf("s", 5), Kept{Listed: chunks}, before, begin)
+				ta.Accept(stepOf("s", 5), StoredStep{Listed: chunks}, before, begin)
 				ta.End("s")
 				ta.steps["s"].results = nil // as after eviction from memory
 				te := &term{epoch: 1, ready: true, table: ta}
@@ -68,8 +68,8 @@
 	// Guards against a shared fetch being canceled, for all readers, when the reader that started it times out.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Keeper{Client: me.Client()}
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
+		ke := &Store{Client: me.Client()}
+		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
 		assert.NilError(t, err)
 		me.SetFaults(keyvalue.Faults{Delay: time.Second})
 		var ar archive
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -14,7 +14,7 @@
 	// power failure loses the text of up to two intervals.
 	for _, pace := range []time.Duration{36 * time.Millisecond, 49 * time.Millisecond, 53 * time.Millisecond} {
 		ta := tableOf(t, 1, "a")
-		ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+		ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 		ta.Place(begin)
 		engine, key := keyOf(t, ta, "s", 0)
 		made, most := 0, time.Duration(0)
@@ -30,7 +30,7 @@
 			if at > 2*time.Second {
 				most = max(most, time.Duration(ta.steps["s"].items[0].unsaved())*pace)
 			}
-			ta.Saved(ta.Checkpoints(now))
+			ta.CheckpointsSaved(ta.Checkpoints(now))
 		}
 		assert.Assert(t, most <= 700*time.Millisecond, "pace %v: %v of text is in no checkpoint", pace, most)
 	}
@@ -39,7 +39,7 @@
 func TestShortTextIsNotKept(t *testing.T) {
 	// Most items end soon: checkpointing runs that have just started would cost more than generating them again.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, checkpointEvents-1, 1), Key: key}}}, begin)
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -141,12 +141,12 @@
 	for _, customer := range []string{"large", "small"} {
 		st := stepOf(customer, 8)
 		st.Customer = customer
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	end = begin.Add(2 * time.Second)
 	for now := begin; !now.After(end); now = now.Add(tickEvery) {
-		ta.Share(now)
+		ta.ChargeUsage(now)
 	}
 	return ta, end
 }
@@ -161,7 +161,7 @@
 		for _, sr := range ta.order {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
-		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, Update{Account: ta.share.due(end)})
+		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.due(end)})
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 
@@ -170,7 +170,7 @@
 		go sc.follow(ctx, te)
 		synctest.Wait()
 		sc.mu.Lock()
-		te.table.Share(begin)
+		te.table.ChargeUsage(begin)
 		te.table.Place(begin)
 		assert.Equal(t, len(te.table.engines["a"].items), 2)
 		for _, ir := range te.table.engines["a"].items {
@@ -212,11 +212,11 @@
 
 func TestOneCustomerHasNoRank(t *testing.T) {
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 4), Kept{}, false, begin)
-	ta.Share(begin)
+	ta.Accept(stepOf("s", 4), StoredStep{}, false, begin)
+	ta.ChargeUsage(begin)
 	assert.Equal(t, len(ta.customerRank(ta.waitingCustomers(begin))), 0)
 	for range 40 {
-		ta.Share(begin)
+		ta.ChargeUsage(begin)
 	}
 	assert.Equal(t, len(ta.share.due(begin.Add(time.Hour))), 0)
 }
@@ -239,13 +239,13 @@
 		}
 		st := stepOf(fmt.Sprint("step-", i), sizes...)
 		st.Customer = fmt.Sprint("customer-", i)
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	now := begin
 	for b.Loop() {
 		now = now.Add(tickEvery)
-		ta.Share(now)
+		ta.ChargeUsage(now)
 	}
 }
 
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -55,7 +55,7 @@
 }
 
 // newReplay returns a replay of the load with steps larger by the factor times.
-func (hl *heavyLoad) newReplay(times float64, way overload.Way) *replay {
+func (hl *heavyLoad) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
 	for i, sh := range hl.shapes {
 		sheet := hl.sheet
@@ -70,7 +70,7 @@
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (hl *heavyLoad) run(times float64, way overload.Way) (inTime, owed int, least float64) {
+func (hl *heavyLoad) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
 	re := hl.newReplay(times, way)
 	re.play(dayLength, nil)
 	least = 1
@@ -85,8 +85,8 @@
 // ways are the overload policies to compare.
 var ways = []struct {
 	name string
-	way  overload.Way
-}{{"standing", overload.BySpare}, {"handed-in", overload.HandedIn}, {"cheapest", overload.Cheapest}, {"alike", overload.Alike}}
+	way  overload.Discipline
+}{{"standing", overload.LeastSlack}, {"handed-in", overload.FirstInFirstOut}, {"cheapest", overload.ShortestFirst}, {"alike", overload.EqualProgress}}
 
 // TestStepsBeyondTheRoom replays overload. Guards against least-slack placement under
 // overload, by which all items end at about the same time, and late.
@@ -140,7 +140,7 @@
 	plan := func(epoch uint64, order []*Step) string {
 		ta := tableOf(t, epoch, "a", "b")
 		for _, st := range order {
-			ta.Accept(st, Kept{}, false, begin.Add(time.Second))
+			ta.Accept(st, StoredStep{}, false, begin.Add(time.Second))
 		}
 		hear(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
 		hear(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
@@ -165,7 +165,7 @@
 		ta := tableOf(t, 1, "a")
 		st := stepOf("large", 100, 100)
 		st.Due = due
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 		ta.planRoom(begin)
 		assert.Equal(t, ta.crowded("service"), want, "due after %s", due)
 	}
@@ -236,7 +236,7 @@
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, owed, least := hl.run(times, overload.HandedIn)
+		inTime, owed, least := hl.run(times, overload.FirstInFirstOut)
 		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, owed, least)
 	}
 	golden.Assert(t, text, "other-make.golden")
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -13,12 +13,12 @@
 	// Guards against a slow failover: a new scheduler reads all stored steps, including the item bodies of ended ones
 	// unless these are removed when a step ends.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	ta := tableOf(t, 1, "a", "b")
 	for _, id := range []string{"ended", "open"} {
 		st := stepOf(id, 2)
 		assert.NilError(t, ke.Accept(t.Context(), st))
-		ta.Accept(st, Kept{}, false, begin)
+		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
 	ta.End("ended")
@@ -47,8 +47,8 @@
 	assert.Equal(t, len(in.steps["open"].Items), 2)
 
 	next := NewTable(2, nil)
-	next.Accept(in.steps["ended"], Kept{}, in.ended["ended"], begin)
-	assert.Assert(t, !next.Open())
+	next.Accept(in.steps["ended"], StoredStep{}, in.ended["ended"], begin)
+	assert.Assert(t, !next.HasOpenWork())
 	assert.Equal(t, len(next.cuts), 0)
 	assert.Equal(t, next.steps["ended"].listing(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
@@ -62,14 +62,14 @@
 	// Truncating a step that is stored in several values deletes all but the first. A step that has been dropped is
 	// no longer truncated.
 	var me keyvalue.Memory
-	ke := &Keeper{Client: me.Client()}
+	ke := &Store{Client: me.Client()}
 	st := stepOf("s", 1)
 	st.Items[0].Body = make([]byte, 2*partSize)
 	assert.NilError(t, ke.Accept(t.Context(), st))
 	st, err := ke.Load(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Equal(t, st.Parts, 3)
-	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, Update{
+	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Chunks: []Chunk{{Step: "s"}}, Cuts: []*Step{st.cut()},
 	})
 	assert.NilError(t, err)
@@ -78,7 +78,7 @@
 	assert.Equal(t, len(ch.Items), 1)
 
 	ta := NewTable(1, nil)
-	ta.Accept(st, Kept{}, true, begin)
+	ta.Accept(st, StoredStep{}, true, begin)
 	assert.Equal(t, len(ta.cuts), 1)
 	ta.Forget(0, begin.Add(1))
 	assert.Equal(t, len(ta.cuts), 0)
--- a/step/heard.go
+++ b/step/heard.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/runner"
 )
 
-// Heard takes an attendant's answer to a request in.
-func (ta *Table) Heard(id string, rq runner.ExchangeRequest, re runner.ExchangeResponse, now time.Time) {
+// HandleResponse takes an attendant's answer to a request in.
+func (ta *Table) HandleResponse(id string, rq runner.ExchangeRequest, re runner.ExchangeResponse, now time.Time) {
 	en, ok := ta.engines[id]
 	if !ok {
 		return
@@ -34,7 +34,7 @@
 }
 
 // said takes in what an attendant has been told of runs.
-func (en *engineRow) said(seen []runner.Seen) {
+func (en *engineRow) said(seen []runner.Ack) {
 	for _, se := range seen {
 		if ir, ok := en.items[se.Key]; ok {
 			ir.run.said = max(ir.run.said, se.Events+1)
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -11,15 +11,15 @@
 )
 
 // sheetOf returns a sheet with holds on the targets, one version newer than after.
-func sheetOf(t *testing.T, after *hold.Sheet, targets ...hold.Target) *hold.Sheet {
+func sheetOf(t *testing.T, after *hold.Set, targets ...hold.Target) *hold.Set {
 	t.Helper()
-	var sh *hold.Sheet
+	var sh *hold.Set
 	for _, ta := range targets {
 		var err error
 		sh, _, err = sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: ta, Why: "test"}})
 		assert.NilError(t, err)
 	}
-	return sh.At(after.Version() + 1)
+	return sh.WithVersion(after.Version() + 1)
 }
 
 func TestHeldStep(t *testing.T) {
@@ -29,8 +29,8 @@
 	first.Customer, second.Customer = "bakery", "mill"
 	sh := sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
 	ta.SetHolds(sh, begin)
-	ta.Accept(first, Kept{}, false, begin)
-	ta.Accept(second, Kept{}, false, begin)
+	ta.Accept(first, StoredStep{}, false, begin)
+	ta.Accept(second, StoredStep{}, false, begin)
 	ta.Place(begin)
 	for i := range 2 {
 		assert.Equal(t, ta.steps["s"].items[i].state, waiting)
@@ -51,8 +51,8 @@
 	ta := tableOf(t, 1, "a")
 	large, small := stepOf("s", 40, 40, 40), stepOf("t", 1)
 	large.Customer, small.Customer = "bakery", "mill"
-	ta.Accept(large, Kept{}, false, begin)
-	ta.Accept(small, Kept{}, false, begin)
+	ta.Accept(large, StoredStep{}, false, begin)
+	ta.Accept(small, StoredStep{}, false, begin)
 	ta.planRoom(begin)
 	assert.Assert(t, ta.crowded("service"))
 	asked := ta.Rooms()["service"].Load
@@ -65,7 +65,7 @@
 	// Guards against a held step losing a started item whose engine is removed: the item has text, so it resumes
 	// elsewhere despite the hold.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 3), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 3), StoredStep{}, false, begin)
 	ta.Place(begin)
 	_, key := keyOf(t, ta, "s", 0)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 5, 1), Key: key}}}, begin)
@@ -82,7 +82,7 @@
 func TestHeldResultsAreListed(t *testing.T) {
 	// A hold prevents items from starting, but not the listing of complete results.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1, 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1, 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
@@ -98,24 +98,24 @@
 	st := stepOf("s", 1)
 	st.MaxWait = 10 * time.Second
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
-	ta.Accept(st, Kept{}, false, begin)
-	ta.GiveUp(begin.Add(st.MaxWait))
+	ta.Accept(st, StoredStep{}, false, begin)
+	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
-	ta.GiveUp(begin.Add(st.MaxWait + giveUpSlack))
+	ta.DropExpired(begin.Add(st.MaxWait + giveUpSlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
 func TestMovingHeldRunKeepsItsPlace(t *testing.T) {
 	// Guards against an item without events getting stuck if its step is held while the item moves between engines.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	ir := ta.steps["s"].items[0]
 	addEngines(ta, begin, "a", "b")
 	late := begin.Add(firstEventTime + time.Second)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
 	hear(ta, "b", runner.ExchangeResponse{}, late)
-	ta.Move(late)
+	ta.MoveStragglers(late)
 	assert.Equal(t, ir.target, "b")
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -61,7 +61,7 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1, 1)
 	st.Items[1].Hint, st.Items[1].Tokens = 4000, 8000 // runs for seconds
-	ta.Accept(st, Kept{}, false, now)
+	ta.Accept(st, StoredStep{}, false, now)
 	ta.Place(now)
 	end(ta, t, "s", 0, runner.Complete, []runner.Event{{Data: make([]byte, 300<<10), ID: 1, Version: 1}}, now)
 	return ta, ta.steps["s"]
@@ -150,7 +150,7 @@
 	ta := tableOf(t, 1, "a", "b")
 	st := stepOf("s", 1, 1, 1)
 	st.Groups = 1
-	ta.Accept(st, Kept{}, false, now)
+	ta.Accept(st, StoredStep{}, false, now)
 	ta.Place(now)
 	for i, read := range []bool{false, false, true} {
 		end(ta, t, "s", i, runner.Complete, events(1, 1, 1), now)
@@ -167,7 +167,7 @@
 func TestEndOfItemsThatAreScored(t *testing.T) {
 	// The expected remaining time of an item that waits for its score is the usual time of a reward call.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(scored(stepOf("s", 1)), Kept{}, false, begin)
+	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 100, 1), begin)
 	sr := ta.steps["s"]
@@ -178,8 +178,8 @@
 func TestWhatEndsStepsIsListedFirst(t *testing.T) {
 	// Guards against the final results of a step sharing a write with megabytes of another step that is not complete.
 	ta := tableOf(t, 1, "a", "b", "c")
-	ta.Accept(stepOf("large", 3), Kept{}, false, begin)
-	ta.Accept(stepOf("small", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("large", 3), StoredStep{}, false, begin)
+	ta.Accept(stepOf("small", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	big := events(1, 1, 1)
 	big[0].Data = make([]byte, partSize)
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -19,7 +19,7 @@
 	for i, prompt := range prompts {
 		st.Items[i].Prompt, st.Items[i].Tokens = prompt, prompt+1000
 	}
-	ta.Accept(st, Kept{}, false, begin)
+	ta.Accept(st, StoredStep{}, false, begin)
 	ta.engines["a"].tokens = 0 // no bound while they are placed
 	ta.Place(begin)
 	ta.engines["a"].tokens = 10000
@@ -32,7 +32,7 @@
 	addEngines(ta, begin, "a", "b")
 	ta.engines["a"].slots = len(prompts)
 	hear(ta, "b", runner.ExchangeResponse{Report: runner.Report{Pace: pace, PaceGaps: paceGaps}}, begin)
-	ta.Paces(begin)
+	ta.MeasurePace(begin)
 	return ta, irs
 }
 
@@ -42,16 +42,16 @@
 	const usual = 40 * time.Millisecond
 	ta, irs := crowded(t, usual, 4000, 3000, 2000, 100)
 	irs[0].item.Hint, irs[1].item.Hint, irs[2].item.Hint = 900, 100, 800
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	assert.Assert(t, irs[1].run.stopping, "it has the most time to spare")
 	for _, i := range []int{0, 2, 3} {
 		assert.Assert(t, !irs[i].run.stopping, "item %d", i)
 	}
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	assert.Assert(t, !irs[2].run.stopping, "one at a time")
 
 	ta, irs = crowded(t, usual*13/10, 4000, 3000, 2000, 100)
-	ta.Relieve(begin)
+	ta.RelieveMemory(begin)
 	for i, ir := range irs {
 		assert.Assert(t, !ir.run.stopping, "item %d goes to a slower engine", i)
 	}
@@ -94,7 +94,7 @@
 	// The exchange waits for the end of a stopping run, and the item is restarted at once
 	// rather than at the next tick.
 	ta := tableOf(t, 1, "a", "b")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -69,7 +69,7 @@
 	}
 	st.Groups = groups
 	tw.serial++
-	tw.both(func(ta *Table) { ta.Accept(st, Kept{}, false, tw.now) })
+	tw.both(func(ta *Table) { ta.Accept(st, StoredStep{}, false, tw.now) })
 }
 
 // drawEngines changes the set of engines and their properties.
@@ -137,7 +137,7 @@
 	goesOn := rapid.Bool().Draw(t, "goes on")
 	tw.both(func(ta *Table) {
 		rq, _ := ta.Request(en.id)
-		ta.Heard(en.id, rq, re, tw.now)
+		ta.HandleResponse(en.id, rq, re, tw.now)
 		if goesOn {
 			ta.placeStopped(tw.now)
 		}
@@ -168,13 +168,13 @@
 			return cmp.Or(cmp.Compare(a.step.step.ID, b.step.step.ID), cmp.Compare(a.item.ID, b.item.ID))
 		})
 		for _, ir := range irs[:len(irs)/2] {
-			ta.rewarded(ir, forward.Reply{Signature: "score"}, took, tw.now)
+			ta.rewarded(ir, forward.Response{Signature: "score"}, took, tw.now)
 		}
 	})
 }
 
 func (tw *twinTable) drawHold(t *rapid.T) {
-	sh := &hold.Sheet{}
+	sh := &hold.Set{}
 	if customer := rapid.SampledFrom(twinCustomers).Draw(t, "held customer"); customer != "" {
 		target := hold.Target{Kind: hold.Customer, Name: customer}
 		held, _, err := sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: target, Why: "test"}})
@@ -182,7 +182,7 @@
 		sh = held
 	}
 	tw.holds++
-	sh = sh.At(tw.holds)
+	sh = sh.WithVersion(tw.holds)
 	tw.both(func(ta *Table) { ta.SetHolds(sh, tw.now) })
 }
 
@@ -202,12 +202,12 @@
 func (tw *twinTable) tick() {
 	tw.now = tw.now.Add(tickEvery)
 	for i, ta := range tw.tables {
-		ta.Silence(tw.now)
-		ta.Paces(tw.now)
-		ta.Share(tw.now)
-		ta.GiveUp(tw.now)
-		ta.Move(tw.now)
-		ta.Relieve(tw.now)
+		ta.EvictSilent(tw.now)
+		ta.MeasurePace(tw.now)
+		ta.ChargeUsage(tw.now)
+		ta.DropExpired(tw.now)
+		ta.MoveStragglers(tw.now)
+		ta.RelieveMemory(tw.now)
 		if i == 0 {
 			ta.Place(tw.now)
 		} else {
--- a/step/share.go
+++ b/step/share.go
@@ -28,19 +28,19 @@
 	live      map[string]float64 // by customer, parts of plain services' places that live requests have
 	logged    map[string]int     // ranks
 	loggedAt  time.Time
-	recent    fairshare.Recent // places that customers had
-	saved     []byte           // the account as last kept in the key-value service
+	recent    fairshare.RecentUsage // places that customers had
+	saved     []byte                // the account as last kept in the key-value service
 	savedAt   time.Time
 	scarce    map[string]bool // services whose places are scarce while items wait
 }
 
-// Share counts what customers have of the engines.
+// ChargeUsage counts what customers have of the engines.
 //
 // Load pattern: one customer's trainers ask for many times its part. Placed by time to spare
 // alone, its items would take nearly all places, and the others' steps would be late as
 // often as its own. The places that customers have at one moment don't tell who had most:
 // steps come in bursts, and one of few long items has few places for a long time.
-func (ta *Table) Share(now time.Time) {
+func (ta *Table) ChargeUsage(now time.Time) {
 	fs := &ta.share
 	elapsed := time.Duration(0)
 	if !fs.countedAt.IsZero() {
@@ -59,7 +59,7 @@
 // logRanks logs the customers whose rank is another one than it was.
 func (ta *Table) logRanks() {
 	fs := &ta.share
-	sts := fs.account.Standings()
+	sts := fs.account.Balances()
 	before := fs.logged
 	fs.logged = map[string]int{}
 	lines := 0
@@ -78,7 +78,7 @@
 }
 
 // Shares returns how customers stand.
-func (ta *Table) Shares() map[string]fairshare.Standing { return ta.share.account.Standings() }
+func (ta *Table) Shares() map[string]fairshare.Balance { return ta.share.account.Balances() }
 
 // Parts returns which part of the engines' places that were taken within
 // fairshare.RecentTime each customer had.
@@ -108,13 +108,13 @@
 
 // uses returns what customers have and want of services for which items wait. What they
 // have counts only where places are scarce.
-func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Use {
+func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
 	for key, co := range counts {
 		waits[key.service] = waits[key.service] || co.ready
 		held[key.service] += co.held
 	}
-	uses := map[string]fairshare.Use{}
+	uses := map[string]fairshare.Usage{}
 	ta.share.scarce = map[string]bool{}
 	for service, some := range waits {
 		if !some {
@@ -191,7 +191,7 @@
 }
 
 // addUses adds what customers have of a service's engines, if they are scarce, and want.
-func addUses(uses map[string]fairshare.Use, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
+func addUses(uses map[string]fairshare.Usage, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
 	for key, co := range counts {
 		if key.service != service || co.held+co.waits == 0 {
 			continue
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -33,7 +33,7 @@
 	if now.Sub(fs.savedAt) < accountEvery {
 		return nil
 	}
-	me := fs.account.Memory()
+	me := fs.account.Snapshot()
 	if len(me.Ahead) == 0 && len(fs.saved) == 0 {
 		return nil
 	}
@@ -68,21 +68,21 @@
 	if err != nil {
 		return err
 	}
-	var me fairshare.Memory
+	var me fairshare.Snapshot
 	if errDecode := cbor.Unmarshal(data, &me); len(data) > 0 && errDecode != nil {
 		sc.Log.WithError(errDecode).Warn("customers' parts can't be read and begin anew")
-		me = fairshare.Memory{}
+		me = fairshare.Snapshot{}
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.table.share.account.Recall(me)
+	te.table.share.account.Restore(me)
 	te.table.share.saved = data
 	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' parts are known again")
 	return nil
 }
 
 // Account returns what earlier schedulers kept of customers' parts, or nothing.
-func (ke *Keeper) Account(ctx context.Context) ([]byte, error) {
+func (ke *Store) Account(ctx context.Context) ([]byte, error) {
 	it, err := ke.Client.Get(ctx, accountKey)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return nil, err
@@ -99,7 +99,7 @@
 // again. After a conflict the same transaction is sent for the version that is there, unless
 // it was applied before. As it also expects the lease, its account is the newest. So nothing
 // else in it may depend on the account that it replaces.
-func (ke *Keeper) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
+func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
 	for range accountTries {
 		version, known := ke.account.get()
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -14,7 +14,7 @@
 	// predecessor.
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	old := func(item string) runner.Key { return runner.Key{Attempt: 7, Item: item, Step: "s"} }
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 4, 1), Key: old("s-0-0")}}}, begin)
 	ta.Place(begin)
@@ -33,7 +33,7 @@
 func TestSilentAttendantDoesNotHoldPlacingUp(t *testing.T) {
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	hear(ta, "a", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
@@ -44,7 +44,7 @@
 func TestCheckpoints(t *testing.T) {
 	// Guards against losing the text of unfinished runs when all instances lose power.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	_, other := keyOf(t, ta, "s", 1)
@@ -54,11 +54,11 @@
 	cps := ta.Checkpoints(begin.Add(checkpointEvery))
 	assert.Equal(t, len(cps), 1)
 	assert.Equal(t, len(cps[0].Partials), 1, "five events are soon made again")
-	ta.Saved(cps)
+	ta.CheckpointsSaved(cps)
 	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointEvery))), 0, "nothing new")
 
 	next := tableOf(t, 2, "a")
-	next.Accept(stepOf("s", 2), Kept{Checkpoints: cps}, false, begin)
+	next.Accept(stepOf("s", 2), StoredStep{Checkpoints: cps}, false, begin)
 	next.Place(begin)
 	rq, _ := next.Request("a")
 	assert.Equal(t, len(rq.Launches[0].Prior)+len(rq.Launches[1].Prior), 25)
@@ -70,7 +70,7 @@
 	// Guards against items at the end of a step never being checkpointed when there is more text per interval than
 	// one value holds.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 2), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	big := func(from, to int) []runner.Event {
 		evs := events(from, to, 1)
@@ -90,7 +90,7 @@
 		cps := ta.Checkpoints(begin.Add(time.Duration(second+1) * checkpointEvery))
 		assert.Equal(t, len(cps[0].Partials), 1)
 		saved[cps[0].Partials[0].Item] = true
-		ta.Saved(cps)
+		ta.CheckpointsSaved(cps)
 	}
 	assert.Equal(t, len(saved), 2)
 }
@@ -108,14 +108,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
-			ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+			ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
 			engine, key := keyOf(t, ta, "s", 0)
 			hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
 			ta.End("s")
 			again := stepOf("t", 1)
 			again.Items[0].ID, again.MinVersion = "s-0-0", tc.min
-			ta.Accept(again, Kept{}, false, begin)
+			ta.Accept(again, StoredStep{}, false, begin)
 			ir := ta.steps["t"].items[0]
 			assert.Equal(t, len(ir.events), tc.prior)
 			assert.Equal(t, ir.known, 3)
@@ -127,12 +127,12 @@
 	// Guards against attendants releasing the text of a run when it ends rather than when it is listed: a new
 	// scheduler would have to generate it again.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 2, 1), begin)
 	key := runner.Key{Attempt: ta.attempt, Item: "s-0-0", Step: "s"}
 	rq, _ := ta.Request("a")
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Ended: true, Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
 	again := runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}
 	hear(ta, "a", again, begin)
 	rq, _ = ta.Request("a")
@@ -146,7 +146,7 @@
 	// Guards against an item being stuck after its engine restarts under a new ID at the same address: the exchange
 	// for one ID must not make the attendant discard the runs of the other.
 	ta := tableOf(t, 1, "old", "new")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	hear(ta, "old", runner.ExchangeResponse{Engine: "new"}, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
@@ -161,8 +161,8 @@
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 3)
 	st.Accepted, st.MaxWait = begin.Add(-time.Minute), 40*time.Second
-	ta.Accept(st, Kept{}, false, begin)
-	ta.GiveUp(begin.Add(time.Second))
+	ta.Accept(st, StoredStep{}, false, begin)
+	ta.DropExpired(begin.Add(time.Second))
 	for _, ir := range ta.steps["s"].items {
 		assert.Equal(t, ir.state, waiting)
 	}
@@ -171,12 +171,12 @@
 func TestRequestsSayWhatIsNew(t *testing.T) {
 	// A request acknowledges a run's progress until a response confirms that the attendant received it.
 	ta := tableOf(t, 1, "a")
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key}}}, begin)
 	rq, _ := ta.Request(engine)
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Events: 2, Key: key}})
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 1, "no answer yet")
 	hear(ta, engine, runner.ExchangeResponse{}, begin)
@@ -184,7 +184,7 @@
 	assert.Equal(t, len(rq.Seen), 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}, begin)
 	rq, _ = ta.Request(engine)
-	assert.DeepEqual(t, rq.Seen, []runner.Seen{{Ended: true, Events: 2, Key: key}})
+	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
 	hear(ta, engine, runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 0)
@@ -205,7 +205,7 @@
 			addEngines(ta, begin, "a")
 			st := stepOf("s", 1)
 			cp := Checkpoint{Partials: []Partial{{Events: events(1, checkpointEvents, 1), Item: st.Items[0].ID}}, Step: "s"}
-			ta.Accept(st, Kept{Checkpoints: []Checkpoint{cp}}, false, begin)
+			ta.Accept(st, StoredStep{Checkpoints: []Checkpoint{cp}}, false, begin)
 			hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 				{Events: events(1, checkpointEvents+5, tc.version), Key: runner.Key{Attempt: 7, Item: st.Items[0].ID, Step: "s"}},
 			}}, begin)
@@ -222,7 +222,7 @@
 	ta := tableOf(t, 1, "old")
 	addEngines(ta, begin, "new")
 	hear(ta, "new", runner.ExchangeResponse{Engine: "old"}, begin)
-	ta.Accept(stepOf("s", 1), Kept{}, false, begin)
+	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, _ := keyOf(t, ta, "s", 0)
 	assert.Equal(t, engine, "new")
--- a/usage/pusher.go
+++ b/usage/pusher.go
@@ -28,7 +28,7 @@
 // A Pusher tells the holder what an entry has recorded. Fill the exported fields, then
 // call Run.
 type Pusher struct {
-	Finder   *lease.Finder // of the holder
+	Finder   *lease.Resolver // of the holder
 	Instance string
 	Log      *logrus.Entry
 	Pool     *peer.Pool
@@ -89,7 +89,7 @@
 	if err != nil {
 		pu.Log.WithError(err).WithFields(logrus.Fields{"batches": len(rq.Batches), "holder": address}).Warn("use can't be told")
 		if !errors.Is(err, ErrNotHolder) {
-			pu.Finder.Lose(address, err)
+			pu.Finder.Invalidate(address, err)
 		}
 		return 0, err
 	}
