--- a/duty/tenure.go
+++ b/leader/tenure.go
@@ -1,10 +1,10 @@
-// Package duty keeps the order of calls that one process at a time may make to the users'
+// Package leader keeps the order of calls that one process at a time may make to the users'
 // platform, whatever they say: the reports of use, and the orders for endpoints.
 //
 // The holder of a lease makes them. What they are made of lasts in the key-value service
 // before they are made, so that a successor makes the very same; each call follows a
 // write that only the holder can make, and carries the lease's epoch.
-package duty
+package leader
 
 import (
 	"context"
