--- a/allotment/loads_test.go
+++ b/allocation/loads_test.go
@@ -1,4 +1,4 @@
-package allotment
+package allocation
 
 import (
 	"context"
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -11,18 +11,18 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gorilla/mux"
 
+	"wisteriacroft/blob"
 	"wisteriacroft/configuration"
-	"wisteriacroft/depot"
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
-	"wisteriacroft/order"
+	"wisteriacroft/outcome"
 	"wisteriacroft/peer"
 	"wisteriacroft/process"
 	"wisteriacroft/profile"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/tick"
 )
 
@@ -36,11 +36,11 @@
 // An Attendant serves the endpoints of one instance.
 type Attendant struct {
 	applied   uint64 // revision that the endpoints have
-	depot     *depot.Client
+	depot     *blob.Client
 	done      chan struct{} // closed when the systems shall stop
 	endpoints []*endpoint   // in the order of the options
 	entries   []instancelist.Instance
-	fence     *order.Fence
+	fence     *rollout.Fence
 	handOver  chan struct{} // closed when samples shall go on elsewhere
 	http      *http.Server
 	loop      sync.WaitGroup
@@ -50,7 +50,7 @@
 	pool      *peer.Pool
 	profiles  *profile.Replica
 	random    *rand.Rand // used by systems only
-	reporter  *roster.Reporter
+	reporter  *membership.Reporter
 	router    *mux.Router
 	server    *peer.Server
 	settleAt  time.Time // when former homes are asked next
@@ -113,7 +113,7 @@
 		engine:  eo.Engine,
 		gate:    gate.NewGate(gate.Policy{}),
 		name:    eo.Name,
-		once:    once.NewTable(once.Options{Endpoint: eo.Name, Started: at.startedAt}),
+		once:    idempotency.NewTable(idempotency.Options{Endpoint: eo.Name, Started: at.startedAt}),
 		plain:   eo.Plain,
 		service: eo.Service,
 	}
@@ -126,7 +126,7 @@
 func (at *Attendant) newServer() *peer.Server {
 	sv := &peer.Server{HeaderFunc: at.header, MaxMessageSize: MaxMessageSize}
 	configuration.Handle(sv, at.profiles)
-	order.RegisterFence(sv, at.fence)
+	rollout.RegisterFence(sv, at.fence)
 	peer.Handle(sv, PartialMethod, at.Partial)
 	peer.Handle(sv, YieldMethod, at.Yield)
 	peer.Handle(sv, message.AttendantStatusMethod, at.Status)
@@ -146,7 +146,7 @@
 	ro.HandleFunc(message.StreamPath, at.serveStream).Methods(http.MethodPost)
 	ro.NotFoundHandler = http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		id := rq.Header.Get(message.RequestIDHeader)
-		at.refuse(rw, nil, fate.NewRefusal(fate.BadRequest, id, "no such path: "+rq.URL.Path))
+		at.refuse(rw, nil, outcome.NewRefusal(outcome.BadRequest, id, "no such path: "+rq.URL.Path))
 	})
 	return ro
 }
@@ -170,8 +170,8 @@
 func (at *Attendant) Start() {
 	lo := &tick.Loop{Every: at.options.TickEvery, Systems: at.Systems()}
 	ctx, cancel := until(context.Background(), at.done, nil)
-	order.ConnectFence(ctx, at.pool, at.fence)
-	roster.ConnectReporter(ctx, at.pool, at.reporter)
+	rollout.ConnectFence(ctx, at.pool, at.fence)
+	membership.ConnectReporter(ctx, at.pool, at.reporter)
 	at.loop.Go(func() { at.follow(ctx) })
 	at.loop.Go(func() {
 		defer cancel()
--- a/attendant/call.go
+++ b/attendant/call.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gorilla/mux"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 	"wisteriacroft/plainservice"
 )
 
@@ -73,8 +73,8 @@
 
 // An answer is what a plain service answered, with its body whole.
 type answer struct {
-	once.Response
-	refusal *fate.Refusal // set if there is no answer
+	idempotency.Response
+	refusal *outcome.Refusal // set if there is no answer
 }
 
 // serveCall gives a live call to a plain service and passes its answer on.
@@ -82,16 +82,16 @@
 	en := at.endpoint(mux.Vars(rq)["endpoint"])
 	ca, err := newCall(rq.Header)
 	if err != nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, ca.id, err.Error()))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error()))
 		return
 	}
 	if en == nil || en.plain == nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, ca.id, "no such plain service here"))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, "no such plain service here"))
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(rw, rq.Body, int64(at.options.MaxBodySize)))
 	if err != nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, ca.id, "read body: "+err.Error()))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, "read body: "+err.Error()))
 		return
 	}
 	ctx, cancel := ca.bound(rq.Context())
@@ -141,7 +141,7 @@
 	}
 	ti.Started()
 	an, err := at.exchange(ctx, en, req)
-	ti.Release(outcome(ctx, err))
+	ti.Release(gateResult(ctx, err))
 	if err != nil {
 		return answer{refusal: en.refusalOf(ctx, ca.id, err)}
 	}
--- a/attendant/callonce.go
+++ b/attendant/callonce.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
+	"wisteriacroft/outcome"
 	"wisteriacroft/plainservice"
 )
 
@@ -18,11 +18,11 @@
 // told "not run" for want of a place, though the first one ran, would be run
 // again by its caller.
 func (at *Attendant) callOnce(ctx context.Context, en *endpoint, ca call, req plainservice.Request) answer {
-	ke, err := once.ParseKey(ca.key)
+	ke, err := idempotency.ParseKey(ca.key)
 	if err != nil {
-		return answer{refusal: fate.NewRefusal(fate.BadRequest, ca.id, err.Error())}
+		return answer{refusal: outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error())}
 	}
-	de := en.once.Begin(time.Now(), once.Request{
+	de := en.once.Begin(time.Now(), idempotency.Request{
 		Ask:      ca.ask,
 		Digest:   digest(req),
 		ID:       ca.id,
@@ -57,13 +57,13 @@
 	case an := <-done:
 		return an
 	case <-started:
-		return answer{refusal: fate.NewRefusal(fate.DeadlineExceeded, ca.id, "deadline passed while the request ran")}
+		return answer{refusal: outcome.NewRefusal(outcome.DeadlineExceeded, ca.id, "deadline passed while the request ran")}
 	}
 }
 
 // runOnce queues a request and runs it, and records what became of its key.
 func (at *Attendant) runOnce(
-	ctx context.Context, en *endpoint, ca call, ke once.Key, req plainservice.Request, started chan<- struct{},
+	ctx context.Context, en *endpoint, ca call, ke idempotency.Key, req plainservice.Request, started chan<- struct{},
 ) answer {
 	ti, err := en.enter(ctx, at.live(ca))
 	if err != nil {
@@ -81,7 +81,7 @@
 	ex := en.executions.begin(time.Now(), lose)
 	an, err := at.exchange(ctx, en, req)
 	en.executions.end(ex)
-	ti.Release(outcome(ctx, err))
+	ti.Release(gateResult(ctx, err))
 	switch {
 	case err == nil:
 		en.once.Finish(time.Now(), ke, &an)
--- a/attendant/depot.go
+++ b/attendant/depot.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/message"
 	"wisteriacroft/peer"
 )
@@ -25,17 +25,17 @@
 // A BlobResponse holds a payload, or the list of payloads.
 type BlobResponse struct {
 	Data    []byte
-	Entries []depot.Entry
+	Entries []blob.Entry
 }
 
 // depotCodes are the errors that a data folder returns over net/rpc.
 var depotCodes = []peer.Code{
-	{Err: depot.ErrFull, Name: "depot-full"},
-	{Err: depot.ErrMissing, Name: "depot-missing"},
+	{Err: blob.ErrFull, Name: "depot-full"},
+	{Err: blob.ErrMissing, Name: "depot-missing"},
 }
 
 // HandleBlobs serves a data folder over net/rpc.
-func HandleBlobs(sv *peer.Server, st *depot.Store) {
+func HandleBlobs(sv *peer.Server, st *blob.Store) {
 	sv.Codes = append(sv.Codes, depotCodes...)
 	handle := func(method string, fn func(req BlobRequest) (BlobResponse, error)) {
 		peer.Handle(sv, method, func(_ context.Context, _ message.Header, req BlobRequest) (BlobResponse, error) {
@@ -59,12 +59,12 @@
 }
 
 // NewBlobClient returns a client of the data folders of other processes.
-func NewBlobClient(po *peer.Pool) *depot.Client {
+func NewBlobClient(po *peer.Pool) *blob.Client {
 	po.Codes = append(po.Codes, depotCodes...)
 	call := func(ctx context.Context, pl message.BlobLocation, method string, req BlobRequest) (BlobResponse, error) {
 		return peer.Call[BlobRequest, BlobResponse](ctx, po, pl.Address, method, req)
 	}
-	return &depot.Client{
+	return &blob.Client{
 		DeleteFunc: func(ctx context.Context, pl message.BlobLocation, digest string) error {
 			_, err := call(ctx, pl, DepotDeleteMethod, BlobRequest{Digest: digest})
 			return err
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
+	"wisteriacroft/outcome"
 	"wisteriacroft/plainservice"
 )
 
@@ -26,7 +26,7 @@
 	gate       *gate.Gate
 	metrics    *endpointMetrics
 	name       string
-	once       *once.Table
+	once       *idempotency.Table
 	plain      *plainservice.Client // nil for an engine
 	executions executions
 	service    string
@@ -57,7 +57,7 @@
 	if err == nil {
 		return ti, nil
 	}
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	if errors.As(err, &re) {
 		re.RequestID = id
 	}
@@ -115,8 +115,8 @@
 	return endpointState{failed: en.poller.failed, report: en.report, seenAt: en.seenAt, version: en.version}
 }
 
-// outcome returns how a request left the endpoint.
-func outcome(ctx context.Context, err error) gate.Result {
+// gateResult returns how a request left the endpoint.
+func gateResult(ctx context.Context, err error) gate.Result {
 	switch {
 	case err == nil:
 		return gate.Whole
--- a/attendant/exchange.go
+++ b/attendant/exchange.go
@@ -8,9 +8,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 	"wisteriacroft/plainservice"
 	"wisteriacroft/telemetry"
 )
@@ -19,30 +19,30 @@
 // that an answer cut short is never passed on as if it were one.
 func (at *Attendant) exchange(
 	ctx context.Context, en *endpoint, req plainservice.Request,
-) (an once.Response, err error) {
+) (an idempotency.Response, err error) {
 	ctx, sp := telemetry.Start(ctx, endpointSpan)
 	defer func() { telemetry.End(sp, err) }()
 	return at.callService(ctx, en, req)
 }
 
 // callService calls the service and reads its answer.
-func (at *Attendant) callService(ctx context.Context, en *endpoint, req plainservice.Request) (once.Response, error) {
+func (at *Attendant) callService(ctx context.Context, en *endpoint, req plainservice.Request) (idempotency.Response, error) {
 	an, err := en.plain.CallFunc(ctx, req)
 	if err != nil {
 		if errors.Is(err, plainservice.ErrMismatchedResponse) {
 			en.metrics.crossed.Inc()
 		}
-		return once.Response{}, err
+		return idempotency.Response{}, err
 	}
 	defer func() { _ = an.Body.Close() }() // a body read whole has no more to tell
 	body, err := io.ReadAll(io.LimitReader(an.Body, int64(at.options.MaxAnswerSize)+1))
 	if err != nil {
-		return once.Response{}, errors.Wrapf(err, "read the answer of %s", en.name)
+		return idempotency.Response{}, errors.Wrapf(err, "read the answer of %s", en.name)
 	}
 	if len(body) > at.options.MaxAnswerSize {
-		return once.Response{}, errors.Newf("answer of %s exceeds %d bytes", en.name, at.options.MaxAnswerSize)
+		return idempotency.Response{}, errors.Newf("answer of %s exceeds %d bytes", en.name, at.options.MaxAnswerSize)
 	}
-	return once.Response{Body: body, Header: message.ForwardHeaders(an.Header), Status: an.Status}, nil
+	return idempotency.Response{Body: body, Header: message.ForwardHeaders(an.Header), Status: an.Status}, nil
 }
 
 // writeAnswer passes an answer on.
@@ -55,7 +55,7 @@
 		he.Set("Content-Length", strconv.Itoa(len(an.Body)))
 	}
 	at.setHeader(he, en)
-	he.Set(message.FateHeader, fate.Ran.String())
+	he.Set(message.FateHeader, outcome.Ran.String())
 	he.Set(message.RequestIDHeader, ca.id)
 	rw.WriteHeader(an.Status)
 	// The caller may be gone; the answer has nowhere else to go then.
--- a/attendant/harness_test.go
+++ b/attendant/harness_test.go
@@ -21,9 +21,9 @@
 	"gotest.tools/v3/golden"
 
 	"wisteriacroft/attendant"
-	"wisteriacroft/depot"
-	"wisteriacroft/fate"
+	"wisteriacroft/blob"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/profile"
 )
 
@@ -154,8 +154,8 @@
 	defer rs.Body.Close()
 	body, err := io.ReadAll(rs.Body)
 	he, text := rs.Header, string(body)
-	var re fate.Refusal
-	if he.Get(message.FateHeader) != fate.Ran.String() {
+	var re outcome.Refusal
+	if he.Get(message.FateHeader) != outcome.Ran.String() {
 		assert.NilError(se, json.Unmarshal(body, &re))
 		assert.Equal(se, re.Fate, he.Get(message.FateHeader))
 		text = string(re.Code)
@@ -222,7 +222,7 @@
 	var stops []func()
 	for _, domain := range []string{"coventry-hall", "derby-hall"} {
 		address := domain + ":1"
-		_, stop := se.start(address, attendant.Options{Instance: domain, Store: &depot.Store{Folder: se.TempDir()}})
+		_, stop := se.start(address, attendant.Options{Instance: domain, Store: &blob.Store{Folder: se.TempDir()}})
 		stops = append(stops, stop)
 		pls = append(pls, message.BlobLocation{Address: address, FailureDomain: domain, Instance: domain})
 	}
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -6,9 +6,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 	"wisteriacroft/peer"
 )
 
@@ -40,7 +40,7 @@
 	en := at.endpoint(req.Endpoint)
 	if en == nil {
 		// It may be beside another attendant, so nothing can be promised.
-		return YieldResponse{}, fate.NewRefusal(fate.BadRequest, req.Endpoint, "no such endpoint here")
+		return YieldResponse{}, outcome.NewRefusal(outcome.BadRequest, req.Endpoint, "no such endpoint here")
 	}
 	en.once.Yield(req.Revision)
 	return YieldResponse{}, nil
@@ -75,7 +75,7 @@
 	switch {
 	case err != nil:
 	case lo.Gone:
-		revision = once.RevisionGone
+		revision = idempotency.RevisionGone
 	default:
 		_, err = peer.Call[YieldRequest, YieldResponse](ctx, at.pool, lo.Address, YieldMethod,
 			YieldRequest{Endpoint: former, Revision: revision})
--- a/attendant/membership.go
+++ b/attendant/membership.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
 	"wisteriacroft/peer"
-	"wisteriacroft/roster"
 )
 
 // LocateMethod is the net/rpc method by which entries answer where an
@@ -30,8 +30,8 @@
 }
 
 // newReporter returns the reporter of the attendant's endpoints.
-func (at *Attendant) newReporter() *roster.Reporter {
-	rp := &roster.Reporter{
+func (at *Attendant) newReporter() *membership.Reporter {
+	rp := &membership.Reporter{
 		Address:       at.options.Address,
 		DataFolder:    at.options.Store != nil,
 		FailureDomain: at.options.FailureDomain,
@@ -61,14 +61,14 @@
 }
 
 // rosterState returns the state that entries are told.
-func (at *Attendant) rosterState(en *endpoint, es endpointState) roster.State {
+func (at *Attendant) rosterState(en *endpoint, es endpointState) membership.State {
 	switch {
 	case es.failed || es.seenAt.IsZero():
-		return roster.Unhealthy
+		return membership.Unhealthy
 	case en.engine != nil && !at.fence.VersionStable(en.name):
-		return roster.Loading
+		return membership.Loading
 	default:
-		return roster.Ready
+		return membership.Ready
 	}
 }
 
@@ -77,7 +77,7 @@
 	if at.options.Instances == nil {
 		return
 	}
-	po := &roster.Poller{
+	po := &membership.Poller{
 		Client:      at.options.Instances,
 		Log:         at.options.Log.WithField("instance", at.options.Instance),
 		ObserveFunc: at.observeList,
--- a/attendant/membership_test.go
+++ b/attendant/membership_test.go
@@ -12,28 +12,28 @@
 	"wisteriacroft/configuration"
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
 	"wisteriacroft/profile"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/tick"
 )
 
 // startEntry starts what an attendant needs of an entry: its roster, its
 // configuration, and where desk-1 is.
 func (se *session) startEntry(address string, ho *profile.Replica) (stop func()) {
-	ta := &roster.Table{
+	ta := &membership.Table{
 		Address:  address,
 		Instance: "entry-1",
-		UpsertFunc: func(en roster.Endpoint) {
+		UpsertFunc: func(en membership.Endpoint) {
 			se.note("entry sees %s at %s: %s, version %d", en.ID(), en.Address(), en.State(), en.Version())
 		},
 	}
 	sv := &peer.Server{HeaderFunc: func() message.Header {
 		return message.Header{Revision: ho.Revision(), Sender: "entry-1"}
 	}}
-	roster.Register(sv, ta)
+	membership.Register(sv, ta)
 	configuration.Handle(sv, ho)
 	attendant.HandleLocate(sv, func(string) (attendant.Location, error) {
 		return attendant.Location{Address: "a:1"}, nil
@@ -108,10 +108,10 @@
 		po := &peer.Pool{DialFunc: se.net.dial}
 		defer po.Close()
 		give := func(epoch uint64, ve engine.Version) {
-			st, err := peer.Call[order.ProbeRequest, order.Status](se.Context(), po, "a:1", order.ProbeMethod,
-				order.ProbeRequest{Endpoint: "marker-1", Epoch: epoch})
+			st, err := peer.Call[rollout.ProbeRequest, rollout.Status](se.Context(), po, "a:1", rollout.ProbeMethod,
+				rollout.ProbeRequest{Endpoint: "marker-1", Epoch: epoch})
 			assert.NilError(se, err)
-			an, err := peer.Call[order.Request, order.Response](se.Context(), po, "a:1", order.OrderMethod, order.Request{
+			an, err := peer.Call[rollout.Request, rollout.Response](se.Context(), po, "a:1", rollout.OrderMethod, rollout.Request{
 				Endpoint:    "marker-1",
 				Incarnation: st.Incarnation,
 				Order:       engine.Order{Epoch: epoch, Kind: engine.LoadVersion, Version: ve},
--- a/attendant/metrics.go
+++ b/attendant/metrics.go
@@ -5,7 +5,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // Results of samples and orders, as metrics name them.
@@ -51,7 +51,7 @@
 }
 
 // refusal counts a refusal by its code.
-func (em *endpointMetrics) refusal(re *fate.Refusal) {
+func (em *endpointMetrics) refusal(re *outcome.Refusal) {
 	em.set.GetOrCreateCounter(em.name("refusals_total", fmt.Sprintf(",code=%q", re.Code))).Inc()
 }
 
--- a/attendant/module.go
+++ b/attendant/module.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/fx"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
 	"wisteriacroft/plainservice"
@@ -51,7 +51,7 @@
 		op.Endpoints = append(op.Endpoints, newEndpointOptions(en))
 	}
 	if folder := se.DataFolder(); folder != "" {
-		op.Store = &depot.Store{Folder: folder}
+		op.Store = &blob.Store{Folder: folder}
 	}
 	return op
 }
--- a/attendant/options.go
+++ b/attendant/options.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
 	"wisteriacroft/plainservice"
@@ -61,7 +61,7 @@
 	SampleEvery   time.Duration // between the signs of life of an attempt
 	Seed          uint64        // of the jitter and of tokens
 	StallBound    time.Duration // how long an engine may send no token
-	Store         *depot.Store  // of the data folder; nil if there is none
+	Store         *blob.Store   // of the data folder; nil if there is none
 	TickEvery     time.Duration
 }
 
--- a/attendant/orders.go
+++ b/attendant/orders.go
@@ -8,12 +8,12 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/order"
+	"wisteriacroft/rollout"
 )
 
 // newFence returns the fence before the attendant's engines.
-func (at *Attendant) newFence() *order.Fence {
-	fe := &order.Fence{
+func (at *Attendant) newFence() *rollout.Fence {
+	fe := &rollout.Fence{
 		Incarnation: at.options.Incarnation,
 		PassFunc:    at.passOrder,
 		Rand:        rand.New(rand.NewPCG(at.options.Seed, at.options.Incarnation)),
--- a/attendant/policy.go
+++ b/attendant/policy.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"wisteriacroft/gate"
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/profile"
 )
 
@@ -39,16 +39,16 @@
 
 // homes returns the endpoints of a service that may run keys, and those that
 // might before, oldest first.
-func homes(do profile.Document, service string) (set once.EndpointSet, former []once.EndpointSet) {
+func homes(do profile.Document, service string) (set idempotency.EndpointSet, former []idempotency.EndpointSet) {
 	for _, es := range do.EndpointSets(service) {
-		former = append(former, once.EndpointSet{Endpoints: es.Endpoints, Revision: es.Revision})
+		former = append(former, idempotency.EndpointSet{Endpoints: es.Endpoints, Revision: es.Revision})
 	}
 	if len(former) == 0 {
-		return once.EndpointSet{Revision: do.Revision()}, nil
+		return idempotency.EndpointSet{Revision: do.Revision()}, nil
 	}
 	// Taken under the document's own revision, so that the table knows how far
 	// its word reaches.
-	set = once.EndpointSet{Endpoints: former[len(former)-1].Endpoints, Revision: do.Revision()}
+	set = idempotency.EndpointSet{Endpoints: former[len(former)-1].Endpoints, Revision: do.Revision()}
 	return set, former
 }
 
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -11,27 +11,27 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/plainservice"
 )
 
 // httpStatus returns the HTTP status of a refusal's code.
-func httpStatus(code fate.Code) int {
+func httpStatus(code outcome.Code) int {
 	switch code {
-	case fate.BadRequest:
+	case outcome.BadRequest:
 		return http.StatusBadRequest
-	case fate.DeadlineExceeded:
+	case outcome.DeadlineExceeded:
 		return http.StatusGatewayTimeout
-	case fate.OutcomeUnknown:
+	case outcome.OutcomeUnknown:
 		return http.StatusBadGateway
-	case fate.InProgress:
+	case outcome.InProgress:
 		return http.StatusConflict
-	case fate.NotHome:
+	case outcome.NotHome:
 		return http.StatusMisdirectedRequest
-	case fate.Overloaded:
+	case outcome.Overloaded:
 		return http.StatusTooManyRequests
-	case fate.UnknownProfile:
+	case outcome.UnknownProfile:
 		return http.StatusNotFound
 	default:
 		return http.StatusServiceUnavailable
@@ -39,7 +39,7 @@
 }
 
 // refuse answers with a refusal.
-func (at *Attendant) refuse(rw http.ResponseWriter, en *endpoint, re *fate.Refusal) {
+func (at *Attendant) refuse(rw http.ResponseWriter, en *endpoint, re *outcome.Refusal) {
 	lo := at.options.Log.WithFields(logrus.Fields{
 		"code":       re.Code,
 		"fate":       re.Fate,
@@ -65,14 +65,14 @@
 }
 
 // leaving returns the refusal of a process that leaves.
-func leaving(id string) *fate.Refusal {
-	return fate.NewRefusal(fate.Leaving, id, "the attendant is leaving")
+func leaving(id string) *outcome.Refusal {
+	return outcome.NewRefusal(outcome.Leaving, id, "the attendant is leaving")
 }
 
 // refusalOf returns the refusal of a live call that was given to an endpoint and
 // failed with err. It tells the entry if the endpoint's process ended under it: the
 // call may be what ended it.
-func (en *endpoint) refusalOf(ctx context.Context, id string, err error) *fate.Refusal {
+func (en *endpoint) refusalOf(ctx context.Context, id string, err error) *outcome.Refusal {
 	re := refusal(ctx, id, err)
 	if errors.IsAny(err, plainservice.ErrBroken, engine.ErrBroken) {
 		re.EndpointEnded = en.ended(ctx)
@@ -95,16 +95,16 @@
 // refusal returns the refusal of a request that was queued or given to an
 // endpoint and failed with err. Only an error that proves that nothing was
 // written says not-run.
-func refusal(ctx context.Context, id string, err error) *fate.Refusal {
-	var re *fate.Refusal
+func refusal(ctx context.Context, id string, err error) *outcome.Refusal {
+	var re *outcome.Refusal
 	switch {
 	case errors.As(err, &re):
 		return re
 	case notSent(err):
-		return fate.NewRefusal(fate.Refused, id, err.Error())
+		return outcome.NewRefusal(outcome.Refused, id, err.Error())
 	case ctx.Err() != nil:
-		return fate.NewRefusal(fate.DeadlineExceeded, id, "given up while it ran: "+err.Error())
+		return outcome.NewRefusal(outcome.DeadlineExceeded, id, "given up while it ran: "+err.Error())
 	default:
-		return fate.NewRefusal(fate.OutcomeUnknown, id, err.Error())
+		return outcome.NewRefusal(outcome.OutcomeUnknown, id, err.Error())
 	}
 }
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gorilla/mux"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // Bounds of storing a payload.
@@ -29,12 +29,12 @@
 	en := at.endpoint(mux.Vars(rq)["endpoint"])
 	var req message.SampleRequest
 	if err := at.decode(rw, rq, &req); err != nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, req.Attempt, err.Error()))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, req.Attempt, err.Error()))
 		return
 	}
 	left, err := checkSample(en, req)
 	if err != nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, req.Attempt, err.Error()))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, req.Attempt, err.Error()))
 		return
 	}
 	ctx, cancel := context.WithTimeout(rq.Context(), left)
@@ -76,8 +76,8 @@
 	if req.MaxTokens <= 0 {
 		return 0, errors.Newf("max-tokens: %d", req.MaxTokens)
 	}
-	if len(req.StorePlaces) < depot.ReplicaCount {
-		return 0, errors.Newf("store-places: %d, want %d", len(req.StorePlaces), depot.ReplicaCount)
+	if len(req.StorePlaces) < blob.ReplicaCount {
+		return 0, errors.Newf("store-places: %d, want %d", len(req.StorePlaces), blob.ReplicaCount)
 	}
 	left, err := time.ParseDuration(req.Deadline)
 	return left, errors.Wrap(err, "deadline")
@@ -93,7 +93,7 @@
 	defer at.work.exit()
 	pa := at.partials.start(en, atm)
 	if pa == nil {
-		ev.Refusal = fate.NewRefusal(fate.InProgress, atm.id(), "the same attempt runs here")
+		ev.Refusal = outcome.NewRefusal(outcome.InProgress, atm.id(), "the same attempt runs here")
 		return ev
 	}
 	err := at.generate(ctx, en, atm)
@@ -114,7 +114,7 @@
 	switch {
 	case ev.Result != nil:
 		return resultWhole
-	case ev.Refusal.Outcome() == fate.NotRun:
+	case ev.Refusal.Outcome() == outcome.NotRun:
 		return resultRefused
 	default:
 		return resultFailed
@@ -142,7 +142,7 @@
 	}
 	ti.Started()
 	err = at.run(ctx, en, atm)
-	ti.Release(outcome(ctx, err))
+	ti.Release(gateResult(ctx, err))
 	return err
 }
 
@@ -194,7 +194,7 @@
 // until the engine's own report has settled it.
 func (at *Attendant) checkFresh(en *endpoint, req message.SampleRequest) error {
 	if !at.fence.VersionStable(en.name) {
-		re := fate.NewRefusal(fate.Refused, req.Attempt, en.name+" has an order that is not settled")
+		re := outcome.NewRefusal(outcome.Refused, req.Attempt, en.name+" has an order that is not settled")
 		re.RetryAfter = at.options.ReportEvery.String()
 		return re
 	}
@@ -202,7 +202,7 @@
 	if uint64(ve) >= req.MinVersion {
 		return nil
 	}
-	return fate.NewRefusal(fate.Refused, req.Attempt,
+	return outcome.NewRefusal(outcome.Refused, req.Attempt,
 		errors.Newf("version %d of %s is older than %d", ve, en.name, req.MinVersion).Error())
 }
 
@@ -219,7 +219,7 @@
 		return nil, errors.Wrapf(err, "attempt %s: store payload", atm.id())
 	}
 	return &message.SampleResult{
-		Digest:   depot.Digest(data),
+		Digest:   blob.Digest(data),
 		Endpoint: en.name,
 		Places:   places,
 		Segments: pl.Segments,
@@ -232,7 +232,7 @@
 func (at *Attendant) replicate(ctx context.Context, places []message.BlobLocation, data []byte) ([]message.BlobLocation, error) {
 	wait := storeBackoff
 	for {
-		taken, err := depot.Replicate(ctx, at.depot, places, data)
+		taken, err := blob.Replicate(ctx, at.depot, places, data)
 		if err == nil {
 			return taken, nil
 		}
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 
 	"wisteriacroft/attendant"
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/peer"
 )
 
@@ -95,7 +95,7 @@
 				time.Sleep(time.Second)
 				ev := se.sample(se.Context(), "a:1", "marker-1", sampleRequest("s1", somePlaces))
 				assert.Assert(se, ev.Result == nil)
-				assert.Equal(se, ev.Refusal.Outcome(), fate.Unknown)
+				assert.Equal(se, ev.Refusal.Outcome(), outcome.Unknown)
 			})
 		})
 	}
@@ -157,7 +157,7 @@
 	assert.Assert(se, ev.Result != nil)
 	po := &peer.Pool{DialFunc: se.net.dial, MaxMessageSize: attendant.MaxMessageSize}
 	defer po.Close()
-	data, err := depot.Fetch(se.Context(), attendant.NewBlobClient(po), ev.Result.Places, ev.Result.Digest)
+	data, err := blob.Fetch(se.Context(), attendant.NewBlobClient(po), ev.Result.Places, ev.Result.Digest)
 	assert.NilError(se, err)
 	var pl message.Payload
 	assert.NilError(se, decode(data, &pl))
--- a/attendant/stream.go
+++ b/attendant/stream.go
@@ -9,7 +9,7 @@
 	"github.com/gorilla/mux"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 	"wisteriacroft/telemetry"
 )
 
@@ -62,7 +62,7 @@
 		return cause
 	case errors.Is(cause, errLeaving):
 		re := leaving(req.ID)
-		re.Fate = fate.Unknown.String() // it has run, in part
+		re.Fate = outcome.Unknown.String() // it has run, in part
 		return re
 	default:
 		return err
@@ -97,7 +97,7 @@
 		err = errors.New("no such engine here")
 	}
 	if err != nil {
-		at.refuse(rw, en, fate.NewRefusal(fate.BadRequest, ca.id, err.Error()))
+		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error()))
 		return
 	}
 	req.ID = en.unique(ca.id)
@@ -145,7 +145,7 @@
 			return ctx.Err()
 		}
 	})
-	ti.Release(outcome(ctx, err))
+	ti.Release(gateResult(ctx, err))
 	return err
 }
 
--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/lease"
 	"wisteriacroft/ledger"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // acknowledge marks the batches up to the cursor's as taken. It does not wait
@@ -17,7 +17,7 @@
 // the restarted trainer wants again; so a lower incarnation is refused.
 func (ow *Owner) acknowledge(tr *trainer, cu message.Cursor, po position, st lease.State) error {
 	if cu.Incarnation < tr.cursor.Incarnation {
-		return refuse(fate.BadRequest, "trainer has restarted: incarnation %d after %d", cu.Incarnation, tr.cursor.Incarnation)
+		return refuse(outcome.BadRequest, "trainer has restarted: incarnation %d after %d", cu.Incarnation, tr.cursor.Incarnation)
 	}
 	restarted := cu.Incarnation > tr.cursor.Incarnation
 	if po.before(tr.droppedAt()) {
@@ -25,7 +25,7 @@
 	}
 	at, err := positionOf(tr.cursor)
 	if err != nil {
-		return refuse(fate.Refused, "ledger: %v", err)
+		return refuse(outcome.Refused, "ledger: %v", err)
 	}
 	if at.before(po) && tr.batch(po) == nil {
 		if err := ow.skip(tr, cu, po); err != nil {
@@ -75,7 +75,7 @@
 // again. Of a step that it has taken in part, the ledger can't tell which groups.
 func (ow *Owner) skip(tr *trainer, cu message.Cursor, po position) error {
 	if tr.step(po.step) != nil && !tr.policy.WholeSteps {
-		return refuse(fate.OutcomeUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
+		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
 	}
 	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that the ledger does not hold")
 	for len(tr.steps) > 0 && tr.steps[0].number <= po.step {
@@ -93,13 +93,13 @@
 // groups the trainer has taken: the others would be lost to it.
 func (ow *Owner) rewind(tr *trainer, cu message.Cursor, po position, restarted bool, st lease.State) error {
 	if !restarted {
-		return refuse(fate.BadRequest, "cursor %q is behind the steps that are kept", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept", cu.Batch)
 	}
 	if id, err := ledger.ParseBatchID(cu.Batch); err == nil && !id.Whole {
-		return refuse(fate.BadRequest, "cursor %q is behind the steps that are kept: go back to the end of a step", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept: go back to the end of a step", cu.Batch)
 	}
 	if st != lease.Held {
-		return refuse(fate.Refused, "the key-value service is away: can't go back to step %d", po.step)
+		return refuse(outcome.Refused, "the key-value service is away: can't go back to step %d", po.step)
 	}
 	ow.log(tr).WithField("batch", cu.Batch).Warn("trainer goes back behind the steps that are kept")
 	for _, sp := range tr.steps {
--- a/batch/event.go
+++ b/batch/event.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/message"
 )
@@ -141,7 +141,7 @@
 // validate returns an error if a result is not a whole sample with a payload
 // and a version for each of its tokens.
 func validate(sr *message.SampleResult) error {
-	if !depot.ValidDigest(sr.Digest) || len(sr.Places) == 0 {
+	if !blob.ValidDigest(sr.Digest) || len(sr.Places) == 0 {
 		return errors.Wrapf(errInvalid, "digest %q in %d places", sr.Digest, len(sr.Places))
 	}
 	made := 0
--- a/batch/load.go
+++ b/batch/load.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
 )
@@ -53,7 +53,7 @@
 		return // submitted again meanwhile
 	case err == nil && count(req) == sp.samples:
 		sp.setRequest(req)
-	case err == nil || errors.Is(err, depot.ErrMissing) || unreachableTooLong(&sp.unreachable, now):
+	case err == nil || errors.Is(err, blob.ErrMissing) || unreachableTooLong(&sp.unreachable, now):
 		sp.lost = true
 		ow.log(tr).WithError(err).WithField("step", sp.number).Error("request of the step is lost")
 	default:
--- a/batch/payload.go
+++ b/batch/payload.go
@@ -9,11 +9,11 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/depot"
-	"wisteriacroft/fate"
+	"wisteriacroft/blob"
 	"wisteriacroft/lease"
 	"wisteriacroft/ledger"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // Manifest returns the samples of a batch that the ledger holds. A refusal is a
@@ -27,7 +27,7 @@
 	}
 	ba := tr.sealed(id)
 	if ba == nil || ba.seq > tr.published {
-		return nil, refuse(fate.Refused, "batch %s was taken or replaced: pull again", id)
+		return nil, refuse(outcome.Refused, "batch %s was taken or replaced: pull again", id)
 	}
 	return ba.entries, nil
 }
@@ -44,7 +44,7 @@
 		if err != nil {
 			ow.locked(func() { ow.missed(name, id, en, err) })
 			ow.probe(ctx, name, id, entries[i+1:])
-			return refuse(fate.Refused, "batch %s: sample %d of group %d: %v", id, en.Member, en.Group, err)
+			return refuse(outcome.Refused, "batch %s: sample %d of group %d: %v", id, en.Member, en.Group, err)
 		}
 		line := append(bytes.TrimSpace(data), '\n')
 		if _, err := wr.Write(line); err != nil {
@@ -68,7 +68,7 @@
 // that were lost with a data folder are made again at one time.
 func (ow *Owner) probe(ctx context.Context, name, id string, entries []message.SampleEntry) {
 	for _, en := range entries {
-		if _, err := ow.FetchFunc(ctx, en.Places, en.Digest); errors.Is(err, depot.ErrMissing) {
+		if _, err := ow.FetchFunc(ctx, en.Places, en.Digest); errors.Is(err, blob.ErrMissing) {
 			ow.locked(func() { ow.missed(name, id, en, err) })
 		} else if err != nil {
 			return // out of reach: no use to wait for each
@@ -89,7 +89,7 @@
 	if ba == nil {
 		return
 	}
-	missing := errors.Is(err, depot.ErrMissing)
+	missing := errors.Is(err, blob.ErrMissing)
 	if !missing && !unreachableTooLong(&ba.unreachable, time.Now()) {
 		return
 	}
--- a/batch/policy_test.go
+++ b/batch/policy_test.go
@@ -11,12 +11,12 @@
 	"github.com/cockroachdb/errors"
 	"gotest.tools/v3/assert"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/keyvalue"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // newOwner returns an owner that holds its leases and whose I/O ends at once.
@@ -105,17 +105,17 @@
 func TestSubmit(t *testing.T) {
 	group := message.Group{MaxTokens: 100, Members: 1, Prompt: "a"}
 	for name, tc := range map[string]struct {
-		code   fate.Code // "" is accepted
+		code   outcome.Code // "" is accepted
 		groups []message.Group
 		step   int
 	}{
 		"the same again":   {groups: []message.Group{group}},
 		"the next":         {groups: []message.Group{group}, step: 1},
-		"other content":    {groups: []message.Group{group, group}, code: fate.BadRequest},
-		"a gap":            {groups: []message.Group{group}, step: 2, code: fate.BadRequest},
-		"no group":         {step: 1, code: fate.BadRequest},
-		"no member":        {groups: []message.Group{{MaxTokens: 1}}, step: 1, code: fate.BadRequest},
-		"too many members": {groups: []message.Group{{MaxTokens: 1, Members: MaxSamples + 1}}, step: 1, code: fate.BadRequest},
+		"other content":    {groups: []message.Group{group, group}, code: outcome.BadRequest},
+		"a gap":            {groups: []message.Group{group}, step: 2, code: outcome.BadRequest},
+		"no group":         {step: 1, code: outcome.BadRequest},
+		"no member":        {groups: []message.Group{{MaxTokens: 1}}, step: 1, code: outcome.BadRequest},
+		"too many members": {groups: []message.Group{{MaxTokens: 1, Members: MaxSamples + 1}}, step: 1, code: outcome.BadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -129,7 +129,7 @@
 					_, err = ow.Submit(t.Context(), "a", tc.step, message.StepRequest{Groups: tc.groups})
 				}()
 				ticks(ow, 2)
-				re := &fate.Refusal{}
+				re := &outcome.Refusal{}
 				errors.As(err, &re)
 				assert.Equal(t, re.Code, tc.code)
 			})
@@ -242,7 +242,7 @@
 	// Sequence: an attempt reports a result that is not whole, or says nothing for long.
 	// Cause: any result taken for a sample, or an attempt waited for that is gone.
 	good := message.SampleResult{
-		Digest: depot.Digest(nil), Places: []message.BlobLocation{storeOne}, Size: 1, Tokens: 9,
+		Digest: blob.Digest(nil), Places: []message.BlobLocation{storeOne}, Size: 1, Tokens: 9,
 		Segments: []engine.Segment{{Tokens: 4, Version: 1}, {Tokens: 5, Version: 2}},
 	}
 	for name, tc := range map[string]struct {
@@ -344,7 +344,7 @@
 		}
 		began := time.Now()
 		_, err := pull()
-		var re *fate.Refusal
+		var re *outcome.Refusal
 		assert.Assert(t, errors.As(err, &re), "no step is open")
 		assert.Equal(t, time.Since(began), time.Minute)
 		submit(ow, "a", 0, 1, 1)
@@ -369,7 +369,7 @@
 		data, _ := json.Marshal(places) // as a codec would: strings of its own
 		_ = json.Unmarshal(data, &places)
 		ow.Finished(at.id, message.SampleResult{
-			Digest:   depot.Digest([]byte(at.id)),
+			Digest:   blob.Digest([]byte(at.id)),
 			Places:   places,
 			Segments: []engine.Segment{{Tokens: 9000, Version: 1}, {Tokens: 11000, Version: 2}},
 			Size:     160_000,
--- a/batch/pull.go
+++ b/batch/pull.go
@@ -5,9 +5,9 @@
 	"context"
 	"time"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // Pull acknowledges the batch that the cursor names and returns the next one,
@@ -19,11 +19,11 @@
 ) (message.PullResponse, error) {
 	po, err := positionOf(req.Cursor)
 	if err != nil {
-		return message.PullResponse{}, refuse(fate.BadRequest, "cursor: %v", err)
+		return message.PullResponse{}, refuse(outcome.BadRequest, "cursor: %v", err)
 	}
 	wait, err := time.ParseDuration(cmp.Or(req.Wait, "0s"))
 	if err != nil {
-		return message.PullResponse{}, refuse(fate.BadRequest, "wait: %v", err)
+		return message.PullResponse{}, refuse(outcome.BadRequest, "wait: %v", err)
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -38,7 +38,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return message.PullResponse{}, refuse(fate.DeadlineExceeded, "no batch in time")
+			return message.PullResponse{}, refuse(outcome.DeadlineExceeded, "no batch in time")
 		case <-timeout.C:
 			return message.PullResponse{RetryAfter: comeBack.String()}, pu.idle
 		case <-pu.changed:
@@ -81,7 +81,7 @@
 	lost := tr.lostAt(po, ba)
 	switch {
 	case lost != nil:
-		return pulled{err: refuse(fate.Refused, "the request of step %d is lost: submit it again", lost.number)}
+		return pulled{err: refuse(outcome.Refused, "the request of step %d is lost: submit it again", lost.number)}
 	case ba != nil && ba.seq <= tr.published && len(ba.wanting) == 0 && !tr.refresh(ba):
 		return pulled{answer: tr.handOver(ba)}
 	case st == lease.Unconfirmed:
@@ -89,7 +89,7 @@
 	}
 	pu := pulled{changed: tr.changed}
 	if last := tr.last(); last <= po.step && tr.next(po) == nil && !tr.unfinished(po.step) {
-		pu.idle = refuse(fate.Refused, "no step is open: submit the one after step %d", last)
+		pu.idle = refuse(outcome.Refused, "no step is open: submit the one after step %d", last)
 	}
 	return pu
 }
--- a/batch/refusal.go
+++ b/batch/refusal.go
@@ -4,21 +4,21 @@
 	"fmt"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // comeBack is when a refused trainer should ask again.
 const comeBack = time.Second
 
 // refuse returns a refusal, with a time to come back where that can help.
-func refuse(code fate.Code, format string, args ...any) *fate.Refusal {
-	re := fate.NewRefusal(code, "", fmt.Sprintf(format, args...))
-	if code != fate.BadRequest {
+func refuse(code outcome.Code, format string, args ...any) *outcome.Refusal {
+	re := outcome.NewRefusal(code, "", fmt.Sprintf(format, args...))
+	if code != outcome.BadRequest {
 		re.RetryAfter = comeBack.String()
 	}
 	return re
 }
 
-func notHome(trainer string) *fate.Refusal {
-	return refuse(fate.NotHome, "trainer %s is not owned here", trainer)
+func notHome(trainer string) *outcome.Refusal {
+	return refuse(outcome.NotHome, "trainer %s is not owned here", trainer)
 }
--- a/batch/seal.go
+++ b/batch/seal.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
 )
@@ -152,5 +152,5 @@
 	if err != nil {
 		panic(err) // strings and numbers only
 	}
-	return depot.Digest(data)
+	return blob.Digest(data)
 }
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -5,10 +5,10 @@
 	"encoding/json"
 	"time"
 
-	"wisteriacroft/depot"
-	"wisteriacroft/fate"
+	"wisteriacroft/blob"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // MaxSamples bounds a step, so that the manifests that a trainer's ledger keeps
@@ -27,9 +27,9 @@
 	}
 	body, err := json.Marshal(req)
 	if err != nil {
-		return message.StepResponse{}, refuse(fate.BadRequest, "encode step %d: %v", number, err)
+		return message.StepResponse{}, refuse(outcome.BadRequest, "encode step %d: %v", number, err)
 	}
-	digest := depot.Digest(body)
+	digest := blob.Digest(body)
 	for {
 		su := ow.submitted(name, number, digest)
 		if su.err != nil {
@@ -41,14 +41,14 @@
 		if su.changed != nil {
 			select {
 			case <-ctx.Done():
-				return message.StepResponse{}, refuse(fate.OutcomeUnknown, "step %d may be accepted later", number)
+				return message.StepResponse{}, refuse(outcome.OutcomeUnknown, "step %d may be accepted later", number)
 			case <-su.changed:
 			}
 			continue
 		}
 		places, err := ow.ReplicateFunc(ctx, body)
 		if len(places) == 0 {
-			return message.StepResponse{}, refuse(fate.Overloaded, "no data folder took step %d: %v", number, err)
+			return message.StepResponse{}, refuse(outcome.Overloaded, "no data folder took step %d: %v", number, err)
 		}
 		ow.locked(func() { ow.accept(name, number, digest, places, &req) })
 	}
@@ -81,9 +81,9 @@
 		return submission{err: notHome(name)}
 	case st == lease.Unconfirmed:
 		// A later owner may have gone back behind the step with its trainer.
-		return submission{err: refuse(fate.Refused, "the key-value service is away: step %d can't be recorded", number)}
+		return submission{err: refuse(outcome.Refused, "the key-value service is away: step %d can't be recorded", number)}
 	case sp != nil && sp.digest != digest:
-		return submission{err: refuse(fate.BadRequest, "step %d was submitted with other content", number)}
+		return submission{err: refuse(outcome.BadRequest, "step %d was submitted with other content", number)}
 	case sp != nil && sp.lost:
 		return submission{}
 	case sp != nil && sp.seq > tr.published:
@@ -91,9 +91,9 @@
 	case sp != nil:
 		return submission{accepted: true}
 	case !tr.expects(number):
-		return submission{err: refuse(fate.BadRequest, "step %d does not follow step %d", number, tr.last())}
+		return submission{err: refuse(outcome.BadRequest, "step %d does not follow step %d", number, tr.last())}
 	case tr.pending() >= tr.policy.maxOpenSteps():
-		return submission{err: refuse(fate.Overloaded, "%d steps are open", tr.open())}
+		return submission{err: refuse(outcome.Overloaded, "%d steps are open", tr.open())}
 	default:
 		return submission{}
 	}
@@ -149,18 +149,18 @@
 // checkRequest returns a refusal if a request is malformed.
 func checkRequest(number int, req *message.StepRequest) error {
 	if number < 0 || len(req.Groups) == 0 {
-		return refuse(fate.BadRequest, "step %d has %d groups", number, len(req.Groups))
+		return refuse(outcome.BadRequest, "step %d has %d groups", number, len(req.Groups))
 	}
 	samples := 0
 	for gi, gr := range req.Groups {
 		if gr.Members < 1 || gr.MaxTokens < 1 || gr.Members > MaxSamples {
-			return refuse(fate.BadRequest, "step %d: group %d: %d members of at most %d tokens",
+			return refuse(outcome.BadRequest, "step %d: group %d: %d members of at most %d tokens",
 				number, gi, gr.Members, gr.MaxTokens)
 		}
 		samples += gr.Members
 	}
 	if samples > MaxSamples {
-		return refuse(fate.BadRequest, "step %d: %d samples, at most %d", number, samples, MaxSamples)
+		return refuse(outcome.BadRequest, "step %d: %d samples, at most %d", number, samples, MaxSamples)
 	}
 	return nil
 }
--- a/batch/trainer_test.go
+++ b/batch/trainer_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // A checkpoint is what a trainer keeps over a restart.
@@ -99,8 +99,8 @@
 	synctest.Wait()
 	pu, err := no.ow.Pull(context.Background(), name, message.PullRequest{Cursor: cu})
 	synctest.Wait()
-	re := &fate.Refusal{}
-	if !errors.As(err, &re) || re.Code != fate.NotHome {
+	re := &outcome.Refusal{}
+	if !errors.As(err, &re) || re.Code != outcome.NotHome {
 		tr.pulled = true
 	}
 	if strings.Contains(re.Message, "no step is open") {
@@ -198,8 +198,8 @@
 			return
 		}
 		pu, err := tr.pull(no)
-		var re *fate.Refusal
-		if errors.As(err, &re) && re.Code == fate.NotHome {
+		var re *outcome.Refusal
+		if errors.As(err, &re) && re.Code == outcome.NotHome {
 			continue // the next entry
 		}
 		if pu.Batch != "" && tr.take(no, pu) && pu.Whole {
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/keyvalue"
 	"wisteriacroft/lease"
@@ -126,7 +126,7 @@
 		GoFunc:    func(job func(ctx context.Context)) { no.jobs = append(no.jobs, job) },
 		LeaseFunc: func(_ string, now time.Time) (uint64, lease.State) { return no.holder.State(now) },
 		ReplicateFunc: func(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
-			return depot.Replicate(ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
+			return blob.Replicate(ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
 		},
 		StartFunc: func(at Attempt) bool {
 			if wo.serving < at.MinVersion {
@@ -202,15 +202,15 @@
 	wo.lines = append(wo.lines, fmt.Sprintf("%6.1fs %s", at, fmt.Sprintf(format, args...)))
 }
 
-func (wo *world) depot() *depot.Client {
-	return &depot.Client{
+func (wo *world) depot() *blob.Client {
+	return &blob.Client{
 		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
 			if wo.cutOff[digest] {
 				return nil, errDead
 			}
 			data, ok := wo.folders[pl.Instance][digest]
 			if !ok {
-				return nil, depot.ErrMissing
+				return nil, blob.ErrMissing
 			}
 			return data, nil
 		},
@@ -222,7 +222,7 @@
 }
 
 func (wo *world) fetch(ctx context.Context, pls []message.BlobLocation, digest string) ([]byte, error) {
-	return depot.Fetch(ctx, wo.depot(), pls, digest)
+	return blob.Fetch(ctx, wo.depot(), pls, digest)
 }
 
 func (wo *world) drop(pls []message.BlobLocation, digest string) {
@@ -323,9 +323,9 @@
 	sl := ru.at.Slot
 	pa := message.Payload{Group: sl.Group, Member: sl.Member, Prompt: ru.at.Prompt, Segments: ru.segments, Step: sl.Step, Trainer: sl.Trainer}
 	data, _ := json.Marshal(pa)
-	digest := depot.Digest(data)
+	digest := blob.Digest(data)
 	wo.truth[digest] = pa
-	pls, _ := depot.Replicate(wo.ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
+	pls, _ := blob.Replicate(wo.ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
 	if ru.node.dead || ru.node.paused {
 		return
 	}
--- a/bench/world_test.go
+++ b/bench/world_test.go
@@ -17,9 +17,9 @@
 	"wisteriacroft/attendant"
 	"wisteriacroft/engine"
 	"wisteriacroft/entry"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/instancelist"
 	"wisteriacroft/keyvalue"
-	"wisteriacroft/once"
 	"wisteriacroft/plainservice"
 	"wisteriacroft/profile"
 	"wisteriacroft/standin"
@@ -229,7 +229,7 @@
 
 // newKey returns a key that is minted now.
 func newKey() string {
-	ke, err := once.NewKey(time.Now())
+	ke, err := idempotency.NewKey(time.Now())
 	if err != nil {
 		panic(err)
 	}
--- a/depot/digest.go
+++ b/blob/digest.go
@@ -1,6 +1,6 @@
 // Package depot keeps payloads by the digest of their content, each on two
 // data folders in different failure domains.
-package depot
+package blob
 
 import (
 	"crypto/sha256"
--- a/depot/store.go
+++ b/blob/store.go
@@ -1,4 +1,4 @@
-package depot
+package blob
 
 import (
 	"io/fs"
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -14,9 +14,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/route"
 )
 
@@ -113,7 +113,7 @@
 
 // readRefusal reads the refusal in an answer that is none of the endpoint's.
 func (ex *exchange) readRefusal() error {
-	var re fate.Refusal
+	var re outcome.Refusal
 	err := json.NewDecoder(io.LimitReader(ex, maxRefusalSize)).Decode(&re)
 	if err != nil || re.Code == "" {
 		return errors.Wrapf(errBroken, "status %d without a refusal", ex.answer.StatusCode)
@@ -125,11 +125,11 @@
 func (se *Server) settle(ctx context.Context, at *attempt, err error) {
 	now := time.Now()
 	id := at.endpoint.ID
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	switch {
 	case err == nil, errors.Is(err, errCallerGone), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		se.Routes.Succeeded(now, id)
-	case errors.As(err, &re) && re.Outcome() == fate.NotRun && re.Code != fate.BadRequest:
+	case errors.As(err, &re) && re.Outcome() == outcome.NotRun && re.Code != outcome.BadRequest:
 		se.Routes.Refused(now, id, re.RetryDelay())
 	case errors.As(err, &re):
 		se.Routes.Succeeded(now, id)
@@ -154,9 +154,9 @@
 }
 
 // fateOf returns what is known of a request after an attempt that failed.
-func fateOf(err error) fate.Outcome {
+func fateOf(err error) outcome.Outcome {
 	if errors.Is(err, errNotSent) {
-		return fate.NotRun
+		return outcome.NotRun
 	}
-	return fate.FromError(err)
+	return outcome.FromError(err)
 }
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/golden"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 )
 
 // A sessionCase is one or more calls, and how the attendants behave.
@@ -73,23 +73,23 @@
 		{"no endpoint", nil, Policy{}, do()},
 		{"broken, repeatable: tried elsewhere", two(breaks, ok), repeatable, do()},
 		{"broken, not repeatable: the answer is asked for", one(breaks, ok), Policy{}, do()},
-		{"broken while it runs: asked until it ends", one(breaks, refuses(fate.InProgress, ""), refuses(fate.InProgress, ""), ok), Policy{}, do()},
+		{"broken while it runs: asked until it ends", one(breaks, refuses(outcome.InProgress, ""), refuses(outcome.InProgress, ""), ok), Policy{}, do()},
 		{"broken before it came: barred, then run elsewhere", map[string][]http.HandlerFunc{
-			"a": {ok}, "b": {breaks, refuses(fate.Refused, "")},
+			"a": {ok}, "b": {breaks, refuses(outcome.Refused, "")},
 		}, Policy{}, do()},
-		{"broken, and its attendant restarted", one(breaks, refuses(fate.OutcomeUnknown, "")), Policy{}, do()},
-		{"broken, and its attendant says not-run of what it doesn't know", one(breaks, refuses(fate.BadRequest, "")), Policy{}, do()},
+		{"broken, and its attendant restarted", one(breaks, refuses(outcome.OutcomeUnknown, "")), Policy{}, do()},
+		{"broken, and its attendant says not-run of what it doesn't know", one(breaks, refuses(outcome.BadRequest, "")), Policy{}, do()},
 		{"broken, and its attendant is gone", one(breaks), Policy{}, do()},
 		{"crossed, repeatable", two(crosses, ok), repeatable, do()},
 		{"crossed, not repeatable", one(crosses, ok), Policy{}, do()},
 		{"cut short", two(cuts, ok), repeatable, do()},
-		{"all overloaded: refused at once", all(refuses(fate.Overloaded, "1.5s")), repeatable, do()},
-		{"one overloaded", map[string][]http.HandlerFunc{"a": {refuses(fate.Overloaded, "1.5s")}, "b": {ok}}, repeatable, do()},
+		{"all overloaded: refused at once", all(refuses(outcome.Overloaded, "1.5s")), repeatable, do()},
+		{"one overloaded", map[string][]http.HandlerFunc{"a": {refuses(outcome.Overloaded, "1.5s")}, "b": {ok}}, repeatable, do()},
 		{"broken once, then overloaded: no not-run", map[string][]http.HandlerFunc{
-			"a": {refuses(fate.Overloaded, "")}, "b": {breaks}, "c": {refuses(fate.Overloaded, "")},
+			"a": {refuses(outcome.Overloaded, "")}, "b": {breaks}, "c": {refuses(outcome.Overloaded, "")},
 		}, repeatable, do()},
 		{"caller's key", all(ok), Policy{}, keyed},
-		{"caller's key, home overloaded", all(refuses(fate.Overloaded, "2s")), Policy{}, keyed},
+		{"caller's key, home overloaded", all(refuses(outcome.Overloaded, "2s")), Policy{}, keyed},
 		{"caller's key, connection broken: sent to its home again", all(breaks, ok), Policy{}, keyed},
 		{"caller's key, no connection to its home", map[string][]http.HandlerFunc{"a": {ok}, "b": nil, "c": {ok}}, Policy{}, keyed},
 		{"caller's key, home not known", one(ok), Policy{Homes: homesOf("a", "b", "c")}, keyed},
@@ -106,7 +106,7 @@
 			defer cancel()
 			se.do(rq.WithContext(ctx))
 		}},
-		{"reused connection breaks: not sent twice", one(ok, breaks, refuses(fate.OutcomeUnknown, "")), Policy{}, func(se *session) {
+		{"reused connection breaks: not sent twice", one(ok, breaks, refuses(outcome.OutcomeUnknown, "")), Policy{}, func(se *session) {
 			for range 2 {
 				se.do(newCall(http.MethodGet, "/v1/services/desk/call/next", "", message.RepeatableHeader, no))
 			}
@@ -114,11 +114,13 @@
 	})
 }
 
-func homesOf(names ...string) once.EndpointSet { return once.EndpointSet{Endpoints: names} }
+func homesOf(names ...string) idempotency.EndpointSet {
+	return idempotency.EndpointSet{Endpoints: names}
+}
 
 func large(size, claimed int) http.HandlerFunc {
 	return func(rw http.ResponseWriter, _ *http.Request) {
-		rw.Header().Set(message.FateHeader, fate.Ran.String())
+		rw.Header().Set(message.FateHeader, outcome.Ran.String())
 		rw.Header().Set("Content-Length", fmt.Sprint(claimed))
 		fmt.Fprint(rw, strings.Repeat("x", size))
 	}
@@ -206,7 +208,7 @@
 			li.id = li.own
 			li.chunk(2, 4, 1, true)
 		})), po, stream},
-		{"refused before its first chunk", all(refuses(fate.Overloaded, "250ms")), po, stream},
+		{"refused before its first chunk", all(refuses(outcome.Overloaded, "250ms")), po, stream},
 		{"crashes everywhere", all(chunks(4, 1, abort)), po, stream},
 		{"crash, not repeatable", all(chunks(4, 1, abort)), Policy{Kind: Engine}, stream},
 	})
--- a/call/fake_test.go
+++ b/call/fake_test.go
@@ -16,9 +16,9 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 	"wisteriacroft/route"
 )
 
@@ -130,7 +130,7 @@
 	se.server = &Server{DialFunc: se.Dial, Log: log, Routes: routes, Seed: 1}
 	se.server.ProfileFunc = func(service, name string) (Policy, error) {
 		if service != "desk" || name != "" && name != "orders" {
-			return Policy{Service: service}, fate.NewRefusal(fate.UnknownProfile, "", fmt.Sprintf("no profile %q of service %q", name, service))
+			return Policy{Service: service}, outcome.NewRefusal(outcome.UnknownProfile, "", fmt.Sprintf("no profile %q of service %q", name, service))
 		}
 		return se.policy, nil
 	}
@@ -197,7 +197,7 @@
 // callerKey returns a key whose home is one of several.
 func callerKey(home string, homes ...string) string {
 	for {
-		ke, err := once.NewKey(time.Now())
+		ke, err := idempotency.NewKey(time.Now())
 		if err != nil {
 			panic(err)
 		}
@@ -211,16 +211,16 @@
 
 func ok(rw http.ResponseWriter, rq *http.Request) {
 	body, _ := io.ReadAll(rq.Body)
-	rw.Header().Set(message.FateHeader, fate.Ran.String())
+	rw.Header().Set(message.FateHeader, outcome.Ran.String())
 	rw.Header().Set("X-Service", "desk")
 	fmt.Fprintf(rw, "did %s", body)
 }
 
 func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func refuses(code fate.Code, wait string) http.HandlerFunc {
+func refuses(code outcome.Code, wait string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
-		re := fate.NewRefusal(code, rq.Header.Get(message.RequestIDHeader), "so says the attendant")
+		re := outcome.NewRefusal(code, rq.Header.Get(message.RequestIDHeader), "so says the attendant")
 		re.RetryAfter = wait
 		message.WriteRefusal(rw, re)
 	}
--- a/call/metrics.go
+++ b/call/metrics.go
@@ -5,7 +5,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // counter returns the counter of a service.
@@ -29,7 +29,7 @@
 func resumed(service string) *metrics.Counter { return counter("resumed", service) }
 
 // refusals counts the refusals that callers got.
-func refusals(service string, code fate.Code) *metrics.Counter {
+func refusals(service string, code outcome.Code) *metrics.Counter {
 	return metrics.GetOrCreateCounter(
 		fmt.Sprintf("wisteriacroft_call_refusals_total{code=%q,service=%q}", string(code), service))
 }
--- a/call/policy.go
+++ b/call/policy.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"time"
 
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/retry"
 )
 
@@ -26,10 +26,10 @@
 
 // A Policy is what the edge needs to know of the profile in force.
 type Policy struct {
-	AttemptTimeout time.Duration    // of one attempt at a repeatable call; 0 means the deadline only
-	Deadline       time.Duration    // for callers that name none, and the most that they may ask for; default 10s
-	FailureDomain  string           // preferred; "" means the entry's own
-	Homes          once.EndpointSet // may run keys of requests that are not repeatable
+	AttemptTimeout time.Duration           // of one attempt at a repeatable call; 0 means the deadline only
+	Deadline       time.Duration           // for callers that name none, and the most that they may ask for; default 10s
+	FailureDomain  string                  // preferred; "" means the entry's own
+	Homes          idempotency.EndpointSet // may run keys of requests that are not repeatable
 	Kind           Kind
 	MaxAnswerHeld  int // bytes of an answer held back until it is whole; default 1 MB
 	MaxBodySize    int // bytes; default 1 MB
--- a/call/request.go
+++ b/call/request.go
@@ -10,10 +10,10 @@
 	"github.com/google/uuid"
 	"github.com/gorilla/mux"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/finding"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
+	"wisteriacroft/outcome"
 	"wisteriacroft/quarantine"
 )
 
@@ -36,9 +36,9 @@
 	digest     quarantine.Digest
 	header     http.Header // of the caller
 	id         string
-	key        once.Key // of the caller
-	keyed      bool     // the caller gave a key
-	kind       Kind     // of the path by which the call came
+	key        idempotency.Key // of the caller
+	keyed      bool            // the caller gave a key
+	kind       Kind            // of the path by which the call came
 	method     string
 	path       string // with the query; of a plain service, escaped
 	policy     Policy
@@ -48,8 +48,8 @@
 // refusal returns the refusal of the call by the entry itself. With a key of
 // the caller it never says not-run: an earlier call with the key may have run,
 // by way of another entry, and only the key's home knows.
-func (req *request) refusal(code fate.Code, text string) *fate.Refusal {
-	re := fate.NewRefusal(code, req.id, text)
+func (req *request) refusal(code outcome.Code, text string) *outcome.Refusal {
+	re := outcome.NewRefusal(code, req.id, text)
 	if req.keyed {
 		claimNothing(re)
 	}
@@ -57,16 +57,16 @@
 }
 
 // claimNothing takes what a refusal says of the request's fate out of it.
-func claimNothing(re *fate.Refusal) {
-	re.Fate = fate.Unknown.String()
-	if re.Code == fate.Refused {
-		re.Code = fate.OutcomeUnknown
+func claimNothing(re *outcome.Refusal) {
+	re.Fate = outcome.Unknown.String()
+	if re.Code == outcome.Refused {
+		re.Code = outcome.OutcomeUnknown
 	}
 }
 
 // read reads a call and checks it against its profile. Its error is a
 // *fate.Refusal that names all faults with their places.
-func (se *Server) read(rw http.ResponseWriter, rq *http.Request, kind Kind) (*request, *fate.Refusal) {
+func (se *Server) read(rw http.ResponseWriter, rq *http.Request, kind Kind) (*request, *outcome.Refusal) {
 	service := mux.Vars(rq)["service"]
 	req := &request{
 		header: rq.Header,
@@ -94,16 +94,16 @@
 	req.readBody(rw, rq, &li)
 	req.digest = quarantine.DigestOf("", service, rq.Method, rq.URL.RequestURI(), req.body)
 	if err := li.Err(); err != nil {
-		return req, req.refusal(fate.BadRequest, err.Error())
+		return req, req.refusal(outcome.BadRequest, err.Error())
 	}
 	return req, nil
 }
 
 // unknownProfile returns the refusal of a call whose profile is not in force.
-func (req *request) unknownProfile(err error) *fate.Refusal {
-	var re *fate.Refusal
+func (req *request) unknownProfile(err error) *outcome.Refusal {
+	var re *outcome.Refusal
 	if !errors.As(err, &re) {
-		return req.refusal(fate.UnknownProfile, err.Error())
+		return req.refusal(outcome.UnknownProfile, err.Error())
 	}
 	out := req.refusal(re.Code, re.Message)
 	out.RetryAfter = re.RetryAfter
@@ -111,7 +111,7 @@
 }
 
 // checkSizes refuses headers that are too large to be looked at.
-func (req *request) checkSizes() *fate.Refusal {
+func (req *request) checkSizes() *outcome.Refusal {
 	var li finding.List
 	for _, name := range []string{
 		message.DeadlineHeader, message.IdempotencyKeyHeader, message.ProfileHeader,
@@ -127,7 +127,7 @@
 	if len(req.id) > maxHeaderSize {
 		req.id = ""
 	}
-	return req.refusal(fate.BadRequest, li.Err().Error())
+	return req.refusal(outcome.BadRequest, li.Err().Error())
 }
 
 // readHeaders reads the headers that say how the call is to be served.
@@ -168,7 +168,7 @@
 		li.Add("", 0, place, "engines take no keys")
 		return
 	}
-	ke, err := once.ParseKey(req.header.Get(message.IdempotencyKeyHeader))
+	ke, err := idempotency.ParseKey(req.header.Get(message.IdempotencyKeyHeader))
 	if err != nil {
 		li.Add("", 0, place, "%v", err)
 		req.keyed = false // nothing that may not be repeated has ever run with it
--- a/call/run.go
+++ b/call/run.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 	"go.opentelemetry.io/otel/attribute"
 
-	"wisteriacroft/fate"
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
+	"wisteriacroft/outcome"
 	"wisteriacroft/retry"
 	"wisteriacroft/route"
 	"wisteriacroft/telemetry"
@@ -39,7 +39,7 @@
 
 // each makes attempts until try succeeds or nothing more may be tried. It
 // returns the refusal for the caller, or nil.
-func (ru *run) each(ctx context.Context, try func(context.Context, *attempt) error) *fate.Refusal {
+func (ru *run) each(ctx context.Context, try func(context.Context, *attempt) error) *outcome.Refusal {
 	bu := ru.server.budgetOf(ru.request.policy)
 	bu.Deposit()
 	for {
@@ -60,7 +60,7 @@
 		}
 		ru.last = err
 		ru.tried = append(ru.tried, at.endpoint.ID)
-		ru.maybe = ru.maybe || fateOf(err) != fate.NotRun
+		ru.maybe = ru.maybe || fateOf(err) != outcome.NotRun
 		wait, ok := ru.again(ctx, bu, err)
 		if !ok || !sleep(ctx, wait) {
 			return ru.final(ctx, err)
@@ -69,7 +69,7 @@
 }
 
 // next returns the next attempt, or a refusal if no endpoint takes it.
-func (ru *run) next() (*attempt, *fate.Refusal) {
+func (ru *run) next() (*attempt, *outcome.Refusal) {
 	ru.attempts++
 	req := ru.request
 	switch {
@@ -86,12 +86,12 @@
 }
 
 // homeAttempt returns an attempt at the home of the caller's key.
-func (ru *run) homeAttempt() (*attempt, *fate.Refusal) {
+func (ru *run) homeAttempt() (*attempt, *outcome.Refusal) {
 	req := ru.request
 	home := req.key.Home(req.policy.Homes.Endpoints)
 	en, ok := ru.server.Routes.Take(home)
 	if !ok {
-		re := req.refusal(fate.NotHome, "the key's home is not known here")
+		re := req.refusal(outcome.NotHome, "the key's home is not known here")
 		re.RetryAfter = noEndpointWait.String()
 		return nil, re
 	}
@@ -102,10 +102,10 @@
 
 // mintedAttempt returns an attempt with a key of its own. Only this attempt
 // and the questions for it ever carry the key, so it needs no home.
-func (ru *run) mintedAttempt() (*attempt, *fate.Refusal) {
-	ke, err := once.NewKey(time.Now())
+func (ru *run) mintedAttempt() (*attempt, *outcome.Refusal) {
+	ke, err := idempotency.NewKey(time.Now())
 	if err != nil {
-		return nil, ru.request.refusal(fate.Refused, err.Error())
+		return nil, ru.request.refusal(outcome.Refused, err.Error())
 	}
 	en, re := ru.pick()
 	if re != nil {
@@ -118,7 +118,7 @@
 }
 
 // pick returns an endpoint that was not tried yet.
-func (ru *run) pick() (route.Endpoint, *fate.Refusal) {
+func (ru *run) pick() (route.Endpoint, *outcome.Refusal) {
 	req := ru.request
 	need := route.Need{
 		Exclude:       ru.tried,
@@ -126,7 +126,7 @@
 		Service:       req.policy.Service,
 	}
 	en, ok := ru.server.Routes.Pick(time.Now(), need)
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	refused := errors.As(ru.last, &re)
 	if !ok && !refused {
 		need.Exclude = nil // rather one whose connection failed than none
@@ -138,13 +138,13 @@
 	case refused:
 		return en, ru.passOnRefusal(re)
 	}
-	re = req.refusal(fate.Overloaded, "no endpoint takes work now")
+	re = req.refusal(outcome.Overloaded, "no endpoint takes work now")
 	re.RetryAfter = noEndpointWait.String()
 	return en, ru.truthful(re)
 }
 
 // truthful takes not-run out of a refusal if an attempt may have run.
-func (ru *run) truthful(re *fate.Refusal) *fate.Refusal {
+func (ru *run) truthful(re *outcome.Refusal) *outcome.Refusal {
 	if ru.maybe {
 		claimNothing(re)
 	}
@@ -172,8 +172,8 @@
 // be one.
 func (ru *run) again(ctx context.Context, bu *retry.Budget, err error) (time.Duration, bool) {
 	req := ru.request
-	var re *fate.Refusal
-	if errors.As(err, &re) && (re.Code == fate.BadRequest || req.keyed) {
+	var re *outcome.Refusal
+	if errors.As(err, &re) && (re.Code == outcome.BadRequest || req.keyed) {
 		return 0, false // the same everywhere, or there is nowhere else to go
 	}
 	if ctx.Err() != nil || over(err) {
@@ -190,11 +190,11 @@
 // askable reports whether the endpoint's attendant can be asked what became of
 // an attempt whose connection failed.
 func (ru *run) askable(at *attempt, err error) bool {
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	if errors.As(err, &re) {
-		return re.Code == fate.InProgress && at.minted
+		return re.Code == outcome.InProgress && at.minted
 	}
-	return at.key != "" && fateOf(err) == fate.Unknown
+	return at.key != "" && fateOf(err) == outcome.Unknown
 }
 
 // ask asks on new connections what became of a key until its attendant knows,
@@ -221,13 +221,13 @@
 		question := newAttempt(ru.request, en)
 		question.ask, question.key, question.minted = at.minted, at.key, at.minted
 		answer := ru.attempt(ctx, question, try)
-		var re *fate.Refusal
+		var re *outcome.Refusal
 		switch {
 		case answer == nil:
 			return nil
-		case errors.As(answer, &re) && re.Code == fate.InProgress:
+		case errors.As(answer, &re) && re.Code == outcome.InProgress:
 			failures = 0
-		case errors.As(answer, &re) && (knows(re) || re.Outcome() == fate.Unknown):
+		case errors.As(answer, &re) && (knows(re) || re.Outcome() == outcome.Unknown):
 			return answer
 		default:
 			failures++
@@ -239,9 +239,9 @@
 // knows reports whether a refusal that says not-run speaks of the key, and not
 // only of the request that carried it: such codes come after the attendant
 // has looked the key up.
-func knows(re *fate.Refusal) bool {
+func knows(re *outcome.Refusal) bool {
 	switch re.Code {
-	case fate.DeadlineExceeded, fate.Leaving, fate.Overloaded, fate.Refused:
+	case outcome.DeadlineExceeded, outcome.Leaving, outcome.Overloaded, outcome.Refused:
 		return true
 	default:
 		return false
@@ -255,7 +255,7 @@
 }
 
 // passOnRefusal returns an attendant's refusal in the form for the caller.
-func (ru *run) passOnRefusal(re *fate.Refusal) *fate.Refusal {
+func (ru *run) passOnRefusal(re *outcome.Refusal) *outcome.Refusal {
 	req := ru.request
 	out := *re
 	out.RequestID = req.id
@@ -266,22 +266,22 @@
 }
 
 // final returns the refusal of a call that is given up.
-func (ru *run) final(ctx context.Context, err error) *fate.Refusal {
+func (ru *run) final(ctx context.Context, err error) *outcome.Refusal {
 	req := ru.request
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	switch {
 	case errors.As(err, &re):
 		return ru.passOnRefusal(re)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		re = req.refusal(fate.DeadlineExceeded, "deadline passed: "+err.Error())
-	case fateOf(err) == fate.NotRun:
-		re = req.refusal(fate.Refused, err.Error())
+		re = req.refusal(outcome.DeadlineExceeded, "deadline passed: "+err.Error())
+	case fateOf(err) == outcome.NotRun:
+		re = req.refusal(outcome.Refused, err.Error())
 		re.RetryAfter = noEndpointWait.String()
 	default:
-		re = req.refusal(fate.OutcomeUnknown, err.Error())
+		re = req.refusal(outcome.OutcomeUnknown, err.Error())
 	}
-	if fateOf(err) == fate.NotRun && !req.keyed {
-		re.Fate = fate.NotRun.String()
+	if fateOf(err) == outcome.NotRun && !req.keyed {
+		re.Fate = outcome.NotRun.String()
 	}
 	return ru.truthful(re)
 }
--- a/call/server.go
+++ b/call/server.go
@@ -12,8 +12,8 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/quarantine"
 	"wisteriacroft/retry"
 	"wisteriacroft/route"
@@ -93,7 +93,7 @@
 }
 
 // refuse answers a caller with a refusal.
-func (se *Server) refuse(rw http.ResponseWriter, service string, re *fate.Refusal) {
+func (se *Server) refuse(rw http.ResponseWriter, service string, re *outcome.Refusal) {
 	refusals(service, re.Code).Inc()
 	se.Log.WithFields(logrus.Fields{
 		"code":       re.Code,
--- a/call/stream.go
+++ b/call/stream.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/attribute"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/telemetry"
 )
 
@@ -64,7 +64,7 @@
 	}
 	an.RequestID = req.id
 	rw.Header().Set("Content-Type", "application/json")
-	rw.Header().Set(message.FateHeader, fate.Ran.String())
+	rw.Header().Set(message.FateHeader, outcome.Ran.String())
 	rw.Header().Set(message.RequestIDHeader, req.id)
 	// The caller may be gone; the answer has nowhere else to go then.
 	_ = json.NewEncoder(rw).Encode(an)
@@ -101,7 +101,7 @@
 }
 
 // generate reads a call of an engine and emits the chunks of its answer.
-func (se *Server) generate(rw http.ResponseWriter, rq *http.Request, emit func(engine.Chunk) error) (*request, *fate.Refusal) {
+func (se *Server) generate(rw http.ResponseWriter, rq *http.Request, emit func(engine.Chunk) error) (*request, *outcome.Refusal) {
 	ctx := telemetry.Extract(rq.Context(), rq.Header)
 	req, re := se.read(rw, rq, Engine)
 	if re != nil {
@@ -109,7 +109,7 @@
 	}
 	st := &stream{emit: emit}
 	if err := json.Unmarshal(req.body, &st.want); err != nil {
-		return req, req.refusal(fate.BadRequest, "body: "+err.Error())
+		return req, req.refusal(outcome.BadRequest, "body: "+err.Error())
 	}
 	st.made = append(st.made, st.want.Resume...)
 	ctx, sp := telemetry.Start(ctx, "generate",
--- a/call/suspect.go
+++ b/call/suspect.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // suspect notes whether an endpoint ended while it ran the call.
@@ -16,7 +16,7 @@
 func (ru *run) suspect(at *attempt, err error) {
 	se, req := ru.server, ru.request
 	now := time.Now()
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	switch {
 	case err == nil:
 		se.Quarantine.RecordSuccess(req.digest, now)
@@ -32,12 +32,12 @@
 
 // heldBack returns the refusal of a call that must not be sent to an endpoint now,
 // or nil.
-func (ru *run) heldBack() *fate.Refusal {
+func (ru *run) heldBack() *outcome.Refusal {
 	ve := ru.server.Quarantine.Check(ru.request.digest, time.Now())
 	if !ve.Held() {
 		return nil
 	}
-	re := ru.request.refusal(fate.Refused, "endpoints ended while they ran this call")
+	re := ru.request.refusal(outcome.Refused, "endpoints ended while they ran this call")
 	re.RetryAfter = ve.HeldFor.Round(time.Second).String()
 	return ru.truthful(re)
 }
--- a/call/whole.go
+++ b/call/whole.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 	"go.opentelemetry.io/otel/attribute"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/telemetry"
 )
 
@@ -62,7 +62,7 @@
 		return err
 	}
 	defer ex.close()
-	if ex.answer.Header.Get(message.FateHeader) != fate.Ran.String() {
+	if ex.answer.Header.Get(message.FateHeader) != outcome.Ran.String() {
 		return ex.readRefusal()
 	}
 	held, err := io.ReadAll(io.LimitReader(ex, int64(req.policy.MaxAnswerHeld)))
--- a/capacity/entry_test.go
+++ b/capacity/entry_test.go
@@ -21,11 +21,11 @@
 	"wisteriacroft/engine"
 	"wisteriacroft/entry"
 	"wisteriacroft/keyvalue"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
 	"wisteriacroft/profile"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/weightstore"
 )
 
@@ -109,9 +109,9 @@
 		func(context.Context, message.Header, attendant.BlobRequest) (attendant.BlobResponse, error) {
 			return attendant.BlobResponse{}, nil
 		})
-	peer.Handle(sv, order.ProbeMethod,
-		func(_ context.Context, _ message.Header, rq order.ProbeRequest) (order.Status, error) {
-			return order.Status{Endpoint: rq.Endpoint, Incarnation: 1, Phase: order.Idle, Version: 7}, nil
+	peer.Handle(sv, rollout.ProbeMethod,
+		func(_ context.Context, _ message.Header, rq rollout.ProbeRequest) (rollout.Status, error) {
+			return rollout.Status{Endpoint: rq.Endpoint, Incarnation: 1, Phase: rollout.Idle, Version: 7}, nil
 		})
 	hs := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		if rq.Method == http.MethodConnect {
@@ -175,15 +175,15 @@
 	defer po.Close()
 	for i := range (endpoints + 2) / 3 {
 		id := fmt.Sprintf("attendant-%03d", i)
-		ne := roster.StateUpdate{Beat: 1, Incarnation: 1, Instance: id, Card: &roster.Descriptor{
+		ne := membership.StateUpdate{Beat: 1, Incarnation: 1, Instance: id, Card: &membership.Descriptor{
 			Address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250), DataFolder: true, FailureDomain: fmt.Sprint("fd-", i%9),
 		}}
 		for e := range min(3, endpoints-3*i) {
-			ne.Card.Endpoints = append(ne.Card.Endpoints, roster.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
-			ne.Endpoints = append(ne.Endpoints, roster.EndpointUpdate{Running: 15, State: roster.Ready, Version: 7})
+			ne.Card.Endpoints = append(ne.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
+			ne.Endpoints = append(ne.Endpoints, membership.EndpointUpdate{Running: 15, State: membership.Ready, Version: 7})
 		}
-		_, err := peer.Call[roster.ReportRequest, roster.ReportResponse](
-			b.Context(), po, entryName(0), roster.ReportMethod, roster.ReportRequest{News: ne})
+		_, err := peer.Call[membership.ReportRequest, membership.ReportResponse](
+			b.Context(), po, entryName(0), membership.ReportMethod, membership.ReportRequest{News: ne})
 		assert.NilError(b, err)
 	}
 }
--- a/capacity/message_test.go
+++ b/capacity/message_test.go
@@ -9,26 +9,26 @@
 
 	"wisteriacroft/engine"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
+	"wisteriacroft/rollout"
 )
 
 // BenchmarkOrder measures the bytes between the owner of a rollout and an
 // attendant, for one engine: a probe, an order, and the word that it is settled.
 func BenchmarkOrder(b *testing.B) {
 	var ne network
-	answer := order.Status{Endpoint: "marker-llm-07-042", Epoch: 70_000, Incarnation: 1_700_000_000, Ordered: 70_000, Sequence: 70_000, Token: 1 << 62, Version: 70_000}
+	answer := rollout.Status{Endpoint: "marker-llm-07-042", Epoch: 70_000, Incarnation: 1_700_000_000, Ordered: 70_000, Sequence: 70_000, Token: 1 << 62, Version: 70_000}
 	header := func() message.Header {
 		return message.Header{Incarnation: 1_700_000_000, Revision: 70_000, Sender: "attendant-207"}
 	}
 	sv := &peer.Server{HeaderFunc: header}
-	peer.Handle(sv, order.ProbeMethod, func(context.Context, message.Header, order.ProbeRequest) (order.Status, error) {
+	peer.Handle(sv, rollout.ProbeMethod, func(context.Context, message.Header, rollout.ProbeRequest) (rollout.Status, error) {
 		return answer, nil
 	})
-	peer.Handle(sv, order.OrderMethod, func(context.Context, message.Header, order.Request) (order.Response, error) {
-		return order.Response{Status: answer, Verdict: order.Accepted}, nil
+	peer.Handle(sv, rollout.OrderMethod, func(context.Context, message.Header, rollout.Request) (rollout.Response, error) {
+		return rollout.Response{Status: answer, Verdict: rollout.Accepted}, nil
 	})
-	peer.Handle(sv, order.SettleMethod, func(context.Context, message.Header, order.Status) (struct{}, error) {
+	peer.Handle(sv, rollout.SettleMethod, func(context.Context, message.Header, rollout.Status) (struct{}, error) {
 		return struct{}{}, nil
 	})
 	li := ne.listen("a")
@@ -36,21 +36,21 @@
 	go func() { _ = hs.Serve(li) }()
 	po := &peer.Pool{DialFunc: ne.dial, HeaderFunc: header}
 	defer func() { po.Close(); hs.Close() }()
-	request := order.Request{
+	request := rollout.Request{
 		Endpoint: answer.Endpoint, Incarnation: answer.Incarnation, Notify: "10.0.12.31:7400", Token: answer.Token,
 		Order: engine.Order{Epoch: answer.Epoch, Kind: engine.LoadVersion, Version: answer.Version},
 	}
 	calls := map[string]func() error{
 		"probe": func() error {
-			_, err := peer.Call[order.ProbeRequest, order.Status](b.Context(), po, "a", order.ProbeMethod, order.ProbeRequest{Endpoint: answer.Endpoint, Epoch: 70_000})
+			_, err := peer.Call[rollout.ProbeRequest, rollout.Status](b.Context(), po, "a", rollout.ProbeMethod, rollout.ProbeRequest{Endpoint: answer.Endpoint, Epoch: 70_000})
 			return err
 		},
 		"order": func() error {
-			_, err := peer.Call[order.Request, order.Response](b.Context(), po, "a", order.OrderMethod, request)
+			_, err := peer.Call[rollout.Request, rollout.Response](b.Context(), po, "a", rollout.OrderMethod, request)
 			return err
 		},
 		"settle": func() error {
-			_, err := peer.Call[order.Status, struct{}](b.Context(), po, "a", order.SettleMethod, answer)
+			_, err := peer.Call[rollout.Status, struct{}](b.Context(), po, "a", rollout.SettleMethod, answer)
 			return err
 		},
 	}
--- a/capacity/payload_test.go
+++ b/capacity/payload_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/message"
 )
@@ -30,8 +30,8 @@
 			}
 			b.ReportMetric(float64(len(data)), "B")
 		})
-		st := &depot.Store{Folder: b.TempDir()}
-		digest := depot.Digest(data)
+		st := &blob.Store{Folder: b.TempDir()}
+		digest := blob.Digest(data)
 		b.Run(fmt.Sprintf("put/tokens=%d", tokens), func(b *testing.B) {
 			for b.Loop() {
 				assert.NilError(b, st.Delete(digest))
--- a/cmd/holdsession_test.go
+++ b/cmd/holdsession_test.go
@@ -18,7 +18,7 @@
 
 	"wisteriacroft/directory"
 	"wisteriacroft/lease"
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 	"wisteriacroft/platform"
 	"wisteriacroft/platform/standin"
 	"wisteriacroft/scale"
@@ -118,11 +118,11 @@
 }
 
 // overview waits until the load is as an operator expects it.
-func (hw *holdWorld) overview(what string, holds func(ov load.Overview) bool) load.Overview {
-	var ov load.Overview
+func (hw *holdWorld) overview(what string, holds func(ov overview.Overview) bool) overview.Overview {
+	var ov overview.Overview
 	hw.until(what, func() bool {
 		out, code := hw.operate("load", "--output", "json", "--store", hw.ip(1)+":9000")
-		ov = load.Overview{}
+		ov = overview.Overview{}
 		return code == 0 && json.Unmarshal([]byte(out), &ov) == nil && holds(ov)
 	})
 	return ov
@@ -160,13 +160,13 @@
 	})
 }
 
-func stepIn(ov load.Overview, id string) load.Step {
+func stepIn(ov overview.Overview, id string) overview.Step {
 	for _, st := range ov.Steps {
 		if st.ID == id {
 			return st
 		}
 	}
-	return load.Step{}
+	return overview.Step{}
 }
 
 // TestHoldSession has an operator hold a customer, lose the scheduler meanwhile, release
@@ -174,17 +174,17 @@
 func TestHoldSession(t *testing.T) {
 	hw := newHoldWorld(t)
 	hw.answers("bakery", http.StatusOK)
-	before := hw.overview("a scheduler that hears its engine", func(ov load.Overview) bool {
-		return len(ov.Engines) == 1 && ov.Engines[0].State == load.Serving
+	before := hw.overview("a scheduler that hears its engine", func(ov overview.Overview) bool {
+		return len(ov.Engines) == 1 && ov.Engines[0].State == overview.Serving
 	})
 
 	hw.tell("hold", "customer", "bakery", "-m", "asks for too much")
 	hw.answers("bakery", http.StatusServiceUnavailable)
 	hw.answers("mill", http.StatusOK)
 	hw.submit("bakery", "step-1")
-	held := func(ov load.Overview) bool {
+	held := func(ov overview.Overview) bool {
 		st := stepIn(ov, "bakery:step-1")
-		return st.Held && st.Reason == load.HeldByOperator && st.Items.Waiting == 2
+		return st.Held && st.Reason == overview.HeldByOperator && st.Items.Waiting == 2
 	}
 	hw.overview("the step to be held", held)
 	hw.submit("mill", "step-2")
@@ -201,10 +201,10 @@
 	hw.answers("bakery", http.StatusOK)
 
 	hw.tell("hold", "endpoint", hw.ip(2)+":8000", "-m", "to be replaced")
-	hw.overview("the engine to be drained", func(ov load.Overview) bool { return ov.Engines[0].State == load.Drained })
+	hw.overview("the engine to be drained", func(ov overview.Overview) bool { return ov.Engines[0].State == overview.Drained })
 	hw.submit("mill", "step-3")
-	hw.overview("the step to wait for an engine", func(ov load.Overview) bool {
-		return stepIn(ov, "mill:step-3").Reason == load.NoneServes
+	hw.overview("the step to wait for an engine", func(ov overview.Overview) bool {
+		return stepIn(ov, "mill:step-3").Reason == overview.NoneServes
 	})
 	hw.tell("release", "endpoint", hw.ip(2)+":8000", "-m", "stays")
 	hw.whole("mill", "step-3")
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -11,7 +11,7 @@
 
 	"wisteriacroft/keyvalue"
 	"wisteriacroft/lease"
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 	"wisteriacroft/peer"
 	"wisteriacroft/step"
 )
@@ -31,12 +31,12 @@
 
 // Run asks the scheduler that runs the steps, and prints what it answers.
 func (lc *LoadCmd) Run(ctx context.Context, out Output) error {
-	if lc.Rows < 1 || lc.Rows > load.MaxRows {
+	if lc.Rows < 1 || lc.Rows > overview.MaxRows {
 		return NewExitError(ExitBadInput, errors.Wrapf(errBadRows, "%d", lc.Rows))
 	}
 	ctx, cancel := context.WithTimeout(ctx, lc.Timeout)
 	defer cancel()
-	ov, err := askScheduler[step.OverviewRequest, load.Overview](ctx, lc.client(), step.OverviewMethod, step.OverviewRequest{Rows: lc.Rows})
+	ov, err := askScheduler[step.OverviewRequest, overview.Overview](ctx, lc.client(), step.OverviewMethod, step.OverviewRequest{Rows: lc.Rows})
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 }
 
 // load prints an overview as tables.
-func (pr *printer) load(ov load.Overview) {
+func (pr *printer) load(ov overview.Overview) {
 	pr.printf("scheduler of epoch %d at %s, service heard %s ago\n\n", ov.Epoch, timeOrNone(ov.At), seconds(ov.StoreHeard))
 	if len(ov.Steps) == 0 {
 		pr.printf("no step is open\n")
@@ -95,7 +95,7 @@
 	}
 }
 
-func (pr *printer) loadSteps(ov load.Overview) {
+func (pr *printer) loadSteps(ov overview.Overview) {
 	pr.table("STEP\tCUSTOMER\tMODEL\tAGE\tDUE\tEND\tLATE\tGROUPS\tWAIT\tRUN\tSCORE\tWHOLE\tLOST\tLISTED\tREASON", func(tw io.Writer) {
 		for _, st := range ov.Steps {
 			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", // kept by the table
@@ -109,18 +109,18 @@
 
 // reasonCell returns why a step waits or is late, the engine that is the reason and
 // whether an operator holds it.
-func reasonCell(st load.Step) string {
+func reasonCell(st overview.Step) string {
 	cell := string(st.Reason)
 	if st.Via != "" {
 		cell += " at " + st.Via
 	}
-	if st.Held && st.Reason != load.HeldByOperator {
+	if st.Held && st.Reason != overview.HeldByOperator {
 		cell = strings.TrimPrefix(cell+", held", ", ")
 	}
 	return orNone(cell)
 }
 
-func (pr *printer) loadCustomers(ov load.Overview) {
+func (pr *printer) loadCustomers(ov overview.Overview) {
 	pr.table("CUSTOMER\tPART\tHAD\tAHEAD\tRUN\tMEMORY\tWAIT\tSTEPS\tLATE\tOLDEST\tWAITS-FOR\tSTATE", func(tw io.Writer) {
 		for _, cu := range ov.Customers {
 			_, _ = fmt.Fprintf(tw, "%s\t%.0f%%\t%.0f%%\t%.1fs\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", // kept by the table
@@ -135,7 +135,7 @@
 // percent is how many per cent a whole is.
 const percent = 100
 
-func (pr *printer) loadEngines(ov load.Overview) {
+func (pr *printer) loadEngines(ov overview.Overview) {
 	pr.table("ENGINE\tADDRESS\tSERVICE\tSTATE\tRUNS\tOTHERS\tPLACES\tMEMORY\tPACE\tMEDIAN\tHEARD", func(tw io.Writer) {
 		for _, en := range ov.Engines {
 			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d/%d\t%s\t%s\t%s\n", // kept by the table
--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -15,7 +15,7 @@
 
 	"wisteriacroft/directory"
 	"wisteriacroft/hold"
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 	"wisteriacroft/platform"
 	"wisteriacroft/platform/standin"
 	"wisteriacroft/scale"
@@ -23,9 +23,9 @@
 
 // TestLoadTable prints the load of four times the room, as package load tells it.
 func TestLoadTable(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("..", "load", "testdata", "crowd.golden"))
+	data, err := os.ReadFile(filepath.Join("..", "overview", "testdata", "crowd.golden"))
 	assert.NilError(t, err)
-	var ov load.Overview
+	var ov overview.Overview
 	assert.NilError(t, json.Unmarshal(data, &ov))
 	var out bytes.Buffer
 	pr := printer{out: &out}
@@ -34,7 +34,7 @@
 	pr.printf("\n")
 	pr.load(ov)
 	pr.printf("\n")
-	pr.load(load.Overview{})
+	pr.load(overview.Overview{})
 	assert.NilError(t, pr.err)
 	golden.Assert(t, out.String(), "load-table.golden")
 }
--- a/cmd/platformentrycmd.go
+++ b/cmd/platformentrycmd.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/fx"
 
-	"wisteriacroft/allotment"
+	"wisteriacroft/allocation"
 	"wisteriacroft/forward"
 	"wisteriacroft/platform"
 	roleprocess "wisteriacroft/process"
@@ -106,16 +106,16 @@
 
 // teller returns what tells the scheduler of live requests, and learns from it how many
 // places this entry may give each customer.
-func (ho *host) teller(fo *forward.Forwarder) *allotment.DemandReporter {
-	return &allotment.DemandReporter{
+func (ho *host) teller(fo *forward.Forwarder) *allocation.DemandReporter {
+	return &allocation.DemandReporter{
 		DemandsFunc: fo.Demands, Finder: ho.finder, Instance: ho.settings.Instance, LoadsFunc: fo.Loads, Log: ho.log,
 		Metrics: ho.metrics, Pool: ho.pool, WeightsFunc: ho.directory.Weights,
 	}
 }
 
 // payer returns what spends the tokens of customers' quotas that the scheduler grants.
-func (ho *host) payer() *allotment.RateLimiter {
-	return &allotment.RateLimiter{Finder: ho.finder, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
+func (ho *host) payer() *allocation.RateLimiter {
+	return &allocation.RateLimiter{Finder: ho.finder, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
 }
 
 // guard returns what holds callers to the limits of the configuration in force.
--- a/cmd/platformhost.go
+++ b/cmd/platformhost.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/fx"
 
-	"wisteriacroft/allotment"
+	"wisteriacroft/allocation"
 	"wisteriacroft/directory"
 	"wisteriacroft/forward"
 	"wisteriacroft/hold"
@@ -105,7 +105,7 @@
 
 // codes returns the errors that cross the system's processes.
 func codes() []peer.Code {
-	return append(append(append(append(step.Codes(), usage.Codes()...), scale.Codes()...), allotment.Codes()...),
+	return append(append(append(append(step.Codes(), usage.Codes()...), scale.Codes()...), allocation.Codes()...),
 		peer.Code{Err: directory.ErrNotFeeder, Name: "not-feeder"},
 		peer.Code{Err: directory.ErrOldEndpoints, Name: "old-endpoints"})
 }
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -7,11 +7,11 @@
 	"github.com/google/uuid"
 	"go.uber.org/fx"
 
-	"wisteriacroft/allotment"
+	"wisteriacroft/allocation"
 	"wisteriacroft/directory"
-	"wisteriacroft/duty"
 	"wisteriacroft/hold"
 	"wisteriacroft/keyvalue"
+	"wisteriacroft/leader"
 	"wisteriacroft/lease"
 	"wisteriacroft/peer"
 	"wisteriacroft/platform"
@@ -60,10 +60,10 @@
 	sc.Register(&ps)
 	ho.reportUsage(lc, sc, &ps)
 	ce := &scale.LoadAggregator{}
-	al := &allotment.Allocator{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
+	al := &allocation.Allocator{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
 	al.Register(&ps)
 	sc.LiveFunc = al.Parts
-	gr := &allotment.TokenServer{
+	gr := &allocation.TokenServer{
 		Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, QuotaFunc: ho.directory.Quota, StandingFunc: sc.Holder.Held,
 	}
 	gr.Register(&ps)
@@ -120,7 +120,7 @@
 		},
 		Log: ho.log, Metrics: ho.metrics, SendFunc: platform.NewScaleSender(ho.settings.ScaleAddress, ho.settings.Instance),
 		ServicesFunc: lv.services,
-		Tenure: &duty.Term[scale.Record]{
+		Tenure: &leader.Term[scale.Record]{
 			Client: ho.store, FenceFunc: lv.scheduler.Holder.Fence, Overlap: ho.settings.ScaleOverlap, Owner: ho.settings.PeerAddress,
 			StandingFunc: lv.scheduler.Holder.Held,
 		},
--- a/cmd/session_test.go
+++ b/cmd/session_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/golden"
 
 	"wisteriacroft/engine"
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
 	"wisteriacroft/standin"
 )
 
@@ -65,7 +65,7 @@
 func (de *deployment) orderLine() (key, path string) {
 	number := 0
 	de.until("the homes to take keys", func() bool {
-		ke, err := once.NewKey(time.Now())
+		ke, err := idempotency.NewKey(time.Now())
 		assert.NilError(de, err)
 		number++
 		key, path = ke.String(), fmt.Sprintf("/lines/%d", number)
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -16,9 +16,9 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/batch"
-	"wisteriacroft/depot"
-	"wisteriacroft/fate"
+	"wisteriacroft/blob"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/profile"
 	"wisteriacroft/roundtrip"
 	"wisteriacroft/route"
@@ -108,7 +108,7 @@
 	for _, pl := range places {
 		domains[pl.FailureDomain] = true
 	}
-	return len(domains) >= depot.ReplicaCount
+	return len(domains) >= blob.ReplicaCount
 }
 
 // cancel implements batch.Owner's CancelFunc. The attendant sees the
@@ -172,11 +172,11 @@
 // says nothing against the endpoint.
 func (di *dispatcher) settle(ctx context.Context, en route.Endpoint, err error) {
 	now := time.Now()
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	switch {
 	case err == nil || ctx.Err() != nil:
 		di.routes.Succeeded(now, en.ID)
-	case errors.As(err, &re) && re.Outcome() == fate.NotRun:
+	case errors.As(err, &re) && re.Outcome() == outcome.NotRun:
 		wait := re.RetryDelay()
 		if wait == 0 {
 			wait = overloadWait
@@ -269,7 +269,7 @@
 
 // readRefusal reads the refusal in an answer.
 func readRefusal(an *http.Response) error {
-	var re fate.Refusal
+	var re outcome.Refusal
 	if err := json.NewDecoder(io.LimitReader(an.Body, maxPullSize)).Decode(&re); err != nil || re.Code == "" {
 		return errors.Newf("attendant answered status %d", an.StatusCode)
 	}
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 	"gotest.tools/v3/assert"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/route"
 )
 
@@ -68,7 +68,7 @@
 		for range 2 {
 			go func() { ends <- exchange() }()
 		}
-		var re *fate.Refusal
+		var re *outcome.Refusal
 		for range 2 {
 			assert.Assert(t, errors.As(<-ends, &re))
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -13,17 +13,17 @@
 
 	"wisteriacroft/attendant"
 	"wisteriacroft/batch"
+	"wisteriacroft/blob"
 	"wisteriacroft/call"
 	"wisteriacroft/configuration"
-	"wisteriacroft/depot"
 	"wisteriacroft/lease"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
 	"wisteriacroft/process"
 	"wisteriacroft/profile"
 	"wisteriacroft/quarantine"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/route"
 	"wisteriacroft/tick"
 )
@@ -39,7 +39,7 @@
 type Entry struct {
 	applied    uint64 // revision that the batch owner was last given
 	batches    *batch.Owner
-	depot      *depot.Client
+	depot      *blob.Client
 	dispatcher *dispatcher
 	follower   *profile.Follower
 	http       *http.Server
@@ -48,12 +48,12 @@
 	members    members
 	options    Options
 	ownership  *ownership
-	poller     *roster.Poller
+	poller     *membership.Poller
 	pool       *peer.Pool
 	profiles   *profile.Replica
 	quarantine *quarantine.Store // of calls under which endpoints ended
 	rollouts   *rollouts
-	roster     *roster.Table
+	roster     *membership.Table
 	routes     *route.Table
 	server     *peer.Server
 	spreader   *profile.Syncer
@@ -98,7 +98,7 @@
 	}
 	en.rollouts = &rollouts{
 		address:   op.Address,
-		connect:   func(ol *order.Rollout) { order.Connect(en.ctx, en.pool, ol) },
+		connect:   func(ol *rollout.Rollout) { rollout.Connect(en.ctx, en.pool, ol) },
 		goFunc:    en.run,
 		log:       en.log,
 		ownership: en.ownership,
@@ -107,7 +107,7 @@
 		weights:   op.Weights,
 	}
 	en.addMembers()
-	roster.Connect(en.ctx, en.pool, en.roster)
+	membership.Connect(en.ctx, en.pool, en.roster)
 	en.addBatches()
 	en.addProfiles()
 	en.server = en.newServer()
@@ -188,11 +188,11 @@
 }
 
 func (en *Entry) fetchPayload(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error) {
-	return depot.Fetch(ctx, en.depot, places, digest)
+	return blob.Fetch(ctx, en.depot, places, digest)
 }
 
 func (en *Entry) replicate(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
-	return depot.Replicate(ctx, en.depot, en.places(), data)
+	return blob.Replicate(ctx, en.depot, en.places(), data)
 }
 
 // addProfiles wires how the entry learns of the configuration: from the
@@ -220,8 +220,8 @@
 		ObserveFunc:    en.observeCaller,
 	}
 	attendant.HandleLocate(sv, en.locate)
-	roster.Register(sv, en.roster)
-	order.RegisterRollouts(sv, en.rollouts.all)
+	membership.Register(sv, en.roster)
+	rollout.RegisterRollouts(sv, en.rollouts.all)
 	configuration.Handle(sv, en.profiles)
 	peer.Handle(sv, message.EntryStatusMethod, en.Status)
 	return sv
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/telemetry"
 )
 
@@ -27,13 +27,13 @@
 // forward has the entry at address answer.
 func (fo *forwarder) forward(rw http.ResponseWriter, req trainerRequest, address string) error {
 	if req.http.Header.Get(forwardedHeader) != "" {
-		re := fate.NewRefusal(fate.Refused, "", "the owner of the trainer's batches is changing")
+		re := outcome.NewRefusal(outcome.Refused, "", "the owner of the trainer's batches is changing")
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
 	an, err := fo.send(req.http.Context(), req, address)
 	if err != nil {
-		re := fate.NewRefusal(fate.OutcomeUnknown, "", "owner at "+address+": "+err.Error())
+		re := outcome.NewRefusal(outcome.OutcomeUnknown, "", "owner at "+address+": "+err.Error())
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
@@ -71,9 +71,9 @@
 // writeRefusal answers with the refusal that err wraps, or with one whose fate
 // is unknown.
 func writeRefusal(rw http.ResponseWriter, err error) {
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	if !errors.As(err, &re) {
-		re = fate.NewRefusal(fate.OutcomeUnknown, "", err.Error())
+		re = outcome.NewRefusal(outcome.OutcomeUnknown, "", err.Error())
 	}
 	message.WriteRefusal(rw, re)
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -11,8 +11,8 @@
 	"wisteriacroft/configuration"
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/roster"
 	"wisteriacroft/route"
 )
 
@@ -36,13 +36,13 @@
 		places: map[string]message.BlobLocation{},
 		seen:   map[string]string{},
 	}
-	en.roster = &roster.Table{
+	en.roster = &membership.Table{
 		Address:    en.options.Address,
 		Instance:   en.options.Instance,
 		RemoveFunc: en.removeEndpoint,
 		UpsertFunc: en.upsertEndpoint,
 	}
-	en.poller = &roster.Poller{
+	en.poller = &membership.Poller{
 		Client:      en.options.Instances,
 		Log:         en.log,
 		ObserveFunc: en.roster.ObserveList,
@@ -74,7 +74,7 @@
 }
 
 // upsertEndpoint takes an endpoint that is new or changed.
-func (en *Entry) upsertEndpoint(ro roster.Endpoint) {
+func (en *Entry) upsertEndpoint(ro membership.Endpoint) {
 	en.members.note(ro)
 	en.routes.Upsert(route.Endpoint{
 		Address:       ro.Address(),
@@ -90,8 +90,8 @@
 
 // boundVersion returns the version that work bound to one may count on. An
 // engine that loads weights has none: its attendant would refuse such work.
-func boundVersion(ro roster.Endpoint) engine.Version {
-	if ro.State() == roster.Loading {
+func boundVersion(ro membership.Endpoint) engine.Version {
+	if ro.State() == membership.Loading {
 		return 0
 	}
 	return ro.Version()
@@ -99,11 +99,11 @@
 
 // routeState returns what may be sent to an endpoint in a state. One that
 // loads weights goes on with what isn't bound to a version.
-func routeState(st roster.State) route.State {
+func routeState(st membership.State) route.State {
 	switch st {
-	case roster.Leaving, roster.Unhealthy:
+	case membership.Leaving, membership.Unhealthy:
 		return route.Leaving
-	case roster.Suspect:
+	case membership.Suspect:
 		return route.Suspect
 	default:
 		return route.Ready
@@ -111,20 +111,20 @@
 }
 
 // removeEndpoint forgets an endpoint that is no more.
-func (en *Entry) removeEndpoint(ro roster.Endpoint) {
+func (en *Entry) removeEndpoint(ro membership.Endpoint) {
 	en.members.forget(ro)
 	en.routes.Remove(ro.ID())
 	en.rollouts.remove(ro)
 }
 
 // note takes an endpoint's attendant as of now.
-func (me *members) note(ro roster.Endpoint) {
+func (me *members) note(ro membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	delete(me.gone, ro.ID())
 	me.beside[ro.ID()] = ro.Attendant()
 	me.seen[ro.Attendant()] = ro.Address()
-	if ro.DataFolder() && ro.State() != roster.Leaving {
+	if ro.DataFolder() && ro.State() != membership.Leaving {
 		me.places[ro.Attendant()] = message.BlobLocation{
 			Address:       ro.Address(),
 			FailureDomain: ro.FailureDomain(),
@@ -136,7 +136,7 @@
 }
 
 // forget drops the attendant of an endpoint that was removed.
-func (me *members) forget(ro roster.Endpoint) {
+func (me *members) forget(ro membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.gone[ro.ID()] = true
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -5,7 +5,7 @@
 
 	"wisteriacroft/batch"
 	"wisteriacroft/configuration"
-	"wisteriacroft/order"
+	"wisteriacroft/rollout"
 )
 
 // metricPrefix starts the names of the entry's metrics.
@@ -27,13 +27,13 @@
 	})
 	gauge("roster_cut_off_seconds", en.rosterCutOffSeconds)
 	gauge("roster_stale_messages", func() float64 { return float64(en.roster.Stale()) })
-	rollout := func(name string, read func(order.Progress) int) {
+	progress := func(name string, read func(rollout.Progress) int) {
 		gauge(name, func() float64 { return float64(en.rollouts.sum(read)) })
 	}
-	rollout("engines_known", func(pr order.Progress) int { return pr.Engines })
-	rollout("engines_serving", func(pr order.Progress) int { return pr.Serving })
-	rollout("engines_unsettled", func(pr order.Progress) int { return pr.Unsettled })
-	rollout("engines_updated", func(pr order.Progress) int { return pr.Updated })
+	progress("engines_known", func(pr rollout.Progress) int { return pr.Engines })
+	progress("engines_serving", func(pr rollout.Progress) int { return pr.Serving })
+	progress("engines_unsettled", func(pr rollout.Progress) int { return pr.Unsettled })
+	progress("engines_updated", func(pr rollout.Progress) int { return pr.Updated })
 	gauge("leases_held", func() float64 { return float64(len(en.ownership.held(time.Now()))) })
 	total := func(name string, read func(batch.Status) int) {
 		gauge(name, func() float64 { return float64(en.sumTrainers(read)) })
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -6,8 +6,8 @@
 	"wisteriacroft/batch"
 	"wisteriacroft/call"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
-	"wisteriacroft/once"
+	"wisteriacroft/idempotency"
+	"wisteriacroft/outcome"
 	"wisteriacroft/profile"
 	"wisteriacroft/retry"
 	"wisteriacroft/route"
@@ -33,7 +33,7 @@
 		AttemptTimeout: pr.AttemptTimeout(),
 		Deadline:       pr.Deadline(),
 		FailureDomain:  preferred(se),
-		Homes:          once.EndpointSet{Endpoints: se.Endpoints(), Revision: do.Revision()},
+		Homes:          idempotency.EndpointSet{Endpoints: se.Endpoints(), Revision: do.Revision()},
 		Kind:           call.Kind(se.ServiceType()),
 		MaxAnswerHeld:  int(pr.MaxAnswerSize()),
 		MaxBodySize:    int(pr.MaxRequestSize()),
@@ -76,7 +76,7 @@
 }
 
 func unknownProfile(text string) error {
-	return fate.NewRefusal(fate.UnknownProfile, "", text)
+	return outcome.NewRefusal(outcome.UnknownProfile, "", text)
 }
 
 // batchPolicy returns how a trainer's samples are made under a profile.
--- a/entry/request.go
+++ b/entry/request.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/batch"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // Bounds of what a trainer may send.
@@ -125,7 +125,7 @@
 
 // readBody reads a whole body of at most limit bytes. The refusal says what
 // is wrong with it.
-func readBody(rw http.ResponseWriter, rq *http.Request, limit int64) ([]byte, *fate.Refusal) {
+func readBody(rw http.ResponseWriter, rq *http.Request, limit int64) ([]byte, *outcome.Refusal) {
 	data, err := io.ReadAll(http.MaxBytesReader(rw, rq.Body, limit))
 	if err == nil {
 		return data, nil
@@ -137,6 +137,6 @@
 	return nil, badRequest(errors.Wrap(explained(err), "body"))
 }
 
-func badRequest(err error) *fate.Refusal {
-	return fate.NewRefusal(fate.BadRequest, "", err.Error())
+func badRequest(err error) *outcome.Refusal {
+	return outcome.NewRefusal(outcome.BadRequest, "", err.Error())
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -10,9 +10,9 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/lease"
-	"wisteriacroft/order"
+	"wisteriacroft/membership"
 	"wisteriacroft/profile"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/weightstore"
 )
 
@@ -28,7 +28,7 @@
 // entry knows the engines of all; whichever holds a service's lease acts.
 type rollouts struct {
 	address   string
-	connect   func(ol *order.Rollout) // makes it send through the pool
+	connect   func(ol *rollout.Rollout) // makes it send through the pool
 	goFunc    func(run func(context.Context))
 	log       *logrus.Entry
 	ownership *ownership
@@ -38,29 +38,29 @@
 
 	mu      sync.Mutex
 	askedAt time.Time
-	rows    map[string]*order.Rollout
+	rows    map[string]*rollout.Rollout
 }
 
 // upsert takes an endpoint that is new or changed.
-func (ro *rollouts) upsert(en roster.Endpoint) {
+func (ro *rollouts) upsert(en membership.Endpoint) {
 	ro.row(en.Service()).Observe(en)
 }
 
 // remove forgets an endpoint.
-func (ro *rollouts) remove(en roster.Endpoint) {
+func (ro *rollouts) remove(en membership.Endpoint) {
 	ro.row(en.Service()).Remove(en.ID())
 }
 
 // row returns the rollout of a service, which does nothing unless the profiles
 // say that the service has engines.
-func (ro *rollouts) row(service string) *order.Rollout {
+func (ro *rollouts) row(service string) *rollout.Rollout {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	if ol, ok := ro.rows[service]; ok {
 		return ol
 	}
 	if ro.rows == nil {
-		ro.rows = map[string]*order.Rollout{}
+		ro.rows = map[string]*rollout.Rollout{}
 	}
 	ol := ro.newRollout(service)
 	ro.rows[service] = ol
@@ -68,8 +68,8 @@
 }
 
 // newRollout returns the rollout of a service. The caller holds mu.
-func (ro *rollouts) newRollout(service string) *order.Rollout {
-	ol := &order.Rollout{
+func (ro *rollouts) newRollout(service string) *rollout.Rollout {
+	ol := &rollout.Rollout{
 		Address:   ro.address,
 		FloorFunc: func(endpoints int) int { return ro.floor(service, endpoints) },
 		HeldFunc:  func(now time.Time) (uint64, bool) { return ro.held(service, now) },
@@ -147,15 +147,15 @@
 		counts[i] = ro.row(name).Progress().Engines
 	}
 	ol := ro.row(service)
-	ol.SetLimit(order.Share(limit, counts, slices.Index(services, service)))
+	ol.SetLimit(rollout.Share(limit, counts, slices.Index(services, service)))
 	ol.SetWanted(ve)
 }
 
 // all returns the rollouts.
-func (ro *rollouts) all() []*order.Rollout {
+func (ro *rollouts) all() []*rollout.Rollout {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	var ols []*order.Rollout
+	var ols []*rollout.Rollout
 	for _, ol := range ro.rows {
 		ols = append(ols, ol)
 	}
@@ -163,7 +163,7 @@
 }
 
 // sum returns a count over the rollouts that this entry owns.
-func (ro *rollouts) sum(read func(order.Progress) int) int {
+func (ro *rollouts) sum(read func(rollout.Progress) int) int {
 	now, sum := time.Now(), 0
 	for _, service := range ro.engineServices() {
 		if _, ok := ro.held(service, now); ok {
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/batch"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/profile"
 	"wisteriacroft/telemetry"
 )
@@ -76,11 +76,11 @@
 	vars := mux.Vars(rq)
 	req := trainerRequest{body: body, http: rq, trainer: vars["trainer"], vars: vars}
 	if !tr.named(req.trainer, "") {
-		return fate.NewRefusal(fate.UnknownProfile, "", "no profile in force names trainer "+strconv.Quote(req.trainer))
+		return outcome.NewRefusal(outcome.UnknownProfile, "", "no profile in force names trainer "+strconv.Quote(req.trainer))
 	}
 	address, err := tr.ownership.find(rq.Context(), trainerLeasePrefix+req.trainer)
 	if err != nil {
-		re := fate.NewRefusal(fate.Refused, "", err.Error())
+		re := outcome.NewRefusal(outcome.Refused, "", err.Error())
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
@@ -112,7 +112,7 @@
 		return badRequest(err)
 	}
 	if !tr.named(req.trainer, sr.Profile) {
-		return fate.NewRefusal(fate.UnknownProfile, "",
+		return outcome.NewRefusal(outcome.UnknownProfile, "",
 			"profile: no samples profile "+strconv.Quote(sr.Profile)+" in force names trainer "+strconv.Quote(req.trainer))
 	}
 	an, err := tr.owner.Submit(req.http.Context(), req.trainer, step, sr)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // A Gate admits the requests of one endpoint. It wraps a Table for callers
@@ -54,14 +54,14 @@
 			ga.Tick(now)
 		case <-ctx.Done():
 			ga.remove(req.ID, NotSent)
-			return nil, fate.NewRefusal(fate.Refused, req.ID, "caller went away before the request started")
+			return nil, outcome.NewRefusal(outcome.Refused, req.ID, "caller went away before the request started")
 		}
 	}
 }
 
 // add puts a request into the table and returns the channel on which its
 // decision comes.
-func (ga *Gate) add(req Request) (<-chan Decision, time.Time, *fate.Refusal) {
+func (ga *Gate) add(req Request) (<-chan Decision, time.Time, *outcome.Refusal) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	now := time.Now()
--- a/gate/overload_test.go
+++ b/gate/overload_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // An endpointModel serves as fast as its load lets it: up to full requests at
@@ -103,7 +103,7 @@
 		}
 		lo.refused++
 		lo.slowest = max(lo.slowest, time.Since(begun))
-		var re *fate.Refusal
+		var re *outcome.Refusal
 		if errors.As(err, &re) {
 			lo.waitSum += re.RetryDelay()
 		}
--- a/gate/table.go
+++ b/gate/table.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // A Decision starts a waiting request, or refuses it.
 type Decision struct {
 	ID      string
-	Refusal *fate.Refusal // nil: start it
+	Refusal *outcome.Refusal // nil: start it
 }
 
 // A row is one request that waits or runs.
@@ -61,12 +61,12 @@
 
 // Add puts a request into the table, to be started by a Decision of Run, or
 // refuses it at once.
-func (ta *Table) Add(now time.Time, req Request) *fate.Refusal {
+func (ta *Table) Add(now time.Time, req Request) *outcome.Refusal {
 	if ta.closed {
-		return fate.NewRefusal(fate.Leaving, req.ID, "endpoint is leaving")
+		return outcome.NewRefusal(outcome.Leaving, req.ID, "endpoint is leaving")
 	}
 	if _, ok := ta.rows[req.ID]; ok {
-		return fate.NewRefusal(fate.InProgress, req.ID, "a request with this id waits or runs")
+		return outcome.NewRefusal(outcome.InProgress, req.ID, "a request with this id waits or runs")
 	}
 	if re := ta.overload(now, req); re != nil {
 		return re
@@ -85,7 +85,7 @@
 // known, would wait until it can no longer be answered in time. Without this
 // the endpoint spends its time on answers that come too late for their
 // callers, which shows as goodput that falls while load rises.
-func (ta *Table) overload(now time.Time, req Request) *fate.Refusal {
+func (ta *Table) overload(now time.Time, req Request) *outcome.Refusal {
 	if ta.free(req.Class) > len(ta.waiting[req.Class]) && ta.canFinish(now, req) {
 		return nil
 	}
@@ -137,8 +137,8 @@
 }
 
 // refuse returns a refusal with a time to come back.
-func (ta *Table) refuse(now time.Time, req Request, why string) *fate.Refusal {
-	re := fate.NewRefusal(fate.Overloaded, req.ID, why)
+func (ta *Table) refuse(now time.Time, req Request, why string) *outcome.Refusal {
+	re := outcome.NewRefusal(outcome.Overloaded, req.ID, why)
 	re.RetryAfter = ta.comeBack(now, req.Class).String()
 	return re
 }
@@ -180,9 +180,9 @@
 }
 
 // expired returns the refusal of a waiting row that is given up on, or nil.
-func (ta *Table) expired(now time.Time, ro *row) *fate.Refusal {
+func (ta *Table) expired(now time.Time, ro *row) *outcome.Refusal {
 	if ta.closed && !now.Before(ta.closeAt) {
-		return fate.NewRefusal(fate.Leaving, ro.request.ID, "endpoint has left before the request could start")
+		return outcome.NewRefusal(outcome.Leaving, ro.request.ID, "endpoint has left before the request could start")
 	}
 	if !ro.giveUp.IsZero() && !now.Before(ro.giveUp) {
 		return ta.refuse(now, ro.request, "waited too long to be answered before its deadline")
--- a/gate/table_test.go
+++ b/gate/table_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 var noon = time.UnixMilli(1_700_000_000_000)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (sc *script) note(id string, re *fate.Refusal) {
+func (sc *script) note(id string, re *outcome.Refusal) {
 	if re != nil {
 		fmt.Fprintf(sc, "  %s refused: %s (%s) %s %s\n", id, re.Code, re.Fate, re.Message, re.RetryAfter)
 	}
@@ -178,11 +178,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = ga.Acquire(ctx, Request{ID: "second"})
-		assert.Equal(t, fate.FromError(err), fate.NotRun)
+		assert.Equal(t, outcome.FromError(err), outcome.NotRun)
 		assert.Equal(t, ga.Load(), Load{Limit: 1, Running: 1})
-		assert.Equal(t, first.Outcome(), fate.NotRun)
+		assert.Equal(t, first.Outcome(), outcome.NotRun)
 		first.Started()
-		assert.Equal(t, first.Outcome(), fate.Unknown)
+		assert.Equal(t, first.Outcome(), outcome.Unknown)
 		ga.Close(time.Now(), time.Minute)
 		go func() {
 			time.Sleep(5 * time.Second)
@@ -192,7 +192,7 @@
 		begun := time.Now()
 		assert.NilError(t, ga.Drained(t.Context()))
 		assert.Equal(t, time.Since(begun), 5*time.Second)
-		assert.Equal(t, first.Outcome(), fate.Unknown)
+		assert.Equal(t, first.Outcome(), outcome.Unknown)
 		kept, cancelKept := WorkContext(ctx, false)
 		defer cancelKept()
 		assert.NilError(t, kept.Err(), "a request that may not be repeated goes on without its caller")
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // A Ticket is the right to write one request to the endpoint. It knows what
@@ -27,22 +27,22 @@
 }
 
 // Outcome returns what is known of the request now.
-func (ti *Ticket) Outcome() fate.Outcome {
+func (ti *Ticket) Outcome() outcome.Outcome {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	switch {
 	case !ti.started, ti.left && ti.outcome == NotSent:
-		return fate.NotRun
+		return outcome.NotRun
 	case ti.left && ti.outcome == Whole:
-		return fate.Ran
+		return outcome.Ran
 	default:
-		return fate.Unknown
+		return outcome.Unknown
 	}
 }
 
 // Release gives the place back and returns the request's fate. Only the first
 // call counts.
-func (ti *Ticket) Release(out Result) fate.Outcome {
+func (ti *Ticket) Release(out Result) outcome.Outcome {
 	ti.mu.Lock()
 	first := !ti.left
 	if first {
--- a/once/check.go
+++ b/idempotency/check.go
@@ -1,10 +1,10 @@
-package once
+package idempotency
 
 import (
 	"fmt"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // settleWait is when a caller should ask again while a former home has not
@@ -25,7 +25,7 @@
 // A key that an entry minted comes from nowhere else, so it has not run; but
 // it may come so late, over a slow connection, that the row which bars it has
 // expired.
-func (ta *Table) check(now time.Time, req Request) *fate.Refusal {
+func (ta *Table) check(now time.Time, req Request) *outcome.Refusal {
 	if req.Minted {
 		return ta.checkAge(req)
 	}
@@ -40,37 +40,37 @@
 
 // checkTime refuses a key that is too old or too new for its row, if it ever
 // had one, to be still here.
-func (ta *Table) checkTime(now time.Time, req Request) *fate.Refusal {
+func (ta *Table) checkTime(now time.Time, req Request) *outcome.Refusal {
 	at := req.Key.MintedAt()
 	skew := ta.options.Skew
 	switch {
 	case at.After(now.Add(skew)):
-		re := refuse(fate.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its minter").Refusal
+		re := refuse(outcome.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its minter").Refusal
 		re.RetryAfter = at.Sub(now.Add(skew)).Round(time.Millisecond).String()
 		return re
 	case !at.After(ta.options.Started.Add(2 * skew)):
-		return refuse(fate.OutcomeUnknown, req,
+		return refuse(outcome.OutcomeUnknown, req,
 			"idempotency key was minted before its home started: whether it ran is not known").Refusal
 	}
 	return ta.checkAge(req)
 }
 
 // checkAge refuses a key that is so old that its row may have expired.
-func (ta *Table) checkAge(req Request) *fate.Refusal {
+func (ta *Table) checkAge(req Request) *outcome.Refusal {
 	if at := req.Key.MintedAt(); at.After(ta.latest.Add(-ta.options.Keep)) && at.After(ta.floor) {
 		return nil
 	}
-	return refuse(fate.OutcomeUnknown, req, fmt.Sprintf(
+	return refuse(outcome.OutcomeUnknown, req, fmt.Sprintf(
 		"idempotency key is older than %s: whether it ran is no longer known", ta.options.Keep)).Refusal
 }
 
 // checkHome refuses a key whose home is not here.
-func (ta *Table) checkHome(req Request) *fate.Refusal {
+func (ta *Table) checkHome(req Request) *outcome.Refusal {
 	home := req.Key.Home(ta.homes.current())
 	if home == ta.options.Endpoint && home != "" {
 		return nil
 	}
-	re := refuse(fate.NotHome, req, fmt.Sprintf(
+	re := refuse(outcome.NotHome, req, fmt.Sprintf(
 		"endpoint %q may not run the key at revision %d; it was chosen at revision %d",
 		ta.options.Endpoint, ta.homes.revision, req.Revision)).Refusal
 	re.RetryAfter = settleWait.String()
@@ -84,16 +84,16 @@
 // homes for a key. Were the new home to run it while the old one still may,
 // two repeats that come by different entries would both run. So the new home
 // waits for the old one's word, and then takes only keys minted after it.
-func (ta *Table) checkFormer(req Request, at time.Time) *fate.Refusal {
+func (ta *Table) checkFormer(req Request, at time.Time) *outcome.Refusal {
 	ha := ta.homes.handOver(req.Key, ta.options.Endpoint)
 	if ha.missing != "" {
-		re := refuse(fate.OutcomeUnknown, req, fmt.Sprintf(
+		re := refuse(outcome.OutcomeUnknown, req, fmt.Sprintf(
 			"former home %q has not yet given up the idempotency key", ha.missing)).Refusal
 		re.RetryAfter = settleWait.String()
 		return re
 	}
 	if !ha.at.IsZero() && !at.After(ha.at.Add(2*ta.options.Skew)) {
-		return refuse(fate.OutcomeUnknown, req,
+		return refuse(outcome.OutcomeUnknown, req,
 			"idempotency key was minted before its home moved here: whether it ran is not known").Refusal
 	}
 	return nil
--- a/once/doc.go
+++ b/idempotency/doc.go
@@ -5,4 +5,4 @@
 // The rules use no clock but those of the homes' attendants, which may be up
 // to Options.Skew apart. A caller whose clock is wrong is refused; it can't
 // cause a second run.
-package once
+package idempotency
--- a/once/homes.go
+++ b/idempotency/homes.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"math"
--- a/once/property_test.go
+++ b/idempotency/property_test.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 	"pgregory.net/rapid"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 const skew = 2 * time.Second
@@ -92,7 +92,7 @@
 	switch {
 	case de.Run:
 		ho.admitted[req.Key] = true
-	case de.Refusal != nil && de.Refusal.Outcome() == fate.NotRun:
+	case de.Refusal != nil && de.Refusal.Outcome() == outcome.NotRun:
 		if wo.runs[req.Key] > 0 {
 			t.Fatalf("%s is said not to have run (%s), and has", req.Key, de.Refusal)
 		}
--- a/once/table.go
+++ b/idempotency/table.go
@@ -1,10 +1,10 @@
-package once
+package idempotency
 
 import (
 	"sync"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // sweepEvery is the least time between two searches for expired keys.
@@ -22,9 +22,9 @@
 
 // A Decision says what to do with a request.
 type Decision struct {
-	Answer  *Response     // recorded: hand it out again
-	Refusal *fate.Refusal // with its true fate
-	Run     bool          // run it, then call Finish, Lose or Release
+	Answer  *Response        // recorded: hand it out again
+	Refusal *outcome.Refusal // with its true fate
+	Run     bool             // run it, then call Finish, Lose or Release
 }
 
 // A Table holds the keys that came to one endpoint. It is safe for concurrent
@@ -81,9 +81,9 @@
 // about can't be kept from running later without one, so its fate is unknown.
 func (ta *Table) refuseFull(req Request) Decision {
 	const message = "table of idempotency keys is full"
-	de := refuse(fate.OutcomeUnknown, req, message)
+	de := refuse(outcome.OutcomeUnknown, req, message)
 	if !req.Ask {
-		de.Refusal = fate.NewRefusal(fate.Overloaded, req.ID, message)
+		de.Refusal = outcome.NewRefusal(outcome.Overloaded, req.ID, message)
 	}
 	de.Refusal.RetryAfter = sweepEvery.String()
 	return de
@@ -110,11 +110,11 @@
 func (ta *Table) repeat(ro *row, req Request) Decision {
 	switch {
 	case ro.digest != req.Digest:
-		return refuse(fate.BadRequest, req, "idempotency key came before with another request")
+		return refuse(outcome.BadRequest, req, "idempotency key came before with another request")
 	case ro.state == never:
-		return Decision{Refusal: fate.NewRefusal(fate.Refused, req.ID, "the request was given up before it came, and won't run")}
+		return Decision{Refusal: outcome.NewRefusal(outcome.Refused, req.ID, "the request was given up before it came, and won't run")}
 	case ro.state == running:
-		re := refuse(fate.InProgress, req, "the request with this idempotency key is running")
+		re := refuse(outcome.InProgress, req, "the request with this idempotency key is running")
 		re.Refusal.RetryAfter = time.Second.String()
 		return re
 	case ro.answer != nil:
@@ -124,16 +124,16 @@
 			Status: ro.answer.Status,
 		}}
 	case ro.state == ran:
-		return refuse(fate.OutcomeUnknown, req, "the request ran; its answer is no longer kept")
+		return refuse(outcome.OutcomeUnknown, req, "the request ran; its answer is no longer kept")
 	default:
-		return refuse(fate.OutcomeUnknown, req, "the request may have run; no answer to it is at hand")
+		return refuse(outcome.OutcomeUnknown, req, "the request may have run; no answer to it is at hand")
 	}
 }
 
 // refuse returns a refusal that claims nothing of the key.
-func refuse(code fate.Code, req Request, message string) Decision {
-	re := fate.NewRefusal(code, req.ID, message)
-	re.Fate = fate.Unknown.String()
+func refuse(code outcome.Code, req Request, message string) Decision {
+	re := outcome.NewRefusal(code, req.ID, message)
+	re.Fate = outcome.Unknown.String()
 	return Decision{Refusal: re}
 }
 
--- a/once/table_test.go
+++ b/idempotency/table_test.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // start is when the home under test started.
@@ -222,7 +222,7 @@
 	assert.Equal(t, ta.Len(), 0)
 	ta.SetRetention(10 * time.Minute)
 	de := ta.Begin(at("3m"), Request{Key: key})
-	assert.Assert(t, !de.Run && de.Refusal.Outcome() == fate.Unknown, show(de))
+	assert.Assert(t, !de.Run && de.Refusal.Outcome() == outcome.Unknown, show(de))
 	young := keyOf(at("2m30s"), "a", "a", "b")
 	assert.Assert(t, ta.Begin(at("3m"), Request{Key: young}).Run)
 }
@@ -236,7 +236,7 @@
 		de := ta.Begin(at("1m"), Request{Ask: true, Key: testKey(at("1m"), n), Minted: true})
 		assert.Assert(t, !de.Run)
 		full := n >= 2
-		assert.Equal(t, de.Refusal.Outcome() == fate.Unknown, full, show(de))
+		assert.Equal(t, de.Refusal.Outcome() == outcome.Unknown, full, show(de))
 	}
 	assert.Equal(t, ta.Len(), 2)
 }
--- a/duty/steady.go
+++ b/leader/steady.go
@@ -1,4 +1,4 @@
-package duty
+package leader
 
 import (
 	"time"
--- a/duty/tenure.go
+++ b/leader/tenure.go
@@ -4,7 +4,7 @@
 // The holder of a lease makes them. What they are made of lasts in the key-value service
 // before they are made, so that a successor makes the very same; each call follows a
 // write that only the holder can make, and carries the lease's epoch.
-package duty
+package leader
 
 import (
 	"context"
--- a/measure/attendant_test.go
+++ b/measure/attendant_test.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
+	"wisteriacroft/outcome"
 )
 
 // An Attendant stands before one engine with the gate's table that serves.
@@ -20,7 +20,7 @@
 }
 
 // Enter puts a request into the gate's table.
-func (at *Attendant) Enter(now time.Time, req gate.Request, wo *Work) *fate.Refusal {
+func (at *Attendant) Enter(now time.Time, req gate.Request, wo *Work) *outcome.Refusal {
 	if re := at.table.Add(now, req); re != nil {
 		return re
 	}
@@ -36,7 +36,7 @@
 
 // Run lets the gate decide. refused is told of each request that the gate or
 // the engine turns away; it did not run.
-func (at *Attendant) Run(now time.Time, refused func(id string, re *fate.Refusal)) {
+func (at *Attendant) Run(now time.Time, refused func(id string, re *outcome.Refusal)) {
 	for _, de := range at.table.Dispatch(now) {
 		wo := at.pending[de.ID]
 		switch {
@@ -45,7 +45,7 @@
 			refused(de.ID, de.Refusal)
 		case !at.engine.Up(now):
 			at.Leave(now, de.ID, gate.NotSent)
-			refused(de.ID, fate.NewRefusal(fate.Refused, de.ID, "engine is down"))
+			refused(de.ID, outcome.NewRefusal(outcome.Refused, de.ID, "engine is down"))
 		default:
 			at.engine.Admit(wo)
 		}
--- a/measure/live_test.go
+++ b/measure/live_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
+	"wisteriacroft/outcome"
 	"wisteriacroft/retry"
 	"wisteriacroft/route"
 )
@@ -84,19 +84,19 @@
 }
 
 // Refused takes the word that a call did not run.
-func (cr *Caller) Refused(wo *World, now time.Time, lc *LiveCall, re *fate.Refusal) {
+func (cr *Caller) Refused(wo *World, now time.Time, lc *LiveCall, re *outcome.Refusal) {
 	wo.routes.Refused(now, lc.endpoint, re.RetryDelay())
-	cr.again(wo, now, lc, fate.NotRun)
+	cr.again(wo, now, lc, outcome.NotRun)
 }
 
 // Broken takes the word that a call's answer broke off.
 func (cr *Caller) Broken(wo *World, now time.Time, lc *LiveCall) {
 	wo.routes.Failed(now, lc.endpoint)
-	cr.again(wo, now, lc, fate.Unknown)
+	cr.again(wo, now, lc, outcome.Unknown)
 }
 
 // again tries a call once more where the retry budget allows it.
-func (cr *Caller) again(wo *World, now time.Time, lc *LiveCall, fa fate.Outcome) {
+func (cr *Caller) again(wo *World, now time.Time, lc *LiveCall, fa outcome.Outcome) {
 	wait, ok := cr.budget.Retry(now, retry.Attempt{
 		Deadline:   lc.deadline,
 		Fate:       fa,
--- a/measure/sample_test.go
+++ b/measure/sample_test.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/batch"
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/route"
 )
 
@@ -103,7 +103,7 @@
 	ten := sa.world.attendants[at.endpoint]
 	sa.world.owner.Started(ba.ID, at.endpoint, at.endpoint)
 	if ten.engine.version < ba.MinVersion {
-		sa.Refused(now, at, fate.NewRefusal(fate.Refused, ba.ID, "weights are too old"))
+		sa.Refused(now, at, outcome.NewRefusal(outcome.Refused, ba.ID, "weights are too old"))
 		return
 	}
 	req := gate.Request{
@@ -132,7 +132,7 @@
 }
 
 // Refused takes the word that an attempt did not run.
-func (sa *Sampler) Refused(now time.Time, at *Attempt, re *fate.Refusal) {
+func (sa *Sampler) Refused(now time.Time, at *Attempt, re *outcome.Refusal) {
 	at.ended = true
 	wait := re.RetryDelay()
 	if wait == 0 {
@@ -155,7 +155,7 @@
 	sa.world.routes.Succeeded(now, at.endpoint)
 	data := fmt.Append(nil, at.attempt.Slot, at.work.segments)
 	sa.world.owner.Finished(at.attempt.ID, message.SampleResult{
-		Digest:   depot.Digest(data),
+		Digest:   blob.Digest(data),
 		Endpoint: at.endpoint,
 		Places:   sa.world.places,
 		Segments: at.work.segments,
@@ -197,7 +197,7 @@
 
 // Replicate is the owner's ReplicateFunc.
 func (fo *Folder) Replicate(_ context.Context, data []byte) ([]message.BlobLocation, error) {
-	fo.payloads[depot.Digest(data)] = data
+	fo.payloads[blob.Digest(data)] = data
 	return fo.places, nil
 }
 
@@ -206,7 +206,7 @@
 func (fo *Folder) Fetch(_ context.Context, _ []message.BlobLocation, digest string) ([]byte, error) {
 	data, ok := fo.payloads[digest]
 	if !ok {
-		return nil, errors.Wrap(depot.ErrMissing, digest)
+		return nil, errors.Wrap(blob.ErrMissing, digest)
 	}
 	return data, nil
 }
--- a/measure/trainer_test.go
+++ b/measure/trainer_test.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // pullWait is how long a trainer lets the owner wait for a batch.
@@ -143,7 +143,7 @@
 
 // waitOf returns how long a refusal says to wait, at least a second.
 func waitOf(err error) time.Duration {
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	if errors.As(err, &re) {
 		return max(re.RetryDelay(), time.Second)
 	}
--- a/measure/world_test.go
+++ b/measure/world_test.go
@@ -10,11 +10,11 @@
 
 	"wisteriacroft/batch"
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/gate"
 	"wisteriacroft/keyvalue"
 	"wisteriacroft/lease"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/route"
 	"wisteriacroft/tick"
 )
@@ -168,7 +168,7 @@
 	wo.runQueue(ctx)
 	wo.runDue(now)
 	for _, en := range wo.endpoints {
-		wo.attendants[en.ID].Run(now, func(id string, re *fate.Refusal) { wo.refused(now, id, re) })
+		wo.attendants[en.ID].Run(now, func(id string, re *outcome.Refusal) { wo.refused(now, id, re) })
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // refused ends a request that did not run.
-func (wo *World) refused(now time.Time, id string, re *fate.Refusal) {
+func (wo *World) refused(now time.Time, id string, re *outcome.Refusal) {
 	if lc := wo.caller.calls[id]; lc != nil {
 		wo.caller.Refused(wo, now, lc, re)
 		return
--- a/roster/benchmark_test.go
+++ b/membership/benchmark_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package membership_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/roster"
 )
 
 func BenchmarkTick(b *testing.B) {
@@ -33,20 +33,20 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{10, 100, 400} {
 		b.Run(fmt.Sprintf("attendants=%d", n), func(b *testing.B) {
-			ta := &roster.Table{Instance: "entry-00"}
+			ta := &membership.Table{Instance: "entry-00"}
 			ta.ObserveList([]instancelist.Instance{{ID: "entry-01", Role: "entry", State: instancelist.Live}})
 			for i := range n {
 				ta.Report(message.Header{}, news(i, 1))
 			}
 			for b.Loop() {
-				ta.Exchange(message.Header{Sender: "entry-01"}, roster.ExchangeRequest{})
+				ta.Exchange(message.Header{Sender: "entry-01"}, membership.ExchangeRequest{})
 			}
 		})
 	}
 }
 
 func BenchmarkReport(b *testing.B) {
-	ta := &roster.Table{Instance: "entry-00"}
+	ta := &membership.Table{Instance: "entry-00"}
 	for i := range 400 {
 		ta.Report(message.Header{}, news(i, 1))
 	}
@@ -57,14 +57,14 @@
 	}
 }
 
-func news(i int, beat uint64) roster.ReportRequest {
+func news(i int, beat uint64) membership.ReportRequest {
 	id := fmt.Sprintf("attendant-%03d", i)
-	ne := roster.StateUpdate{Beat: beat, Incarnation: 1, Instance: id, Card: &roster.Descriptor{Address: id, FailureDomain: "derby-hall"}}
+	ne := membership.StateUpdate{Beat: beat, Incarnation: 1, Instance: id, Card: &membership.Descriptor{Address: id, FailureDomain: "derby-hall"}}
 	for e := range 3 {
-		ne.Card.Endpoints = append(ne.Card.Endpoints, roster.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "marker-llm"})
-		ne.Endpoints = append(ne.Endpoints, roster.EndpointUpdate{Version: 6, Running: int(beat % 16)})
+		ne.Card.Endpoints = append(ne.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "marker-llm"})
+		ne.Endpoints = append(ne.Endpoints, membership.EndpointUpdate{Version: 6, Running: int(beat % 16)})
 	}
-	return roster.ReportRequest{News: ne}
+	return membership.ReportRequest{News: ne}
 }
 
 func BenchmarkMemory(b *testing.B) {
@@ -74,7 +74,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				ta := &roster.Table{Instance: "entry-00"}
+				ta := &membership.Table{Instance: "entry-00"}
 				for i := range n {
 					ta.Report(message.Header{}, news(i, 1))
 				}
--- a/roster/harness_test.go
+++ b/membership/harness_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package membership_test
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/golden"
 
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
 	"wisteriacroft/peer"
-	"wisteriacroft/roster"
 )
 
 const step = 100 * time.Millisecond
@@ -46,14 +46,14 @@
 	dead        bool
 	id          string
 	incarnation uint64
-	table       *roster.Table
+	table       *membership.Table
 }
 
 type attendant struct {
 	dead        bool
 	id          string
 	incarnation uint64
-	reporter    *roster.Reporter
+	reporter    *membership.Reporter
 }
 
 // newPlant returns a plant whose instances are spread over failure domains.
@@ -83,15 +83,15 @@
 func (pl *plant) restartEntry(en *entry) {
 	en.incarnation++
 	he := message.Header{Incarnation: en.incarnation, Sender: en.id}
-	en.table = &roster.Table{
+	en.table = &membership.Table{
 		Address: en.id, Instance: en.id,
-		SendExchangeFunc: func(to string, rq roster.ExchangeRequest, done func(roster.ExchangeResponse, error)) {
-			call(pl, en.id, to, roster.ExchangeMethod, rq, done, func(other *entry) roster.ExchangeResponse {
+		SendExchangeFunc: func(to string, rq membership.ExchangeRequest, done func(membership.ExchangeResponse, error)) {
+			call(pl, en.id, to, membership.ExchangeMethod, rq, done, func(other *entry) membership.ExchangeResponse {
 				return other.table.Exchange(he, rq)
 			})
 		},
-		SendSyncFunc: func(to string, rq roster.SyncRequest, done func(roster.SyncResponse, error)) {
-			call(pl, en.id, to, roster.SyncMethod, rq, done, func(other *entry) roster.SyncResponse {
+		SendSyncFunc: func(to string, rq membership.SyncRequest, done func(membership.SyncResponse, error)) {
+			call(pl, en.id, to, membership.SyncMethod, rq, done, func(other *entry) membership.SyncResponse {
 				return other.table.Sync(he, rq)
 			})
 		},
@@ -111,11 +111,11 @@
 // restart starts an attendant with a higher incarnation.
 func (pl *plant) restart(at *attendant, domain, endpoints int) {
 	at.incarnation = max(at.incarnation, 1764696000) + 1
-	rp := &roster.Reporter{
+	rp := &membership.Reporter{
 		Address: at.id, FailureDomain: domainName(domain), Incarnation: at.incarnation, Instance: at.id,
 		LeavingFunc: func() { pl.say("%s is told that it leaves", at.id) },
-		SendFunc: func(to string, rq roster.ReportRequest, done func(roster.ReportResponse, error)) {
-			call(pl, at.id, to, roster.ReportMethod, rq, done, func(en *entry) roster.ReportResponse {
+		SendFunc: func(to string, rq membership.ReportRequest, done func(membership.ReportResponse, error)) {
+			call(pl, at.id, to, membership.ReportMethod, rq, done, func(en *entry) membership.ReportResponse {
 				return en.table.Report(message.Header{Sender: at.id}, rq)
 			})
 		},
@@ -123,7 +123,7 @@
 	for i := range endpoints {
 		id := fmt.Sprintf("%s-%d", at.id, i)
 		rp.Add(id, "marker-llm")
-		rp.Set(id, roster.Ready, 6, 0, 0)
+		rp.Set(id, membership.Ready, 6, 0, 0)
 	}
 	rp.ObserveList(pl.list)
 	at.reporter = rp
@@ -216,12 +216,12 @@
 // watch makes an entry's view of an endpoint part of the log.
 func (pl *plant) watch(endpoint string) {
 	for _, en := range pl.entries {
-		en.table.UpsertFunc = func(ep roster.Endpoint) {
+		en.table.UpsertFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
 				pl.say("%s sees %s %v, incarnation %d, version %d", en.id, ep.ID(), ep.State(), ep.Incarnation()-1764696000, ep.Version())
 			}
 		}
-		en.table.RemoveFunc = func(ep roster.Endpoint) {
+		en.table.RemoveFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
 				pl.say("%s sees %s no more", en.id, ep.ID())
 			}
@@ -230,7 +230,7 @@
 }
 
 // count returns how many endpoints an entry sees in a state.
-func (en *entry) count(st roster.State) int {
+func (en *entry) count(st membership.State) int {
 	n := 0
 	for _, ep := range en.table.Endpoints("marker-llm") {
 		if ep.State() == st {
@@ -246,7 +246,7 @@
 		pl := newPlant(entries, attendants, endpoints, 3)
 		pl.run(20*time.Second, nil)
 		for _, en := range pl.entries {
-			assert.Equal(t, en.count(roster.Ready), endpoints, en.id)
+			assert.Equal(t, en.count(membership.Ready), endpoints, en.id)
 		}
 		pl.start = time.Now()
 		fn(t, pl)
--- a/roster/roster.go
+++ b/membership/membership.go
@@ -1,7 +1,7 @@
 // Package roster keeps each entry's view of the endpoints: attendants report
 // to an entry near them, and entries pass on what changed to each other. No
 // view is authoritative: the attendant still decides whether work may run.
-package roster
+package membership
 
 import "time"
 
--- a/roster/roster_test.go
+++ b/membership/membership_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package membership_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
-	"wisteriacroft/roster"
+	"wisteriacroft/membership"
 )
 
 const watched = "attendant-001-0"
@@ -28,7 +28,7 @@
 		for _, en := range pl.entries {
 			for _, ep := range en.table.Endpoints("marker-llm") {
 				if !en.dead && ep.ID() == watched {
-					assert.Equal(t, ep.State(), roster.Leaving, "%s after %v", en.id, time.Since(start))
+					assert.Equal(t, ep.State(), membership.Leaving, "%s after %v", en.id, time.Since(start))
 				}
 			}
 		}
@@ -54,7 +54,7 @@
 		session(t, 16, 9, 9, func(t *testing.T, pl *plant) {
 			pl.watch(watched)
 			pl.lose = func(from, to, method string) bool {
-				return method != roster.ReportMethod && from != "entry-00" && to != "entry-00"
+				return method != membership.ReportMethod && from != "entry-00" && to != "entry-00"
 			}
 			pl.say("attendant-001 leaves; only entry-00 gets the word of its homes, which die")
 			at := pl.attendants[1]
@@ -97,11 +97,11 @@
 		old := at.reporter
 		var late []func()
 		send := old.SendFunc
-		old.SendFunc = func(to string, rq roster.ReportRequest, done func(roster.ReportResponse, error)) {
+		old.SendFunc = func(to string, rq membership.ReportRequest, done func(membership.ReportResponse, error)) {
 			late = append(late, func() { send(to, rq, done) })
 		}
 		old.Leave()
-		old.Set(watched, roster.Ready, 99, 0, 0)
+		old.Set(watched, membership.Ready, 99, 0, 0)
 		pl.run(300*time.Millisecond, nil)
 		pl.say("attendant-001 restarts")
 		pl.restart(at, 1, 1)
@@ -112,7 +112,7 @@
 		}
 		pl.run(10*time.Second, nil)
 		for _, en := range pl.entries {
-			assert.Equal(t, en.count(roster.Ready), 3)
+			assert.Equal(t, en.count(membership.Ready), 3)
 		}
 	})
 }
@@ -127,7 +127,7 @@
 		pl.attendants[1].dead = true
 		pl.run(15*time.Second, nil)
 		for _, en := range pl.entries {
-			assert.Equal(t, en.count(roster.Suspect), 1, en.id)
+			assert.Equal(t, en.count(membership.Suspect), 1, en.id)
 		}
 		pl.say("entry-00 is cut off from all")
 		pl.lose = func(from, to, _ string) bool { return from == "entry-00" || to == "entry-00" }
@@ -135,7 +135,7 @@
 		_, cutOff := pl.entries[0].table.CutOff()
 		assert.Assert(t, cutOff)
 		for _, en := range pl.entries {
-			assert.Equal(t, en.count(roster.Ready), 11, en.id)
+			assert.Equal(t, en.count(membership.Ready), 11, en.id)
 		}
 		pl.say("entry-00 is back; the list drops attendant-001")
 		pl.lose = func(string, string, string) bool { return false }
@@ -165,10 +165,10 @@
 		pl.entries[1].dead = true
 		pl.run(time.Minute, nil)
 		pl.say("version 7")
-		pl.attendants[1].reporter.Set(watched, roster.Ready, 7, 0, 0)
+		pl.attendants[1].reporter.Set(watched, membership.Ready, 7, 0, 0)
 		pl.run(5*time.Second, nil)
 		for _, en := range []*entry{pl.entries[0], pl.entries[2]} {
-			assert.Equal(t, en.count(roster.Ready), 9, en.id)
+			assert.Equal(t, en.count(membership.Ready), 9, en.id)
 		}
 	})
 }
@@ -182,9 +182,9 @@
 		en := pl.entries[3]
 		pl.restartEntry(en)
 		en.table.ObserveList(pl.list)
-		for en.count(roster.Ready) < 96 {
+		for en.count(membership.Ready) < 96 {
 			pl.run(time.Second, nil)
-			pl.say("%s sees %d endpoints", en.id, en.count(roster.Ready))
+			pl.say("%s sees %d endpoints", en.id, en.count(membership.Ready))
 			assert.Assert(t, time.Since(pl.start) < 5*time.Second)
 		}
 	})
@@ -212,12 +212,12 @@
 				}
 				pl.run(3*time.Minute, func() {
 					for _, en := range pl.entries {
-						assert.Assert(t, late || en.count(roster.Suspect) == 0)
+						assert.Assert(t, late || en.count(membership.Suspect) == 0)
 					}
 				})
 				assert.Equal(t, pl.attendants[1].reporter.EntryID(), "entry-01")
 				for _, en := range pl.entries {
-					assert.Equal(t, en.count(roster.Ready), 9, en.id)
+					assert.Equal(t, en.count(membership.Ready), 9, en.id)
 				}
 			})
 		})
@@ -240,13 +240,13 @@
 		set(true)
 		pl.run(time.Minute, nil)
 		for _, en := range pl.entries {
-			assert.Assert(t, en.dead || en.count(roster.Suspect) == 4 && en.count(roster.Ready) == 8, en.id)
+			assert.Assert(t, en.dead || en.count(membership.Suspect) == 4 && en.count(membership.Ready) == 8, en.id)
 		}
 		pl.say("it is back")
 		set(false)
 		pl.run(time.Minute, nil)
 		for _, en := range pl.entries {
-			assert.Equal(t, en.count(roster.Ready), 12, en.id)
+			assert.Equal(t, en.count(membership.Ready), 12, en.id)
 		}
 	})
 }
@@ -260,7 +260,7 @@
 				running[n] += rd.IntN(2)*2 - 1
 				running[n] = min(max(running[n], 8), 24)
 			}
-			at.reporter.Set(fmt.Sprintf("%s-%d", at.id, e), roster.Ready, engine.Version(version(n)), running[n], 0)
+			at.reporter.Set(fmt.Sprintf("%s-%d", at.id, e), membership.Ready, engine.Version(version(n)), running[n], 0)
 		}
 	}
 }
@@ -327,10 +327,10 @@
 		rate                           int
 		rollout                        bool
 	}{
-		{2, 8, 24, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
-		{4, 96, 288, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
-		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultGossipRate, false},
-		{16, 364, 1092, roster.DefaultLoadShare, roster.DefaultGossipRate, true},
+		{2, 8, 24, membership.DefaultLoadShare, membership.DefaultGossipRate, false},
+		{4, 96, 288, membership.DefaultLoadShare, membership.DefaultGossipRate, false},
+		{16, 364, 1092, membership.DefaultLoadShare, membership.DefaultGossipRate, false},
+		{16, 364, 1092, membership.DefaultLoadShare, membership.DefaultGossipRate, true},
 		{16, 364, 1092, 1e-9, unlimited, false},
 		{16, 364, 1092, 0.25, unlimited, false},
 		{16, 364, 1092, 0.5, unlimited, false},
--- a/roster/merge.go
+++ b/membership/merge.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import "time"
 
--- a/roster/state.go
+++ b/membership/state.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 // A State says what an endpoint may be given.
 type State uint8
--- a/message/refusal.go
+++ b/message/refusal.go
@@ -6,24 +6,24 @@
 	"net/http"
 	"strconv"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // statuses holds the HTTP status of each refusal's code.
-var statuses = map[fate.Code]int{
-	fate.BadRequest:       http.StatusBadRequest,
-	fate.DeadlineExceeded: http.StatusGatewayTimeout,
-	fate.OutcomeUnknown:   http.StatusBadGateway,
-	fate.InProgress:       http.StatusConflict,
-	fate.Leaving:          http.StatusServiceUnavailable,
-	fate.NotHome:          http.StatusMisdirectedRequest,
-	fate.Overloaded:       http.StatusTooManyRequests,
-	fate.Refused:          http.StatusServiceUnavailable,
-	fate.UnknownProfile:   http.StatusNotFound,
+var statuses = map[outcome.Code]int{
+	outcome.BadRequest:       http.StatusBadRequest,
+	outcome.DeadlineExceeded: http.StatusGatewayTimeout,
+	outcome.OutcomeUnknown:   http.StatusBadGateway,
+	outcome.InProgress:       http.StatusConflict,
+	outcome.Leaving:          http.StatusServiceUnavailable,
+	outcome.NotHome:          http.StatusMisdirectedRequest,
+	outcome.Overloaded:       http.StatusTooManyRequests,
+	outcome.Refused:          http.StatusServiceUnavailable,
+	outcome.UnknownProfile:   http.StatusNotFound,
 }
 
 // statusOf returns the HTTP status of a refusal's code.
-func statusOf(code fate.Code) int {
+func statusOf(code outcome.Code) int {
 	if status, ok := statuses[code]; ok {
 		return status
 	}
@@ -32,7 +32,7 @@
 
 // WriteRefusal answers an HTTP request with a refusal, its fate and the time
 // to come back, in whole seconds rounded up.
-func WriteRefusal(rw http.ResponseWriter, re *fate.Refusal) {
+func WriteRefusal(rw http.ResponseWriter, re *outcome.Refusal) {
 	he := rw.Header()
 	he.Set("Content-Type", "application/json")
 	he.Set(FateHeader, re.Fate)
--- a/message/sample.go
+++ b/message/sample.go
@@ -2,7 +2,7 @@
 
 import (
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // A SampleRequest asks an attendant for one attempt at a slot of a step.
@@ -38,11 +38,11 @@
 
 // A SampleEvent is one line of the answer: progress, the result, or a refusal.
 type SampleEvent struct {
-	Attempt  string         `json:"attempt"` // echo, checked by the entry
-	Progress int            `json:"progress,omitempty"`
-	Refusal  *fate.Refusal  `json:"refusal,omitempty"`
-	Result   *SampleResult  `json:"result,omitempty"`
-	Version  engine.Version `json:"version,omitempty"`
+	Attempt  string           `json:"attempt"` // echo, checked by the entry
+	Progress int              `json:"progress,omitempty"`
+	Refusal  *outcome.Refusal `json:"refusal,omitempty"`
+	Result   *SampleResult    `json:"result,omitempty"`
+	Version  engine.Version   `json:"version,omitempty"`
 }
 
 // A SampleResult is a whole sample, its payload already in its places.
--- a/fate/fate.go
+++ b/outcome/outcome.go
@@ -1,6 +1,6 @@
 // Package fate says what became of a request, truthfully: whether it ran, did
 // not run, or cannot be known to have run.
-package fate
+package outcome
 
 import (
 	"time"
--- a/load/overview.go
+++ b/overview/overview.go
@@ -3,7 +3,7 @@
 //
 // It does no I/O: a scheduler fills a Situation from its table, and Summarize makes
 // an Overview of it, which is bounded in size.
-package load
+package overview
 
 import (
 	"time"
--- a/load/load_test.go
+++ b/overview/overview_test.go
@@ -1,4 +1,4 @@
-package load
+package overview
 
 import (
 	"encoding/json"
--- a/peer/code.go
+++ b/peer/code.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/keyvalue"
+	"wisteriacroft/outcome"
 )
 
 // A Code names a sentinel error on the wire, so that errors.Is matches it on
@@ -57,7 +57,7 @@
 // newFailure returns the wire form of err.
 func newFailure(err error, codes []Code) *Failure {
 	fa := &Failure{Message: err.Error()}
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	if errors.As(err, &re) {
 		fa.Refusal = re
 		return fa
--- a/peer/message.go
+++ b/peer/message.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // A Request is a call on the wire. It is exported because net/rpc asks for
@@ -54,7 +54,7 @@
 	_       struct{} `cbor:",toarray"`
 	Code    string   // name of a Code, or ""
 	Message string
-	Refusal *fate.Refusal
+	Refusal *outcome.Refusal
 }
 
 // encoding keeps times to the nanosecond: the default keeps whole seconds.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/assert"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/peer"
 )
 
@@ -161,7 +161,7 @@
 }
 
 func TestErrorsSurvive(t *testing.T) {
-	refusal := fate.NewRefusal(fate.Overloaded, "r1", "queue is full")
+	refusal := outcome.NewRefusal(outcome.Overloaded, "r1", "queue is full")
 	refusal.RetryAfter = "250ms"
 	own := errors.New("own sentinel")
 	codes := []peer.Code{{Err: own, Name: "own"}}
@@ -193,7 +193,7 @@
 			assert.Assert(t, tc.target == nil || errors.Is(err, tc.target), name)
 		}
 		_, err := peer.Call[int, int](t.Context(), po, "a", "refusal", 1)
-		var re *fate.Refusal
+		var re *outcome.Refusal
 		assert.Assert(t, errors.As(err, &re))
 		assert.DeepEqual(t, re, refusal)
 		_, err = peer.Call[int, int](t.Context(), po, "a", "none", 1)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 // Defaults of a Policy.
@@ -45,7 +45,7 @@
 // An Attempt is one that got no whole answer.
 type Attempt struct {
 	Deadline   time.Time // zero means none
-	Fate       fate.Outcome
+	Fate       outcome.Outcome
 	Number     int           // counted from 1
 	Repeatable bool          // running twice does no harm
 	Wait       time.Duration // least wait, such as the one that a refusal asked for when there is nowhere else to go
@@ -128,9 +128,9 @@
 // unknown may have run: only one that may run twice is tried again.
 func safe(at Attempt) bool {
 	switch at.Fate {
-	case fate.NotRun:
+	case outcome.NotRun:
 		return true
-	case fate.Unknown:
+	case outcome.Unknown:
 		return at.Repeatable
 	default:
 		return false
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 )
 
 var noon = time.UnixMilli(1_700_000_000_000)
@@ -20,14 +20,14 @@
 		attempt Attempt
 		want    bool
 	}{
-		{"not run", Attempt{Fate: fate.NotRun, Number: 1}, true},
-		{"unknown, repeatable", Attempt{Fate: fate.Unknown, Number: 1, Repeatable: true}, true},
-		{"unknown, not repeatable", Attempt{Fate: fate.Unknown, Number: 1}, false},
-		{"ran", Attempt{Fate: fate.Ran, Number: 1, Repeatable: true}, false},
-		{"last attempt", Attempt{Fate: fate.NotRun, Number: defaultMaxAttempts}, false},
-		{"deadline before the backoff ends", Attempt{Deadline: noon.Add(time.Millisecond), Fate: fate.NotRun, Number: 1}, false},
-		{"deadline after it", Attempt{Deadline: noon.Add(time.Second), Fate: fate.NotRun, Number: 1}, true},
-		{"asked to wait beyond the deadline", Attempt{Deadline: noon.Add(time.Second), Fate: fate.NotRun, Number: 1, Wait: time.Second}, false},
+		{"not run", Attempt{Fate: outcome.NotRun, Number: 1}, true},
+		{"unknown, repeatable", Attempt{Fate: outcome.Unknown, Number: 1, Repeatable: true}, true},
+		{"unknown, not repeatable", Attempt{Fate: outcome.Unknown, Number: 1}, false},
+		{"ran", Attempt{Fate: outcome.Ran, Number: 1, Repeatable: true}, false},
+		{"last attempt", Attempt{Fate: outcome.NotRun, Number: defaultMaxAttempts}, false},
+		{"deadline before the backoff ends", Attempt{Deadline: noon.Add(time.Millisecond), Fate: outcome.NotRun, Number: 1}, false},
+		{"deadline after it", Attempt{Deadline: noon.Add(time.Second), Fate: outcome.NotRun, Number: 1}, true},
+		{"asked to wait beyond the deadline", Attempt{Deadline: noon.Add(time.Second), Fate: outcome.NotRun, Number: 1, Wait: time.Second}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -46,14 +46,14 @@
 	retries := 0
 	for range 1000 {
 		bu.Deposit()
-		if _, ok := bu.Retry(noon, Attempt{Fate: fate.NotRun, Number: 1}); ok {
+		if _, ok := bu.Retry(noon, Attempt{Fate: outcome.NotRun, Number: 1}); ok {
 			retries++
 		}
 	}
 	assert.Assert(t, retries >= 100 && retries <= 110, "%d retries for 1000 requests", retries)
 	none := NewBudget(Policy{Ratio: -1}, 1)
 	none.Deposit()
-	_, ok := none.Retry(noon, Attempt{Fate: fate.NotRun, Number: 1})
+	_, ok := none.Retry(noon, Attempt{Fate: outcome.NotRun, Number: 1})
 	assert.Assert(t, !ok)
 }
 
--- a/order/edge_test.go
+++ b/rollout/edge_test.go
@@ -1,4 +1,4 @@
-package order_test
+package rollout_test
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 	"wisteriacroft/engine"
 	"wisteriacroft/instancelist"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 	"wisteriacroft/tick"
 )
 
@@ -47,40 +47,40 @@
 		defer attendant.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		ro := &order.Rollout{Address: "entry", HeldFunc: func(time.Time) (uint64, bool) { return 1, true }}
+		ro := &rollout.Rollout{Address: "entry", HeldFunc: func(time.Time) (uint64, bool) { return 1, true }}
 		ro.SetLimit(1)
 		ro.SetWanted(7)
-		order.Connect(ctx, entry, ro)
-		order.RegisterRollouts(servers["entry"], func() []*order.Rollout { return []*order.Rollout{ro} })
-		ta := &roster.Table{Address: "entry", Instance: "entry", RemoveFunc: func(en roster.Endpoint) { ro.Remove(en.ID()) }, UpsertFunc: ro.Observe}
-		roster.Connect(ctx, entry, ta)
-		roster.Register(servers["entry"], ta)
+		rollout.Connect(ctx, entry, ro)
+		rollout.RegisterRollouts(servers["entry"], func() []*rollout.Rollout { return []*rollout.Rollout{ro} })
+		ta := &membership.Table{Address: "entry", Instance: "entry", RemoveFunc: func(en membership.Endpoint) { ro.Remove(en.ID()) }, UpsertFunc: ro.Observe}
+		membership.Connect(ctx, entry, ta)
+		membership.Register(servers["entry"], ta)
 
 		var loaded atomic.Uint64
 		loaded.Store(6)
-		fe := &order.Fence{Incarnation: 1}
+		fe := &rollout.Fence{Incarnation: 1}
 		fe.Add("e1")
 		fe.PassFunc = func(_ context.Context, _ string, or engine.Order) error {
 			time.AfterFunc(time.Second, func() { loaded.Store(uint64(or.Version)) })
 			return nil
 		}
-		order.ConnectFence(ctx, attendant, fe)
-		order.RegisterFence(servers["attendant"], fe)
-		rp := &roster.Reporter{Address: "attendant", Incarnation: 1, Instance: "attendant"}
+		rollout.ConnectFence(ctx, attendant, fe)
+		rollout.RegisterFence(servers["attendant"], fe)
+		rp := &membership.Reporter{Address: "attendant", Incarnation: 1, Instance: "attendant"}
 		rp.Add("e1", "marker-llm")
 		rp.ObserveList([]instancelist.Instance{{Address: "entry", ID: "entry", Role: "entry", State: instancelist.Live}})
-		roster.ConnectReporter(ctx, attendant, rp)
+		membership.ConnectReporter(ctx, attendant, rp)
 		poll := tick.System{Run: func(now time.Time) {
 			version := engine.Version(loaded.Load())
 			fe.Observe("e1", engine.Report{At: now, Version: version})
-			rp.Set("e1", roster.Ready, version, 0, 0)
+			rp.Set("e1", membership.Ready, version, 0, 0)
 		}}
 		for _, systems := range [][]tick.System{append(ta.Systems(), ro.Systems()...), append(rp.Systems(), poll)} {
 			go (&tick.Loop{Every: step, Systems: systems}).Run(ctx)
 		}
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, loaded.Load(), uint64(7))
-		assert.DeepEqual(t, ro.Progress(), order.Progress{Engines: 1, Serving: 1, Updated: 1})
+		assert.DeepEqual(t, ro.Progress(), rollout.Progress{Engines: 1, Serving: 1, Updated: 1})
 		assert.Equal(t, ta.Endpoints("marker-llm")[0].Version(), engine.Version(7))
 	})
 }
--- a/order/harness_test.go
+++ b/rollout/harness_test.go
@@ -1,4 +1,4 @@
-package order_test
+package rollout_test
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"time"
 
 	"wisteriacroft/engine"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
 	"wisteriacroft/peer"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 )
 
 const step = 100 * time.Millisecond
@@ -22,7 +22,7 @@
 	beat        uint64
 	broken      bool // its next load ends with the old version
 	crashed     bool
-	fence       *order.Fence
+	fence       *rollout.Fence
 	id          string
 	incarnation uint64
 	loading     engine.Version
@@ -38,11 +38,11 @@
 	log      strings.Builder
 	lose     func(what string) bool // of "order", "order-answer", "probe", "settle"
 	machines []*machine
-	owners   []*order.Rollout
-	paused   map[*order.Rollout]bool
+	owners   []*rollout.Rollout
+	paused   map[*rollout.Rollout]bool
 	rand     *rand.Rand
 	start    time.Time
-	table    roster.Table
+	table    membership.Table
 	t        *testing.T
 	took     func(ma *machine) // told of each order that an engine takes
 }
@@ -56,7 +56,7 @@
 func newSite(t *testing.T, engines, domains int, version engine.Version) *site {
 	si := &site{
 		load: 5 * time.Second, lose: func(string) bool { return false }, rand: rand.New(rand.NewPCG(1, 2)),
-		paused: map[*order.Rollout]bool{}, start: time.Now(), t: t, took: func(*machine) {},
+		paused: map[*rollout.Rollout]bool{}, start: time.Now(), t: t, took: func(*machine) {},
 	}
 	for i := range engines {
 		ma := &machine{id: fmt.Sprintf("e%04d", i), version: version}
@@ -71,7 +71,7 @@
 func (si *site) restart(ma *machine) {
 	ma.incarnation++
 	ma.beat = 0
-	fe := &order.Fence{Incarnation: ma.incarnation, Rand: si.rand}
+	fe := &rollout.Fence{Incarnation: ma.incarnation, Rand: si.rand}
 	fe.PassFunc = func(_ context.Context, _ string, or engine.Order) error {
 		if ma.crashed {
 			return engine.ErrNotSent
@@ -81,7 +81,7 @@
 		si.say("%s takes version %d under epoch %d", ma.id, or.Version, or.Epoch)
 		return nil
 	}
-	fe.NotifyFunc = func(address string, st order.Status) {
+	fe.NotifyFunc = func(address string, st rollout.Status) {
 		if !si.lose("settle") {
 			si.owner(address).Settled(st)
 		}
@@ -90,13 +90,13 @@
 	ma.fence = fe
 }
 
-func (si *site) owner(address string) *order.Rollout {
+func (si *site) owner(address string) *rollout.Rollout {
 	for _, ro := range si.owners {
 		if ro.Address == address {
 			return ro
 		}
 	}
-	return &order.Rollout{}
+	return &rollout.Rollout{}
 }
 
 func (si *site) find(id string) *machine {
@@ -115,28 +115,28 @@
 }
 
 // own adds an owner of the rollout.
-func (si *site) own(name string, limit, floor int, ho *holding) *order.Rollout {
-	ro := &order.Rollout{
+func (si *site) own(name string, limit, floor int, ho *holding) *rollout.Rollout {
+	ro := &rollout.Rollout{
 		Address:   name,
 		FloorFunc: func(int) int { return floor },
 		HeldFunc:  func(time.Time) (uint64, bool) { return ho.epoch, ho.held },
 		Rand:      si.rand,
-		SendProbeFunc: func(id string, rq order.ProbeRequest, done func(order.Status, error)) {
+		SendProbeFunc: func(id string, rq rollout.ProbeRequest, done func(rollout.Status, error)) {
 			st, err := si.find(id).fence.Probe(rq)
 			if si.lose("probe") {
 				err = peer.ErrSilent
 			}
 			done(st, err)
 		},
-		SendOrderFunc: func(id string, rq order.Request, done func(order.Response, error)) {
+		SendOrderFunc: func(id string, rq rollout.Request, done func(rollout.Response, error)) {
 			if si.lose("order") { // or late, which the owner can't tell
 				delay := time.Duration(si.rand.IntN(100)) * step
 				si.after(delay, func() { _, _ = si.find(id).fence.Order(si.t.Context(), rq) })
-				done(order.Response{}, peer.ErrSilent)
+				done(rollout.Response{}, peer.ErrSilent)
 				return
 			}
 			an, err := si.find(id).fence.Order(si.t.Context(), rq)
-			if an.Verdict != order.Accepted {
+			if an.Verdict != rollout.Accepted {
 				si.say("%s refuses version %d under epoch %d: %v", rq.Endpoint, rq.Order.Version, rq.Order.Epoch, an.Verdict)
 			}
 			if si.lose("order-answer") {
@@ -214,29 +214,29 @@
 func (si *site) report(ma *machine, domain int) {
 	ma.beat++
 	st, _ := ma.fence.Status(ma.id)
-	ne := roster.StateUpdate{
-		Beat: ma.beat, Endpoints: []roster.EndpointUpdate{{State: roster.Ready, Version: st.Version}},
+	ne := membership.StateUpdate{
+		Beat: ma.beat, Endpoints: []membership.EndpointUpdate{{State: membership.Ready, Version: st.Version}},
 		Incarnation: ma.incarnation, Instance: ma.id,
 	}
 	switch {
 	case ma.crashed:
-		ne.Endpoints[0].State = roster.Unhealthy
+		ne.Endpoints[0].State = membership.Unhealthy
 	case !ma.fence.VersionStable(ma.id):
-		ne.Endpoints[0].State = roster.Loading
+		ne.Endpoints[0].State = membership.Loading
 	}
 	if domain < 0 {
 		domain = int(ma.id[len(ma.id)-1]-'0') % 9
 	}
-	ne.Card = &roster.Descriptor{
-		Address: ma.id, Endpoints: []roster.EndpointDescriptor{{ID: ma.id, Service: "marker-llm"}},
+	ne.Card = &membership.Descriptor{
+		Address: ma.id, Endpoints: []membership.EndpointDescriptor{{ID: ma.id, Service: "marker-llm"}},
 		FailureDomain: fmt.Sprintf("fd-%d", domain),
 	}
-	si.table.UpsertFunc = func(en roster.Endpoint) {
+	si.table.UpsertFunc = func(en membership.Endpoint) {
 		for _, ro := range si.owners {
 			ro.Observe(en)
 		}
 	}
-	si.table.Report(message.Header{}, roster.ReportRequest{News: ne})
+	si.table.Report(message.Header{}, membership.ReportRequest{News: ne})
 }
 
 // observe tells a new owner of all endpoints.
--- a/order/message.go
+++ b/rollout/message.go
@@ -1,4 +1,4 @@
-package order
+package rollout
 
 import "wisteriacroft/engine"
 
--- a/order/order.go
+++ b/rollout/order.go
@@ -1,7 +1,7 @@
 // Package order rolls new weights out over the engines of a service: one
 // owner, an entry, decides which engine loads next, and the attendant beside
 // each engine refuses orders of owners that have been replaced.
-package order
+package rollout
 
 import (
 	"time"
--- a/order/phase.go
+++ b/rollout/phase.go
@@ -1,4 +1,4 @@
-package order
+package rollout
 
 // A Phase is what an attendant knows of the last order to an engine.
 type Phase uint8
--- a/order/rollout.go
+++ b/rollout/rollout.go
@@ -1,4 +1,4 @@
-package order
+package rollout
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/roster"
+	"wisteriacroft/membership"
 	"wisteriacroft/tick"
 )
 
@@ -61,7 +61,7 @@
 	started  uint64    // incarnation of the last status taken
 	token    uint64
 	version  engine.Version // by the engine's own report
-	view     roster.Endpoint
+	view     membership.Endpoint
 }
 
 // A Progress counts the engines of a rollout.
@@ -74,7 +74,7 @@
 }
 
 // Observe takes an endpoint of the service from the roster.
-func (ro *Rollout) Observe(en roster.Endpoint) {
+func (ro *Rollout) Observe(en membership.Endpoint) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	at, ok := ro.find(en.ID())
@@ -192,7 +192,7 @@
 
 // serving reports whether the engine takes work that is bound to a version.
 func (rw *row) serving() bool {
-	return rw.view.State() == roster.Ready && rw.phase.settled() && rw.version > 0
+	return rw.view.State() == membership.Ready && rw.phase.settled() && rw.version > 0
 }
 
 // incarnation returns the latest of the engine's attendant that is known, be
@@ -201,7 +201,7 @@
 
 // reachable reports whether an order may be sent to the engine at all.
 func (rw *row) reachable() bool {
-	return rw.view.State() == roster.Ready || rw.view.State() == roster.Loading
+	return rw.view.State() == membership.Ready || rw.view.State() == membership.Loading
 }
 
 // fetching reports whether the engine may be fetching weights now.
--- a/order/order_test.go
+++ b/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package order_test
+package rollout_test
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"pgregory.net/rapid"
 
 	"wisteriacroft/engine"
+	"wisteriacroft/membership"
 	"wisteriacroft/message"
-	"wisteriacroft/order"
-	"wisteriacroft/roster"
+	"wisteriacroft/rollout"
 )
 
 // session runs fn on a site and compares what happened with a golden file.
@@ -38,7 +38,7 @@
 	session(t, 2, func(si *site) {
 		si.own("first", 1, 0, &holding{1, true}).SetWanted(7)
 		si.run(20*time.Second, nil)
-		before, err := si.machines[0].fence.Probe(order.ProbeRequest{Endpoint: "e0000", Epoch: 1})
+		before, err := si.machines[0].fence.Probe(rollout.ProbeRequest{Endpoint: "e0000", Epoch: 1})
 		assert.NilError(t, err)
 		si.say("the first owner is paused")
 		first := si.owners[0]
@@ -52,17 +52,17 @@
 		si.run(time.Second, nil)
 		order7 := func(what string, incarnation, token uint64) {
 			si.say("it orders %s", what)
-			first.SendOrderFunc("e0000", order.Request{
+			first.SendOrderFunc("e0000", rollout.Request{
 				Endpoint: "e0000", Incarnation: incarnation, Token: token,
 				Order: engine.Order{Epoch: 1, Kind: engine.LoadVersion, Version: 7},
-			}, func(order.Response, error) {})
+			}, func(rollout.Response, error) {})
 		}
 		order7("as it last knew it", 1, 0)
 		order7("with the new incarnation", 2, 0)
 		order7("with a token from before", 2, before.Token)
-		late, err := si.machines[0].fence.Probe(order.ProbeRequest{Endpoint: "e0000", Epoch: 1})
+		late, err := si.machines[0].fence.Probe(rollout.ProbeRequest{Endpoint: "e0000", Epoch: 1})
 		assert.NilError(t, err)
-		si.run(order.DefaultTokenLife, nil)
+		si.run(rollout.DefaultTokenLife, nil)
 		order7("with a token that it got, paused again since", 2, late.Token)
 		si.paused[second] = false
 		si.run(5*time.Second, nil)
@@ -240,8 +240,8 @@
 	}
 }
 
-// rollout measures how long a rollout takes, and how many engines fetch.
-func rollout(t *testing.T, engines int, from engine.Version, load time.Duration, limit, floor int) (took time.Duration, most int) {
+// measureRollout measures how long a rollout takes, and how many engines fetch.
+func measureRollout(t *testing.T, engines int, from engine.Version, load time.Duration, limit, floor int) (took time.Duration, most int) {
 	synctest.Test(t, func(t *testing.T) {
 		si := newSite(t, engines, 9, from)
 		si.load = load
@@ -277,7 +277,7 @@
 		{370, 0, 5 * time.Second, 20, 50}, // a failure domain that returned
 	} {
 		floor := ca.engines * ca.part / 100
-		took, most := rollout(t, ca.engines, ca.from, ca.load, ca.limit, floor)
+		took, most := measureRollout(t, ca.engines, ca.from, ca.load, ca.limit, floor)
 		table += fmt.Sprintf("%7d  %4d  %4v  %5d  %5d  %-6v  %13d\n",
 			ca.engines, ca.from, ca.load, ca.limit, floor, took, most)
 		assert.Assert(t, most <= ca.limit)
@@ -292,7 +292,7 @@
 		limit := rapid.IntRange(0, 300).Draw(rt, "limit")
 		sum, all := 0, 0
 		for i, n := range engines {
-			sum += order.Share(limit, engines, i)
+			sum += rollout.Share(limit, engines, i)
 			all += n
 		}
 		if all > 0 && sum != limit {
@@ -317,17 +317,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fe := &order.Fence{Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 2))}
+				fe := &rollout.Fence{Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 				fe.PassFunc = func(context.Context, string, engine.Order) error { return ca.err }
 				fe.Add("e1")
 				assert.Assert(t, !fe.VersionStable("e1"), "nothing is known yet")
 				fe.Observe("e1", engine.Report{At: time.Now().Add(time.Minute), Version: 6})
 				assert.Assert(t, fe.VersionStable("e1"))
 				time.Sleep(time.Minute)
-				give := func(epoch uint64) order.Verdict {
-					st, err := fe.Probe(order.ProbeRequest{Endpoint: "e1", Epoch: epoch})
+				give := func(epoch uint64) rollout.Verdict {
+					st, err := fe.Probe(rollout.ProbeRequest{Endpoint: "e1", Epoch: epoch})
 					assert.NilError(t, err)
-					an, err := fe.Order(t.Context(), order.Request{
+					an, err := fe.Order(t.Context(), rollout.Request{
 						Endpoint: "e1", Incarnation: 1, Token: st.Token,
 						Order: engine.Order{Epoch: epoch, Kind: engine.LoadVersion, Version: 7},
 					})
@@ -346,13 +346,13 @@
 					st, err := fe.Status("e1")
 					assert.NilError(t, err)
 					phases = append(phases, st.Phase.String())
-					if ph := st.Phase; ph == order.Settling || ph == order.Unknown {
+					if ph := st.Phase; ph == rollout.Settling || ph == rollout.Unknown {
 						assert.Assert(t, !fe.VersionStable("e1"))
-						assert.Equal(t, give(2), order.Busy)
+						assert.Equal(t, give(2), rollout.Busy)
 					}
 				}
 				assert.Equal(t, strings.Join(phases, ","), ca.phases)
-				assert.Equal(t, give(1) == order.Fenced, ca.err == nil || errors.Is(ca.err, engine.ErrBroken))
+				assert.Equal(t, give(1) == rollout.Fenced, ca.err == nil || errors.Is(ca.err, engine.ErrBroken))
 			})
 		})
 	}
@@ -361,16 +361,16 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{30, 300, 1100} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			ro := &order.Rollout{HeldFunc: func(time.Time) (uint64, bool) { return 1, true }}
-			ro.SendProbeFunc = func(id string, _ order.ProbeRequest, done func(order.Status, error)) {
-				done(order.Status{Endpoint: id, Incarnation: 1, Phase: order.Idle, Version: 6}, nil)
+			ro := &rollout.Rollout{HeldFunc: func(time.Time) (uint64, bool) { return 1, true }}
+			ro.SendProbeFunc = func(id string, _ rollout.ProbeRequest, done func(rollout.Status, error)) {
+				done(rollout.Status{Endpoint: id, Incarnation: 1, Phase: rollout.Idle, Version: 6}, nil)
 			}
-			ta := roster.Table{UpsertFunc: ro.Observe}
+			ta := membership.Table{UpsertFunc: ro.Observe}
 			for i := range n {
 				id := fmt.Sprintf("e%04d", i)
-				ta.Report(message.Header{}, roster.ReportRequest{News: roster.StateUpdate{
-					Beat: 1, Card: &roster.Descriptor{Address: id, Endpoints: []roster.EndpointDescriptor{{ID: id}}},
-					Endpoints: []roster.EndpointUpdate{{Version: 6}}, Incarnation: 1, Instance: id,
+				ta.Report(message.Header{}, membership.ReportRequest{News: membership.StateUpdate{
+					Beat: 1, Card: &membership.Descriptor{Address: id, Endpoints: []membership.EndpointDescriptor{{ID: id}}},
+					Endpoints: []membership.EndpointUpdate{{Version: 6}}, Incarnation: 1, Instance: id,
 				}})
 			}
 			ro.SetWanted(7) // under a limit of 0: each tick weighs all candidates
--- a/order/share.go
+++ b/rollout/share.go
@@ -1,4 +1,4 @@
-package order
+package rollout
 
 // Share returns which part of the weight store's limit is for the service at
 // index, given the numbers of engines of all services. Each owner works out
--- a/scale/holder.go
+++ b/scale/holder.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/duty"
+	"wisteriacroft/leader"
 	"wisteriacroft/message"
 	"wisteriacroft/peer"
 	"wisteriacroft/tick"
@@ -82,7 +82,7 @@
 	// ServicesFunc returns the services that have bounds.
 	ServicesFunc func(now time.Time) []Service
 	// Tenure is of the process's own; Key and MarkFunc are the Holder's to fill.
-	Tenure *duty.Term[Record]
+	Tenure *leader.Term[Record]
 
 	durable  Record     // as last written or read
 	mu       sync.Mutex // guards all of these
@@ -101,7 +101,7 @@
 // Begin notes the process's start.
 func (ho *Scaler) Begin() {
 	ho.Tenure.Key = Key
-	ho.Tenure.MarkFunc = func(rec Record) duty.Author { return duty.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
+	ho.Tenure.MarkFunc = func(rec Record) leader.Author { return leader.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
 	ho.Tenure.Begin()
 }
 
@@ -110,10 +110,10 @@
 func (ho *Scaler) Step(ctx context.Context) {
 	ses := ho.ServicesFunc(time.Now())
 	st, epoch := ho.Tenure.State()
-	if len(ses) == 0 || st == duty.Idle {
+	if len(ses) == 0 || st == leader.Idle {
 		return
 	}
-	if st == duty.MustAdopt {
+	if st == leader.MustAdopt {
 		ho.load(ctx, epoch)
 		return
 	}
--- a/scale/holder_test.go
+++ b/scale/holder_test.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"gotest.tools/v3/assert"
 
-	"wisteriacroft/duty"
 	"wisteriacroft/keyvalue"
+	"wisteriacroft/leader"
 )
 
 var errTest = errors.New("not taken")
@@ -62,7 +62,7 @@
 				Work: Work{{Due: 8 * second, Work: fi.work}},
 			}}
 		},
-		Tenure: &duty.Term[Record]{
+		Tenure: &leader.Term[Record]{
 			Client: fi.memory.Client(),
 			FenceFunc: func(epoch uint64) (keyvalue.Expectation, bool) {
 				return fi.fence(), epoch == fi.epoch && fi.holder == name
--- a/standin/caller.go
+++ b/standin/caller.go
@@ -19,8 +19,8 @@
 	"github.com/google/uuid"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/roundtrip"
 	"wisteriacroft/unit"
 )
@@ -31,18 +31,18 @@
 // A CallerSummary is what a caller saw, compared with what the endpoints
 // counted.
 type CallerSummary struct {
-	Broken                int               `json:"broken"`              // connections cut, answers cut short
-	BrokenBy              string            `json:"broken-by,omitempty"` // how the first of them ended
-	Calls                 int               `json:"calls"`
-	Crossed               int               `json:"crossed"`
-	Name                  string            `json:"name"`
-	NotRepeatableRunTwice int               `json:"not-repeatable-run-twice"`
-	NotRunButRan          int               `json:"not-run-but-ran"`
-	P50                   unit.Duration     `json:"p50"` // of whole answers
-	P99                   unit.Duration     `json:"p99"`
-	Refused               map[fate.Code]int `json:"refused"`
-	Unsent                int               `json:"unsent"` // too many were open
-	Whole                 int               `json:"whole"`
+	Broken                int                  `json:"broken"`              // connections cut, answers cut short
+	BrokenBy              string               `json:"broken-by,omitempty"` // how the first of them ended
+	Calls                 int                  `json:"calls"`
+	Crossed               int                  `json:"crossed"`
+	Name                  string               `json:"name"`
+	NotRepeatableRunTwice int                  `json:"not-repeatable-run-twice"`
+	NotRunButRan          int                  `json:"not-run-but-ran"`
+	P50                   unit.Duration        `json:"p50"` // of whole answers
+	P99                   unit.Duration        `json:"p99"`
+	Refused               map[outcome.Code]int `json:"refused"`
+	Unsent                int                  `json:"unsent"` // too many were open
+	Whole                 int                  `json:"whole"`
 }
 
 // errCrossed means that a caller got the answer of another request.
@@ -84,7 +84,7 @@
 		hc:        hc,
 		histogram: hdrhistogram.New(1, 600e6, 3),
 		settings:  se,
-		sum:       CallerSummary{Name: se.Name, Refused: map[fate.Code]int{}},
+		sum:       CallerSummary{Name: se.Name, Refused: map[outcome.Code]int{}},
 	}
 }
 
@@ -146,27 +146,27 @@
 	}
 	began := time.Now()
 	var err error
-	truth := fate.NotRun // of all attempts
+	truth := outcome.NotRun // of all attempts
 	for range 1 + ca.settings.Repeats {
 		if err = ca.tryEach(ctx, lc); err == nil {
 			break
 		}
-		if fate.FromError(err) == fate.NotRun {
+		if outcome.FromError(err) == outcome.NotRun {
 			break
 		}
-		truth = fate.Unknown
+		truth = outcome.Unknown
 		ca.entries.next()
 	}
 	ca.count(func() { ca.settle(lc, err, truth, time.Since(began)) })
 }
 
 // settle counts a call's end.
-func (ca *Caller) settle(lc liveCall, err error, truth fate.Outcome, took time.Duration) {
+func (ca *Caller) settle(lc liveCall, err error, truth outcome.Outcome, took time.Duration) {
 	ca.sum.Calls++
 	if !lc.repeatable {
 		ca.notTwice = append(ca.notTwice, lc)
 	}
-	var re *fate.Refusal
+	var re *outcome.Refusal
 	switch {
 	case err == nil:
 		ca.sum.Whole++
@@ -175,7 +175,7 @@
 		ca.sum.Crossed++
 	case errors.As(err, &re):
 		ca.sum.Refused[re.Code]++
-		if re.Outcome() == fate.NotRun && truth == fate.NotRun {
+		if re.Outcome() == outcome.NotRun && truth == outcome.NotRun {
 			ca.notRun = append(ca.notRun, lc)
 		}
 	default:
--- a/standin/clients.go
+++ b/standin/clients.go
@@ -8,7 +8,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 	"wisteriacroft/roundtrip"
 	"wisteriacroft/weightstore"
 )
@@ -125,11 +125,11 @@
 }
 
 // refusalOf returns the refusal that an answer's body holds.
-func refusalOf(resp *http.Response) *fate.Refusal {
-	re := &fate.Refusal{}
+func refusalOf(resp *http.Response) *outcome.Refusal {
+	re := &outcome.Refusal{}
 	err := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxBody)).Decode(re)
 	if err != nil || re.Code == "" {
-		return fate.NewRefusal(fate.OutcomeUnknown, "", resp.Status)
+		return outcome.NewRefusal(outcome.OutcomeUnknown, "", resp.Status)
 	}
 	return re
 }
--- a/standin/trainer.go
+++ b/standin/trainer.go
@@ -15,8 +15,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 	"wisteriacroft/roundtrip"
 	"wisteriacroft/weightstore"
 )
@@ -229,7 +229,7 @@
 		}
 		wait := retryWait
 		if re != nil {
-			if re.Code == fate.BadRequest {
+			if re.Code == outcome.BadRequest {
 				return nil, re
 			}
 			wait = retryAfter(re.RetryAfter)
@@ -242,7 +242,7 @@
 
 // askOnce sends a request to one entry and returns the answer's body or the
 // refusal.
-func (tr *Trainer) askOnce(ctx context.Context, method, url string, body []byte) ([]byte, *fate.Refusal, error) {
+func (tr *Trainer) askOnce(ctx context.Context, method, url string, body []byte) ([]byte, *outcome.Refusal, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
--- a/standin/trainer_test.go
+++ b/standin/trainer_test.go
@@ -19,8 +19,8 @@
 	"gotest.tools/v3/golden"
 
 	"wisteriacroft/engine"
-	"wisteriacroft/fate"
 	"wisteriacroft/message"
+	"wisteriacroft/outcome"
 )
 
 // A liar is an entry that hands over a batch for each step and spoils it.
@@ -64,7 +64,7 @@
 	ro.HandleFunc(message.PullPath, func(w http.ResponseWriter, r *http.Request) {
 		if li.refusals++; li.refusals == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
-			re := fate.NewRefusal(fate.Overloaded, "", "come back")
+			re := outcome.NewRefusal(outcome.Overloaded, "", "come back")
 			re.RetryAfter = "1ms"
 			_ = json.NewEncoder(w).Encode(re)
 			return
@@ -142,15 +142,15 @@
 
 func TestCallerNoticesBrokenPromises(t *testing.T) {
 	ca := NewCaller(CallerSettings{}, nil, nil, nil)
-	refusal := fate.NewRefusal(fate.Overloaded, "", "")
-	ca.settle(liveCall{id: "a"}, refusal, fate.NotRun, 0)
-	ca.settle(liveCall{id: "b"}, refusal, fate.NotRun, 0)
-	ca.settle(liveCall{id: "c"}, refusal, fate.Unknown, 0)
-	ca.settle(liveCall{id: "d"}, nil, fate.NotRun, 0)
-	ca.settle(liveCall{id: "e", repeatable: true}, errCrossed, fate.Unknown, 0)
+	refusal := outcome.NewRefusal(outcome.Overloaded, "", "")
+	ca.settle(liveCall{id: "a"}, refusal, outcome.NotRun, 0)
+	ca.settle(liveCall{id: "b"}, refusal, outcome.NotRun, 0)
+	ca.settle(liveCall{id: "c"}, refusal, outcome.Unknown, 0)
+	ca.settle(liveCall{id: "d"}, nil, outcome.NotRun, 0)
+	ca.settle(liveCall{id: "e", repeatable: true}, errCrossed, outcome.Unknown, 0)
 	ca.compareWith(Counts{Paths: map[string]int{"/calls/a": 1, "/calls/c": 1, "/calls/d": 2, "/calls/e": 2}})
 	assert.DeepEqual(t, ca.sum, CallerSummary{
-		Calls: 5, Crossed: 1, NotRepeatableRunTwice: 1, NotRunButRan: 1, Refused: map[fate.Code]int{fate.Overloaded: 3}, Whole: 1,
+		Calls: 5, Crossed: 1, NotRepeatableRunTwice: 1, NotRunButRan: 1, Refused: map[outcome.Code]int{outcome.Overloaded: 3}, Whole: 1,
 	})
 }
 
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 )
 
 // loadLines is for how many customers a look at the load is logged, those that wait for
@@ -16,7 +16,7 @@
 
 // A customerLoad is what a customer has and waits for.
 type customerLoad struct {
-	items  load.Items
+	items  overview.Items
 	oldest *stepRow // with items that wait
 	steps  int
 }
@@ -32,7 +32,7 @@
 	places, troubled := 0, 0
 	for _, en := range ta.sorted {
 		places += en.slots
-		if st := ta.engineState(en, now); st != load.Serving && st != load.Loading {
+		if st := ta.engineState(en, now); st != overview.Serving && st != overview.Loading {
 			troubled++
 		}
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func (ta *Table) logCustomerLoad(name string, cu *customerLoad, total load.Items, storeHeard time.Duration, now time.Time) {
+func (ta *Table) logCustomerLoad(name string, cu *customerLoad, total overview.Items, storeHeard time.Duration, now time.Time) {
 	fields := map[string]any{
 		customerField: name, "part": partOf(cu.items.Running, total.Running), "running": cu.items.Running,
 		"steps": cu.steps, "waiting": cu.items.Waiting,
@@ -68,7 +68,7 @@
 }
 
 // customerLoads counts the items of open steps by customer, and in all.
-func (ta *Table) customerLoads() (loads map[string]*customerLoad, total load.Items) {
+func (ta *Table) customerLoads() (loads map[string]*customerLoad, total overview.Items) {
 	loads = map[string]*customerLoad{}
 	for _, sr := range ta.order {
 		cu := loads[sr.step.Customer]
@@ -76,7 +76,7 @@
 			cu = &customerLoad{}
 			loads[sr.step.Customer] = cu
 		}
-		var it load.Items
+		var it overview.Items
 		for _, ir := range sr.items {
 			countItem(&it, ir)
 		}
--- a/step/overview.go
+++ b/step/overview.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 )
 
 // An OverviewRequest asks how the load stands.
@@ -17,14 +17,14 @@
 
 // overview returns how the load stands. Only copying the rows holds the lock; the rest works
 // on the copy, so that requests for overviews don't delay placing.
-func (sc *Scheduler) overview(_ context.Context, rq OverviewRequest) (load.Overview, error) {
+func (sc *Scheduler) overview(_ context.Context, rq OverviewRequest) (overview.Overview, error) {
 	begun := time.Now()
 	si, err := sc.situation(begun)
 	if err != nil {
-		return load.Overview{}, err
+		return overview.Overview{}, err
 	}
 	copied := time.Since(begun)
-	ov := load.Summarize(si, rq.Rows)
+	ov := overview.Summarize(si, rq.Rows)
 	sc.Metrics.GetOrCreateHistogram(`wisteriacroft_overview_seconds`).UpdateDuration(begun)
 	sc.Log.WithFields(logrus.Fields{
 		"copied-us": copied.Microseconds(), "engines": len(si.Engines), "steps": len(si.Steps), "us": time.Since(begun).Microseconds(),
@@ -33,20 +33,20 @@
 }
 
 // situation copies what an overview is made of.
-func (sc *Scheduler) situation(now time.Time) (load.Snapshot, error) {
+func (sc *Scheduler) situation(now time.Time) (overview.Snapshot, error) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te, err := sc.current()
 	if err != nil {
-		return load.Snapshot{}, err
+		return overview.Snapshot{}, err
 	}
 	return te.table.Situation(now.Sub(te.freshAt), now), nil
 }
 
 // Situation returns what an overview of the load is made of. The key-value service last
 // answered storeHeard ago.
-func (ta *Table) Situation(storeHeard time.Duration, now time.Time) load.Snapshot {
-	si := load.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
+func (ta *Table) Situation(storeHeard time.Duration, now time.Time) overview.Snapshot {
+	si := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
 	paces := map[string]time.Duration{} // of an event beside what the engine runs
 	for _, en := range ta.sorted {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
@@ -60,10 +60,10 @@
 }
 
 // customerShares returns which part of the places customers had, and how they rank.
-func (ta *Table) customerShares(now time.Time) map[string]load.Share {
-	shares := map[string]load.Share{}
+func (ta *Table) customerShares(now time.Time) map[string]overview.Share {
+	shares := map[string]overview.Share{}
 	for customer, had := range ta.Parts(now) {
-		shares[customer] = load.Share{Had: had}
+		shares[customer] = overview.Share{Had: had}
 	}
 	for customer, st := range ta.Shares() {
 		sh := shares[customer]
@@ -74,9 +74,9 @@
 }
 
 // engineLoad returns how an engine stands.
-func (ta *Table) engineLoad(en *engineRow, now time.Time) load.Engine {
+func (ta *Table) engineLoad(en *engineRow, now time.Time) overview.Engine {
 	held, _ := en.memory()
-	le := load.Engine{
+	le := overview.Engine{
 		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.paces[en.service], Memory: en.tokens, Others: en.foreign,
 		Places: en.slots, Runs: len(en.items) + len(en.coming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
 	}
@@ -90,33 +90,33 @@
 }
 
 // engineState says what is the matter with an engine.
-func (ta *Table) engineState(en *engineRow, now time.Time) load.State {
+func (ta *Table) engineState(en *engineRow, now time.Time) overview.State {
 	_, drained := ta.holds.Endpoint(en.id, en.endpoint)
 	switch {
 	case en.gone:
-		return load.Gone
+		return overview.Gone
 	case en.heardAt.IsZero(), now.Sub(en.heardAt) > silentAfter:
-		return load.Silent
+		return overview.Silent
 	case en.sick:
-		return load.Sick
+		return overview.Sick
 	case drained:
-		return load.Drained
+		return overview.Drained
 	case en.leaving:
-		return load.Leaving
+		return overview.Leaving
 	case en.slow(now):
-		return load.Slow
+		return overview.Slow
 	case en.order != nil, en.report.Busy:
-		return load.Loading
+		return overview.Loading
 	default:
-		return load.Serving
+		return overview.Serving
 	}
 }
 
 // stepLoad returns how a step stands.
-func (ta *Table) stepLoad(sr *stepRow, paces map[string]time.Duration, away bool, now time.Time) load.StepRow {
+func (ta *Table) stepLoad(sr *stepRow, paces map[string]time.Duration, away bool, now time.Time) overview.StepRow {
 	st := sr.step
 	_, held := ta.holds.Step(st.ID, st.Customer)
-	lo := load.StepRow{Service: st.Service, Step: load.Step{
+	lo := overview.StepRow{Service: st.Service, Step: overview.Step{
 		Age: sr.age(now), Customer: st.Customer, Due: st.Due, Held: held, ID: st.ID, Model: st.Model, Wanted: min(st.Groups, len(sr.groups)),
 	}}
 	broken := map[string]bool{} // groups of which an item was given up
@@ -128,8 +128,8 @@
 			lo.Whole++
 		}
 	}
-	wait := load.Reason("")
-	lo.Open = make([]load.ItemRow, 0, len(sr.items))
+	wait := overview.Reason("")
+	lo.Open = make([]overview.ItemRow, 0, len(sr.items))
 	for _, ir := range sr.items {
 		countItem(&lo.Items, ir)
 		if ir.state == running {
@@ -148,7 +148,7 @@
 }
 
 // countItem counts an item by where it stands.
-func countItem(it *load.Items, ir *itemRow) {
+func countItem(it *overview.Items, ir *itemRow) {
 	switch ir.state {
 	case waiting:
 		it.Waiting++
@@ -168,16 +168,16 @@
 
 // itemLoad returns how an item stands that is not whole. Wait is what the engines make
 // the items of its step wait for.
-func (ta *Table) itemLoad(ir *itemRow, paces map[string]time.Duration, wait load.Reason, now time.Time) load.ItemRow {
-	lo := load.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.turn(ir, now)}
+func (ta *Table) itemLoad(ir *itemRow, paces map[string]time.Duration, wait overview.Reason, now time.Time) overview.ItemRow {
+	lo := overview.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.turn(ir, now)}
 	switch ir.state {
 	case running:
-		lo.Engine, lo.Stand = ir.run.engine, load.ItemRunning
+		lo.Engine, lo.Stand = ir.run.engine, overview.ItemRunning
 		if pace := paces[ir.run.engine]; pace > 0 {
 			lo.Left = max(ir.runsAt(pace, now), 0)
 		}
 	case scoring:
-		lo.Left, lo.Stand = ir.step.rewards.usual(), load.ItemScoring
+		lo.Left, lo.Stand = ir.step.rewards.usual(), overview.ItemScoring
 	default:
 		lo.Wait = ta.itemWait(ir, wait, now)
 	}
@@ -198,16 +198,16 @@
 }
 
 // itemWait returns what an item waits for.
-func (ta *Table) itemWait(ir *itemRow, wait load.Reason, now time.Time) load.Reason {
+func (ta *Table) itemWait(ir *itemRow, wait overview.Reason, now time.Time) overview.Reason {
 	switch {
 	case ta.held(ir):
-		return load.HeldByOperator
+		return overview.HeldByOperator
 	case ta.rests(ir, now):
-		return load.Quarantined
-	case wait == load.ToBePlaced && now.Sub(ir.since) > placeSoon:
-		return load.HeldBack
-	case (wait == load.NoPlace || wait == load.NoMemory) && ta.crowded(ir.step.step.Service) && !ir.group.plan.InTime():
-		return load.HeldBack
+		return overview.Quarantined
+	case wait == overview.ToBePlaced && now.Sub(ir.since) > placeSoon:
+		return overview.HeldBack
+	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.crowded(ir.step.step.Service) && !ir.group.plan.InTime():
+		return overview.HeldBack
 	default:
 		return wait
 	}
@@ -219,12 +219,12 @@
 
 // engineWait returns what the engines make an item wait for, by the engine that is nearest
 // to taking it. It is the same for all items of a step, unless each is bound to one version.
-func (ta *Table) engineWait(ir *itemRow, away bool) load.Reason {
+func (ta *Table) engineWait(ir *itemRow, away bool) overview.Reason {
 	if away {
-		return load.StoreAway
+		return overview.StoreAway
 	}
-	found, wait := 0, load.NoEngine
-	better := func(rank int, why load.Reason) { // the higher the rank, the nearer
+	found, wait := 0, overview.NoEngine
+	better := func(rank int, why overview.Reason) { // the higher the rank, the nearer
 		if rank > found {
 			found, wait = rank, why
 		}
@@ -235,17 +235,17 @@
 		switch {
 		case en.service != st.Service:
 		case !en.reachable():
-			better(1, load.NoneServes)
+			better(1, overview.NoneServes)
 		case !ta.usable(en, ir) && en.loads(st.Model) && version > 0:
-			better(3, load.WeightsLoad)
+			better(3, overview.WeightsLoad)
 		case !ta.usable(en, ir):
-			better(2, load.NoVersion)
+			better(2, overview.NoVersion)
 		case en.free() <= 0:
-			better(4, load.NoPlace)
+			better(4, overview.NoPlace)
 		case !en.fits(ir):
-			better(5, load.NoMemory)
+			better(5, overview.NoMemory)
 		default:
-			return load.ToBePlaced
+			return overview.ToBePlaced
 		}
 	}
 	return wait
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"wisteriacroft/hold"
-	"wisteriacroft/load"
+	"wisteriacroft/overview"
 	"wisteriacroft/quarantine"
 	"wisteriacroft/runner"
 )
@@ -19,34 +19,34 @@
 	for name, tc := range map[string]struct {
 		prepare func(ta *Table, st *Step)
 		away    time.Duration // since the service answered
-		want    load.Reason
+		want    overview.Reason
 	}{
-		"free":                     {func(*Table, *Step) {}, 0, load.ToBePlaced},
-		"service away":             {func(*Table, *Step) {}, time.Minute, load.StoreAway},
-		"no engine of the service": {func(_ *Table, st *Step) { st.Service = "other" }, 0, load.NoEngine},
-		"version":                  {func(_ *Table, st *Step) { st.MinVersion = 2 }, 0, load.NoVersion},
-		"leaving":                  {func(ta *Table, _ *Step) { ta.engines["a"].leaving = true }, 0, load.NoneServes},
+		"free":                     {func(*Table, *Step) {}, 0, overview.ToBePlaced},
+		"service away":             {func(*Table, *Step) {}, time.Minute, overview.StoreAway},
+		"no engine of the service": {func(_ *Table, st *Step) { st.Service = "other" }, 0, overview.NoEngine},
+		"version":                  {func(_ *Table, st *Step) { st.MinVersion = 2 }, 0, overview.NoVersion},
+		"leaving":                  {func(ta *Table, _ *Step) { ta.engines["a"].leaving = true }, 0, overview.NoneServes},
 		"loading": {func(ta *Table, _ *Step) {
 			ta.engines["a"].order = &runner.Order{Model: "model", Version: 2}
-		}, 0, load.WeightsLoad},
-		"places": {func(ta *Table, _ *Step) { ta.engines["a"].foreign = 2 }, 0, load.NoPlace},
+		}, 0, overview.WeightsLoad},
+		"places": {func(ta *Table, _ *Step) { ta.engines["a"].foreign = 2 }, 0, overview.NoPlace},
 		"memory": {func(ta *Table, _ *Step) {
 			ta.Accept(stepOf("u", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
 			ta.engines["a"].report.Tokens = 9999
-		}, 0, load.NoMemory},
+		}, 0, overview.NoMemory},
 		"hold": {func(ta *Table, _ *Step) {
 			sh, _, _ := (*hold.Set)(nil).Apply(hold.Change{
 				Action: hold.Held, Record: hold.Record{By: "ada", Target: hold.Target{Kind: hold.Step, Name: "s"}, Why: "test"},
 			})
 			ta.SetHolds(sh, begin)
-		}, 0, load.HeldByOperator},
+		}, 0, overview.HeldByOperator},
 		"quarantine": {func(ta *Table, st *Step) {
 			it := &st.Items[0]
 			for i := range 9 {
 				ta.quarantine.RecordCrash(quarantine.DigestOfItem("", "", it.ID, it.Path, it.Body), fmt.Sprint(i), begin)
 			}
-		}, 0, load.Quarantined},
+		}, 0, overview.Quarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
@@ -65,7 +65,7 @@
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	si := ta.Situation(0, begin.Add(placeSoon+1))
-	assert.Equal(t, si.Steps[0].Open[0].Wait, load.HeldBack)
+	assert.Equal(t, si.Steps[0].Open[0].Wait, overview.HeldBack)
 }
 
 // TestSituation plays a step from its acceptance to its listing and looks at it midway.
@@ -79,23 +79,23 @@
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
 	ta.Listed(ta.Update(begin.Add(time.Second)).Chunks, begin)
 	now := begin.Add(2 * time.Second)
-	ov := load.Summarize(ta.Situation(0, now), 0)
+	ov := overview.Summarize(ta.Situation(0, now), 0)
 	assert.Equal(t, ov.Epoch, uint64(7))
 	assert.Equal(t, len(ov.Steps), 1)
 	got := ov.Steps[0]
 	assert.Equal(t, got.Whole, 1)
 	assert.Equal(t, got.Wanted, 2)
 	assert.Equal(t, got.Age, 2*time.Second)
-	assert.DeepEqual(t, got.Items, load.Items{Listed: 2, Running: 2, Waiting: 2, Whole: 2})
+	assert.DeepEqual(t, got.Items, overview.Items{Listed: 2, Running: 2, Waiting: 2, Whole: 2})
 	assert.Equal(t, ov.Customers[0].Part, 1.0)
 	assert.Equal(t, ov.Customers[0].Had, 0.0, "nothing was counted yet")
 	ta.ChargeUsage(now)
 	ta.ChargeUsage(now.Add(time.Second))
-	ov = load.Summarize(ta.Situation(0, now.Add(time.Second)), 0)
+	ov = overview.Summarize(ta.Situation(0, now.Add(time.Second)), 0)
 	assert.Equal(t, ov.Customers[0].Had, 1.0)
 	assert.Equal(t, ov.Customers[0].Name, "bakery")
 	assert.Equal(t, len(ov.Engines), 2)
-	assert.Equal(t, ov.Engines[0].State, load.Silent, "nothing was heard for two seconds")
+	assert.Equal(t, ov.Engines[0].State, overview.Silent, "nothing was heard for two seconds")
 }
 
 func TestLoadIsLogged(t *testing.T) {
@@ -117,7 +117,7 @@
 	assert.Equal(t, len(lines["load of customer"]), 2)
 	mill, bakery := lines["load of customer"][0], lines["load of customer"][1]
 	assert.Equal(t, mill[customerField], "mill")
-	assert.Equal(t, mill[whyField], string(load.NoPlace))
+	assert.Equal(t, mill[whyField], string(overview.NoPlace))
 	assert.Equal(t, mill["age-ms"], int64(1000))
 	assert.Equal(t, bakery["part"], 1.0)
 	for i := range 3 * loadLines {
@@ -153,7 +153,7 @@
 func BenchmarkOverview(b *testing.B) {
 	si := loadedTable(1100, 6).Situation(0, begin.Add(time.Second))
 	for b.Loop() {
-		load.Summarize(si, 0)
+		overview.Summarize(si, 0)
 	}
 }
 
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -15,8 +15,8 @@
 	"wisteriacroft/forward"
 	"wisteriacroft/hold"
 	"wisteriacroft/lease"
-	"wisteriacroft/load"
 	"wisteriacroft/message"
+	"wisteriacroft/overview"
 	"wisteriacroft/peer"
 	"wisteriacroft/quarantine"
 	"wisteriacroft/runner"
@@ -143,7 +143,7 @@
 	peer.Handle(sv, bodyMethod, func(ctx context.Context, _ message.Header, rq BodyRequest) (BodyResponse, error) {
 		return sc.body(ctx, rq)
 	})
-	peer.Handle(sv, OverviewMethod, func(ctx context.Context, _ message.Header, rq OverviewRequest) (load.Overview, error) {
+	peer.Handle(sv, OverviewMethod, func(ctx context.Context, _ message.Header, rq OverviewRequest) (overview.Overview, error) {
 		return sc.overview(ctx, rq)
 	})
 }
--- a/trial/process.go
+++ b/trial/process.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"wisteriacroft/attendant"
-	"wisteriacroft/depot"
+	"wisteriacroft/blob"
 	"wisteriacroft/engine"
 	"wisteriacroft/entry"
 	"wisteriacroft/instancelist"
@@ -180,7 +180,7 @@
 			}
 		}
 		if se.DataFolder() != "" {
-			op.Store = &depot.Store{Folder: pr.folder}
+			op.Store = &blob.Store{Folder: pr.folder}
 		}
 		at, err := attendant.New(op)
 		if err != nil {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"wisteriacroft/fate"
+	"wisteriacroft/outcome"
 	"wisteriacroft/standin"
 )
 
@@ -38,7 +38,7 @@
 // TestVerdict breaks each promise and wants it named.
 func TestVerdict(t *testing.T) {
 	clean := standin.CallerSummary{Calls: 9, Name: "clerks", Whole: 9}
-	refused := standin.CallerSummary{Calls: 9, Name: "clerks", Whole: 7, Refused: map[fate.Code]int{fate.OutcomeUnknown: 2}}
+	refused := standin.CallerSummary{Calls: 9, Name: "clerks", Whole: 7, Refused: map[outcome.Code]int{outcome.OutcomeUnknown: 2}}
 	broken := standin.CallerSummary{Broken: 1, Calls: 9, Name: "clerks", Whole: 8}
 	for _, tc := range []struct {
 		name     string
--- a/trial/watch.go
+++ b/trial/watch.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"wisteriacroft/idempotency"
 	"wisteriacroft/message"
-	"wisteriacroft/once"
 	"wisteriacroft/profile"
 	"wisteriacroft/standin"
 )
@@ -88,7 +88,7 @@
 	req.Header.Set(message.ProfileHeader, ca.Profile)
 	req.Header.Set(message.DeadlineHeader, probeTime)
 	if ca.NotRepeatable > 0 {
-		key, err := once.NewKey(time.Now())
+		key, err := idempotency.NewKey(time.Now())
 		if err != nil {
 			return err
 		}
--- a/usage/holder.go
+++ b/usage/holder.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"wisteriacroft/duty"
 	"wisteriacroft/keyvalue"
+	"wisteriacroft/leader"
 	"wisteriacroft/message"
 	"wisteriacroft/peer"
 	"wisteriacroft/tick"
@@ -67,7 +67,7 @@
 	durable Record     // what lasts, as last written or read
 	mu      sync.Mutex // guards all of these
 	savedAt time.Duration
-	tenure  duty.Term[Record]
+	tenure  leader.Term[Record]
 }
 
 // Register lets entries push.
@@ -90,14 +90,14 @@
 	ho.book.Size = ho.Window
 	te := &ho.tenure
 	te.Client, te.FenceFunc, te.Key, te.Overlap, te.Owner = ho.Client, ho.FenceFunc, Key, ho.Overlap, ho.Owner
-	te.MarkFunc = func(rec Record) duty.Author { return duty.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
+	te.MarkFunc = func(rec Record) leader.Author { return leader.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
 	te.StandingFunc, te.SteadyFunc = ho.StandingFunc, ho.SteadyFunc
 	te.Begin()
 }
 
 func (ho *Collector) steady() time.Duration {
 	if ho.SteadyFunc == nil {
-		return duty.MonotonicClock()
+		return leader.MonotonicClock()
 	}
 	return ho.SteadyFunc()
 }
@@ -140,10 +140,10 @@
 // Step does what is to be done now.
 func (ho *Collector) Step(ctx context.Context) {
 	switch st, epoch := ho.tenure.State(); st {
-	case duty.Idle:
-	case duty.MustAdopt:
+	case leader.Idle:
+	case leader.MustAdopt:
 		ho.load(ctx, epoch)
-	case duty.Ready:
+	case leader.Ready:
 		ho.work(ctx)
 	}
 }
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"wisteriacroft/duty"
+	"wisteriacroft/leader"
 )
 
 // batchLife is for how long a batch is kept that is not known to last. Windows are
@@ -121,7 +121,7 @@
 
 func (re *Recorder) steady() time.Duration {
 	if re.SteadyFunc == nil {
-		return duty.MonotonicClock()
+		return leader.MonotonicClock()
 	}
 	return re.SteadyFunc()
 }
