--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -23,7 +23,7 @@
 
 // TestLoadTable prints the load of four times the room, as package load tells it.
 func TestLoadTable(t *testing.T) {
-	data, err := os.ReadFile(filepath.Join("..", "load", "testdata", "crowd.golden"))
+	data, err := os.ReadFile(filepath.Join("..", "overview", "testdata", "crowd.golden"))
 	assert.NilError(t, err)
 	var ov overview.Overview
 	assert.NilError(t, json.Unmarshal(data, &ov))
