--- a/admission/held.go
+++ b/admission/memorybudget.go
@@ -13,7 +13,7 @@
 	total      int64
 }
 
-// NewMemoryBudget returns a Held that takes no new work once bound bytes are held; 0 bounds
+// NewMemoryBudget returns a MemoryBudget that takes no new work once bound bytes are held; 0 bounds
 // nothing.
 func NewMemoryBudget(bound int64) MemoryBudget { return MemoryBudget{bound: bound} }
 
--- a/allocation/allocation.go
+++ b/allocation/allocation.go
@@ -1,4 +1,4 @@
-// Package allotment brings between entries and the scheduler what live requests of
+// Package allocation brings between entries and the scheduler what live requests of
 // customers may have: entries tell what they see, and are told how many places they may
 // give each customer. What is decided is decided in package fairshare.
 package allocation
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -48,7 +48,7 @@
 }
 
 // enter waits for the right to write a request to the endpoint. Its error is a
-// *fate.Refusal that says not-run.
+// *outcome.Refusal that says not-run.
 func (en *endpoint) enter(ctx context.Context, req gate.Request) (*gate.Ticket, error) {
 	id := req.ID
 	req.ID = en.unique(id)
--- a/batch/own.go
+++ b/batch/own.go
@@ -84,7 +84,7 @@
 	tr.wake()
 }
 
-// stands returns how the trainer's lease stands for the rows at hand: None if
+// stands returns how the trainer's lease stands for the rows at hand: NotHeld if
 // they are not those of the lease's epoch.
 func (ow *Owner) stands(tr *trainer, now time.Time) lease.State {
 	epoch, st := ow.LeaseFunc(tr.name, now)
--- a/batch/owner.go
+++ b/batch/owner.go
@@ -30,8 +30,8 @@
 //     any order;
 //   - on CancelFunc, end that request; its later reports are dropped here;
 //   - route Submit, Pull and Payload of a trainer to the entry that
-//     lease.Current names, and answer with the *fate.Refusal that they return;
-//     a refusal with the code fate.NotHome means that the owner has changed;
+//     lease.Current names, and answer with the *outcome.Refusal that they return;
+//     a refusal with the code outcome.NotHome means that the owner has changed;
 //   - when Payload fails after it has written, break the connection, so that
 //     the trainer does not take a part for the whole.
 type Owner struct {
@@ -40,7 +40,7 @@
 	Client     *keyvalue.Client
 	// DropFunc deletes a payload that no batch needs any more. Optional.
 	DropFunc func(ctx context.Context, places []message.BlobLocation, digest string)
-	// FetchFunc returns a payload, or depot.ErrMissing if no copy is left.
+	// FetchFunc returns a payload, or blob.ErrMissing if no copy is left.
 	FetchFunc func(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error)
 	// GoFunc runs a function that does I/O; nil means in a new goroutine.
 	GoFunc func(run func(ctx context.Context))
--- a/batch/payload.go
+++ b/batch/payload.go
@@ -17,7 +17,7 @@
 )
 
 // Manifest returns the samples of a batch that the ledger holds. A refusal is a
-// *fate.Refusal.
+// *outcome.Refusal.
 func (ow *Owner) Manifest(name, id string) ([]message.SampleEntry, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -33,7 +33,7 @@
 }
 
 // Payload writes the samples of a batch, one JSON line each, in the manifest's
-// order. A refusal is a *fate.Refusal; it may come after some were written.
+// order. A refusal is an *outcome.Refusal; it may come after some were written.
 func (ow *Owner) Payload(ctx context.Context, name, id string, wr io.Writer) error {
 	entries, err := ow.Manifest(name, id)
 	if err != nil {
--- a/batch/pull.go
+++ b/batch/pull.go
@@ -13,7 +13,7 @@
 // Pull acknowledges the batch that the cursor names and returns the next one,
 // waiting for it as long as the request says. Until the next acknowledgement
 // it returns the same batch, unless that has become stale or was lost: then a
-// new seal of the same slots. A refusal is a *fate.Refusal.
+// new seal of the same slots. A refusal is an *outcome.Refusal.
 func (ow *Owner) Pull(
 	ctx context.Context, name string, req message.PullRequest,
 ) (message.PullResponse, error) {
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -17,7 +17,7 @@
 
 // Submit accepts the request for a step's samples: its body is in the data
 // folders and the ledger names it before the answer goes out. A refusal is a
-// *fate.Refusal; if the fate is unknown, submit the same again. A trainer that
+// *outcome.Refusal; if the fate is unknown, submit the same again. A trainer that
 // has restarted pulls before it submits, so that its cursor is known.
 func (ow *Owner) Submit(
 	ctx context.Context, name string, number int, req message.StepRequest,
--- a/blob/client.go
+++ b/blob/client.go
@@ -19,9 +19,9 @@
 	PutFunc func(ctx context.Context, pl message.BlobLocation, digest string, data []byte) error
 }
 
-// Replicate puts data into Copies of the places, in different failure domains,
+// Replicate puts data into ReplicaCount of the places, in different failure domains,
 // trying them in order and passing over those that fail. It returns the places
-// that took it; with fewer than Copies of them, ErrTooFewCopies too.
+// that took it; with fewer than ReplicaCount of them, ErrTooFewCopies too.
 func Replicate(
 	ctx context.Context, cl *Client, places []message.BlobLocation, data []byte,
 ) ([]message.BlobLocation, error) {
--- a/blob/digest.go
+++ b/blob/digest.go
@@ -1,4 +1,4 @@
-// Package depot keeps payloads by the digest of their content, each on two
+// Package blob keeps payloads by the digest of their content, each on two
 // data folders in different failure domains.
 package blob
 
@@ -18,7 +18,7 @@
 	// ErrMissing means that no whole copy is there.
 	ErrMissing = errors.New("payload is missing")
 	// ErrTooFewCopies means that a payload is kept in fewer failure domains
-	// than Copies.
+	// than ReplicaCount.
 	ErrTooFewCopies = errors.New("too few copies")
 )
 
--- a/call/request.go
+++ b/call/request.go
@@ -65,7 +65,7 @@
 }
 
 // read reads a call and checks it against its profile. Its error is a
-// *fate.Refusal that names all faults with their places.
+// *outcome.Refusal that names all faults with their places.
 func (se *Server) read(rw http.ResponseWriter, rq *http.Request, kind Kind) (*request, *outcome.Refusal) {
 	service := mux.Vars(rq)["service"]
 	req := &request{
--- a/call/server.go
+++ b/call/server.go
@@ -30,7 +30,7 @@
 	Log      *logrus.Logger
 	// ProfileFunc returns the policy of a profile of a service, or of the
 	// service's only profile for live calls if name is "". Its error is a
-	// *fate.Refusal.
+	// *outcome.Refusal.
 	ProfileFunc func(service, name string) (Policy, error)
 	// Progress bounds the silence of a connection to an attendant; default
 	// DefaultProgress.
--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -21,7 +21,7 @@
 	"wisteriacroft/scale"
 )
 
-// TestLoadTable prints the load of four times the room, as package load tells it.
+// TestLoadTable prints the load of four times the room, as package overview tells it.
 func TestLoadTable(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "overview", "testdata", "crowd.golden"))
 	assert.NilError(t, err)
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// Fetcher returns a FetchFunc for a profile.Spreader whose peers are named by
+// Fetcher returns a FetchFunc for a profile.Syncer whose peers are named by
 // their addresses. It fetches over a pool, for the holder's process.
 func Fetcher(po *peer.Pool, ho *profile.Replica) func(ctx context.Context, address string) (profile.Document, error) {
 	return func(ctx context.Context, address string) (profile.Document, error) {
--- a/entry/members.go
+++ b/entry/members.go
@@ -158,7 +158,7 @@
 	return address, ok
 }
 
-// maxPlaces is how many data folders a payload is offered to: depot.Copies take
+// maxPlaces is how many data folders a payload is offered to: blob.ReplicaCount take
 // it, and the others stand in for those that fail.
 const maxPlaces = 8
 
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -18,7 +18,7 @@
 
 // callPolicy returns how the calls of a service are served under a document.
 // The name may be "" for the service's default class. Its error is a
-// *fate.Refusal.
+// *outcome.Refusal.
 func callPolicy(do profile.Document, service, name string) (call.Policy, error) {
 	se, ok := do.Service(service)
 	if !ok {
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -48,7 +48,7 @@
 	vars    map[string]string
 }
 
-// An ownerHandler answers a request at the owner. A *fate.Refusal becomes the
+// An ownerHandler answers a request at the owner. An *outcome.Refusal becomes the
 // answer; so does any other error, as one whose fate is unknown.
 type ownerHandler func(rw http.ResponseWriter, req trainerRequest) error
 
--- a/fairshare/recent.go
+++ b/fairshare/recentusage.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// RecentTime is how far a Recent looks back.
+	// RecentTime is how far a RecentUsage looks back.
 	RecentTime = time.Minute
 	// recentSpans is into how many spans that time is divided; the oldest is dropped whole.
 	recentSpans = 12
--- a/fairshare/memory.go
+++ b/fairshare/snapshot.go
@@ -1,6 +1,6 @@
 package fairshare
 
-// maxKept bounds how many customers a Memory holds.
+// maxKept bounds how many customers a Snapshot holds.
 const maxKept = 200
 
 // A Snapshot is what lasts of an account: how far customers are ahead of the virtual
--- a/forward/countedbody.go
+++ b/forward/countedbody.go
@@ -12,7 +12,7 @@
 }
 
 // reserve refuses a body that doesn't fit now, before any of it is read. One that is large
-// counts as held as a whole from now on; see admission.Held.Reserves.
+// counts as held as a whole from now on; see admission.MemoryBudget.ReservesWhole.
 func (cb *countedBody) reserve(size int64) error {
 	reserve, err := cb.memory.admits(cb.customer, size)
 	if err != nil || !reserve {
--- a/forward/table.go
+++ b/forward/table.go
@@ -186,7 +186,7 @@
 	ro.latency = max(ro.latency, waited)
 }
 
-// Done ends what Pick or PickRoom counted: the request is no longer in flight.
+// Done ends what Pick or PickAvailable counted: the request is no longer in flight.
 func (ta *Table) Done(id string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -30,7 +30,7 @@
 }
 
 // Acquire waits until the request may be written to the endpoint. Its error is
-// a *fate.Refusal that says not-run. A caller that goes away while its request
+// an *outcome.Refusal that says not-run. A caller that goes away while its request
 // waits ends ctx: the request is taken out and never runs.
 func (ga *Gate) Acquire(ctx context.Context, req Request) (*Ticket, error) {
 	decided, giveUp, re := ga.add(req)
@@ -96,7 +96,7 @@
 }
 
 // Tick gives up on the requests that can't start in time. Those that wait in
-// Enter see to it themselves; a tick loop may call it too.
+// Acquire see to it themselves; a tick loop may call it too.
 func (ga *Gate) Tick(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/gate/table.go
+++ b/gate/table.go
@@ -59,7 +59,7 @@
 	return ta
 }
 
-// Add puts a request into the table, to be started by a Decision of Run, or
+// Add puts a request into the table, to be started by a Decision of Dispatch, or
 // refuses it at once.
 func (ta *Table) Add(now time.Time, req Request) *outcome.Refusal {
 	if ta.closed {
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,4 +1,4 @@
-// Package once keeps requests that are not repeatable from running twice. A
+// Package idempotency keeps requests that are not repeatable from running twice. A
 // key runs only at its home, the endpoint that rendezvous hashing names, and
 // only if the home can be sure that it has not run there or elsewhere before.
 //
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -24,7 +24,7 @@
 type Decision struct {
 	Answer  *Response        // recorded: hand it out again
 	Refusal *outcome.Refusal // with its true fate
-	Run     bool             // run it, then call Finish, Lose or Release
+	Run     bool             // run it, then call Finish, MarkUnknown or Release
 }
 
 // A Table holds the keys that came to one endpoint. It is safe for concurrent
@@ -47,7 +47,7 @@
 }
 
 // Begin decides over one arrival of a key. A key that it lets run is in
-// progress until Finish, Lose or Release.
+// progress until Finish, MarkUnknown or Release.
 //
 // Call it before all other reasons to refuse: a repeat that is told not-run
 // for want of a place, though the first one ran, would be told an untruth.
@@ -213,7 +213,7 @@
 }
 
 // RecordYield records that an endpoint's attendant has promised, by Yield, to run
-// nothing under sets older than the revision, or that its instance is Gone.
+// nothing under sets older than the revision, or that its instance is RevisionGone.
 // The time is when this was learned.
 func (ta *Table) RecordYield(now time.Time, endpoint string, revision uint64) {
 	ta.mu.Lock()
--- a/leader/tenure.go
+++ b/leader/term.go
@@ -1,4 +1,4 @@
-// Package duty keeps the order of calls that one process at a time may make to the users'
+// Package leader keeps the order of calls that one process at a time may make to the users'
 // platform, whatever they say: the reports of use, and the orders for endpoints.
 //
 // The holder of a lease makes them. What they are made of lasts in the key-value service
@@ -49,7 +49,7 @@
 	Owner string
 	// StandingFunc returns the epoch under which the lease is held, if it is.
 	StandingFunc func(now time.Time) (epoch uint64, held bool)
-	// SteadyFunc is the process's steady clock; nil stands for Steady.
+	// SteadyFunc is the process's steady clock; nil stands for MonotonicClock.
 	SteadyFunc func() time.Duration
 
 	epoch   uint64        // of the record that was taken; 0 while none is
@@ -143,7 +143,7 @@
 }
 
 // Write writes a record, which the service refuses to anyone but the holder. After
-// ErrOvertaken the record has to be read and taken again.
+// ErrSuperseded the record has to be read and taken again.
 func (te *Term[Rec]) Write(ctx context.Context, rec Rec) error {
 	te.mu.Lock()
 	epoch, version, sent := te.epoch, te.version, te.Now()
--- a/lease/holder.go
+++ b/lease/holder.go
@@ -97,7 +97,7 @@
 }
 
 // State returns what the holder may say of its lease at now, and the epoch
-// that this concerns (0 for None).
+// that this concerns (0 for NotHeld).
 //
 // A process that was paused resumes with what it last knew, and would act
 // beside the next holder. The comparison with now prevents this: a renewal
--- a/ledger/codec.go
+++ b/ledger/codec.go
@@ -15,7 +15,7 @@
 	record  Record
 	version int64
 	write   uint64 // number of this write, counted by its writer
-	writer  string // unique to the Book that wrote
+	writer  string // unique to the Writer that wrote
 }
 
 // The forms below are what the service keeps. Arrays without names, digests as
--- a/ledger/book.go
+++ b/ledger/writer.go
@@ -19,7 +19,7 @@
 // its caller hears of it.
 const maxTries = 4
 
-// Errors of a Book, to be matched with errors.Is.
+// Errors of a Writer, to be matched with errors.Is.
 var (
 	// ErrFenced means that a later owner has taken the record over: nothing
 	// that this owner does may reach it any more.
@@ -37,8 +37,8 @@
 	mu      sync.Mutex // one call at a time
 	epoch   uint64
 	version int64  // of the key, as last seen
-	writer  string // id of this Book, the same under each epoch
-	writes  uint64 // counts the writes that this Book has sent
+	writer  string // id of this Writer, the same under each epoch
+	writes  uint64 // counts the writes that this Writer has sent
 }
 
 // Read returns a trainer's record. A trainer without one has the zero Record.
@@ -49,7 +49,7 @@
 
 // Adopt raises the record's epoch, after which no owner with a lower one can
 // write, and returns the record. Unchanged means that the last write before
-// was this Book's own, so that what its owner holds in memory beyond the record is still true.
+// was this Writer's own, so that what its owner holds in memory beyond the record is still true.
 func (bo *Writer) Adopt(ctx context.Context, epoch uint64) (rec Record, unchanged bool, err error) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,4 +1,4 @@
-// Package roster keeps each entry's view of the endpoints: attendants report
+// Package membership keeps each entry's view of the endpoints: attendants report
 // to an entry near them, and entries pass on what changed to each other. No
 // view is authoritative: the attendant still decides whether work may run.
 package membership
@@ -31,7 +31,7 @@
 	// burst is how many seconds' worth of bytes may be sent at once.
 	burst = 60
 	// messageSize and knownSize are about how many bytes a message and a
-	// Known take.
+	// KnownState take.
 	messageSize = 100
 	knownSize   = 32
 	// callTimeout bounds a call between an attendant and an entry or between
--- a/membership/message.go
+++ b/membership/message.go
@@ -18,7 +18,7 @@
 	DataFolder    bool // takes payloads
 }
 
-// An EndpointDescriptor is an endpoint's part of a Card.
+// An EndpointDescriptor is an endpoint's part of a Descriptor.
 type EndpointDescriptor struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
@@ -39,7 +39,7 @@
 	Card        *Descriptor      // nil where the receiver is believed to have it
 }
 
-// An EndpointUpdate is an endpoint's part of a News.
+// An EndpointUpdate is an endpoint's part of a StateUpdate.
 type EndpointUpdate struct {
 	_       struct{} `cbor:",toarray"`
 	State   State
--- a/message/trainer.go
+++ b/message/trainer.go
@@ -6,9 +6,9 @@
 const (
 	BatchPath   = "/v1/trainers/{trainer}/batches/{batch}"     // GET: lines of Payload
 	EnginePath  = "/v1/services/{service}/generate"            // POST engine.GenerateRequest: whole answer
-	PullPath    = "/v1/trainers/{trainer}/pull"                // POST PullRequest: PullAnswer
+	PullPath    = "/v1/trainers/{trainer}/pull"                // POST PullRequest: PullResponse
 	ServicePath = "/v1/services/{service}/call/{path:.*}"      // any method: a plain service
-	StepPath    = "/v1/trainers/{trainer}/steps/{step:[0-9]+}" // PUT StepRequest: StepAnswer
+	StepPath    = "/v1/trainers/{trainer}/steps/{step:[0-9]+}" // PUT StepRequest: StepResponse
 	StreamsPath = "/v1/services/{service}/stream"              // POST engine.GenerateRequest: lines of engine.Chunk
 )
 
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package fate says what became of a request, truthfully: whether it ran, did
+// Package outcome says what became of a request, truthfully: whether it ran, did
 // not run, or cannot be known to have run.
 package outcome
 
--- a/overview/overview.go
+++ b/overview/overview.go
@@ -1,7 +1,7 @@
-// Package load tells an operator how a scheduler's load stands: which steps will be late
+// Package overview tells an operator how a scheduler's load stands: which steps will be late
 // and why, who has which part of the engines, and which engine is the reason.
 //
-// It does no I/O: a scheduler fills a Situation from its table, and Summarize makes
+// It does no I/O: a scheduler fills a Snapshot from its table, and Summarize makes
 // an Overview of it, which is bounded in size.
 package overview
 
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -46,7 +46,7 @@
 func (po *Pool) Bytes() *Bytes { return &po.bytes }
 
 // Call calls a method of the process at address and waits for its answer.
-// The error is a *fate.Refusal or a RemoteError as the other side returned
+// The error is an *outcome.Refusal or a RemoteError as the other side returned
 // it, the context's error, or one of this package's.
 func Call[Req, Resp any](ctx context.Context, po *Pool, address, method string, req Req) (Resp, error) {
 	var resp Resp
--- a/profile/apply.go
+++ b/profile/apply.go
@@ -55,9 +55,9 @@
 // Apply merges an operator's profiles into what is in force and writes the
 // result as the next revision. Applying what is in force writes nothing.
 //
-// Errors: *Conflict, *Reverted, *Unsettled, ErrChangeIDUsed, ErrInvalid with a
+// Errors: *Conflict, *Reverted, *OutcomeUnknownError, ErrChangeIDUsed, ErrInvalid with a
 // *finding.Error, keyvalue.ErrTooLarge and keyvalue.ErrUnavailable. After all
-// but *Unsettled, nothing was written.
+// but *OutcomeUnknownError, nothing was written.
 func (st *Store) Apply(ctx context.Context, ap ApplyRequest) (ApplyResult, error) {
 	if ap.ChangeID == "" {
 		ap.ChangeID = uuid.NewString()
@@ -78,7 +78,7 @@
 }
 
 // giveUp returns the error of an Apply that ran out of attempts. It is an
-// *Unsettled if the change may have taken effect.
+// *OutcomeUnknownError if the change may have taken effect.
 func (ar *applier) giveUp() error {
 	if ar.pending != noWrite {
 		return &OutcomeUnknownError{cause: ar.cause, id: ar.ChangeID}
--- a/profile/follower.go
+++ b/profile/follower.go
@@ -20,13 +20,13 @@
 	rearmJitter       = 0.2
 )
 
-// A Follower brings what the service accepts into a Holder. Entries run one;
+// A Follower brings what the service accepts into a Replica. Entries run one;
 // attendants learn from entries, which spares the service their watches.
 type Follower struct {
 	Holder *Replica
 	Log    *logrus.Entry // nil: logs nothing
 	Rand   *rand.Rand    // nil: no jitter
-	Rearm  time.Duration // default DefaultRearm
+	Rearm  time.Duration // default DefaultRewatchInterval
 	Store  *Store
 
 	failing bool
--- a/profile/holder.go
+++ b/profile/replica.go
@@ -18,7 +18,7 @@
 	takenAt      time.Time
 }
 
-// A Status is what a Holder can tell of itself.
+// A Status is what a Replica can tell of itself.
 type Status struct {
 	PeerHeardAt    time.Time // zero: never
 	Revision       uint64
--- a/profile/store.go
+++ b/profile/store.go
@@ -31,7 +31,7 @@
 	return st.Key
 }
 
-// Read returns the document in the service, or the zero Stored if there is
+// Read returns the document in the service, or the zero VersionedDocument if there is
 // none yet.
 func (st *Store) Read(ctx context.Context) (VersionedDocument, error) {
 	it, err := st.Client.Get(ctx, st.key())
@@ -45,7 +45,7 @@
 }
 
 // Watch waits until the key is at a version above after. It returns the zero
-// Stored if the key was deleted.
+// VersionedDocument if the key was deleted.
 func (st *Store) Watch(ctx context.Context, after int64) (VersionedDocument, error) {
 	it, err := st.Client.Watch(ctx, st.key(), after)
 	if err != nil {
--- a/profile/spreader.go
+++ b/profile/syncer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Pace of a Spreader.
+// Pace of a Syncer.
 const (
 	fetchBackoff     = 200 * time.Millisecond
 	fetchTimeout     = 2 * time.Second
@@ -15,7 +15,7 @@
 	mostFetchBackoff = 5 * time.Second
 )
 
-// A Syncer brings the highest revision that any peer holds into a Holder.
+// A Syncer brings the highest revision that any peer holds into a Replica.
 // Each message between processes carries its sender's revision; whoever is
 // behind fetches the document from the sender. So a change reaches processes
 // that do not watch the service, and a process that starts during an outage
@@ -32,7 +32,7 @@
 	peers    []peer // in the order in which they were first heard
 }
 
-// A peer is a row of the Spreader's table.
+// A peer is a row of the Syncer's table.
 type peer struct {
 	failures int // in a row
 	heardAt  time.Time
@@ -128,7 +128,7 @@
 	}
 }
 
-// fetch asks a peer for its document and offers it to the Holder.
+// fetch asks a peer for its document and offers it to the Replica.
 func (sp *Syncer) fetch(name string) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -136,7 +136,7 @@
 				sy.ask(at, te, cut[at])
 			}
 		}
-		// Life has a least value, and a bucket holds one token at least.
+		// TokenTTL has a least value, and a bucket holds one token at least.
 		slack := te.Rate*max(leastLife.Seconds(), overshoot*window.Seconds()/2) + max(te.Rate*overshoot*window.Seconds()/2, 1)
 		if most := float64(sy.most(changed)); most > te.Rate*window.Seconds()+slack+1 {
 			rt.Fatalf("%f requests in %s at %f a second", most, window, te.Rate)
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,4 +1,4 @@
-// Package order rolls new weights out over the engines of a service: one
+// Package rollout rolls new weights out over the engines of a service: one
 // owner, an entry, decides which engine loads next, and the attendant beside
 // each engine refuses orders of owners that have been replaced.
 package rollout
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -1,8 +1,8 @@
 // Package scale orders endpoints by load: how many of a service each failure domain is to
 // have, between the bounds that the configuration in force sets.
 //
-// What decides talks to nothing: Want turns load and due times into a number, Table
-// holds it steady, Spread gives each failure domain its part. The Holder keeps what is
+// What decides talks to nothing: Service.Desired turns load and due times into a number, Table
+// holds it steady, Spread gives each failure domain its part. The Scaler keeps what is
 // decided and sends it, as the one process that may.
 package scale
 
--- a/scale/holder.go
+++ b/scale/scaler.go
@@ -81,7 +81,7 @@
 	SendFunc func(ctx context.Context, epoch uint64, or LastOrder) error
 	// ServicesFunc returns the services that have bounds.
 	ServicesFunc func(now time.Time) []Service
-	// Tenure is of the process's own; Key and MarkFunc are the Holder's to fill.
+	// Tenure is of the process's own; Key and MarkFunc are the Scaler's to fill.
 	Tenure *leader.Term[Record]
 
 	durable  Record     // as last written or read
--- a/scale/table.go
+++ b/scale/table.go
@@ -24,8 +24,8 @@
 // A sample is how many endpoints were wanted at a moment.
 type sample struct {
 	at   time.Time
-	keep int // as Service.Keep returned
-	want int // as Service.Want returned
+	keep int // as Service.ScaleDownLimit returned
+	want int // as Service.Desired returned
 }
 
 // A row is what is remembered of a service.
--- a/settings/reader.go
+++ b/settings/reader.go
@@ -18,7 +18,7 @@
 )
 
 // minLeaseTTL keeps a lease's margin, a sixth of its time to live, above the
-// time for which an attendant's token holds (order.DefaultTokenLife).
+// time for which an attendant's token holds (rollout.DefaultTokenLife).
 const minLeaseTTL = unit.Duration(8 * time.Second)
 
 // minTicksPerLease is how many ticks fit into a lease's time to live at least.
--- a/usage/holder.go
+++ b/usage/collector.go
@@ -58,7 +58,7 @@
 	SendFunc func(ctx context.Context, epoch uint64, re Report) error
 	// StandingFunc returns the epoch under which the lease is held, if it is.
 	StandingFunc func(now time.Time) (epoch uint64, held bool)
-	// SteadyFunc is the process's steady clock; nil stands for duty.Steady.
+	// SteadyFunc is the process's steady clock; nil stands for leader.MonotonicClock.
 	SteadyFunc func() time.Duration
 	Window     time.Duration // size of a window
 
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -14,7 +14,7 @@
 // A Recorder notes what an entry's endpoints begin to run. Nil notes nothing. The zero
 // Recorder is ready to use.
 type Recorder struct {
-	// SteadyFunc is the entry's steady clock; nil stands for duty.Steady.
+	// SteadyFunc is the entry's steady clock; nil stands for leader.MonotonicClock.
 	SteadyFunc func() time.Duration
 
 	batches []Batch // that are not known to last
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -4,7 +4,7 @@
 // Entries record what begins and push it to the holder, the process that reports. What
 // is reported of a window is decided once and kept before it is sent, so that a
 // successor sends the very same. What decides stands apart from talk and clocks:
-// Recorder at an entry, Clock and Book at the holder.
+// Recorder at an entry, Clock and Aggregator at the holder.
 package usage
 
 import "time"
