--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -1,6 +1,5 @@
-// Package fairshare decides how customers share what is scarce: what each has had in
-// virtual time, and how many places each may have now. It talks to nothing and reads no
-// clock.
+// Package fairshare divides scarce capacity among customers: it accounts for past usage in
+// virtual time, and limits the slots that each may use now. It does no I/O and reads no clock.
 package fairshare
 
 import (
@@ -11,71 +10,68 @@
 	"time"
 )
 
-// Bounds of an account. They are in seconds of a customer's part: what it has in a second in
-// which it has just what is due to it.
+// Parameters of an account. Their unit is a second of a customer's share: its usage in a second
+// in which it uses exactly its share.
 const (
-	// quantum is the distance, in seconds of its part, that gives a customer another rank.
-	// Closer ones rank the same, so that what is due first decides.
+	// quantum is the lead, in seconds of its share, per rank of a customer. Customers with a
+	// smaller difference rank equally.
 	quantum = 0.5
-	// margin is the hysteresis of ranks: how much further a customer must fall back to get
-	// a better rank again. Otherwise the order would change with each item that ends.
+	// margin is the hysteresis of ranks, without which the order would change with each item
+	// that ends.
 	margin = 0.25
-	// foresight is for how many seconds what a customer has and asks for is counted
-	// in advance: what is placed stays for about as long. Counted only while it runs, all
-	// that a customer asks for could be placed before its rank changes.
+	// foresight is the number of seconds of current and wanted usage that is charged in
+	// advance. Otherwise all waiting work of a customer could be placed before its rank
+	// changes.
 	foresight = 1.0
-	// mostClaim bounds, in seconds of its part, what a customer can claim before
-	// others. Otherwise work that could run nowhere for a while would keep all others
-	// waiting for as long once it can run.
+	// mostClaim limits, in seconds of its share, how far a customer can fall behind. Otherwise
+	// work that couldn't run for a while would later block all others for as long.
 	mostClaim = 10.0
-	// maxRows bounds how many customers are remembered.
+	// maxRows limits the number of customers in an account.
 	maxRows = 1000
 )
 
-// A Usage is what a customer has at a moment, each as a part of the whole.
+// A Usage is the current usage of a customer, in fractions of the total.
 type Usage struct {
 	Memory float64 // of the engines
 	Places float64
-	Waits  bool    // more of its work waits
-	Wants  float64 // places that it has and waits for; may be more than the whole
+	Waits  bool    // the customer has waiting work
+	Wants  float64 // slots in use and waited for; may exceed 1
 }
 
-// dominant returns the part of what the customer has the most of: work that fills
-// memory takes as much from others as work that fills places.
+// dominant returns the dominant share: the larger fraction of memory and slots.
 func (us Usage) dominant() float64 { return max(us.Memory, us.Places) }
 
-// foreseen returns the part that the customer is about to have if it gets what it asks
-// for.
+// foreseen returns the dominant share if the customer gets all that it wants.
 func (us Usage) foreseen() float64 { return max(us.dominant(), min(us.Wants, 1)) }
 
-// A row is what an account knows of a customer.
+// A row is the account of one customer.
 type row struct {
-	key    float64 // served, and what is foreseen
-	level  int     // quanta ahead of the one that is furthest behind of those that wait
-	rated  bool    // it has a level
-	served float64 // in virtual time: parts of the whole times seconds, by weight
+	key    float64 // served plus usage charged in advance
+	level  int     // quanta ahead of the waiting customer that is furthest behind
+	rated  bool    // level is set
+	served float64 // virtual time: fraction of the total times seconds, divided by weight
 	use    Usage
 }
 
-// An Account keeps what customers have had, by start-time fair queueing. The zero
-// Account is empty and ready to use.
+// An Account tracks the usage of customers by start-time fair queueing. The zero value is ready
+// to use. It is not safe for concurrent use.
 //
-// Virtual time is what the customer has had that is furthest behind among those that
-// wait. A customer that comes, or comes back, begins there: it has no claim to what it did
-// not use. One that is ahead stays so until the others have caught up.
+// Virtual time is the usage of the waiting customer that is furthest behind. A customer that
+// joins or returns starts there, without a claim to unused time. One that is ahead stays so
+// until the others have caught up.
 type Account struct {
 	rows    map[string]*row
 	virtual float64
 	weights map[string]float64
 }
 
-// SetWeights sets the customers' weights. A customer without one has 1.
+// SetWeights sets the customers' weights. The default weight is 1.
 func (ac *Account) SetWeights(weights map[string]float64) { ac.weights = weights }
 
-// Weight returns a customer's weight.
+// Weight returns a customer's weight, or the default.
 func (ac *Account) Weight(customer string) float64 { return weightOf(ac.weights, customer) }
 
-// weightOf returns a customer's weight, which is 1 unless it has a positive one.
+// weightOf returns a customer's weight, or 1 if it has no positive one.
 func weightOf(weights map[string]float64, customer string) float64 {
 	if weight := weights[customer]; weight > 0 {
 		return weight
@@ -83,11 +79,10 @@
 	return 1
 }
 
-// Advance counts what customers have for a time. Uses holds all that have something or
-// wait.
+// Advance charges customers for their usage during the elapsed time. Uses must hold all
+// customers with usage or waiting work.
 //
-// While no one waits, or no one has anything that is scarce, nothing is counted, and leads
-// shrink with time.
+// While nothing is scarce, usage isn't charged, and leads shrink with time.
 func (ac *Account) Advance(uses map[string]Usage, elapsed time.Duration) {
 	if ac.rows == nil {
 		ac.rows = map[string]*row{}
@@ -116,8 +111,7 @@
 	ac.rate(total)
 }
 
-// isScarce reports whether some customer waits while some has something, so that what they
-// have is to be counted.
+// isScarce reports whether some customer waits while some has usage.
 func isScarce(uses map[string]Usage) bool {
 	waits, has := false, false
 	for _, us := range uses {
@@ -127,7 +121,7 @@
 	return waits && has
 }
 
-// join lets customers begin at the virtual time.
+// join adds new customers, and moves those that are behind to the virtual time.
 func (ac *Account) join(uses map[string]Usage) {
 	for customer := range uses {
 		ro := ac.rows[customer]
@@ -139,7 +133,7 @@
 	}
 }
 
-// total returns the weight of all customers that have something or wait.
+// total returns the total weight of the given customers.
 func (ac *Account) total(uses map[string]Usage) float64 {
 	total := 0.0
 	for customer := range uses {
@@ -148,7 +142,7 @@
 	return total
 }
 
-// bound lets no one be further behind than mostClaim.
+// bound limits how far customers are behind to mostClaim.
 func (ac *Account) bound(uses map[string]Usage, total float64) {
 	most := math.Inf(-1)
 	for customer := range uses {
@@ -160,8 +154,7 @@
 	}
 }
 
-// least returns what the customer has had that is furthest behind among those that
-// wait.
+// least returns the usage of the waiting customer that is furthest behind.
 func (ac *Account) least(uses map[string]Usage) float64 {
 	least := math.Inf(1)
 	for customer, us := range uses {
@@ -172,8 +165,8 @@
 	return least
 }
 
-// prune drops customers that have and want nothing and would begin at the virtual time,
-// and beyond maxRows those that are the least ahead.
+// prune drops customers without usage that aren't ahead and, beyond maxRows, those that are
+// the least ahead.
 func (ac *Account) prune(uses map[string]Usage) {
 	maps.DeleteFunc(ac.rows, func(customer string, ro *row) bool {
 		_, present := uses[customer]
@@ -189,14 +182,14 @@
 	}
 }
 
-// byServed returns the customers, the one that is furthest behind first.
+// byServed returns the customers by ascending usage.
 func (ac *Account) byServed() []string {
 	return slices.SortedFunc(maps.Keys(ac.rows), func(a, b string) int {
 		return cmp.Or(cmp.Compare(ac.rows[a].served, ac.rows[b].served), cmp.Compare(a, b))
 	})
 }
 
-// rate gives each customer its level.
+// rate updates the level of each customer.
 func (ac *Account) rate(total float64) {
 	least := math.Inf(1)
 	for customer, ro := range ac.rows {
@@ -214,8 +207,8 @@
 	}
 }
 
-// relevel moves a customer to the level of a distance, in seconds of its part. It
-// leaves its level for a lower one only beyond the margin.
+// relevel sets the level for a distance in seconds of the customer's share, with hysteresis for
+// lower levels.
 func (ro *row) relevel(distance float64) {
 	if !ro.rated || distance >= float64(ro.level+1)*quantum {
 		ro.level, ro.rated = int(distance/quantum), true
@@ -226,8 +219,8 @@
 	}
 }
 
-// Rank returns the order in which customers go, the lowest first: how many quanta one is
-// ahead of the one that is furthest behind among those that wait.
+// Rank returns a customer's lead over the waiting customer that is furthest behind, in quanta.
+// Customers with the lowest rank go first.
 func (ac *Account) Rank(customer string) int {
 	if ro := ac.rows[customer]; ro != nil && ro.rated {
 		return ro.level
@@ -235,14 +228,14 @@
 	return 0
 }
 
-// Balance is how far a customer is ahead.
+// Balance is the position of a customer in an account.
 type Balance struct {
-	Ahead float64 // seconds of its part that it has had before the others
+	Ahead float64 // lead over virtual time, in seconds of its share
 	Use   Usage
 	Rank  int
 }
 
-// Balances returns how all customers stand that have something, wait or are ahead.
+// Balances returns the balances of all customers in the account.
 func (ac *Account) Balances() map[string]Balance {
 	out := make(map[string]Balance, len(ac.rows))
 	total := ac.present()
@@ -252,7 +245,8 @@
 	return out
 }
 
-// present returns the weight of all that have something or wait, or 1 if none does.
+// present returns the total weight of customers with usage or waiting work, or 1 if there are
+// none.
 func (ac *Account) present() float64 {
 	total := 0.0
 	for customer, ro := range ac.rows {
@@ -266,8 +260,7 @@
 	return total
 }
 
-// Spread returns how many customers wait, and by how many seconds of its part one is
-// ahead at most.
+// Spread returns the number of waiting customers, and the largest lead in seconds of a share.
 func (ac *Account) Spread() (count int, most float64) {
 	total := ac.present()
 	for _, ro := range ac.rows {
--- a/fairshare/division.go
+++ b/fairshare/division.go
@@ -8,29 +8,28 @@
 )
 
 const (
-	// overcommit is how many requests a place of an endpoint may have. One runs while
-	// the answer of another is on its way.
+	// overcommit is the number of requests per slot of an endpoint. One runs while the
+	// response of another is in transit.
 	overcommit = 2
-	// leastWants is what an entry is taken to want at least for a customer. With nothing,
-	// an entry that has no request now would have a bound of 0, and refuse the next one.
+	// leastWants is the minimum demand of an entry for a customer. With 0, an entry without
+	// requests would have a bound of 0 and refuse the next one.
 	leastWants = 0.5
 )
 
-// NoBound stands for as many places as a customer asks for.
+// NoBound means an unlimited number of slots.
 const NoBound = -1
 
-// A Demand is what an entry has seen of a customer's requests to a service since it told
-// before.
+// A Demand is an entry's statistics of a customer's requests to a service since its last report.
 type Demand struct {
-	Asked    int // for a place
-	InFlight int // when it told
-	Met      int // requests in flight that those that asked met, themselves among them, in total
-	Refused  int // of those that asked, by a bound
+	Asked    int // requests for a slot
+	InFlight int // at the time of the report
+	Met      int // sum, over the requests in Asked, of the requests in flight including itself
+	Refused  int // requests in Asked that were refused by a bound
 }
 
-// wants returns how many places the customer would have without a bound: as many as its
-// requests meet, and as many times more as were refused. The most that were ever in
-// flight would be too much, added up over all entries.
+// wants returns how many slots the customer would use without a bound: the mean number of
+// requests in flight, scaled up by those that were refused. The sum over all entries of the
+// maximum in flight would be too high.
 func (de Demand) wants() float64 {
 	if de.Asked == 0 {
 		return float64(de.InFlight)
@@ -39,16 +38,15 @@
 	return met * float64(de.Asked) / float64(max(de.Asked-de.Refused, 1))
 }
 
-// A ServiceDemand is what an entry has seen of a service.
+// A ServiceDemand is an entry's statistics of a service.
 type ServiceDemand struct {
-	Bounded   bool // the entry bounds customers now
+	Bounded   bool // the entry currently enforces bounds
 	Customers map[string]Demand
-	Places    int  // of its endpoints
-	Short     bool // endpoints refused requests for want of places
+	Places    int  // slots of its endpoints
+	Short     bool // endpoints refused requests for lack of slots
 }
 
-// Bounds are how many places of services an entry may give customers. Who is not named
-// has no bound.
+// Bounds are the limits of customers' slots at an entry. A missing customer is unbounded.
 type Bounds map[string]map[string]int // by service and customer
 
 // Of returns a customer's bound, or NoBound.
@@ -59,20 +57,18 @@
 	return NoBound
 }
 
-// A Divider divides the places of services among customers and entries. The zero
-// Divider is ready to use.
+// A Divider divides the slots of services among customers and entries. The zero value is ready
+// to use. It is not safe for concurrent use.
 //
-// Load pattern: one customer's callers ask for many times what endpoints can serve, spread
-// over all entries. No entry alone sees enough to tell whose requests are too many, and
-// without bounds the callers of all customers would be refused alike.
+// Without bounds, a customer that asks for many times what the endpoints can serve would cause
+// refusals of all customers alike. No single entry sees enough requests to decide.
 type Divider struct{ turn int }
 
-// Divide returns the bounds of each entry, by what entries have seen.
+// Divide returns the bounds of each entry, given the demands by entry and service.
 //
-// A service that no one is short of has no bounds. Bounds keep endpoints from refusing, so
-// that refusals alone would make bounds come and go. So a service also counts as short while
-// an entry bounds customers, until all ask for no more than there is. Entries tell whether
-// they do, so that another process that divides next knows.
+// A service that isn't short of slots has no bounds. Since bounds stop the refusals of endpoints,
+// a service also counts as short while an entry enforces bounds, until the total demand fits.
+// Entries report this, so that any process can take over the division.
 func (di *Divider) Divide(entries map[string]map[string]ServiceDemand, weights map[string]float64) map[string]Bounds {
 	out := map[string]Bounds{}
 	for entry := range entries {
@@ -99,7 +95,7 @@
 	return out
 }
 
-// services returns the services that entries have seen.
+// services returns the services in all demands, sorted.
 func services(entries map[string]map[string]ServiceDemand) []string {
 	seen := map[string]bool{}
 	for _, demands := range entries {
@@ -110,8 +106,8 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// total returns what customers want of a service at all entries, how many places it has,
-// and whether anyone is short of them.
+// total returns customers' demands for a service over all entries, its number of slots, and
+// whether it is short of them.
 func total(entries map[string]map[string]ServiceDemand, service string) (wants map[string]float64, places float64, short bool) {
 	wants = map[string]float64{}
 	for _, demands := range entries {
@@ -127,9 +123,8 @@
 	return wants, places, short
 }
 
-// split divides a customer's part among entries by what each wants, in whole places. What
-// doesn't come out even goes to other entries each time, so that none has nothing for
-// good.
+// split divides a customer's slots among entries in proportion to their demands. The remainder
+// rotates, so that no entry stays without slots.
 func (di *Divider) split(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
 	names := slices.Sorted(maps.Keys(entries))
 	wants := map[string]float64{}
@@ -158,11 +153,8 @@
 	return counts
 }
 
-// Standalone returns the bounds of an entry that hears from no one: its part of the places by
-// how many entries there are, and at least one for each customer.
-//
-// What the other entries let through isn't known, so that it neither refuses all nor lets
-// all through.
+// Standalone returns the bounds of an entry that can't reach the others: an equal fraction of the
+// slots, and at least one for each customer.
 func (di *Divider) Standalone(demands map[string]ServiceDemand, weights map[string]float64, entries int) Bounds {
 	own := map[string]ServiceDemand{}
 	for service, sd := range demands {
--- a/fairshare/fill.go
+++ b/fairshare/fill.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// MaxMinShares divides a whole among customers by what they want and their weights (max-min
-// fairness): one that wants no more than its part gets all that it wants, and what it leaves
-// goes to the others.
+// MaxMinShares divides a whole among customers by weighted max-min fairness: a customer that wants no
+// more than its share gets all that it wants, and the rest goes to the others.
 func MaxMinShares(whole float64, wants, weights map[string]float64) map[string]float64 {
 	weight := func(customer string) float64 { return weightOf(weights, customer) }
 	customers := slices.SortedFunc(maps.Keys(wants), func(a, b string) int {
--- a/fairshare/memory.go
+++ b/fairshare/memory.go
@@ -1,13 +1,13 @@
 package fairshare
 
-// maxKept bounds how many customers a Memory holds.
+// maxKept limits the number of customers in a Snapshot.
 const maxKept = 200
 
-// A Snapshot is what lasts of an account: how far customers are ahead of the virtual
-// time. One that it does not name is not ahead.
+// A Snapshot is the persistent state of an account: customers' leads over the virtual time. A
+// missing customer isn't ahead.
 type Snapshot struct{ Ahead map[string]float64 }
 
-// Snapshot returns what is to last of the account.
+// Snapshot returns the state of the account to persist.
 func (ac *Account) Snapshot() Snapshot {
 	me := Snapshot{Ahead: map[string]float64{}}
 	customers := ac.byServed()
@@ -19,8 +19,7 @@
 	return me
 }
 
-// Restore sets an account to what was kept of another one. An empty account would rank a
-// customer that has had far more than its part with those that had less.
+// Restore restores an account from persistent state.
 func (ac *Account) Restore(me Snapshot) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
 	for customer, ahead := range me.Ahead {
--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -3,25 +3,24 @@
 import "time"
 
 const (
-	// RecentTime is how far a Recent looks back.
+	// RecentTime is the length of the window of a RecentUsage.
 	RecentTime = time.Minute
-	// recentSpans is into how many spans that time is divided; the oldest is dropped whole.
+	// recentSpans is the number of spans in the window. Usage expires by whole spans.
 	recentSpans = 12
 	spanTime    = RecentTime / recentSpans
 )
 
-// A RecentUsage counts the places that customers had within RecentTime, so that a customer whose
-// steps were late for want of room can see who had it. The zero RecentUsage is empty and ready
-// to use.
+// A RecentUsage measures the slots that customers used within RecentTime. The zero value is
+// ready to use. It is not safe for concurrent use.
 //
-// An Account can't tell this: it counts only places that were scarce, and drops customers
-// with which the others have caught up.
+// Unlike an Account, it also includes slots that weren't scarce, and customers with which the
+// others have caught up.
 type RecentUsage struct {
-	spans  [recentSpans]map[string]float64 // places times seconds, by customer
+	spans  [recentSpans]map[string]float64 // slot seconds by customer
 	number int64                           // of the newest span, counted from the Unix epoch
 }
 
-// Add counts the places that customers had for a time that ends now.
+// Add adds the slots that customers used during the elapsed time that ends now.
 func (re *RecentUsage) Add(places map[string]int, elapsed time.Duration, now time.Time) {
 	re.forget(now)
 	span := re.spans[re.number%recentSpans]
@@ -36,8 +35,7 @@
 	}
 }
 
-// Parts returns which part of the places that were taken each customer had, over
-// RecentTime.
+// Parts returns each customer's fraction of the slot time used within RecentTime.
 func (re *RecentUsage) Parts(now time.Time) map[string]float64 {
 	re.forget(now)
 	parts, total := map[string]float64{}, 0.0
@@ -55,7 +53,7 @@
 	return parts
 }
 
-// forget moves on to the span of now, and empties the spans that have become too old.
+// forget advances to the span of now, and clears the spans that have expired.
 func (re *RecentUsage) forget(now time.Time) {
 	number := now.UnixNano() / int64(spanTime)
 	for range min(max(number-re.number, 0), recentSpans) {
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -1,10 +1,7 @@
-// Package overload decides which groups of open steps the engines' room is for
-// when trainers ask for more than the engines can end in time.
+// Package overload plans the engines' capacity when trainers ask for more than the engines can
+// complete in time: it decides for which groups of open steps capacity is reserved.
 //
-// Load pattern: each trainer has two steps open. Each step has more items than the engines
-// have places, and all steps together are more work than the engines can do until the steps
-// are due. Placed by time to spare alone, all items end at about the same moment, after
-// that time: all of the work is done, and none of it is in time.
+// By least slack alone, all items would end at about the same time, after their steps are due.
 //
 // The package does no I/O and reads no clock.
 package overload
@@ -16,60 +13,57 @@
 )
 
 const (
-	// crowdedPart and roomyPart are the parts of the room that the load must reach for the
-	// room to be crowded, and fall below for that to be over: hysteresis, as the order of
-	// placing changes with it. They are far below the whole, since hints may be too low and
-	// work that seems to need half of the room may fill it.
+	// crowdedPart and roomyPart are the loads, as fractions of the capacity, at which overload
+	// begins and below which it ends. They are far below 1 since hints often underestimate
+	// the work.
 	crowdedPart = 0.55
 	roomyPart   = 0.4
-	// emptyPart is the part below which the room isn't crowded, even if groups have none:
-	// these few are groups with an item that takes longer than is left.
+	// emptyPart is the load below which there is no overload, even if groups have no capacity.
+	// Those have an item that can't be in time anyway.
 	emptyPart = 0.25
-	// usablePart is the part of the room that is given away: places stand empty for a
-	// moment between two runs, and weights are loaded meanwhile.
+	// usablePart is the fraction of the capacity that is reserved. The rest is lost between
+	// runs and to weight loads.
 	usablePart = 0.75
-	// starvedAfter is how many times a step's whole time a trainer must have had no group
-	// in time for its steps to go first. It has two steps open, and both were late then.
+	// starvedAfter is the multiple of a step's allowed time without any group in time after
+	// which a trainer's steps go first.
 	starvedAfter = 2
 )
 
-// A Group is as many items of a step as count only together.
+// A Group is a set of items of a step that are useful only together.
 type Group struct {
-	Again   bool          // the trainer waits for it, whatever else is whole
-	Longest time.Duration // what the longest of its open items takes still
-	Work    time.Duration // what its open items take still, one after the other
+	Again   bool          // the trainer waits for this group in any case
+	Longest time.Duration // remaining time of the longest open item
+	Work    time.Duration // total remaining time of the open items
 
 	inTime   bool
-	order    int // among the groups of its step, as given
+	order    int // index in its step, as given
 	position int
 }
 
-// InTime reports whether room is kept for the group, so that it can be in time.
+// InTime reports whether capacity is reserved for the group, so that it can be in time.
 func (gr *Group) InTime() bool { return gr.inTime }
 
-// Position returns the group's place in the order of all groups: the lowest goes first.
+// Position returns the index of the group in the order of all groups, by which they are placed.
 func (gr *Group) Position() int { return gr.position }
 
-// A Step is an open step. Its groups that are whole are left out.
+// A Step is an open step without its complete groups.
 type Step struct {
-	Due      time.Duration // what the step may take
-	GivesUp  time.Duration // until its trainer is expected to wait no longer; 0 means unknown
+	Due      time.Duration // allowed time in total
+	GivesUp  time.Duration // until its trainer is expected to end it; 0 means unknown
 	Groups   []*Group
-	Left     time.Duration // until it is due; negative if it is late
-	Rank     int           // of its customer: the lowest chooses room first
-	ServedAt time.Time     // its last group was whole in time; zero if none was
+	Left     time.Duration // until the step is due; negative if it is late
+	Rank     int           // of its customer; the lowest goes first
+	ServedAt time.Time     // when its last group was completed in time; zero if none was
 	Trainer  string
-	Wanted   int // groups that its trainer waits for still
+	Wanted   int // number of groups that its trainer still waits for
 
-	work time.Duration // of the groups that this plan keeps room for
+	work time.Duration // of groups with reserved capacity in the current plan
 }
 
-// Demand returns how many places the groups that the trainer waits for need in the time that
-// the step may take.
+// Demand returns the number of slots that the wanted groups need within the step's allowed time.
 func (st *Step) Demand() float64 { return float64(st.wantedWork()) / float64(max(st.Due, 1)) }
 
-// wantedWork returns what the groups that the trainer waits for take still: those that go
-// first.
+// wantedWork returns the remaining work of the first groups that the trainer waits for.
 func (st *Step) wantedWork() time.Duration {
 	var work time.Duration
 	for _, gr := range st.Groups[:min(max(st.Wanted, 0), len(st.Groups))] {
@@ -78,29 +72,29 @@
 	return work
 }
 
-// A Discipline is an order in which steps share too little room.
+// A Discipline is a policy for sharing scarce capacity among steps.
 type Discipline int
 
-// The ways.
+// The policies.
 const (
-	// FirstInFirstOut ends one step after the other, as they were handed in.
+	// FirstInFirstOut serves steps in the order of submission.
 	FirstInFirstOut Discipline = iota
-	// ShortestFirst ends groups in the order of their work, of whatever step.
+	// ShortestFirst serves groups of all steps in the order of their work.
 	ShortestFirst
-	// EqualProgress lets all steps get on alike.
+	// EqualProgress serves the groups of all steps in turn.
 	EqualProgress
-	// LeastSlack leaves the order to the time that items have to spare: it is never crowded.
+	// LeastSlack disables overload mode, so that items are placed by least slack.
 	LeastSlack
 )
 
-// A Planner decides. The zero Planner is ready to use.
+// A Planner detects overload and plans the capacity of one service. The zero value is ready to
+// use. It is not safe for concurrent use.
 type Planner struct {
-	// Lingers says that the room stays crowded while a group that a trainer waits for has
-	// no room and its step is not late yet.
+	// Lingers extends the overload while a wanted group has no reserved capacity and its step
+	// isn't late yet.
 	//
-	// The load falls as groups of half finished steps end. If items were then placed by time
-	// to spare again, those that will be late anyway would go first, and make the steps late
-	// that room was kept for.
+	// The load falls as groups of half finished steps end. By least slack, items that will be
+	// late anyway would then go first and delay steps with reserved capacity.
 	Lingers bool
 	Way     Discipline
 
@@ -109,22 +103,21 @@
 	load    float64
 }
 
-// Overloaded reports whether there is too little room for all open steps.
+// Overloaded reports whether the capacity is insufficient for all open steps.
 func (pl *Planner) Overloaded() bool { return pl.crowded }
 
-// Load returns the work that is asked for, as a part of the room in the time that a
-// step may take.
+// Load returns the wanted work as a fraction of the capacity within a step's allowed time.
 func (pl *Planner) Load() float64 { return pl.load }
 
-// Idle reports whether the planner holds no state that a new one would lack.
+// Idle reports whether the planner has no state, so that it can be replaced by a new one.
 func (pl *Planner) Idle() bool { return !pl.crowded && len(pl.starved) == 0 }
 
-// Plan decides which groups of the open steps room is kept for, and gives all groups their
-// positions. Steps come oldest first. Places is how many the engines have, those of slow
-// engines counted in part.
+// Plan reserves capacity for groups of the open steps and sets the positions of all groups.
+// Steps must be ordered from the oldest. Places is the number of slots, in which those of slow
+// engines count in part.
 func (pl *Planner) Plan(steps []*Step, places float64, now time.Time) {
 	pl.load = load(steps, places)
-	short := false // a group that is waited for has no room, and its step is not late yet
+	short := false // a wanted group has no reserved capacity, and its step isn't late yet
 	steps = pl.starvedFirst(steps, now)
 	cds, ro := pl.candidates(steps), newRoom(steps, usablePart*places)
 	for i := range cds {
@@ -132,7 +125,7 @@
 		cds[i].chance = chanceOf(cds[i])
 		gr.inTime = cds[i].chance == possible && ro.fits(st, gr.Work)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
-		if gr.inTime { // what follows must leave room for it
+		if gr.inTime {
 			cds[i].chance = planned
 			st.work += gr.Work
 		}
@@ -143,8 +136,8 @@
 	pl.setCrowded(short)
 }
 
-// setCrowded decides whether the room is crowded, by the load and by whether a group that is
-// waited for is short of room.
+// setCrowded updates whether there is overload, by the load and by whether a wanted group has
+// no reserved capacity.
 func (pl *Planner) setCrowded(short bool) {
 	switch {
 	case pl.Way == LeastSlack:
@@ -155,18 +148,18 @@
 	}
 }
 
-// A chance is how likely a group is to be of use to its trainer.
+// A chance is how useful a group can still be to its trainer.
 type chance int
 
-// The chances, the best first.
+// The chances, from the best.
 const (
-	planned  chance = iota // room is kept for it
-	possible               // it can be in time, but the room is kept for others
-	late                   // it can be whole before its trainer gives up
+	planned  chance = iota // capacity is reserved
+	possible               // could be in time, but the capacity is reserved for others
+	late                   // can be complete before its trainer ends the step
 	hopeless
 )
 
-// chanceOf returns a group's chance before any room is kept for it.
+// chanceOf returns the chance of a group without reserved capacity.
 func chanceOf(cd candidate) chance {
 	gr, st := cd.group, cd.step
 	switch {
@@ -179,8 +172,8 @@
 	}
 }
 
-// load returns the work that trainers wait for, as a part of what places can do in the
-// time that a step may take.
+// load returns the wanted work as a fraction of what the slots can do within the longest allowed
+// time. It also sorts the groups of all steps and resets their reserved work.
 func load(steps []*Step, places float64) float64 {
 	var work, due time.Duration
 	for _, st := range steps {
@@ -206,11 +199,8 @@
 	}
 }
 
-// starvedFirst orders steps by the ranks of their customers, after those whose trainers
-// have had no group in time for too long.
-//
-// Otherwise a trainer whose steps always come behind those of others would have no group in
-// time until the overload ends.
+// starvedFirst returns the steps by their customers' ranks, after those of trainers that have
+// had no group in time for too long.
 func (pl *Planner) starvedFirst(steps []*Step, now time.Time) []*Step {
 	pl.trackStarvation(steps, now)
 	starved := func(st *Step) bool { return pl.starved[st.Trainer].lasts(now) > starvedAfter*st.Due }
@@ -221,17 +211,17 @@
 	return ordered
 }
 
-// A candidate is a group that asks for room.
+// A candidate is a group to reserve capacity for.
 type candidate struct {
 	chance chance
 	group  *Group
-	order  int     // as given
-	part   float64 // groups of its step that go before it, as a part of those waited for
+	order  int     // index before sorting
+	part   float64 // number of earlier groups of its step, as a fraction of the wanted ones
 	step   *Step
-	wanted bool // its trainer waits for it
+	wanted bool // the trainer waits for the group
 }
 
-// candidates returns all groups in the order in which they are given room.
+// candidates returns all groups in the order in which capacity is reserved for them.
 func (pl *Planner) candidates(steps []*Step) []candidate {
 	var cds []candidate
 	for _, st := range steps {
--- a/overload/room.go
+++ b/overload/room.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A room is what the places can do until each of the steps is due.
+// A room is the capacity until each of the steps is due.
 type room struct {
 	places float64
 	steps  []*Step // by due time, the earliest first
@@ -17,13 +17,13 @@
 	return &room{places: places, steps: ordered}
 }
 
-// fits reports whether work that is due with a step fits beside all that room is kept for:
-// what is due by then, and by each later due time, must be done by that time.
+// fits reports whether additional work that is due with a step fits: the reserved work that is
+// due by then, and by each later due time, must be feasible by that time.
 func (ro *room) fits(st *Step, work time.Duration) bool {
-	total := work // due by the time of the step that is looked at
+	total := work // due by until.Left
 	for i, until := range ro.steps {
 		total += until.work
-		// Steps of one due time are looked at once, with the work of all of them.
+		// Check steps with equal due times once, with the work of all of them.
 		if until.Left < st.Left || i+1 < len(ro.steps) && ro.steps[i+1].Left == until.Left {
 			continue
 		}
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -5,10 +5,8 @@
 	"slices"
 )
 
-// sortGroups orders the groups of one step: first those that its trainer waits for in any
-// case, then the others by their work, the least first, since most of these can be in time.
-//
-// The order as given is the last key, so that the result is that of a stable sort.
+// sortGroups sorts the groups of one step: first those that its trainer waits for in any case,
+// then by ascending work, so that as many as possible are in time. The sort is stable.
 func sortGroups(groups []*Group) {
 	for i, gr := range groups {
 		gr.order = i
@@ -18,9 +16,9 @@
 	})
 }
 
-// byChance orders groups by their chances, and otherwise leaves them in their order. Late
-// ones go by their customers' ranks, and then by their work, the least first: most of these
-// can be whole before their trainers give up.
+// byChance returns the groups by chance, and otherwise in their order. Late and hopeless ones
+// go by their customers' ranks and then by ascending work, so that as many as possible become
+// complete.
 func byChance(cds []candidate) []candidate {
 	var chances [hopeless + 1][]candidate
 	for i, cd := range cds {
--- a/overload/starvation.go
+++ b/overload/starvation.go
@@ -5,18 +5,14 @@
 	"time"
 )
 
-// A starvation measures for how long a trainer has had no group in time.
-//
-// Only time in which it waits for groups counts. Otherwise a trainer that trained, or was
-// held by an operator, would go before those that waited all that time, though nothing was
-// kept from it.
+// A starvation measures how long a trainer has had no group in time. Only time in which it
+// waits for groups counts, not pauses for training or while an operator holds its steps.
 type starvation struct {
-	pausedAt time.Time // it has waited for nothing since then; zero if it waits
-	since    time.Time // its start, moved forward by the length of each pause
+	pausedAt time.Time // start of the current pause; zero if the trainer waits
+	since    time.Time // start, moved forward by the length of each pause
 }
 
-// lasts returns for how long the starvation has lasted: 0 for a trainer that waits for
-// nothing.
+// lasts returns the duration of the starvation, or 0 during a pause. The receiver may be nil.
 func (sv *starvation) lasts(now time.Time) time.Duration {
 	if sv == nil || !sv.pausedAt.IsZero() {
 		return 0
@@ -32,16 +28,15 @@
 	}
 }
 
-// forgetAfter is for how long a trainer that waits for nothing is remembered.
+// forgetAfter is how long a trainer in a pause is remembered.
 const forgetAfter = time.Minute
 
-// waits reports whether the step's trainer waits for groups still.
+// waits reports whether the step's trainer still waits for groups.
 func (st *Step) waits() bool {
 	return st.Wanted > 0 || slices.ContainsFunc(st.Groups, func(gr *Group) bool { return gr.Again })
 }
 
-// trackStarvation records which trainers wait for groups now, and when each had its last
-// group in time.
+// trackStarvation updates the starvation of all trainers.
 func (pl *Planner) trackStarvation(steps []*Step, now time.Time) {
 	if pl.starved == nil {
 		pl.starved = map[string]*starvation{}
--- a/step/byroom.go
+++ b/step/byroom.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A placeItem is an item that is to get a place in its turn.
+// A placeItem is an item to be placed in the current pass.
 type placeItem struct {
 	item  *itemRow
-	spare time.Duration // time to spare
+	spare time.Duration // slack
 }
 
 func comparePlaceItems(a, b placeItem) int {
@@ -18,9 +18,9 @@
 	)
 }
 
-// byRoom gives places by the plan of the room, customer by customer in the order of their
-// ranks: first to urgent items of groups that room is kept for, then to the other items of
-// these groups, and last to items of the other groups.
+// byRoom places items by the capacity plan, in the order of customers' ranks: first urgent items
+// of groups with reserved capacity, then other items of these groups, and last items of other
+// groups.
 func (pl *placing) byRoom(rm *room, ranks map[string]int) {
 	rm.order(pl.steps)
 	for _, rank := range pl.rankSteps(ranks) {
@@ -33,9 +33,9 @@
 	}
 }
 
-// turn gives places to items whose turn it is, of customers of a rank. Groups come by their
-// positions. Those with the same one, as those of steps that came after the last plan, go
-// together, their items by time to spare.
+// turn places the items of one pass of customers with the given rank. Groups must be ordered
+// by position. Items of groups with the same position, such as those of steps that came after
+// the last plan, are merged by slack.
 func (pl *placing) turn(groups []*groupRow, rank int, turn placeTurn) {
 	var items []placeItem
 	for i, gr := range groups {
@@ -62,18 +62,16 @@
 	}
 }
 
-// A placeTurn is one of three passes over the groups, each for other items.
+// A placeTurn is one of three passes over the groups.
 type placeTurn int
 
-// The turns, the first one first.
 const (
-	urgent    placeTurn = iota // room is kept for its group, and it has less than urgentSpare
-	planned                    // room is kept for its group, and it has more time to spare
-	unplanned                  // no room is kept for its group
+	urgent    placeTurn = iota // items with less slack than urgentSpare in groups with reserved capacity
+	planned                    // other items in groups with reserved capacity
+	unplanned                  // items in groups without reserved capacity
 )
 
-// mayHave reports whether a group may have items for a turn, by the bounds that it keeps of
-// them: most groups need no look at their items.
+// mayHave reports whether a group may have items for a pass, by the bounds in its summary.
 func (gr *groupRow) mayHave(turn placeTurn, now time.Time) bool {
 	left := gr.step.step.Due - gr.step.age(now)
 	switch turn {
@@ -86,7 +84,7 @@
 	}
 }
 
-// itemsOf appends to items those of a group that wait and whose turn it is.
+// itemsOf appends the waiting items of a group that belong to a pass.
 func (gr *groupRow) itemsOf(items []placeItem, turn placeTurn, now time.Time) []placeItem {
 	for _, ir := range gr.wait.waiting {
 		if ir.state != waiting {
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A queueHead is where a round of placing stands in one queue of a step.
+// A queueHead is the position of a round of placement in one queue of a step.
 type queueHead struct {
 	at    int // index of the next entry
 	list  *seatList
 	queue *waitQueue
-	spare time.Duration // time to spare of an item that would take none
+	spare time.Duration // slack of an item that would take no time
 	step  *stepRow
 }
 
-// A spareKey is an item's place in the order of time to spare.
+// A spareKey is the sort key of an item in the order of slack.
 type spareKey struct {
-	rank  int // of its customer
+	rank  int // of the customer
 	spare time.Duration
-	step  int // its place in the order of steps
-	index int // in its step
+	step  int // index of the step
+	index int // in the step
 }
 
 func (sk spareKey) compare(other spareKey) int {
@@ -30,12 +30,12 @@
 	)
 }
 
-// bySpare gives places to items in the order of their customers' ranks, and then of their
-// time to spare, the least first. It merges the queues of all steps.
+// bySpare places items in the order of their customers' ranks and then of least slack. It
+// merges the queues of all steps.
 func (pl *placing) bySpare(ranks map[string]int) {
 	pl.rankSteps(ranks)
 	var heads []queueHead
-	var moving []spareKey // of items that give back a place
+	var moving []spareKey // of items with a reserved slot
 	for _, sr := range pl.steps {
 		if sr.waits == 0 {
 			continue
@@ -66,7 +66,7 @@
 	}
 }
 
-// headsOf appends the heads of a step's queues to heads.
+// headsOf appends the heads of a step's nonempty queues.
 func (pl *placing) headsOf(heads []queueHead, sr *stepRow) []queueHead {
 	for number := range sr.queue.queues {
 		wq := &sr.queue.queues[number]
@@ -81,7 +81,7 @@
 	return heads
 }
 
-// movingOf appends to keys those of a step's items that wait and give back a place.
+// movingOf appends the keys of a step's waiting items with a reserved slot.
 func (pl *placing) movingOf(keys []spareKey, sr *stepRow) []spareKey {
 	if sr.moving == 0 {
 		return keys
@@ -96,9 +96,9 @@
 	return keys
 }
 
-// advance moves on to the next item that waits and may fit somewhere, and returns its place
-// in the order. Moving are the items that still give back a place. An item that comes after
-// the first of these may fit once the place is free, so that it isn't passed over now.
+// advance moves to the next waiting item that may fit some engine, and returns its key. Moving
+// holds the keys of items that will still release a reserved slot. An item after the first of
+// these isn't skipped, since it may fit once that slot is free.
 func (he *queueHead) advance(moving []spareKey) (spareKey, bool) {
 	if len(moving) == 0 && he.list.most < he.step.least {
 		return spareKey{}, false
--- a/step/choose.go
+++ b/step/choose.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// rankOf returns how good an engine is for an item, in free places.
+// rankOf returns the score of an engine for an item, in free slots.
 func (ta *Table) rankOf(en *engineRow, ir *itemRow, now time.Time) float64 {
 	if ta.rank != nil {
 		return ta.rank(en, ir, now)
@@ -10,7 +10,7 @@
 	return ta.score(en, ir, now)
 }
 
-// score returns how good an engine is for an item, in free places.
+// score returns the default score of an engine for an item, in free slots.
 func (ta *Table) score(en *engineRow, ir *itemRow, now time.Time) float64 {
 	score := en.baseScore(now)
 	for _, other := range en.items {
@@ -24,8 +24,8 @@
 	return score - paceCost(ir.expectedTime().Seconds(), float64(en.context()), ta.behind(en)) - en.crowding(end+added)
 }
 
-// baseScore returns how good an engine is for any item, in free places. One on which a run
-// failed, or that is slow, gets items only if no other can take them.
+// baseScore returns the part of an engine's score that doesn't depend on the item. An engine
+// that recently broke a run, or is slow, gets items only if no other can take them.
 func (en *engineRow) baseScore(now time.Time) float64 {
 	score := float64(en.free())
 	if now.Sub(en.failed) < failedFor {
@@ -37,12 +37,11 @@
 	return score
 }
 
-// paceCost returns what an engine's pace costs an item that takes so many seconds, in
-// places, by the tokens that the engine's runs are expected to hold and by what part it is
-// behind the best engine.
+// paceCost returns the cost, in slots, of an engine's pace for an item that takes the given
+// seconds, by the context of the engine's runs in tokens and by how much slower the engine is
+// than the best one.
 //
-// On an engine that is always slower than others a long item would be late, while a short
-// one still ends in time. Each run also slows the others of its engine down by its context.
+// On a slower engine a long item would be late, while a short one still ends in time.
 func paceCost(took, context, behind float64) float64 {
 	cost := took * placesPerSecond * context * slowdownPerToken
 	if behind > 0 {
@@ -51,8 +50,8 @@
 	return cost
 }
 
-// behind returns by what part an engine is slower than the best one of its service, or 0 if
-// that is less than paceTolerance or not known.
+// behind returns by which fraction an engine is slower than the best one of its service, or 0
+// if that is less than paceTolerance or unknown.
 func (ta *Table) behind(en *engineRow) float64 {
 	best := ta.bests[en.service]
 	if best <= 0 || en.base <= 0 {
@@ -64,39 +63,34 @@
 	return 0
 }
 
-// context returns how many tokens an engine's runs are expected to hold.
+// context returns the expected mean number of tokens that an engine's runs hold.
 func (en *engineRow) context() int {
 	now, end := en.memory()
 	return (now + end) / 2
 }
 
 const (
-	// paceTolerance is by how much an engine may be slower than the best one
-	// before it counts.
+	// paceTolerance is the fraction by which an engine may be slower than the best one
+	// without a cost.
 	paceTolerance = 0.1
-	// placesPerSecond is how many free places a second of lateness is worth: an
-	// item that would be late by one goes to a fast engine that is full but for
-	// one place.
+	// placesPerSecond is the cost, in free slots, of each additional second of an item.
 	placesPerSecond = 12
-	// slowdownPerToken and slowdownPerRun are the parts by which a token of
-	// context and a run slow an engine down: what each adds to the engine's time for
-	// one round of all runs, by that time, in us.
+	// slowdownPerToken and slowdownPerRun are the relative increases of a decoding step's
+	// time by a token of context and by a run.
 	slowdownPerToken = 0.00163 / 592
 	slowdownPerRun   = 0.00172 / 0.592
 )
 
-// slowdown returns by how much runs and their context slow an engine down.
+// slowdown returns the factor by which runs and their context slow an engine down.
 func slowdown(runs, tokens int) float64 {
 	return 1 + slowdownPerRun*float64(runs) + slowdownPerToken*float64(tokens)
 }
 
-// paceWith returns how long an event is expected to take at an engine, beside
-// what it runs and, if not nil, a run that comes to it. It returns 0 if no
-// engine of the service has been seen.
+// paceWith returns the expected time per event on an engine under its current load and, if not
+// nil, one more item. It returns 0 if no engine of the service has been measured.
 //
-// The pace that an engine last showed is of what it ran then. Taken as it is, an
-// engine that was nearly empty looks faster than a full one, all long runs move
-// to it at once, and leave it again.
+// The last reported pace depends on the load at that time: by it, an empty engine would look
+// faster than a full one and attract all long runs at once.
 func (ta *Table) paceWith(en *engineRow, added *itemRow) time.Duration {
 	base := en.base
 	if base == 0 {
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -10,20 +10,17 @@
 )
 
 const (
-	// planEvery is how often it is planned which groups the room is for: often enough
-	// that no step comes near its due time unseen.
+	// planEvery is the interval of capacity planning.
 	planEvery = 200 * time.Millisecond
-	// urgentSpare is the time to spare below which an item goes before its group's
-	// turn. How long items last is known by hints only, which are often far too low: an
-	// item that seems to take half of its step's time may take all of it.
+	// urgentSpare is the slack below which an item goes before its group's turn. It is large
+	// because hints often underestimate the length of items.
 	urgentSpare = 3 * time.Second
-	// graceTime is how much later than due a group may be whole and still be of use:
-	// trainers read with pauses, and read what is whole a moment late with the rest.
+	// graceTime is how late a group may be and still count as in time, since trainers poll
+	// with pauses.
 	graceTime = 400 * time.Millisecond
 )
 
-// planRoom decides which groups each service's room is for, by the ranks of customers. In
-// between, groups keep the positions of the last plan.
+// planRoom plans the capacity of each service, at intervals of planEvery.
 func (ta *Table) planRoom(now time.Time) {
 	if now.Sub(ta.plannedAt) < planEvery {
 		return
@@ -33,7 +30,7 @@
 	ranks := ta.customerRank(ta.waitingCustomers(now))
 	rows := map[string][]*stepRow{} // by service
 	for _, sr := range ta.order {
-		// Without a due time no step is late, and no room is kept for it.
+		// A step without a due time is never late and needs no plan.
 		if sr.step.Due > 0 && !ta.idleByHold(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
 			ta.room(sr.step.Service)
@@ -44,7 +41,7 @@
 	}
 }
 
-// planService decides which groups of a service's steps its room is for.
+// planService plans the capacity of one service.
 func (ta *Table) planService(service string, rows []*stepRow, ranks map[string]int, now time.Time) {
 	rm := ta.room(service)
 	ranks = rm.rank(ranks)
@@ -54,7 +51,7 @@
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
 	was, places := rm.planner.Overloaded(), ta.places(service, now)
-	// Who asks for no more than its part doesn't wait until the others have had their room.
+	// A customer within its share must not wait for the overload of others to end.
 	rm.planner.Lingers = !ta.competesWithinPart(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
@@ -75,10 +72,10 @@
 	}
 }
 
-// roomLogEvery bounds how often it is logged which room a step has.
+// roomLogEvery is the minimum interval of logging the planned groups of a step.
 const roomLogEvery = time.Second
 
-// logRoom logs for how many of a step's groups room is kept, when that has changed.
+// logRoom logs the number of a step's groups with reserved capacity if it has changed.
 func (ta *Table) logRoom(sr *stepRow, st *overload.Step, now time.Time) {
 	planned := 0
 	for _, gr := range st.Groups {
@@ -96,7 +93,7 @@
 	})
 }
 
-// openStep returns what the planner needs to know of a step.
+// openStep returns a step as input of the planner.
 func (ta *Table) openStep(sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainer(),
@@ -105,7 +102,7 @@
 	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
 		st.GivesUp = max(gaveUp-sr.age(now), 1)
 	}
-	var open []*groupRow // by their first open items, so that they stand in the same order each time
+	var open []*groupRow // ordered by their first open items, for a deterministic plan
 	for _, gr := range sr.list {
 		gr.plan = overload.Group{Again: gr.again}
 		if gr.left == 0 {
@@ -124,12 +121,11 @@
 	return st
 }
 
-// trainer names whose step it is, among all customers' trainers.
+// trainer returns a key for the step's trainer that is unique among all customers.
 func (sr *stepRow) trainer() string { return sr.step.Customer + "/" + sr.step.Model }
 
-// noteGivenUp learns from a step that ends how long its trainer waits. If it ended the step
-// without the groups that it asked for, its next steps are expected to end at that age, too,
-// and what can't be whole by then is of no use.
+// noteGivenUp records at which age a trainer ended a step that was late and incomplete. Its
+// next steps are expected to end at the same age.
 func (ta *Table) noteGivenUp(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
 	case sr.sated():
@@ -139,11 +135,11 @@
 	}
 }
 
-// minWork is what an item is taken to need that should have ended already.
+// minWork is the assumed remaining time of an item that should have ended already.
 const minWork = 10 * time.Millisecond
 
-// places returns the places of a service's engines that can be reached, those of a slow
-// one counted by its pace.
+// places returns the number of usable slots of a service's reachable engines, weighted by the
+// engines' speed relative to the median.
 func (ta *Table) places(service string, now time.Time) float64 {
 	total := 0.0
 	for _, en := range ta.sorted {
@@ -159,11 +155,10 @@
 	return total
 }
 
-// saves reports whether an item would be in time at another engine, and is late where
-// it runs.
+// saves reports whether an item would be late on its engine and in time on another one.
 //
-// While the room is crowded, another item waits for the place that a moved run takes, and
-// gets the slow place that it left instead. Moves that save no item would only go on and on.
+// Under overload, a moved run takes a fast slot from a waiting item, which then gets the slow
+// one. Moves without a gain would never end.
 func (ta *Table) saves(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
 	stays := ta.runsFor(ir, now)
--- a/step/engines.go
+++ b/step/engines.go
@@ -10,27 +10,25 @@
 	"wisteriacroft/runner"
 )
 
-// Bounds of what is believed of an engine.
 const (
-	// silentAfter is after how long without an answer of its attendant an
-	// engine's runs go on elsewhere. Answers come each 100 to 200 ms.
+	// silentAfter is the time without a response of its attendant after which an engine's
+	// runs are moved.
 	silentAfter = 1200 * time.Millisecond
-	// formerTime is for how long an engine whose entry is gone is known to have come
-	// before those that are there: an attendant may name it until a run ends at its
-	// successor, which may have to wait for work. Forgotten sooner, it could keep a
-	// successor that came back after a crash from ever getting any.
+	// formerTime is how long engines that have left are remembered as predecessors. An
+	// attendant may report the predecessor until a run of the successor ends. If it was
+	// forgotten, its reports could keep the successor from getting work.
 	formerTime = 10 * time.Minute
-	// failedFor is for how long an engine that broke a run gets no new ones
-	// while others have places.
+	// failedFor is how long an engine that broke a run gets no new ones while others have
+	// free slots.
 	failedFor = time.Second
 )
 
-// An EngineInfo is an engine as the directory knows it.
+// An EngineInfo describes an engine according to the directory.
 type EngineInfo struct {
-	Address     string // of the attendant beside it
-	Endpoint    string // its own address
+	Address     string // of the attendant
+	Endpoint    string // address of the engine
 	ID          string
-	Incarnation incarnation.Number // the start that its entry is of
+	Incarnation incarnation.Number
 	Leaving     bool
 	Service     string
 	Slots       int
@@ -38,8 +36,8 @@
 	Versions    map[string]uint64
 }
 
-// SetEngines takes the engines that are there in, and drops the others with
-// their runs.
+// SetEngines adds and updates the given engines, and removes all others. Runs of removed engines
+// are requeued.
 func (ta *Table) SetEngines(infos []EngineInfo, now time.Time) {
 	present := map[string]bool{}
 	for _, in := range infos {
@@ -74,25 +72,24 @@
 	}
 }
 
-// forgetFormer forgets the engines that have long been gone.
+// forgetFormer forgets engines that left more than formerTime ago.
 func (ta *Table) forgetFormer(now time.Time) {
 	maps.DeleteFunc(ta.former, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerTime })
 }
 
-// drop lets an engine's runs go on elsewhere.
+// drop requeues an engine's runs.
 func (ta *Table) drop(en *engineRow, why string, now time.Time) {
 	for _, ir := range en.items {
 		ta.requeue(ir, why, now)
 	}
 }
 
-// SetVersion takes the newest version that was named for a model in.
+// SetVersion records a published version of a model. Versions older than the newest are ignored.
 func (ta *Table) SetVersion(model string, version uint64) {
 	ta.named[model] = max(ta.named[model], version)
 }
 
-// EvictSilent moves the runs of engines whose attendants have not answered for too
-// long.
+// EvictSilent requeues the runs of engines whose attendants haven't responded for silentAfter.
 func (ta *Table) EvictSilent(now time.Time) {
 	for _, en := range ta.sorted {
 		if len(en.items) > 0 && !en.heardAt.IsZero() && now.Sub(en.heardAt) > silentAfter {
@@ -101,7 +98,8 @@
 	}
 }
 
-// Request returns what an engine's attendant is to do.
+// Request returns the next request to an engine's attendant. It returns false if the engine
+// doesn't exist.
 func (ta *Table) Request(id string) (runner.ExchangeRequest, bool) {
 	en, ok := ta.engines[id]
 	if !ok {
@@ -129,23 +127,20 @@
 	for key := range en.forget {
 		rq.Forget = append(rq.Forget, key)
 	}
-	// Engines admit in the order of arrival, so what was placed first goes first.
+	// Engines run requests in the order of arrival.
 	slices.SortFunc(rq.Launches, func(a, b runner.RunRequest) int { return cmp.Compare(a.Key.Attempt, b.Key.Attempt) })
 	return rq, true
 }
 
-// awaitEnd is how long an attendant's answer waits for the end of a run. A launch
-// that is decided on meanwhile waits as long.
+// awaitEnd is how long an attendant delays its response until a run ends. New launches are
+// delayed as much.
 const awaitEnd = 50 * time.Millisecond
 
-// await returns for how long an attendant's answer is to wait for the end of a run.
+// await returns how long an attendant should delay its response until a run ends.
 //
-// The scheduler hears of an end half a pause between two exchanges late on average, and a
-// step's end waits for its last items. So the answer waits for the ends of these. Waiting
-// for every end, the scheduler would spend much of its time on runs that no one waits for.
-//
-// It also waits for a run that is to move to stop: until the scheduler hears of that, the
-// item goes on nowhere, and mostly it is one of its step's longest.
+// It does so for runs that hold something up: the last items of a step, and moving runs, which
+// are resumed only after they have stopped. For all runs, the load on the scheduler would be too
+// high.
 func (en *engineRow) await() time.Duration {
 	for _, ir := range en.items {
 		if ir.run.stopping || ir.last() {
@@ -155,11 +150,11 @@
 	return 0
 }
 
-// last reports whether an item runs that a step is about to end with.
+// last reports whether a running item is one of the last that its step waits for.
 func (ir *itemRow) last() bool { return ir.step.ending && ir.run.confirmed && !ir.run.stopping }
 
-// ending reports whether an engine runs an item that a step is about to end with, so that
-// its attendant is asked without a pause.
+// ending reports whether an engine runs one of the last items that a step waits for, so that
+// exchanges follow without a pause.
 func (ta *Table) ending(id string) bool {
 	en, ok := ta.engines[id]
 	if !ok {
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -11,7 +11,7 @@
 	"wisteriacroft/runner"
 )
 
-// wantsExchange reports whether an attendant must hear something at once.
+// wantsExchange reports whether there is an urgent request to an attendant.
 func (ta *Table) wantsExchange(id string) bool {
 	en, ok := ta.engines[id]
 	if !ok {
@@ -25,34 +25,32 @@
 	return en.order != nil && en.order.Version > 0 && !en.ordered
 }
 
-// exchangePause returns the pause after the next exchange with an engine's attendant,
-// unless it has to hear something at once.
+// exchangePause returns the pause after the next exchange with an engine's attendant, unless
+// it is woken earlier.
 //
-// Load pattern: there are thousands of engines, and most run nothing. Exchanges with all of
-// them at the usual pause would take most of a scheduler's time, and runs and takeovers
-// would be late. So the pause of idle engines grows with the number of engines. An engine
-// that gets an item is told at once all the same.
+// The pause of idle engines grows with the number of engines, since exchanges with thousands of
+// them would overload the scheduler. New items are still sent at once.
 func (ta *Table) exchangePause(id string) time.Duration {
 	switch {
 	case !ta.HasOpenWork():
 		return idleExchange
 	case ta.ending(id):
-		return awaitPause // the answer has waited
+		return awaitPause // the response was delayed already
 	case ta.idle(id):
 		return min(max(exchangeEvery, time.Duration(len(ta.engines))*idleCost), idleExchange)
 	}
 	return exchangeEvery
 }
 
-// idle reports whether an engine runs nothing, loads nothing, and its attendant has
-// nothing to hear.
+// idle reports whether an engine has no runs and no order, and nothing must be sent to its
+// attendant.
 func (ta *Table) idle(id string) bool {
 	en, ok := ta.engines[id]
 	return ok && len(en.items)+len(en.kept)+len(en.forget) == 0 && en.order == nil
 }
 
-// attendant returns the address of the attendant beside an engine: an engine may
-// start again under its ID elsewhere.
+// attendant returns the current address of an engine's attendant, which changes if the engine
+// restarts elsewhere under its ID.
 func (ta *Table) attendant(id string) string {
 	if en, ok := ta.engines[id]; ok {
 		return en.address
@@ -60,15 +58,15 @@
 	return ""
 }
 
-// hurry has a listing written at once that a trainer waits for alone.
+// hurry wakes the writer if everything that a trainer waits for is complete.
 func (te *term) hurry() {
 	if te.table.takeUrgent() {
 		notify(te.writes)
 	}
 }
 
-// placeStopped starts items whose runs have stopped at other engines, if runs may begin, and
-// has these engines' attendants told.
+// placeStopped starts moved items whose runs have stopped, and wakes the exchanges with their
+// new engines.
 func (sc *Scheduler) placeStopped(te *term, now time.Time) {
 	if sc.term != te || !sc.mayPlace(te, now) {
 		return
@@ -87,8 +85,8 @@
 	}
 }
 
-// exchangeWith makes one exchange after the other with an attendant, until its
-// engine is gone or the term ends.
+// exchangeWith runs the exchange loop with an attendant until its engine is removed or the
+// term ends.
 func (sc *Scheduler) exchangeWith(te *term, id string, kick chan struct{}) {
 	failed := false
 	for {
--- a/step/field.go
+++ b/step/field.go
@@ -1,9 +1,9 @@
 package step
 
-// Names of fields of log lines that many lines carry.
+// Names of common log fields.
 const (
 	attemptField  = "attempt"
-	callField     = "call" // id of a reward call
+	callField     = "call" // ID of a reward call
 	customerField = "customer"
 	engineField   = "engine"
 	itemField     = "item"
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -5,50 +5,44 @@
 	"time"
 )
 
-// Bounds of measuring how many tokens an event holds.
+// Parameters of estimating the tokens per event.
 const (
-	// usualEventTokens is assumed of a model before any of its items has ended.
+	// usualEventTokens is assumed before there is an estimate.
 	usualEventTokens = 62
-	// gaugeRatios is how many of the newest items count: single hints are far off, the
-	// median of so many is not.
+	// gaugeRatios is the number of recent items whose median is used.
 	gaugeRatios = 64
-	// leastRatios is how many items it takes to believe the median.
+	// leastRatios is the minimum number of items for a median.
 	leastRatios = 16
-	// gaugeEvents is how many events an item must have: the last event of a
-	// shorter one holds too few tokens.
+	// gaugeEvents is the minimum number of events of an item to be used. In short items the
+	// last event, which is partly filled, distorts the ratio.
 	gaugeEvents = 8
-	// leastAtBound is how many items must have ended with the most events for their bounds
-	// to be taken for cut off there. A single one may have ended before.
+	// leastAtBound is the number of items of maximum length from which they are assumed to
+	// have been truncated at their token limit.
 	leastAtBound = 3
-	// implausible is by what factor what those items tell may differ from the median to be
-	// believed.
+	// implausible is the factor from the median beyond which the ratio of those items is
+	// rejected.
 	implausible = 1.5
 )
 
-// A tokenGauge estimates how many tokens an event of a model holds. The zero gauge
-// knows of no item.
-//
-// Engines differ in this. Where events hold more tokens than usualEventTokens, runs
-// would fill an engine's memory sooner than expected, and the longest item would end
-// sooner.
+// A tokenGauge estimates the number of tokens per event of a model, which determines the memory
+// that runs take and their remaining times. The zero value has no observations.
 type tokenGauge struct {
-	changes *gaugeChanges // counts changes of the estimate
-	tokens  int           // the estimate; 0 before there is one
+	changes *gaugeChanges // counts changes of the estimate; may be nil
+	tokens  int           // the estimate; 0 means none
 
-	ratios []float64 // hint by events, of items that ended
+	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
 	median int       // of the ratios
 
-	atBound       int // items that ended with the most events for their bound
-	fullest       int // tokens of their bound
-	fullestEvents int // and their events
+	atBound       int // number of items with the most events for their limit
+	fullest       int // their token limit
+	fullestEvents int // their events
 }
 
-// A gaugeChanges counts the changes of all gauges' estimates: what was worked out from them
-// is stale when the count is another one.
+// A gaugeChanges counts changes of the estimates of all gauges, to invalidate caches.
 type gaugeChanges struct{ counted int }
 
-// count returns the count; nil is one of no gauges.
+// count returns the count, or 0 if gc is nil.
 func (gc *gaugeChanges) count() int {
 	if gc == nil {
 		return 0
@@ -56,7 +50,7 @@
 	return gc.counted
 }
 
-// update makes the estimate anew.
+// update recomputes the estimate.
 func (ga *tokenGauge) update() {
 	before := ga.eventTokens()
 	ga.tokens = ga.exact()
@@ -68,11 +62,11 @@
 	}
 }
 
-// observeBound takes in that an item with a bound on its tokens ended after some events.
+// observeBound records that an item with a token limit ended after some events.
 //
-// Several of a step's longest items are cut off at their bounds. These tell exactly what an
-// event holds, while the median of the hints may be too low: the ends of long items would
-// be expected after they come, and results be listed too late for the last read.
+// The longest items of a step are truncated at their limits and give the exact number of tokens
+// per event. The median of the hints may be too low, so that the ends of long items would be
+// expected too late.
 func (ga *tokenGauge) observeBound(bound, events int) {
 	if bound <= 0 || events < gaugeEvents {
 		return
@@ -86,8 +80,8 @@
 	}
 }
 
-// observeHint takes in how many events an item with a hint had. Hints are right at
-// the median.
+// observeHint records the number of events of an item with a hint. Hints are right at the
+// median.
 func (ga *tokenGauge) observeHint(hint, events int) {
 	if hint <= 0 || events < gaugeEvents {
 		return
@@ -106,7 +100,7 @@
 	}
 }
 
-// eventTokens returns about how many tokens an event holds. A nil gauge is an empty one.
+// eventTokens returns the estimated tokens per event. The receiver may be nil.
 func (ga *tokenGauge) eventTokens() int {
 	if ga == nil || ga.tokens <= 0 {
 		return usualEventTokens
@@ -114,15 +108,14 @@
 	return ga.tokens
 }
 
-// tokenTime returns how long a token takes at engines of which the median one and the best
-// one take so long for an event, or 0 while that is not known.
+// tokenTime returns the time per token of engines with the given median and best times per
+// event, or 0 if unknown.
 //
-// Engines of other makes may be several times slower or faster. By usualTokenTime alone,
-// steps at slow engines would seem to have time to spare until they are late, and to be far
-// less work than they are.
+// Engines of other types may be several times slower or faster than usualTokenTime, which would
+// give wrong slack and work.
 //
-// Only items at their bounds tell how many tokens an event holds here. The hints don't: the
-// items of a step that end first are those whose hints were far too high.
+// Only items at their limits are used here. Hints would be biased, as the items that end first
+// are those with far too high hints.
 func (ga *tokenGauge) tokenTime(median, best time.Duration) time.Duration {
 	if ga == nil || ga.exact() <= 0 || best <= 0 {
 		return 0
@@ -135,20 +128,19 @@
 	return usualTokenTime
 }
 
-// otherMake is by what factor even the best engine must be slower than usual, or the
-// median one faster, to be believed to be of another make. Most engines at once may be
-// slowed down for a moment, by the prompts of many new runs or by loads of weights.
+// otherMake is the factor by which the best engine must be slower, or the median one faster,
+// than usualTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
+// for a short time.
 const otherMake = 2
 
-// exact returns how many tokens an event holds by the items that reached their bounds,
-// or 0 if that can't be told.
+// exact returns the tokens per event according to items at their limits, or 0 if unknown.
 func (ga *tokenGauge) exact() int {
 	if ga.atBound < leastAtBound || ga.median <= 0 {
 		return 0
 	}
 	exact := ga.fullest / ga.fullestEvents
 	if float64(exact) > implausible*float64(ga.median) || float64(ga.median) > implausible*float64(exact) {
-		return 0 // some that ended early had the same length by chance
+		return 0 // items that ended early had the same length by chance
 	}
 	return exact
 }
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// A groupWait is a summary of a group's open items. It stays from one tick to the next until
-// an item changes its state or a gauge changes.
+// A groupWait is a summary of a group's open items. It is kept between ticks until the state
+// of an item or an estimate changes.
 type groupWait struct {
-	eventTokens int           // that an event held by the gauge when it was made
-	tokenTime   time.Duration // that a token of the step took then
-	begun       bool          // an item that waits has begun, so that it depends on the gauge
-	least       int           // tokens: each waiting item holds as many or more
-	longest     time.Duration // that a waiting item is expected to take
-	moving      int           // waiting items that an engine keeps a place for
-	rewarded    bool          // an item that waits is to be scored
+	eventTokens int           // tokens per event that the summary was made with
+	tokenTime   time.Duration // time per token that the summary was made with
+	begun       bool          // a waiting item has events, so that the summary depends on eventTokens
+	least       int           // minimum tokens of a waiting item
+	longest     time.Duration // expected time of the longest waiting item
+	moving      int           // waiting items with a reserved slot
+	rewarded    bool          // a waiting item needs a score
 	running     []*itemRow
-	scoring     int           // items
-	shortest    time.Duration // that a waiting item is expected to take
+	scoring     int           // number of items
+	shortest    time.Duration // expected time of the shortest waiting item
 	waiting     []*itemRow    // in the order of the step
-	work        time.Duration // that the waiting items take, one after the other
+	work        time.Duration // total expected time of the waiting items
 }
 
-// markStale notes that items of a group have changed, so that it is gathered again.
+// markStale schedules an update of the group's summary.
 func (gr *groupRow) markStale(ta *Table) {
 	if !gr.stale {
 		gr.stale = true
@@ -30,7 +30,7 @@
 	}
 }
 
-// become moves an item to another state.
+// become sets the state of an item.
 func (ta *Table) become(ir *itemRow, state itemState) {
 	sr := ir.step
 	if ir.state == waiting {
@@ -44,8 +44,7 @@
 	ir.group.markStale(ta)
 }
 
-// gather brings the summaries of groups and steps up to date: those of groups whose items
-// have changed, and those that depend on a gauge that has.
+// gather updates the summaries of groups and steps whose items or estimates have changed.
 func (ta *Table) gather() {
 	for _, gr := range ta.stale {
 		gr.stale = false
@@ -61,8 +60,8 @@
 	}
 }
 
-// gather gathers the groups that depend on a gauge that has changed, and sums up what the
-// step's items hold if a group has been gathered since the last time.
+// gather updates the summaries of groups whose estimates have changed, and then those of the
+// step.
 func (sr *stepRow) gather() {
 	if tokens := sr.gauge.eventTokens(); tokens != sr.eventTokens || sr.tokenTime != sr.gatheredTime {
 		sr.eventTokens, sr.gatheredTime = tokens, sr.tokenTime
@@ -85,7 +84,7 @@
 	}
 }
 
-// gather works the summary of a group out anew.
+// gather recomputes the summary of a group.
 func (gr *groupRow) gather() {
 	gw := &gr.wait
 	*gw = groupWait{
@@ -105,7 +104,7 @@
 	}
 }
 
-// add takes in an item that waits.
+// add adds a waiting item.
 func (gw *groupWait) add(ir *itemRow) {
 	took := ir.expectedTime()
 	gw.waiting = append(gw.waiting, ir)
@@ -119,11 +118,11 @@
 	}
 }
 
-// begun reports whether events of an item are known, so that what it takes still depends
-// on how many tokens an event holds.
+// begun reports whether events of an item are known, so that its expected time depends on the
+// tokens per event.
 func (ir *itemRow) begun() bool { return len(ir.events) > 0 || ir.known > 0 }
 
-// waitingCustomers returns the customers of which an item waits that may begin.
+// waitingCustomers returns the customers with waiting items that can start.
 func (ta *Table) waitingCustomers(now time.Time) map[string]bool {
 	ta.gather()
 	customers := map[string]bool{}
@@ -135,7 +134,7 @@
 	return customers
 }
 
-// anyMayBegin reports whether an item of a step waits that may begin.
+// anyMayBegin reports whether a step has a waiting item that can start.
 func (ta *Table) anyMayBegin(sr *stepRow, now time.Time) bool {
 	for _, gr := range sr.list {
 		for _, ir := range gr.wait.waiting {
@@ -147,7 +146,7 @@
 	return false
 }
 
-// addWork sets, for the plan of the room, what a group's open items take still.
+// addWork sets the expected work of a group's open items for the planner.
 func (ta *Table) addWork(gr *groupRow, now time.Time) {
 	gw, plan := &gr.wait, &gr.plan
 	plan.Work = gw.work
@@ -166,7 +165,7 @@
 	}
 }
 
-// firstOpen returns the place of the first of a group's items that is still worked on.
+// firstOpen returns the index of the first open item of a group.
 func (gr *groupRow) firstOpen() int {
 	for _, ir := range gr.items {
 		if ir.open() {
@@ -176,8 +175,8 @@
 	return len(gr.step.items)
 }
 
-// runFor returns how long a run is expected to take still, as runsFor does. An engine's
-// pace is worked out once in a paceRound, in which no run begins or ends.
+// runFor returns the expected remaining time of a run, as runsFor does, but computes an
+// engine's pace only once in a paceRound, in which no run starts or ends.
 func (ta *Table) runFor(ir *itemRow, now time.Time) time.Duration {
 	en := ir.run.at
 	if en.base == 0 {
--- a/step/mark.go
+++ b/step/mark.go
@@ -13,24 +13,21 @@
 	"wisteriacroft/keyvalue"
 )
 
-// A mark names the items whose results a chunk holds, without the results. It is written
-// with its chunk, under the prefix of the step's checkpoints: one call reads both, and an
-// earlier version of the program takes a mark for a checkpoint without text.
+// A mark lists the items whose results a chunk holds. It is written with its chunk, under the
+// prefix of the step's checkpoints, so that one call reads both. Earlier releases decode it as a
+// checkpoint without text.
 //
-// Load pattern: all instances lose power while several steps are half listed, with megabytes
-// of text. A new scheduler needs only the names of the listed items to place the others. If
-// it read the texts first, all engines would be idle meanwhile.
+// A new scheduler needs only the IDs of the listed items to place the others. Reading all texts
+// first would leave the engines idle.
 type mark struct {
-	Listed []string // items of the chunk's results, in their order
+	Listed []string // item IDs, in the order of the results
 }
 
-// markPrefix returns the prefix of the keys of a step's marks.
+// markPrefix returns the key prefix of a step's marks.
 func markPrefix(id string) string { return checkpointPrefix + id + "/listed/" }
 
-// markKey returns the key of the mark of a chunk.
 func markKey(id string, number int) string { return fmt.Sprintf("%s%06d", markPrefix(id), number) }
 
-// markOf returns the mark of a chunk.
 func markOf(ch Chunk) mark {
 	var ma mark
 	for _, re := range ch.Results {
@@ -39,8 +36,7 @@
 	return ma
 }
 
-// Stored returns what earlier schedulers kept of an open step: marks in place of results, if all
-// chunks have one.
+// Stored returns the stored progress of an open step, without results if all chunks have a mark.
 func (ke *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
 	ch, err := ke.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
@@ -51,7 +47,7 @@
 		return StoredStep{}, err
 	}
 	if gapless {
-		// A chunk without a mark was written by an earlier version of the program.
+		// A chunk without a mark was written by an earlier release.
 		_, err := ke.Client.Get(ctx, listedKey(id, len(kept.Marked)))
 		if errors.Is(err, keyvalue.ErrNotFound) {
 			return kept, nil
@@ -65,8 +61,8 @@
 	return kept, err
 }
 
-// decodeKept decodes marks and checkpoints of a step, and reports whether the marks are those
-// of the first chunks without a gap.
+// decodeKept decodes marks and checkpoints of a step, and reports whether the marks cover
+// consecutive chunks from the first one on.
 func decodeKept(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
 	gapless = true
 	for _, it := range items {
@@ -88,7 +84,7 @@
 	return kept, gapless, nil
 }
 
-// chunks returns the items of each chunk that is listed.
+// chunks returns the item IDs of each listed chunk.
 func (ke StoredStep) chunks() [][]string {
 	if ke.Listed == nil {
 		return ke.Marked
@@ -100,8 +96,7 @@
 	return chunks
 }
 
-// takeKept takes over what earlier schedulers listed of a step, and returns the items whose
-// results these are.
+// takeKept restores the listed results of a step, and returns the set of their items.
 func (sr *stepRow) takeKept(ke StoredStep) map[string]bool {
 	sr.results = slices.Concat(ke.Listed...)
 	listed := map[string]bool{}
@@ -121,11 +116,11 @@
 	return listed
 }
 
-// listedCount returns how many results are listed.
+// listedCount returns the number of listed results, loaded or not.
 func (sr *stepRow) listedCount() int { return sr.unread + len(sr.results) }
 
-// readUnread answers a read of an open step from a position whose result an earlier scheduler
-// listed, and of which this one holds only the mark: it reads the chunks from there on.
+// readUnread answers a read of an open step from a position whose result isn't loaded: it reads
+// the stored chunks from there on.
 func (sc *Scheduler) readUnread(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
 	counts, unread, later, total := sr.counts, sr.unread, sr.results, sr.step.Total()
@@ -149,13 +144,12 @@
 	}
 	sc.Log.WithFields(logrus.Fields{
 		"after": rq.After, "results": len(results), stepField: rq.ID, "unread": unread,
-	}).Info("earlier results read")
+	}).Info("read results listed by an earlier scheduler")
 	return page(results, 0, total), nil
 }
 
-// readMarked reads the results of open steps of which this scheduler holds only marks, some
-// time after it has placed its first items. Until then, each read of them waits for the
-// key-value service, and fails while that is down.
+// readMarked loads the results of open steps that were restored from marks. Until then, reads
+// of them depend on the key-value service.
 func (sc *Scheduler) readMarked(ctx context.Context) {
 	sc.mu.Lock()
 	te := sc.term
@@ -171,7 +165,7 @@
 	for _, sr := range srs {
 		chunks, err := sc.archive.whole(ctx, sc.Keeper, sr.step.ID)
 		if err != nil {
-			sc.Log.WithError(err).WithField(stepField, sr.step.ID).Warn("what is listed of a step can't be read")
+			sc.Log.WithError(err).WithField(stepField, sr.step.ID).Warn("can't load the listed results of an open step")
 			continue
 		}
 		results := slices.Concat(chunks...)
--- a/step/modelshare.go
+++ b/step/modelshare.go
@@ -2,20 +2,18 @@
 
 import "math"
 
-// A modelPart is what a model's steps may claim of the engines that load weights.
+// A modelPart is a model's claim to engines with its weights.
 type modelPart struct {
-	engines float64 // at least
-	rank    int     // of the customer whose steps they are
+	engines float64 // minimum
+	rank    int     // of the model's customer
 }
 
-// modelParts returns what models may claim where several customers have steps open and
-// places are scarce, or nil.
+// modelParts returns the claims of models, or nil unless several customers have open steps and
+// slots are scarce.
 //
-// Load pattern: one customer has many models and much work, another has one model and
-// little. Shared by work alone, few engines would load the other's weights, and after those
-// of all other models. Its steps would wait for weights, though half of the engines are due
-// to it. So each model may claim the engines that all items of a step need, within its
-// customer's part, and models load in the order of their customers' ranks.
+// Divided by work alone, few engines would load the weights of a small customer, and last. So
+// each model may claim the engines that all items of one of its steps need, within its
+// customer's share, and models load in the order of their customers' ranks.
 func (ta *Table) modelParts(ens []*engineRow) map[string]modelPart {
 	items, customers := map[string]int{}, map[string]string{}
 	models := map[string]int{} // by customer
--- a/step/pace.go
+++ b/step/pace.go
@@ -6,56 +6,48 @@
 	"time"
 )
 
-// Weights of telling slow engines.
+// Parameters of detecting slow engines and moving runs. The pace of an engine is its time per
+// event.
 const (
-	// paceGaps is how many gaps between events it takes to judge an engine: four
-	// of one run that is 3.6 times slower than usual, or one each of four runs.
+	// paceGaps is the number of intervals between events that a pace needs to be used.
 	paceGaps = 4
-	// slowFactor is by how much an engine's pace may exceed the median before
-	// its runs are moved. Full engines are a little slower than empty ones.
+	// slowFactor is the ratio to the median pace above which an engine is slow. Full engines
+	// are somewhat slower than empty ones.
 	slowFactor = 1.6
-	// slowSince is for how long an engine must be slower before its runs are
-	// moved. While it reads the prompts of a dozen new runs, it makes events
-	// at two thirds of its pace for some 200 ms.
+	// slowSince is how long an engine must exceed slowFactor to be rated slow. Prefill of
+	// new runs slows it down for a shorter time.
 	slowSince = 400 * time.Millisecond
-	// verySlowFactor and verySlowSince are the same for an engine that is slower
-	// than reading prompts ever makes it.
+	// verySlowFactor and verySlowSince are the same for a ratio that prefill can't cause.
 	verySlowFactor = 2.5
 	verySlowSince  = 100 * time.Millisecond
-	// slowFor is for how long an engine that was slow gets work only if no
-	// other can: without runs it shows no pace.
+	// slowFor is how long an engine stays rated slow. Without runs it can't be measured.
 	slowFor = 3 * time.Second
-	// stallTime is how long a run may be without an event. Events come each
-	// 40 ms, and a load of weights takes about a second.
+	// stallTime is the longest time between events. It exceeds the time of a weight load.
 	stallTime = 1500 * time.Millisecond
-	// firstEventTime is how long a run may wait for its first event.
+	// firstEventTime is the longest time to the first event of a run.
 	firstEventTime = 2 * time.Second
-	// minMoveEvents is how many events a run has made before it is moved to a
-	// faster engine: half of all items end before, and what has made so many is
-	// expected to make as many again.
+	// minMoveEvents is the minimum number of events of a run that moves to a faster engine.
+	// Shorter runs are likely to end soon.
 	minMoveEvents = 20
-	// sparePlaces is how many places a faster engine keeps free for new items.
+	// sparePlaces is the number of slots that moved runs leave free on a target engine.
 	sparePlaces = 1
-	// moveCost is how much sooner a run must end elsewhere to be moved: the move
-	// itself takes some 150 ms, and its prompt holds up the others there.
+	// moveCost is the minimum time that a move must save.
 	moveCost = 400 * time.Millisecond
-	// crowdedMemory and roomyMemory are the parts of an engine's memory above which
-	// a run is moved away, and below which it may come. Between the two is room for what
-	// runs add in the time that a move takes.
+	// crowdedMemory is the fraction of an engine's memory above which a run is moved away,
+	// and roomyMemory the fraction up to which the target may be filled. The difference
+	// leaves space for growth during the move.
 	crowdedMemory = 0.88
 	roomyMemory   = 0.6
-	// movedPart is the part of an engine's memory that a run must hold to be moved
-	// for want of memory: less frees too little.
+	// movedPart is the minimum fraction of the memory that a run moved for memory must hold.
 	movedPart = 0.05
-	// memoryReason is why a run leaves an engine that is short of memory.
+	// memoryReason is the reason to move a run from an engine that is short of memory.
 	memoryReason = "short of memory"
-	// maxMoves bounds how often an item is moved: a moved run reads its whole
-	// text again.
+	// maxMoves limits the moves of an item, each of which recomputes its whole text.
 	maxMoves = 4
 )
 
-// MeasurePace finds the pace of the median engine of each service, the engines that are much
-// slower, and what a token takes.
+// MeasurePace updates the median pace of each service, the ratings of slow engines, and the times
+// per token.
 func (ta *Table) MeasurePace(now time.Time) {
 	byService := map[string][]time.Duration{}
 	for _, en := range ta.sorted {
@@ -82,8 +74,8 @@
 	}
 }
 
-// setTokenTime sets how long a token of a step takes, unless that differs little from what
-// is known: each change makes all that was worked out from it stale.
+// setTokenTime sets the time per token of a step, unless the change is small: each change
+// invalidates everything computed from it.
 func (ta *Table) setTokenTime(sr *stepRow, each time.Duration) {
 	if off := each - sr.tokenTime; each > 0 && off.Abs() <= sr.tokenTime/tokenTimeParts {
 		return
@@ -94,17 +86,17 @@
 	}
 }
 
-// tokenTimeParts is into how many parts a token's time is divided, of which a change by one
-// makes no difference: hints of lengths are off by more.
+// tokenTimeParts is the inverse of the relative change of a time per token that is ignored.
 const tokenTimeParts = 10
 
-// median returns the median of some durations, which it sorts.
+// median sorts durations and returns their median.
 func median(all []time.Duration) time.Duration {
 	slices.Sort(all)
 	return all[len(all)/2]
 }
 
-// judgePace tells whether an engine is much slower than the median.
+// judgePace updates an engine's base pace, and rates it slow if it is much slower than the
+// median.
 func (ta *Table) judgePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
 		held, _ := en.memory()
@@ -134,20 +126,16 @@
 	en.slowAt = now
 }
 
-// slow reports whether an engine was much slower than the others of late.
+// slow reports whether an engine has recently been rated slow.
 func (en *engineRow) slow(now time.Time) bool {
 	return !en.slowAt.IsZero() && now.Sub(en.slowAt) < slowFor
 }
 
-// MoveStragglers takes runs off engines that are slow or stalled, if another engine has
-// places for them.
+// MoveStragglers moves stalled runs, and runs on slow engines, to other engines with free slots.
 //
-// Load pattern: an engine turns slow by a factor of 3 or goes silent while the
-// others have free places. The step waits for its longest items, and one of
-// them on such an engine is late for sure; moved, it reads its text again,
-// which takes little time. A run is stopped before it goes on elsewhere, so that
-// no two engines work on it, and a place elsewhere is kept for it: otherwise an item
-// that waits could take that place, and the run would go from one slow engine to another.
+// A run is stopped before it is resumed elsewhere, so that no two engines work on it. A slot
+// is reserved on the target meanwhile: a waiting item could take it otherwise, and the run
+// would end up on another slow engine.
 func (ta *Table) MoveStragglers(now time.Time) {
 	ta.gather()
 	for _, sr := range ta.order {
@@ -157,13 +145,13 @@
 	}
 }
 
-// A leave is a run that would do better elsewhere.
+// A leave is a run to move, with the reason.
 type leave struct {
 	item *itemRow
 	why  string
 }
 
-// leaving returns the runs of a step that would do better elsewhere, by items.
+// leaving returns the runs of a step to move, in the order of the items.
 func (ta *Table) leaving(sr *stepRow, now time.Time) []leave {
 	var les []leave
 	for _, gr := range sr.list {
@@ -186,13 +174,12 @@
 	return les
 }
 
-// RelieveMemory moves a run off each engine whose memory is nearly full, if another
-// engine has plenty.
+// RelieveMemory moves one run off each engine whose memory is nearly full, if another engine has
+// enough.
 //
-// Load pattern: several long items grow on one engine. Out of memory, it stops
-// its newest run and reads it again once there is room, each time a stall of a
-// second or more. The run with the most time to spare is moved, one at a time: the
-// one that holds most is the one that the step waits for.
+// An engine out of memory preempts its newest run and recomputes it later, which stalls the run
+// for a second or more. The run with the most slack is moved: the largest one is often the one
+// that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sorted {
 		if held, _ := en.memory(); en.tokens == 0 || float64(held) < crowdedMemory*float64(en.tokens) {
@@ -204,12 +191,11 @@
 	}
 }
 
-// mostSpare returns the run with the most time to spare among those that hold
-// enough of an engine's memory and may be moved, or nil if one is on its way
-// already.
+// mostSpare returns the run with the most slack among those that can be moved and hold enough
+// memory, or nil if a run of the engine is already stopping.
 func (en *engineRow) mostSpare(now time.Time) *itemRow {
 	var best *itemRow
-	most := time.Duration(0) // that it can wait
+	most := time.Duration(0) // slack
 	for _, ir := range en.items {
 		if ir.run.stopping {
 			return nil
@@ -226,7 +212,7 @@
 	return best
 }
 
-// move stops a run if another engine would end it sooner.
+// move stops a run and reserves a slot for it on another engine, if one qualifies.
 func (ta *Table) move(ir *itemRow, from *engineRow, why string, now time.Time) {
 	to := ta.target(ir, from, why, now)
 	if to == nil {
@@ -244,7 +230,7 @@
 	})
 }
 
-// target returns the engine that a run is best moved to, or nil.
+// target returns the best engine to move a run to, or nil.
 func (ta *Table) target(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
 	var best *engineRow
 	for _, en := range ta.sorted {
@@ -267,14 +253,14 @@
 	return best
 }
 
-// roomy reports whether an engine would have plenty of memory beside an item.
+// roomy reports whether an engine would stay within roomyMemory with an additional item.
 func (en *engineRow) roomy(ir *itemRow) bool {
 	now, _ := en.memory()
 	added, _ := ir.holds()
 	return float64(now+added) <= roomyMemory*float64(en.tokens)
 }
 
-// gain returns how much sooner a run would end at another engine.
+// gain returns the expected time that a move saves.
 func (ta *Table) gain(ir *itemRow, from, to *engineRow) time.Duration {
 	if from.base == 0 {
 		return 0
@@ -283,7 +269,7 @@
 	return time.Duration(events * float64(ta.paceWith(from, nil)-ta.paceWith(to, ir)))
 }
 
-// unreserve gives the place back that was kept for a moved item.
+// unreserve releases the reserved slot of an item, if any.
 func (ta *Table) unreserve(ir *itemRow) {
 	if en, ok := ta.engines[ir.target]; ok && ir.target != "" {
 		delete(en.coming, ir)
@@ -295,7 +281,7 @@
 	ir.target = ""
 }
 
-// reasonToMove returns why a run would do better elsewhere, or "".
+// reasonToMove returns the reason to move a run away, or "".
 func (en *engineRow) reasonToMove(ir *itemRow, now time.Time) string {
 	quiet := now.Sub(ir.run.eventAt)
 	switch {
@@ -310,14 +296,13 @@
 	}
 }
 
-// stalled reports whether a run has made nothing for too long.
+// stalled reports whether a run has made no event for too long.
 func (en *engineRow) stalled(ir *itemRow, now time.Time) bool {
 	return en.reasonToMove(ir, now) != "" && !en.slow(now)
 }
 
-// long reports whether a run has proved long, on an engine whose base is slower than
-// the best one's. What else the engine runs does not count: a run that left a full
-// engine for an emptier one would find that one full as soon as other items came.
+// long reports whether a run is long and its engine slower than the best one at equal load.
+// The current load isn't considered, as it changes quickly.
 func (ta *Table) long(en *engineRow, ir *itemRow) bool {
 	return len(ir.events)-ir.run.prior >= minMoveEvents && float64(ta.bests[en.service]) < (1-paceTolerance)*float64(en.base)
 }
--- a/step/place.go
+++ b/step/place.go
@@ -7,23 +7,22 @@
 	"wisteriacroft/runner"
 )
 
-// Weights of placing items.
+// Parameters of placement.
 const (
-	// matePlaces is by how many more taken places an engine may still be
-	// preferred because it runs items of the same group, whose prompt it holds.
+	// matePlaces is the score, in free slots, of an engine that runs items of the same group
+	// and so has their prompt cached.
 	matePlaces = 3
-	// memoryPart is the part of an engine's memory that new items may fill: less
-	// than crowdedMemory, or each new item would drive another one away.
+	// memoryPart is the fraction of an engine's memory that new items may fill. It must be
+	// less than crowdedMemory, or new items would displace others.
 	memoryPart = 0.8
-	// expectedPart is the part of its token bound that an item without a hint
-	// is expected to use.
+	// expectedPart is the fraction of its token limit that an item without a hint is expected
+	// to use.
 	expectedPart = 0.25
-	// againAfter is how long an item waits before it goes to the engine that it
-	// was just taken from.
+	// againAfter is how long a requeued item avoids its last engine.
 	againAfter = 500 * time.Millisecond
 )
 
-// expected returns how many tokens an item is expected to generate.
+// expected returns the expected number of generated tokens.
 func (it *Item) expected() int {
 	if it.Hint > 0 {
 		return it.Hint
@@ -31,22 +30,22 @@
 	return int(expectedPart * float64(max(it.Tokens-it.Prompt, 0)))
 }
 
-// free returns how many places of an engine are free.
+// free returns the number of free slots. It is negative if more runs than slots are known.
 func (en *engineRow) free() int { return en.slots - len(en.items) - en.foreign - len(en.coming) }
 
-// usable reports whether an engine may run an item.
+// usable reports whether an engine can run an item.
 func (ta *Table) usable(en *engineRow, ir *itemRow) bool {
 	st := ir.step.step
 	return ta.runsStep(en, st) && en.goesOnWith(ir)
 }
 
-// reachable reports whether an engine may be given work: it stays, and its attendant has
-// answered and reaches it.
+// reachable reports whether an engine can be assigned work: it isn't leaving, and its
+// attendant has responded and reaches it.
 func (en *engineRow) reachable() bool {
 	return !en.leaving && !en.gone && !en.sick && !en.heardAt.IsZero()
 }
 
-// runsStep reports whether an engine may run items of a step.
+// runsStep reports whether an engine can run items of a step.
 func (ta *Table) runsStep(en *engineRow, st *Step) bool {
 	if en.service != st.Service || !en.reachable() || en.loads(st.Model) {
 		return false
@@ -55,15 +54,15 @@
 	return version != 0 && version >= st.MinVersion
 }
 
-// goesOnWith reports whether an engine has the version that an item's text may go on with.
+// goesOnWith reports whether an engine has a version that may continue an item's text.
 func (en *engineRow) goesOnWith(ir *itemRow) bool {
 	st := ir.step.step
 	return !st.SingleVersion || len(ir.events) == 0 || en.versions[st.Model] == ir.events[0].Version
 }
 
-// loads reports whether an engine loads weights of a model, which begins no run
-// of it meanwhile. It is busy without an order while it carries out that of an
-// earlier scheduler, which may be of any model.
+// loads reports whether an engine is loading weights of a model, and so can't start runs of
+// it. An engine that is busy without an order executes an earlier scheduler's order, whose
+// model is unknown.
 func (en *engineRow) loads(model string) bool {
 	if en.order == nil {
 		return en.report.Busy
@@ -71,8 +70,8 @@
 	return en.order.Model == model
 }
 
-// fits reports whether an engine has memory for an item now. Beyond it, the
-// engine stops its newest request and reads it again later.
+// fits reports whether an engine has memory for an item. An engine out of memory preempts its
+// newest request and recomputes it later.
 func (en *engineRow) fits(ir *itemRow) bool {
 	if en.tokens == 0 || len(en.items) == 0 {
 		return true
@@ -82,12 +81,11 @@
 	return float64(now+added) <= memoryPart*float64(en.tokens)
 }
 
-// crowding returns what it costs an item, in places, to come to an engine that would then
-// hold end tokens at the ends of its runs.
+// crowding returns the cost, in slots, of an engine whose runs would hold end tokens in total
+// at their ends.
 //
-// Not all runs end at once, so that these may be more than the engine's memory, but long
-// items do better where fewer are expected. Were the memory a bound instead, a long item
-// would wait while short ones took what became free.
+// Runs don't all end at once, so the total may exceed the memory. As a hard limit, it would
+// let short items overtake a long one indefinitely.
 func (en *engineRow) crowding(end int) float64 {
 	if en.tokens <= 0 {
 		return 0
@@ -95,17 +93,15 @@
 	return crowdingPlaces * max(0, float64(end)/float64(en.tokens)-1)
 }
 
-// crowdingPlaces is how many free places an engine's whole memory is worth.
+// crowdingPlaces is the cost, in free slots, of exceeding an engine's memory by 100 percent.
 const crowdingPlaces = 24
 
-// Place gives waiting items places at engines.
+// Place assigns waiting items to free slots of engines, by least slack or, under overload, by
+// the capacity plan.
 //
-// Load pattern: a step's items all come at once and take all places for a
-// second or two, a second step may come with them, and the longest item takes
-// nearly as long as the step may. So the item goes first that has the least
-// time to spare: what is left until its step is due, less what it is expected
-// to take. No more than its places are given to an engine, which would admit
-// the rest in the order of arrival.
+// The longest item of a step takes nearly as long as the step may, so it must start first. An
+// engine gets no more items than it has slots, since it would run the rest in the order of
+// arrival.
 func (ta *Table) Place(now time.Time) {
 	if ta.listening(now) {
 		return
@@ -121,7 +117,7 @@
 		return
 	}
 	ranks := ta.customerRank(ta.waitingCustomers(now))
-	// Items of different services don't wait for the same places.
+	// Services don't compete for slots.
 	for _, steps := range ta.stepsOfServices() {
 		pl.steps = steps
 		if pl.idle() {
@@ -137,7 +133,7 @@
 	}
 }
 
-// stepsOfServices returns the open steps, those of a service together.
+// stepsOfServices returns the open steps grouped by service.
 func (ta *Table) stepsOfServices() [][]*stepRow {
 	var all [][]*stepRow
 	at := map[string]int{}
@@ -153,25 +149,24 @@
 	return all
 }
 
-// forgetRound lets go of what was of use in one round.
+// forgetRound clears references to the round of placement.
 func (ta *Table) forgetRound() {
 	for _, sr := range ta.order {
 		sr.round, sr.seats = nil, nil
 	}
 }
 
-// dropQueues forgets the order by time to spare while the room decides.
+// dropQueues drops the queues ordered by slack, which aren't used under overload.
 func (pl *placing) dropQueues() {
 	for _, sr := range pl.steps {
 		sr.queue.drop()
 	}
 }
 
-// listening reports whether a new scheduler still waits to hear from engines.
+// listening reports whether a new scheduler still waits for first responses of attendants.
 //
-// Items that run at engines, or have ended there, look as if they waited until
-// their attendants have answered. Placed at once, they would run a second time
-// from the start, and the text that is there would be thrown away.
+// Until then, items that run or have ended on engines appear to be waiting. Placement would
+// run them a second time and discard their texts.
 func (ta *Table) listening(now time.Time) bool {
 	if ta.begun.IsZero() {
 		ta.begun, ta.savedAt = now, now
@@ -182,11 +177,11 @@
 	return slices.ContainsFunc(ta.sorted, func(en *engineRow) bool { return en.heardAt.IsZero() && !en.gone })
 }
 
-// listenTime bounds how long a new scheduler waits: three exchanges.
+// listenTime is the longest wait for first responses of attendants.
 const listenTime = 500 * time.Millisecond
 
-// timeToSpare returns how long an item can wait and still end when its step is
-// due. An item that is to be scored must be whole sooner.
+// timeToSpare returns the slack of an item: how long it can wait and still be complete, and
+// scored if it needs a score, when its step is due.
 func (ir *itemRow) timeToSpare(now time.Time) time.Duration {
 	spare := ir.step.step.Due - ir.step.age(now) - ir.expectedTime()
 	if ir.item.Reward != nil {
@@ -195,10 +190,10 @@
 	return spare
 }
 
-// usualTokenTime is what a token is taken to need before engines have shown their pace.
+// usualTokenTime is the assumed time per token until it is measured.
 const usualTokenTime = 630 * time.Microsecond
 
-// expectedTime returns how long the rest of an item is expected to take.
+// expectedTime returns the expected time to generate the rest of an item.
 func (ir *itemRow) expectedTime() time.Duration {
 	each := ir.step.tokenTime
 	if each <= 0 {
@@ -207,9 +202,8 @@
 	return time.Duration(ir.left()) * each
 }
 
-// left returns how many tokens an item is expected to need still. Hints are
-// right at the median and often far off: an item that has passed its hint is
-// one of those that last, and is expected to need as much again.
+// left returns the expected number of tokens still to generate. Hints are only right at the
+// median: an item that has exceeded its hint is expected to double its length.
 func (ir *itemRow) left() int {
 	eventTokens := ir.step.gauge.eventTokens()
 	made := len(ir.events) * eventTokens
@@ -223,7 +217,7 @@
 	return left
 }
 
-// start gives an item a place.
+// start starts a run of an item on an engine.
 func (ta *Table) start(ir *itemRow, en *engineRow, now time.Time) {
 	ta.attempt++
 	version, waited := en.versions[ir.step.step.Model], now.Sub(ir.since)
@@ -243,7 +237,7 @@
 	})
 }
 
-// DropExpired gives items up that may no longer be waited for.
+// DropExpired abandons items that have exceeded their step's MaxWait.
 func (ta *Table) DropExpired(now time.Time) {
 	for _, sr := range ta.order {
 		if sr.step.MaxWait <= 0 || sr.age(now) < sr.step.MaxWait+giveUpSlack {
@@ -258,6 +252,6 @@
 	}
 }
 
-// giveUpSlack is how much longer an item is waited for than it must be. The
-// service may hold a step for as long before the scheduler learns of it.
+// giveUpSlack is added to MaxWait, for clients whose clock starts before the scheduler sees
+// the step.
 const giveUpSlack = 3 * time.Second
--- a/step/placing.go
+++ b/step/placing.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A placing is one round of giving places at engines to items that wait.
+// A placing is one round of placement: the assignment of waiting items to engine slots.
 //
-// It looks at the engines once, and at one engine again when a place there is given or given
-// back. Items go in the order of bySpare, or of byRoom while the room is crowded.
+// It evaluates each engine once, and again when a slot of it is taken or released. The order of
+// items is that of bySpare or, under overload, of byRoom.
 type placing struct {
-	summaries []seatSummary // of the seats
-	live      int           // seats that are not full
+	summaries []seatSummary // of seats
+	live      int           // number of seats that aren't full
 	lists     map[seatKey]*seatList
 	now       time.Time
 	seats     []seat
-	steps     []*stepRow // open ones of the service whose items are placed
+	steps     []*stepRow // open steps of the current service
 	table     *Table
 }
 
-// newPlacing returns a placing with the engines that have a free place, or keep one for an
-// item that moves and gives it back.
+// newPlacing returns a round with the engines that have a free slot or one that is reserved
+// for a moving item.
 func (ta *Table) newPlacing(now time.Time) *placing {
 	pl := &placing{lists: map[seatKey]*seatList{}, now: now, table: ta}
 	for _, en := range ta.sorted {
@@ -43,8 +43,8 @@
 	return pl
 }
 
-// give gives an item that waits a place, if there is one for it: the one that is kept for
-// it, if its engine may still run it, or else the best.
+// give starts a waiting item if some engine can take it: the one with its reserved slot if it
+// can still run the item, or else the best.
 func (pl *placing) give(ir *itemRow) {
 	ta := pl.table
 	if ta.held(ir) || ta.rests(ir, pl.now) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// release gives the place back that is kept for an item.
+// release releases the reserved slot of an item, if any.
 func (pl *placing) release(ir *itemRow) {
 	if ir.target == "" {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// start gives an item a place at a seat. Whether a run there ends soon stays as it was if
-// the engine gave back a place in this round.
+// start starts an item on the engine of a seat. It doesn't update endsSoon of an engine that
+// released a reserved slot in this round.
 func (pl *placing) start(ir *itemRow, i int) {
 	se := &pl.seats[i]
 	pl.table.start(ir, se.engine, pl.now)
@@ -93,21 +93,21 @@
 	pl.refresh(i)
 }
 
-// mayTake reports whether an item of a step may get a place: one that holds held tokens may
-// fit somewhere, or some of the items, moving of them, give back places.
+// mayTake reports whether an item of a step may get a slot: one with held tokens may fit some
+// engine, or moving items may release reserved slots.
 func (pl *placing) mayTake(sr *stepRow, held, moving int) bool {
 	return moving > 0 || pl.listOf(sr).most >= held
 }
 
-// idle reports whether no item of any step can get a place or gives one back.
+// idle reports whether no item of any step can get or release a slot.
 func (pl *placing) idle() bool {
 	return !slices.ContainsFunc(pl.steps, func(sr *stepRow) bool {
 		return sr.waits > 0 && pl.mayTake(sr, sr.least, sr.moving)
 	})
 }
 
-// rankSteps sets the steps' places in the order and the ranks of their customers. It returns
-// the ranks of steps with items that wait, the lowest first.
+// rankSteps sets the index and the customer's rank of each step. It returns the distinct ranks
+// of steps with waiting items in ascending order.
 func (pl *placing) rankSteps(ranks map[string]int) []int {
 	var all []int
 	for i, sr := range pl.steps {
--- a/step/queue.go
+++ b/step/queue.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// A waitEntry is an item that waits, as it was when it came into the queue.
+// A waitEntry is a waiting item with its properties when it was enqueued.
 type waitEntry struct {
-	held   int // tokens that it holds
+	held   int // tokens
 	item   *itemRow
-	need   time.Duration // what it is expected to take
-	ticket int           // of the item then; another one makes the entry void
+	need   time.Duration // expected time to complete
+	ticket int           // the entry is valid while the item has the same ticket
 }
 
 func compareEntries(a, b waitEntry) int {
 	return cmp.Or(cmp.Compare(b.need, a.need), cmp.Compare(a.item.index, b.item.index))
 }
 
-// A waitQueue holds items of a step that wait, the one first that takes the longest, which
-// has the least time to spare. Either all of them have begun or none has, and either all are
-// to be scored or none is: time changes the time to spare of all alike.
+// A waitQueue holds waiting items of a step by descending expected time, that is, by ascending
+// slack. Its items agree in whether they have events and in whether they need a score, so that
+// the order doesn't change with time.
 type waitQueue struct {
 	entries     []waitEntry
-	eventTokens int           // that an event held by the gauge when it was ordered
-	tokenTime   time.Duration // that a token of the step took then
+	eventTokens int           // tokens per event that the order was made with
+	tokenTime   time.Duration // time per token that the order was made with
 }
 
-// A stepQueue holds the items of a step that wait, by their time to spare. It stays from one
-// tick to the next until the room is crowded.
+// A stepQueue holds the waiting items of a step by slack. It is kept between ticks, except
+// under overload.
 type stepQueue struct {
 	built  bool
-	fresh  []*itemRow   // items that came to wait since the last refresh
-	queues [4]waitQueue // by the number that itemRow.queue returns
+	fresh  []*itemRow   // items that started to wait after the last refresh
+	queues [4]waitQueue // indexed by itemRow.queue
 }
 
-// add adds an item that has come to wait.
+// add adds an item that starts to wait.
 func (sq *stepQueue) add(ir *itemRow) {
 	ir.ticket++
 	if sq.built {
@@ -43,11 +43,10 @@
 	}
 }
 
-// drop empties the queue until the next refresh builds it again.
+// drop empties the queue. The next refresh builds it again.
 func (sq *stepQueue) drop() { *sq = stepQueue{} }
 
-// refresh adds the items that have come to wait, and orders queues anew whose items are now
-// expected to take another time.
+// refresh adds new items, and sorts queues again whose items' expected times have changed.
 func (sq *stepQueue) refresh(sr *stepRow) {
 	if !sq.built {
 		sq.built = true
@@ -73,13 +72,13 @@
 	}
 }
 
-// queueBegun and queueRewarded are the bits of the number of an item's queue.
+// queueBegun and queueRewarded are the bits of the index of an item's queue.
 const (
 	queueBegun    = 1
 	queueRewarded = 2
 )
 
-// queue returns the number of the queue for an item.
+// queue returns the index of the queue for an item.
 func (ir *itemRow) queue() int {
 	number := 0
 	if ir.begun() {
@@ -91,15 +90,15 @@
 	return number
 }
 
-// entry returns an item's entry as it is now.
+// entry returns a new entry for the item.
 func (ir *itemRow) entry() waitEntry {
 	return waitEntry{held: ir.holdsNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
 }
 
-// valid reports whether the item has waited since the entry was made.
+// valid reports whether the item has been waiting ever since the entry was made.
 func (we *waitEntry) valid() bool { return we.item.state == waiting && we.item.ticket == we.ticket }
 
-// reorder makes all entries anew and sorts them.
+// reorder recomputes and sorts all entries.
 func (wq *waitQueue) reorder() {
 	kept := wq.entries[:0]
 	for _, we := range wq.entries {
@@ -111,10 +110,10 @@
 	slices.SortFunc(wq.entries, compareEntries)
 }
 
-// fewFresh is how many new items are inserted one by one. For more, a merge is less work.
+// fewFresh is the largest number of entries to insert one by one rather than by a merge.
 const fewFresh = 16
 
-// merge adds entries. It drops void ones at the front, and where it merges all.
+// merge adds entries. It drops invalid ones at the front, or all invalid ones if it merges.
 func (wq *waitQueue) merge(fresh []waitEntry) {
 	for len(wq.entries) > 0 && !wq.entries[0].valid() {
 		wq.entries = wq.entries[1:]
--- a/step/room.go
+++ b/step/room.go
@@ -2,24 +2,23 @@
 
 import "wisteriacroft/overload"
 
-// A room is what the engines of one service can do, and which of its steps it is kept for.
+// A room is the capacity plan of one service.
 //
-// Each service has its own: planned together, free room of one would be kept for steps that
-// can't run there, and one with too little would make the others crowded.
+// Services are planned separately, since steps can't use the capacity of another service.
 type room struct {
 	planner overload.Planner
-	// withRoom and without are the groups of open steps that room is kept for, and the others, by
-	// their positions. If stale, they are of an earlier plan, or of other steps.
+	// withRoom and without are the groups of open steps with and without reserved capacity, by
+	// position. If stale is set, they are out of date.
 	withRoom, without []*groupRow
 	stale             bool
-	// sendsAhead says that a full engine of which a run is about to end is sent one item more.
+	// sendsAhead is set if full engines with a run about to end get one item in advance.
 	sendsAhead bool
-	// withinPart says of each customer with open steps, by the last plan, whether it asks for
-	// no more than its part of the places.
+	// withinPart holds, for each customer with open steps, whether it asks for no more than
+	// its share of the slots, as of the last plan.
 	withinPart map[string]bool
 }
 
-// room returns a service's room.
+// room returns the capacity plan of a service, and creates it if necessary.
 func (ta *Table) room(service string) *room {
 	rm := ta.rooms[service]
 	if rm == nil {
@@ -29,34 +28,34 @@
 	return rm
 }
 
-// staleRoom marks the order of a service's groups as stale, as its open steps are others
-// now, and drops it, so that steps that have ended aren't kept in memory.
+// staleRoom drops the order of a service's groups after its open steps have changed. This
+// also frees the memory of ended steps.
 func (ta *Table) staleRoom(service string) {
 	if rm := ta.rooms[service]; rm != nil {
 		rm.withRoom, rm.without, rm.stale = nil, nil, true
 	}
 }
 
-// crowded reports whether a service has too little room for its open steps.
+// crowded reports whether a service is overloaded.
 func (ta *Table) crowded(service string) bool {
 	rm := ta.rooms[service]
 	return rm != nil && rm.planner.Overloaded()
 }
 
-// sendsAhead reports whether a full engine of a service of which a run is about to end is
-// sent one item more.
+// sendsAhead reports whether full engines of a service with a run about to end get one item in
+// advance.
 func (ta *Table) sendsAhead(service string) bool {
 	rm := ta.rooms[service]
 	return rm != nil && rm.sendsAhead
 }
 
-// A RoomLoad is how much of a service's room is asked for.
+// A RoomLoad is the load of a service.
 type RoomLoad struct {
-	Crowded bool    // there is too little room
-	Load    float64 // the work that trainers wait for, as a part of the room
+	Crowded bool    // the service is overloaded
+	Load    float64 // work that trainers wait for, as a fraction of the capacity
 }
 
-// Rooms returns how much of each service's room is asked for, by service.
+// Rooms returns the load of each service with a capacity plan.
 func (ta *Table) Rooms() map[string]RoomLoad {
 	rooms := make(map[string]RoomLoad, len(ta.rooms))
 	for service, rm := range ta.rooms {
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -1,7 +1,7 @@
 package step
 
-// order orders the groups of a service's open steps by their positions, those that room is
-// kept for apart from the others. It does so once after each plan.
+// order sorts the groups of a service's open steps by position into withRoom and without. It
+// does nothing unless the order is stale.
 func (rm *room) order(steps []*stepRow) {
 	if !rm.stale {
 		return
@@ -17,9 +17,8 @@
 	}
 }
 
-// byPosition returns the groups of steps by their positions. These are numbers below that
-// of all groups, so that a counting sort does it in two passes; it keeps groups of one
-// position in their order.
+// byPosition returns the groups of steps by position. It is a stable counting sort: positions
+// are less than the number of groups.
 func byPosition(steps []*stepRow) []*groupRow {
 	most := 0
 	for _, sr := range steps {
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -2,12 +2,11 @@
 
 import "wisteriacroft/overload"
 
-// rank returns the ranks of customers while the room is short.
+// rank adapts the ranks of customers to overload.
 //
-// A customer that asks for no more than its part goes first. Among the others only a lead of
-// a step's work or more counts: the room is given to one step after the other, which puts
-// each customer ahead in turn. If smaller leads counted, these customers would take places
-// from each other's groups, and fewer groups would be whole in time.
+// Customers within their share go first. Among the others, only a lead of at least one step's
+// work counts, since capacity is assigned step by step. With smaller leads, customers would
+// take slots from each other's started groups, and fewer groups would be complete in time.
 func (rm *room) rank(ranks map[string]int) map[string]int {
 	if rm == nil || !rm.planner.Overloaded() {
 		return ranks
@@ -21,15 +20,13 @@
 	return room
 }
 
-// ranksOfAStep is how many ranks ahead a customer may come by one step that has had the
-// room.
+// ranksOfAStep is the number of ranks that a customer may fall back by one executed step.
 const ranksOfAStep = 12
 
-// customersWithinPart returns, for each customer with open steps, whether these are no more
-// work than its part of the places does in the time that a step may take. Customers without
-// open steps have no part.
+// customersWithinPart returns, for each customer with open steps, whether their work needs no
+// more than its share of the slots. Customers without open steps have no share.
 func (ta *Table) customersWithinPart(steps []*overload.Step, rows []*stepRow, places float64) map[string]bool {
-	asked, total := map[string]float64{}, 0.0 // places
+	asked, total := map[string]float64{}, 0.0 // slots; weight
 	for i, st := range steps {
 		customer := rows[i].step.Customer
 		if _, ok := asked[customer]; !ok {
--- a/step/row.go
+++ b/step/row.go
@@ -10,16 +10,15 @@
 	"wisteriacroft/runner"
 )
 
-// An itemState is where an item stands.
+// An itemState is the state of an item.
 type itemState int
 
-// The states of items.
 const (
-	waiting itemState = iota // for a place at an engine
-	running                  // at the engine of its run
-	scoring                  // the text is whole and waits for its score
+	waiting itemState = iota // for a slot of an engine
+	running
+	scoring // the text is complete and waits for its score
 	complete
-	lost // given up
+	lost // abandoned
 )
 
 // An itemRow is an item of an open step.
@@ -31,122 +30,122 @@
 	doneAt   time.Time
 	events   []runner.Event
 	group    *groupRow
-	failures int // answers of engines that failed
+	failures int // failed answers
 	reward   rewardRow
-	saved    int // events that are kept in a checkpoint
-	known    int // events that an earlier run made, at least
+	saved    int // events in checkpoints
+	known    int // minimum length in events, from earlier runs
 	listed   bool
 	moves    int
-	size     int       // of the text of an item that is complete, in bytes
+	size     int       // bytes of the text, if complete
 	index    int       // in its step
-	ticket   int       // grows each time it comes to wait
-	since    time.Time // waiting or running since then
+	ticket   int       // incremented each time the item starts to wait
+	since    time.Time // start of waiting or running
 	run      run       // if running
-	target   string    // engine that keeps a place for the item while it moves
-	unwanted string    // engine that the item was moved away from
+	target   string    // engine with a reserved slot while the item moves
+	unwanted string    // engine that the last run was on
 }
 
-// A run is the run of an item at an engine.
+// A run is the run of an item on an engine.
 type run struct {
 	at        *engineRow
-	confirmed bool // the attendant has it
+	confirmed bool // the attendant has reported it
 	engine    string
 	eventAt   time.Time // of the newest event, or of the launch
 	key       runner.Key
-	prior     int    // events that it was launched with
-	said      int    // events that the attendant knows to be here, and one
-	saidEnd   bool   // the attendant knows that the end is known here
-	saidScore string // the score that the attendant keeps
+	prior     int    // events at launch
+	said      int    // number of events acknowledged to the attendant plus 1; 0 before the first
+	saidEnd   bool   // the end has been acknowledged to the attendant
+	saidScore string // score that the attendant has stored
 	stopping  bool
 	version   uint64
 }
 
-// A groupRow counts the items of a group that are not complete.
+// A groupRow is a group of an open step.
 type groupRow struct {
-	again bool // it was in an earlier step too
+	again bool // also in an earlier step
 	items []*itemRow
-	stale bool // items have changed since it was gathered
+	stale bool // wait is out of date
 	step  *stepRow
 	wait  groupWait
 	left  int            // open items
-	plan  overload.Group // by the last plan, while open
+	plan  overload.Group // of the last capacity plan
 }
 
-// A stepRow is a step that the scheduler holds.
+// A stepRow is a step and its progress.
 type stepRow struct {
-	seenAt       time.Time // this scheduler learned of it
+	seenAt       time.Time // when this scheduler first saw the step
 	step         *Step
 	ended        bool
 	gauge        *tokenGauge   // of the step's model
-	tokenTime    time.Duration // that a token takes at its engines; 0 means unknown
+	tokenTime    time.Duration // per token on the service's engines; 0 means unknown
 	rewards      *rewardGauge
 	groups       map[string]*groupRow
-	list         []*groupRow   // by their first items
-	interleaved  bool          // items of a group don't stand together
-	waits        int           // items that wait
-	queue        stepQueue     // of items that wait
-	eventTokens  int           // that an event held when the groups were gathered
-	gatheredTime time.Duration // that a token took then
-	gathered     bool          // groups were gathered since least and moving were worked out
-	least        int           // tokens: each waiting item holds as many or more
-	moving       int           // waiting items that an engine keeps a place for
-	place        int           // in the order of steps, in this round of placing
-	round        *placing      // in which seats was made
-	seats        *seatList     // of engines that can run the step's items
-	rank         int           // of the customer, in this round of placing
+	list         []*groupRow   // ordered by their first items
+	interleaved  bool          // items of a group aren't consecutive
+	waits        int           // number of waiting items
+	queue        stepQueue     // of waiting items
+	eventTokens  int           // tokens per event that the group summaries were made with
+	gatheredTime time.Duration // time per token that the group summaries were made with
+	gathered     bool          // group summaries changed after least and moving
+	least        int           // lower bound of the tokens of a waiting item
+	moving       int           // waiting items with a reserved slot
+	place        int           // index of the step, in this round of placement
+	round        *placing      // that seats belongs to
+	seats        *seatList     // engines that can run the step's items
+	rank         int           // of the customer, in this round of placement
 	items        []*itemRow
-	chunks       int             // that are listed
-	counted      bool            // counts are known
-	counts       []int           // results of each chunk
-	checkpoints  int             // that are kept
+	chunks       int             // number of listed chunks
+	counted      bool            // counts is set
+	counts       []int           // results per chunk
+	checkpoints  int             // number of stored checkpoints
 	listedAt     time.Time       // of the last results
-	reads        []*listing.Read // that wait for results
-	readAt       time.Time       // a read last waited
+	reads        []*listing.Read // waiting for results
+	readAt       time.Time       // when a read last waited
 	why          listing.Reason  // of the last listing
-	writtenAt    time.Time       // results are being written since then; zero if not
-	planned      int             // groups that room was kept for, as last logged
-	plannedAt    time.Time       // of that line
-	servedAt     time.Time       // the last group was whole in time
-	served       bool            // all that the trainer waits for is listed
-	ending       bool            // the trainer is expected to wait for no more soon
-	results      []Result        // from the position unread on
-	unread       int             // results of an earlier scheduler that are not held here
+	writtenAt    time.Time       // start of the current write of results, or zero
+	planned      int             // groups with reserved capacity, as last logged
+	plannedAt    time.Time       // when planned was logged
+	servedAt     time.Time       // when the last group was completed in time
+	served       bool            // everything that the trainer waits for is listed
+	ending       bool            // the trainer is expected to end the step soon
+	results      []Result        // from position unread on
+	unread       int             // results listed by an earlier scheduler and not loaded
 	changed      chan struct{}   // closed when results are listed
-	idle         bool            // all items are listed, or it has ended
-	loaded       bool            // results that were listed before this term are in
+	idle         bool            // all items are listed, or the step has ended
+	loaded       bool            // results listed before this term are loaded
 }
 
-// An engineRow is an engine and the attendant beside it.
+// An engineRow is an engine with its attendant.
 type engineRow struct {
 	id        string
 	address   string // of the attendant
 	boot      string
 	endpoint  string             // address of the engine
-	born      incarnation.Number // the start that the rest is known of
+	born      incarnation.Number // of the engine that the row describes
 	forget    map[runner.Key]bool
-	foreign   int // requests of others that it runs
+	foreign   int // running requests that aren't items
 	gauges    *gaugeChanges
-	gone      bool // another answers at its address
+	gone      bool // another engine responds at its address
 	items     map[runner.Key]*itemRow
-	kept      map[runner.Key]*itemRow // whole, and held by the attendant until they are listed
+	kept      map[runner.Key]*itemRow // complete items that the attendant retains until they are listed
 	leaving   bool
 	memo      memoryMemo
-	order     *runner.Order // wanted, until it holds
+	order     *runner.Order // to load weights, until done
 	orderAt   time.Time
-	ordered   bool      // the attendant has the order
-	failed    time.Time // of the last run that it didn't finish
-	heardAt   time.Time // the attendant answered
+	ordered   bool      // the attendant has acknowledged the order
+	failed    time.Time // of the last broken run
+	heardAt   time.Time // last response of the attendant
 	joinedAt  time.Time
-	base      time.Duration // of an event of a single short run, as last seen; 0 means unknown
+	base      time.Duration // time per event without load, as last measured; 0 means unknown
 	report    runner.Report
-	coming    map[*itemRow]bool // items that move here, for which places are kept
-	slowAt    time.Time         // it was much slower than the others
-	slowerAt  time.Time         // it has been slower since then without a break
-	sick      bool              // its engine doesn't answer its attendant
+	coming    map[*itemRow]bool // items that move here, with reserved slots
+	slowAt    time.Time         // when the engine was last rated slow
+	slowerAt  time.Time         // since when its pace has exceeded the limit
+	sick      bool              // the engine doesn't respond to its attendant
 	service   string
-	pace      time.Duration // of an event beside all that it runs, as of paceRound
+	pace      time.Duration // expected time per event under current load, as of paceRound
 	paceRound int
-	seat      int // number in the last round of placing, or -1; see placing.seatOf
+	seat      int // index in the last round of placement, or -1; see placing.seatOf
 	slots     int
 	tokens    int // memory
 	versions  map[string]uint64
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -23,48 +23,43 @@
 	"wisteriacroft/tick"
 )
 
-// Intervals of a scheduler.
+// Intervals and timeouts of a scheduler.
 const (
-	// tickEvery is how often the systems run while steps are open.
+	// tickEvery is the interval of the systems while steps are open.
 	tickEvery = 50 * time.Millisecond
-	// exchangeEvery is the pause between exchanges with an attendant while steps
-	// are open: two or three events of each run.
+	// exchangeEvery is the pause between exchanges with an attendant while steps are open.
 	exchangeEvery = 100 * time.Millisecond
 	// idleExchange is the pause between exchanges while no step is open.
 	idleExchange = 400 * time.Millisecond
-	// idleCost is by how much each engine lengthens the pause of those that run
-	// nothing: its inverse bounds the exchanges a second with these.
+	// idleCost is the pause that each engine adds for idle engines. Its inverse limits
+	// the rate of exchanges with them.
 	idleCost = 200 * time.Microsecond
-	// awaitPause is the pause after an exchange whose answer waited for the end of a
-	// run.
+	// awaitPause is the pause after an exchange whose response waited for the end of a run.
 	awaitPause = 10 * time.Millisecond
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
-	// intakeWait is how long one call waits for steps and their ends. While it
-	// can't be told whether the service still answers it, nothing is started:
-	// an item of a step that has ended must not start seconds later.
+	// intakeWait is the duration of a long poll for new and ended steps. Without a recent
+	// response nothing is started, since the step of an item may have ended.
 	intakeWait = 2 * time.Second
-	// intakeSlack is how much later an answer may come.
+	// intakeSlack is how late the response of a poll may be.
 	intakeSlack = 500 * time.Millisecond
-	// listTimeout bounds one write of results, which answers within 4 ms as a
-	// rule. Its repeat is harmless.
+	// listTimeout bounds one write of results. Writes can safely be repeated.
 	listTimeout = time.Second
-	// probeTimeout bounds calls to a service that did not answer the last one, so
-	// that its return shows soon. A service that is 90 times slower than usual
-	// answers in 0.4 s.
+	// probeTimeout bounds calls to the key-value service after a failed one, to detect its
+	// recovery early.
 	probeTimeout = 600 * time.Millisecond
-	// loadTimeout bounds reading what earlier schedulers wrote.
+	// loadTimeout bounds reads of the state of earlier schedulers.
 	loadTimeout = 5 * time.Second
-	// retryAfter is the pause after a failed call to the service.
+	// retryAfter is the delay after a failed call to the key-value service.
 	retryAfter = 200 * time.Millisecond
-	// housekeeping is how often steps that no one reads are dropped.
+	// housekeeping is the interval at which expired steps are dropped.
 	housekeeping = 2 * time.Second
 )
 
-// errNotScheduler means that another process runs the steps, or none.
+// errNotScheduler means that this process doesn't hold the scheduler lease.
 var errNotScheduler = errors.New("not the scheduler")
 
-// Codes returns the errors of this package that cross processes.
+// Codes returns the errors of this package that are sent to peers, with their wire names.
 func Codes() []peer.Code {
 	return []peer.Code{
 		{Err: errNotScheduler, Name: "not-scheduler"},
@@ -74,61 +69,58 @@
 	}
 }
 
-// A Scheduler runs all steps while it holds the lease. Fill the exported
-// fields, then call Run.
+// A Scheduler runs all steps while it holds the lease. Set the exported fields, then call Run.
 type Scheduler struct {
 	// CallFunc makes a reward call.
 	CallFunc  func(ctx context.Context, ca forward.Call) forward.Response
 	Directory *directory.Directory
 	Holder    *lease.Holder
-	Keep      time.Duration // results stay readable for it
+	Keep      time.Duration // retention period of results
 	Keeper    *Store
-	// LiveFunc returns which part customers' live requests have of plain services that
-	// are short of places; nil stands for none.
+	// LiveFunc returns, by customer, the fraction of scarce slots of plain services that live
+	// requests use. Nil means none.
 	LiveFunc func(now time.Time) map[string]float64
-	// Holds reads what operators hold when a term begins; nil reads nothing.
+	// Holds reads the operators' holds when a term begins. May be nil.
 	Holds    *hold.Store
 	Log      *logrus.Entry
 	Metrics  *metrics.Set
 	PeerPort int // of all attendants
 	Pool     *peer.Pool
-	// Quarantine holds items under which engines ended; nil stands for one of each
-	// term's own.
+	// Quarantine tracks items that crash engines. If nil, each term uses a new table.
 	Quarantine *quarantine.Table
-	// WallFunc is told the time of day of attendants' instances, in Unix microseconds.
-	// Nil is told nothing.
+	// WallFunc receives the wall clock of attendants' instances, in Unix microseconds. May be nil.
 	WallFunc func(instance string, wall int64)
 
 	archive      archive
 	cancelHolder context.CancelFunc
-	accepted     chan struct{} // kicks of the systems: a step has come
+	accepted     chan struct{} // wakes the systems after a step was accepted
 	measured     map[string]RoomLoad
 	mu           sync.Mutex
-	replacedAt   time.Time // a term ended before this process did
-	term         *term     // nil while another runs the steps
+	replacedAt   time.Time // when the last term ended
+	term         *term     // nil without the lease
 }
 
-// A term is the time for which a scheduler holds the lease, with no other holder
-// between. At the end of an outage in which leases ran out it goes on under a new
-// epoch.
+// A term is a period in which a scheduler holds the lease without another holder in between.
+// If the lease expires in an outage and nobody else acquires it, the term continues under a
+// new epoch.
 type term struct {
-	begin    func() (context.Context, context.CancelFunc) // of a call that ends with the term
-	calls    map[*itemRow]context.CancelFunc              // reward calls that are under way
+	begin    func() (context.Context, context.CancelFunc) // returns a context that is canceled with the term
+	calls    map[*itemRow]context.CancelFunc              // reward calls in flight
 	cancel   context.CancelFunc
 	epoch    uint64
-	exchange map[string]chan struct{} // kicks of the exchanges that run, by engine
-	freshAt  time.Time                // the service answered for the intake
+	exchange map[string]chan struct{} // wake the exchange loops, by engine
+	freshAt  time.Time                // last response to the intake poll
 	revival  revival
-	ready    bool // what earlier schedulers wrote is read
+	ready    bool // the state of earlier schedulers is loaded
 	table    *Table
-	writes   chan struct{} // kicks of what writes
+	writes   chan struct{} // wakes the writer
 
-	// configuration and endpoints are those from which the table has its engines.
+	// configuration and endpoints are the ones that the table's engines were set from.
 	configuration *directory.Configuration
 	endpoints     []directory.Endpoint
 }
 
-// Register registers the scheduler's methods.
+// Register registers the scheduler's RPC methods.
 func (sc *Scheduler) Register(sv *peer.Server) {
 	registerPing(sv)
 	peer.Handle(sv, acceptMethod, func(ctx context.Context, _ message.Header, st Step) (Empty, error) {
@@ -148,14 +140,14 @@
 	})
 }
 
-// IsLeader reports whether this process runs the steps.
+// IsLeader reports whether the scheduler is in a term.
 func (sc *Scheduler) IsLeader() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.term != nil
 }
 
-// StepDown makes the scheduler never hold the lease again.
+// StepDown stops the scheduler from acquiring the lease again.
 func (sc *Scheduler) StepDown() {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -178,7 +170,7 @@
 	go sc.Holder.Run(holding)
 	ti := time.NewTicker(tickEvery)
 	defer ti.Stop()
-	// On its own: removing keys waits for the service, and placing must not.
+	// In its own goroutine: removing keys may block, which must not delay placement.
 	go (&tick.Loop{
 		Every: housekeeping, Systems: []tick.System{{Name: "keep house", Run: func(now time.Time) { sc.keepHouse(ctx, now) }}},
 	}).Run(ctx)
@@ -197,9 +189,8 @@
 	}
 }
 
-// round begins or ends a term and runs the systems. Rounds are run by one goroutine: with
-// two, the later one could act on an older standing of the lease and end the term that the
-// other had just continued.
+// round begins or ends a term and runs the systems. It must be called from one goroutine only:
+// a concurrent call could act on an outdated lease state and end a term just continued.
 func (sc *Scheduler) round(ctx context.Context, now time.Time) {
 	epoch, st := sc.Holder.State(now)
 	if st == lease.NotHeld {
@@ -209,7 +200,8 @@
 	sc.tick(now)
 }
 
-// stand begins or ends a term.
+// stand begins, continues or ends a term according to the epoch of the lease, which is 0
+// without a lease.
 func (sc *Scheduler) stand(ctx context.Context, epoch uint64) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -248,17 +240,16 @@
 
 // goOn continues a term under a new epoch.
 //
-// In a long outage of the key-value service the lease expires, and no one can take it.
-// Nobody held it meanwhile, so that all that the scheduler knows still holds. A new term
-// would first read all that is kept and hear from all attendants, and only then list what
-// has long been whole.
+// In a long outage of the key-value service the lease expires, but nobody else can acquire it,
+// so the state of the term stays valid. A new term would delay results by loading all state
+// and awaiting all attendants first.
 func (te *term) goOn(epoch uint64) {
 	te.epoch = epoch
 	te.table.SetEpoch(epoch)
 	notify(te.writes)
 }
 
-// resume takes in that the lease is newly held, or that the service answers again.
+// resume handles a newly acquired lease or the recovery of the key-value service.
 func (sc *Scheduler) resume(ctx context.Context) {
 	sc.round(ctx, time.Now())
 	sc.mu.Lock()
@@ -302,14 +293,13 @@
 	}
 }
 
-// mayPlace reports whether runs may begin: under a held lease, and by an intake that was
-// heard of late.
+// mayPlace reports whether runs may start: the lease is held, and the intake is up to date.
 func (sc *Scheduler) mayPlace(te *term, now time.Time) bool {
 	_, held := sc.Holder.Held(now)
 	return held && now.Sub(te.freshAt) < intakeWait+intakeSlack
 }
 
-// refresh takes in what the directory holds.
+// refresh updates the table from the directory.
 func (sc *Scheduler) refresh(te *term, now time.Time) {
 	co := sc.Directory.Configuration()
 	if co == nil {
@@ -326,8 +316,8 @@
 	}
 }
 
-// refreshEngines takes the engines of a term's endpoints in and starts an exchange with
-// the attendant of each.
+// refreshEngines sets the table's engines from the term's endpoints, and starts the exchange
+// loops of new ones.
 func (sc *Scheduler) refreshEngines(te *term, now time.Time) {
 	var infos []EngineInfo
 	for _, en := range te.endpoints {
@@ -346,7 +336,7 @@
 	}
 }
 
-// attendantOf returns the address of the attendant beside an engine.
+// attendantOf returns the address of an engine's attendant.
 func (sc *Scheduler) attendantOf(en directory.Endpoint) string {
 	host, _, err := net.SplitHostPort(en.Address)
 	if err != nil {
@@ -369,7 +359,7 @@
 	return in
 }
 
-// keepHouse drops steps that no one reads any longer.
+// keepHouse drops expired steps, logs the load and loads results of earlier schedulers.
 func (sc *Scheduler) keepHouse(ctx context.Context, now time.Time) {
 	sc.mu.Lock()
 	var ids []string
--- a/step/seat.go
+++ b/step/seat.go
@@ -5,34 +5,32 @@
 	"slices"
 )
 
-// A seat is an engine in a round of placing: one that has a free place, or keeps one for an
-// item that moves. It holds what choosing an engine needs, worked out once.
+// A seat is a candidate engine in a round of placement, with precomputed inputs of its score.
 //
-// For each item that waits, choosing looks at all seats. What rules most of them out stands
-// apart, in a seatSummary, so that little memory is read.
+// The values that exclude most candidates are kept in a compact seatSummary, since every
+// candidate is checked for every waiting item.
 type seat struct {
-	behind   float64 // as Table.behind returns it
-	context  float64 // tokens that its runs are expected to hold
-	end      int     // tokens that it would hold at the ends of its runs
-	endsSoon bool    // one of its runs was about to end when it was last given an item
+	behind   float64 // see Table.behind
+	context  float64 // see engineRow.context
+	end      int     // total tokens at the ends of its runs
+	endsSoon bool    // a run was about to end when an item was last started
 	engine   *engineRow
-	full     bool // no item can come in this round
-	open     int  // items that it may be given
-	released bool // it gave back a place that it kept
-	trying   bool // it tries an item alone
+	full     bool // takes no more items in this round
+	open     int  // number of items that it may still get
+	released bool // a reserved slot was released in this round
+	trying   bool // runs an isolated trial of an item
 }
 
-// A seatSummary holds what rules a seat out for most items.
+// A seatSummary holds the values that exclude a seat for most items.
 type seatSummary struct {
-	room  int     // tokens that an item may hold now to fit; fullRoom if none may come
-	score float64 // upper bound: the part that depends on the item is only subtracted
+	room  int     // maximum tokens of an item that fits; fullRoom if none does
+	score float64 // upper bound of the score: the part that depends on the item is only subtracted
 }
 
-// fullRoom is the room of an engine that takes no item now.
+// fullRoom is the room of an engine that takes no items.
 const fullRoom = math.MinInt
 
-// A seatKey is what decides which engines can run a step's items: steps with the same key
-// share one list of seats.
+// A seatKey identifies steps whose items can run on the same engines. They share a seatList.
 type seatKey struct {
 	minVersion     uint64
 	model, service string
@@ -40,19 +38,16 @@
 
 // A seatList holds the seats that can run the items of some steps.
 type seatList struct {
-	last  int   // the one that was chosen last, or -1
-	most  int   // tokens: an item that holds more fits none of them
-	seats []int // their numbers
+	last  int   // last chosen index, or -1
+	most  int   // upper bound of the tokens of an item that fits
+	seats []int // indexes
 }
 
-// countOpen returns how many items an engine may be given now.
+// countOpen returns how many items an engine may get now.
 //
-// After a run ends, its place is empty until the scheduler has heard of the end and the next
-// item has reached the engine. Where runs are short, that is much of the time. So a full
-// engine of which a run is about to end is sent one item more, which waits there.
-//
-// That is not done while a customer that asks for no more than its part competes for the
-// room: its step may come a moment later, and the next free place would be taken already.
+// A full engine with a run about to end gets one item in advance, so that the slot isn't idle
+// until the scheduler learns of the end. This isn't done while a customer within its share
+// competes, since the next free slot would already be taken when its step arrives.
 func (pl *placing) countOpen(se *seat) int {
 	free := se.engine.free()
 	if free == 0 && se.endsSoon && pl.table.sendsAhead(se.engine.service) {
@@ -61,7 +56,7 @@
 	return free
 }
 
-// refresh works a seat out anew, by what its engine runs now.
+// refresh recomputes a seat from the current state of its engine.
 func (pl *placing) refresh(i int) {
 	se, ta := &pl.seats[i], pl.table
 	en := se.engine
@@ -78,11 +73,10 @@
 	}
 }
 
-// dropEvery is how many seats more must be full before full ones are dropped from all lists
-// again: each time looks at all seats.
+// dropEvery is the number of seats that must become full between two compactions of the lists.
 const dropEvery = 16
 
-// summaryOf returns the summary of a seat, by how many tokens its engine holds now.
+// summaryOf returns the summary of a seat whose engine holds now tokens.
 func (pl *placing) summaryOf(se *seat, now int) seatSummary {
 	en := se.engine
 	su := seatSummary{room: math.MaxInt, score: en.baseScore(pl.now)}
@@ -95,8 +89,8 @@
 	return su
 }
 
-// seatOf returns the number of an engine's seat, or -1. The number that an engine holds may
-// be of an earlier round.
+// seatOf returns the index of an engine's seat, or -1. The index stored in the engine may be of
+// an earlier round.
 func (pl *placing) seatOf(en *engineRow) int {
 	if en != nil && en.seat >= 0 && en.seat < len(pl.seats) && pl.seats[en.seat].engine == en {
 		return en.seat
@@ -104,7 +98,7 @@
 	return -1
 }
 
-// listOf returns the seats that can run a step's items. The step holds it for this round.
+// listOf returns the seats that can run a step's items, cached for this round.
 func (pl *placing) listOf(sr *stepRow) *seatList {
 	if sr.round == pl {
 		return sr.seats
@@ -127,8 +121,8 @@
 	return sl
 }
 
-// dropBounds drops the bounds on what fits, since an engine has got room. The next choice
-// from a list works its bound out again.
+// dropBounds resets the bounds of all lists after memory of an engine was released. The next
+// choice from a list computes its bound again.
 func (pl *placing) dropBounds() {
 	for _, sl := range pl.lists {
 		if len(sl.seats) > 0 {
@@ -137,12 +131,12 @@
 	}
 }
 
-// An itemNeeds holds what choosing an engine needs to know of an item, worked out once.
+// An itemNeeds holds precomputed properties of an item for the choice of an engine.
 type itemNeeds struct {
 	item     *itemRow
-	now, end int     // tokens that it holds now, and at its expected end
-	took     float64 // seconds that the rest of it is expected to take
-	unwanted string  // engine that it may not go to yet
+	now, end int     // tokens now and at the expected end
+	took     float64 // expected seconds to complete
+	unwanted string  // engine to avoid, or empty
 }
 
 func (pl *placing) needsOf(ir *itemRow) itemNeeds {
@@ -154,23 +148,22 @@
 	return ne
 }
 
-// takes reports whether an engine that has room for an item takes it.
+// takes reports whether an engine with enough free memory for an item can run it.
 func (se *seat) takes(ne *itemNeeds) bool {
 	return (ne.unwanted == "" || se.engine.id != ne.unwanted) && se.engine.goesOnWith(ne.item)
 }
 
-// scoreOf returns how good an engine is for an item, in free places, by its score before
-// what depends on the item.
+// scoreOf returns the score of a seat for an item, given the part that doesn't depend on it.
 func (se *seat) scoreOf(ne *itemNeeds, score float64) float64 {
 	return score - paceCost(ne.took, se.context, se.behind) - se.engine.crowding(se.end+ne.end)
 }
 
-// choose returns the seat that is best for an item, or -1. On the way it works out anew what
-// fits the list of seats at most.
+// choose returns the index of the best seat for an item, or -1, and updates the bound of the
+// list.
 //
-// A seat whose score before the item is below the best one can't be better, and isn't
-// looked at further; another rule in the table's rank knows no such bound. Engines that run
-// items of the same group are looked at once more, with what that adds.
+// It skips seats whose upper bound is below the best score, unless the table has a custom
+// score, which has no such bound. Engines that run items of the same group are considered
+// first, with their bonus.
 func (pl *placing) choose(ir *itemRow) int {
 	sl := pl.listOf(ir.step)
 	ne := pl.needsOf(ir)
@@ -185,7 +178,7 @@
 			best, bestScore = i, score
 		}
 	}
-	// A good one first, so that most of the others are passed over by their summaries.
+	// Likely good ones first, so that most of the others are skipped by their summaries.
 	for _, mate := range ir.group.items {
 		if mate.state != running {
 			continue
@@ -211,14 +204,14 @@
 	return best
 }
 
-// dropFull drops the seats that are full from all lists.
+// dropFull removes full seats from all lists.
 func (pl *placing) dropFull() {
 	for _, sl := range pl.lists {
 		sl.seats = slices.DeleteFunc(sl.seats, func(i int) bool { return pl.seats[i].full })
 	}
 }
 
-// rankOf returns how good a seat is for an item, by the table's rank if it has one.
+// rankOf returns the score of a seat for an item, by the table's custom score if it has one.
 func (pl *placing) rankOf(se *seat, ne *itemNeeds, score float64) float64 {
 	if rank := pl.table.rank; rank != nil {
 		return rank(se.engine, ne.item, pl.now)
--- a/step/share.go
+++ b/step/share.go
@@ -8,38 +8,36 @@
 	"wisteriacroft/fairshare"
 )
 
-// Bounds of logging ranks.
+// Limits of logging ranks.
 const (
-	// logRanksEvery is how often ranks that have changed are logged.
+	// logRanksEvery is the interval of logging changed ranks.
 	logRanksEvery = time.Second
-	// maxRankLines bounds the customers that are logged at once; the changes of
-	// others are not logged later either.
+	// maxRankLines limits the customers logged at once. Changes beyond it are not logged.
 	maxRankLines = 20
 )
 
-// mostElapsed bounds the time that one round of counting counts. A process that was
-// suspended for longer doesn't know what ran meanwhile.
+// mostElapsed limits the time that one update accounts for. After a longer suspension of the
+// process it isn't known what was running meanwhile.
 const mostElapsed = time.Second
 
-// A fairShare is what the table knows of customers' parts.
+// A fairShare holds the usage accounts of customers.
 type fairShare struct {
 	account   fairshare.Account
 	countedAt time.Time
-	live      map[string]float64 // by customer, parts of plain services' places that live requests have
-	logged    map[string]int     // ranks
+	live      map[string]float64 // fractions of plain services' slots in use by live requests, by customer
+	logged    map[string]int     // last logged ranks
 	loggedAt  time.Time
-	recent    fairshare.RecentUsage // places that customers had
-	saved     []byte                // the account as last kept in the key-value service
+	recent    fairshare.RecentUsage // slots in use
+	saved     []byte                // the encoded account as last written
 	savedAt   time.Time
-	scarce    map[string]bool // services whose places are scarce while items wait
+	scarce    map[string]bool // services with waiting items and few free slots
 }
 
-// ChargeUsage counts what customers have of the engines.
+// ChargeUsage accounts for customers' use of the engines since the last call.
 //
-// Load pattern: one customer's trainers ask for many times its part. Placed by time to spare
-// alone, its items would take nearly all places, and the others' steps would be late as
-// often as its own. The places that customers have at one moment don't tell who had most:
-// steps come in bursts, and one of few long items has few places for a long time.
+// By slack alone, a customer that asks for many times its share would take nearly all slots
+// and make the others late. The slots in use at one moment don't show who has used most, as
+// steps come in bursts.
 func (ta *Table) ChargeUsage(now time.Time) {
 	fs := &ta.share
 	elapsed := time.Duration(0)
@@ -56,7 +54,7 @@
 	}
 }
 
-// logRanks logs the customers whose rank is another one than it was.
+// logRanks logs the customers whose rank has changed.
 func (ta *Table) logRanks() {
 	fs := &ta.share
 	sts := fs.account.Balances()
@@ -77,37 +75,35 @@
 	}
 }
 
-// Shares returns how customers stand.
+// Shares returns the balances of customers.
 func (ta *Table) Shares() map[string]fairshare.Balance { return ta.share.account.Balances() }
 
-// Parts returns which part of the engines' places that were taken within
-// fairshare.RecentTime each customer had.
+// Parts returns each customer's fraction of the slot time used within fairshare.RecentTime.
 func (ta *Table) Parts(now time.Time) map[string]float64 { return ta.share.recent.Parts(now) }
 
-// SetWeights sets the customers' weights; without one a customer has 1.
+// SetWeights sets the customers' weights. The default weight is 1.
 func (ta *Table) SetWeights(weights map[string]float64) { ta.share.account.SetWeights(weights) }
 
-// SetLive sets which parts customers' live requests have of the places of plain services
-// that are short of them.
+// SetLive sets, by customer, the fractions of scarce slots of plain services that live requests
+// use.
 func (ta *Table) SetLive(parts map[string]float64) { ta.share.live = parts }
 
-// A useKey is a customer's work at a service.
 type useKey struct{ customer, service string }
 
 // A useCount counts a customer's items at a service.
 type useCount struct {
-	held   int  // that run
-	ready  bool // one of those that wait may run
-	tokens int  // that those that run hold
-	waits  int
+	held   int  // running items
+	ready  bool // a waiting item can start
+	tokens int  // of running items
+	waits  int  // waiting items
 }
 
-// scarcePart is the part of a service's places that must be taken for them to be scarce.
-// Below it items wait for weights rather than for places.
+// scarcePart is the fraction of a service's slots in use from which they count as scarce. With
+// fewer in use, items wait for weights rather than for slots.
 const scarcePart = 0.75
 
-// uses returns what customers have and want of services for which items wait. What they
-// have counts only where places are scarce.
+// uses returns what customers use and want of services with waiting items. Slots in use count
+// only where they are scarce.
 func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
 	for key, co := range counts {
@@ -134,7 +130,7 @@
 	return uses
 }
 
-// counts tells customers' items of open steps by service.
+// counts returns the numbers of customers' items in open steps by service.
 func (ta *Table) counts(now time.Time) map[useKey]useCount {
 	ta.gather()
 	counts := map[useKey]useCount{}
@@ -159,7 +155,7 @@
 	return counts
 }
 
-// heldPlaces returns how many places customers have.
+// heldPlaces returns the number of slots in use by customer.
 func heldPlaces(counts map[useKey]useCount) map[string]int {
 	places := map[string]int{}
 	for key, co := range counts {
@@ -168,7 +164,7 @@
 	return places
 }
 
-// countHeld counts the items of a step that wait though an operator holds it.
+// countHeld counts the waiting items of a held step that aren't held themselves.
 func (ta *Table) countHeld(co *useCount, sr *stepRow) {
 	for _, gr := range sr.list {
 		for _, ir := range gr.wait.waiting {
@@ -179,7 +175,7 @@
 	}
 }
 
-// capacity returns how many places and how much memory a service's engines have.
+// capacity returns the slots and the memory of a service's engines.
 func (ta *Table) capacity(service string) (places, tokens int) {
 	for _, en := range ta.sorted {
 		if en.service == service && !en.gone {
@@ -190,7 +186,7 @@
 	return places, tokens
 }
 
-// addUses adds what customers have of a service's engines, if they are scarce, and want.
+// addUses adds what customers want of a service and, if its slots are scarce, what they use.
 func addUses(uses map[string]fairshare.Usage, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
 	for key, co := range counts {
 		if key.service != service || co.held+co.waits == 0 {
@@ -207,11 +203,10 @@
 	}
 }
 
-// ratio returns which part of a whole a count is.
 func ratio(count, whole int) float64 { return float64(count) / float64(max(whole, 1)) }
 
-// customerRank returns the order in which customers get places while items wait: the
-// lowest rank first, equal ranks together. A customer that it does not name has rank 0.
+// customerRank returns the ranks of customers, of which the lowest goes first. A missing
+// customer has rank 0.
 func (ta *Table) customerRank(customers map[string]bool) map[string]int {
 	ranks := map[string]int{}
 	if ta.anyShare {
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -14,12 +14,11 @@
 	"wisteriacroft/keyvalue"
 )
 
-// accountEvery is how often what customers have had is kept, with other writes. A change of
-// scheduler forgets as much time.
+// accountEvery is the minimum interval of writing the account, always with other writes. A new
+// scheduler may miss as much usage.
 const accountEvery = time.Second
 
-// accountMode encodes equal accounts equally, so that one that didn't change is not
-// written again.
+// accountMode is a canonical encoding, so that unchanged accounts can be detected.
 var accountMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -28,7 +27,7 @@
 	return mode
 }()
 
-// due returns the account if it is to be kept now, or nil.
+// due returns the encoded account if it must be written now, or nil.
 func (fs *fairShare) due(now time.Time) []byte {
 	if now.Sub(fs.savedAt) < accountEvery {
 		return nil
@@ -39,22 +38,20 @@
 	}
 	data, err := accountMode.Marshal(me)
 	if err != nil || bytes.Equal(data, fs.saved) {
-		return nil // numbers and names can always be encoded
+		return nil // encoding numbers and strings never fails
 	}
 	return data
 }
 
-// written takes in that an account is kept.
+// written records that an account was written.
 func (fs *fairShare) written(data []byte, now time.Time) {
 	if len(data) > 0 {
 		fs.saved, fs.savedAt = data, now
 	}
 }
 
-// recall continues the account of an earlier scheduler. Otherwise, after each change of
-// scheduler, a customer that had far more than its part would rank with all others again.
-//
-// Steps without customers have no account, and cost no call.
+// recall loads the account of an earlier scheduler, so that customers keep their ranks. It
+// makes no call unless a step has a customer.
 func (sc *Scheduler) recall(ctx context.Context, te *term, accepted []*Step) error {
 	sc.mu.Lock()
 	first := !te.ready
@@ -70,18 +67,18 @@
 	}
 	var me fairshare.Snapshot
 	if errDecode := cbor.Unmarshal(data, &me); len(data) > 0 && errDecode != nil {
-		sc.Log.WithError(errDecode).Warn("customers' parts can't be read and begin anew")
+		sc.Log.WithError(errDecode).Warn("can't decode the customers' usage accounts; starting with empty ones")
 		me = fairshare.Snapshot{}
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te.table.share.account.Restore(me)
 	te.table.share.saved = data
-	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' parts are known again")
+	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' usage accounts restored")
 	return nil
 }
 
-// Account returns what earlier schedulers kept of customers' parts, or nothing.
+// Account returns the stored encoded account, or nil if there is none.
 func (ke *Store) Account(ctx context.Context) ([]byte, error) {
 	it, err := ke.Client.Get(ctx, accountKey)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
@@ -91,14 +88,13 @@
 	return it.Value, nil
 }
 
-// writeAccount applies a transaction that replaces the account, as one that expects the
-// account that it replaces.
+// writeAccount applies a transaction that replaces the account, with the expected version of
+// the replaced one.
 //
-// Sequence: a write gets no answer and is sent once more, which succeeds. Others follow, and
-// then the first one is applied: without the expectation, the account would be an old one
-// again. After a conflict the same transaction is sent for the version that is there, unless
-// it was applied before. As it also expects the lease, its account is the newest. So nothing
-// else in it may depend on the account that it replaces.
+// Otherwise a write that timed out and was retried could still be applied after later writes,
+// and restore an old account. After a conflict the transaction is retried with the current
+// version unless it was applied already. It also expects the lease, so its account is the
+// newest. Nothing else in it may depend on the replaced account.
 func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
 	for range accountTries {
@@ -128,11 +124,11 @@
 	return false, keyvalue.ErrConflict
 }
 
-// accountTries is how often a write of the account is tried: once more if the account was
-// another than the one that was known.
+// accountTries limits the attempts to write the account: one retry after a version conflict.
 const accountTries = 2
 
-// An accountVersion is the version of the account's key, if it is known. The zero accountVersion isn't.
+// An accountVersion is the version of the account's key, if known. It is safe for concurrent
+// use. The zero value is unknown.
 type accountVersion struct {
 	known   bool
 	mu      sync.Mutex
--- a/step/suspect.go
+++ b/step/suspect.go
@@ -9,46 +9,42 @@
 	"wisteriacroft/runner"
 )
 
-// Weights of finding out which item ends its engines.
+// Parameters of finding items that crash engines.
 const (
-	// trialTime is for how long after its launch a run is young, and the first to be
-	// suspected if its engine ends: what ends an engine does so when the engine reads it
-	// or makes its first events, and a prompt is read within 200 ms.
+	// trialTime is how long a run is young. Items that crash their engine do so during
+	// prefill or the first events, so young runs are suspected first.
 	trialTime = time.Second
-	// trialEvents is how many events a tried run makes until it is cleared.
+	// trialEvents is the number of events after which a trial has passed.
 	trialEvents = 3
-	// trialEnds is how many engines end under an item's young runs before it is tried.
-	// One run of some thirty is as young when an engine ends for a reason of its own.
+	// trialEnds is the number of engines that must end during young runs of an item before
+	// the item is tried alone.
 	trialEnds = 2
-	// trialWait is how long an item waits to be tried. Beyond it, it is placed as
-	// others are: crashes of many engines at the start of a step make suspects of all
-	// its items.
+	// trialWait is how long an item waits for a trial before it is placed as others are.
+	// Crashes of many engines may make all items of a step suspects.
 	trialWait = 2 * time.Second
-	// trialPart is the part of a service's engines that try items at once, so that a
-	// step full of them leaves the others their engines.
+	// trialPart is the number of engines per concurrent trial.
 	trialPart = 8
-	// guiltyStrikes is what it counts that an engine ended under a tried item that
-	// alone was young there: it is barred.
+	// guiltyStrikes is the number of strikes for an item whose engine ended during its trial.
+	// It bars the item at once.
 	guiltyStrikes = 6
-	// leastWave and wavePart say how many other engines end within waveTime when the
-	// cause is rather something that they share than one item each: two, or a quarter
-	// of them.
+	// leastWave and the fraction 1/wavePart of all engines are the numbers of other engines
+	// that end within waveTime from which on a common cause is assumed.
 	leastWave = 2
 	wavePart  = 4
 	waveTime  = time.Second
-	// maxYoung bounds the items of which ends are remembered.
+	// maxYoung limits the items whose engine ends are remembered.
 	maxYoung = 1000
 )
 
-// A trials knows which items may end their engines, and which engines try one alone.
-// The zero trials is empty and ready to use.
+// A trials tracks items that may crash engines, and the engines that try one alone. The zero
+// value is ready to use.
 type trials struct {
 	byEngine map[string]*itemRow
-	ends     map[string]time.Time      // of engines, of late
-	young    map[quarantine.Digest]int // engines that ended under young runs of an item
+	ends     map[string]time.Time      // recent ends of engines
+	young    map[quarantine.Digest]int // engines that ended during young runs, by item
 }
 
-// begin notes that an engine tries an item.
+// begin records that an engine tries an item.
 func (tr *trials) begin(engine string, ir *itemRow) {
 	if tr.byEngine == nil {
 		tr.byEngine = map[string]*itemRow{}
@@ -56,7 +52,7 @@
 	tr.byEngine[engine] = ir
 }
 
-// tries reports whether an engine tries an item, which no other may join.
+// tries reports whether an engine is running a trial, so that no other item may start there.
 func (tr *trials) tries(engine string, now time.Time) bool {
 	ir := tr.byEngine[engine]
 	if ir == nil {
@@ -69,7 +65,7 @@
 	return false
 }
 
-// count returns how many engines try an item.
+// count returns the number of current trials.
 func (tr *trials) count(now time.Time) int {
 	count := 0
 	for engine := range maps.Clone(tr.byEngine) {
@@ -80,7 +76,7 @@
 	return count
 }
 
-// end notes that an engine ended, and returns how many others did of late.
+// end records the end of an engine, and returns how many others ended within waveTime.
 func (tr *trials) end(engine string, now time.Time) int {
 	if tr.ends == nil {
 		tr.ends = map[string]time.Time{}
@@ -90,7 +86,7 @@
 	return len(tr.ends) - 1
 }
 
-// note notes that an engine ended under a young run of an item.
+// note records that an engine ended during a young run of an item.
 func (tr *trials) note(di quarantine.Digest) {
 	if tr.young == nil || len(tr.young) >= maxYoung {
 		tr.young = map[quarantine.Digest]int{}
@@ -98,18 +94,14 @@
 	tr.young[di]++
 }
 
-// young reports whether an item's run has just begun.
+// young reports whether an item's run has started within trialTime.
 func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.since) < trialTime }
 
-// suspect notes that a run broke because its engine ended.
+// suspect records that a run broke because its engine ended, which the item may have caused.
 //
-// An item may be what ends its engines. Placed again at once, it would go
-// through all of them until its step ended, each with the other items that ran there.
-//
-// Load pattern: a few items of one step, and of the next ones that bring them again,
-// each end every engine that they reach, with up to a dozen others beside them. The
-// runs that have just begun are suspected first, and tried where no other begins: one
-// that is to blame takes three engines, and not six with all that ran beside it.
+// Without quarantine, an item that crashes engines would take down one after the other, with
+// all other runs there. Items with young runs are tried alone first, so that the others beside
+// them aren't quarantined as well.
 func (ta *Table) suspect(ir *itemRow, pr runner.Progress, now time.Time) {
 	if !pr.EngineEnded {
 		return
@@ -123,7 +115,7 @@
 		weight = guiltyStrikes
 	}
 	for i := range weight {
-		// By the run, since the engine may have started again already.
+		// Keyed by run, since the engine may have restarted already.
 		ta.quarantine.RecordCrash(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engine, ir.run.key.Attempt, i), now)
 	}
 	ve := ta.quarantine.CheckItem(ir.digest, now)
@@ -134,18 +126,17 @@
 	})
 }
 
-// rests reports whether an item must not be placed now.
+// rests reports whether an item is quarantined.
 func (ta *Table) rests(ir *itemRow, now time.Time) bool {
 	return ta.quarantine.CheckItem(ir.digest, now).Held()
 }
 
-// tried reports whether an item is to be tried alone.
+// tried reports whether an item must be tried alone.
 func (ta *Table) tried(ir *itemRow, now time.Time) bool {
 	return ta.trials.young[ir.digest] >= trialEnds && now.Sub(ir.since) < trialWait
 }
 
-// chooseTrial returns the engine that is to try an item, or nil: the one that runs the
-// fewest others.
+// chooseTrial returns the engine for a trial of an item, or nil: the one with the fewest runs.
 func (ta *Table) chooseTrial(ir *itemRow, now time.Time) *engineRow {
 	if ta.trials.count(now) >= max(1, len(ta.sorted)/trialPart) {
 		return nil
--- a/step/table.go
+++ b/step/table.go
@@ -10,61 +10,60 @@
 	"wisteriacroft/runner"
 )
 
-// A Table holds the steps that are open and the engines that run them. Its
-// systems decide; what they decide is read off the rows. NewTable makes one.
+// A Table holds the open steps and the engines, and makes all scheduling decisions. It is not
+// safe for concurrent use. Create one with NewTable.
 type Table struct {
 	attempt   uint64    // of the newest run
-	begun     time.Time // of placing
+	begun     time.Time // start of placement
 	engines   map[string]*engineRow
-	former    map[string]time.Time     // engines whose entries are gone, since when
-	sorted    []*engineRow             // engines by ID, so that equal loads are decided equally
-	gaveUp    map[string]time.Duration // age at which a trainer ended a step that was not whole
+	former    map[string]time.Time     // when engines left, by ID
+	sorted    []*engineRow             // engines by ID, for deterministic decisions
+	gaveUp    map[string]time.Duration // age at which a trainer ended an incomplete step
 	plannedAt time.Time
 	rooms     map[string]*room    // by service
-	way       overload.Discipline // of all rooms
-	// rank tells how good engines are for an item; nil goes by all that is known of them.
+	way       overload.Discipline // of all services
+	// rank returns the score of an engine for an item; nil means the default score.
 	rank      func(en *engineRow, ir *itemRow, now time.Time) float64
-	paceRound int         // number of the round in which engines' paces are held
-	stale     []*groupRow // whose items have changed since they were gathered
+	paceRound int         // incremented when cached paces of engines expire
+	stale     []*groupRow // groups with outdated summaries
 	epoch     uint64
-	holds     *hold.Set // of operators; nil holds nothing
-	anyShare  bool      // customers aren't ranked, as measurements compare with
-	// lengths are the most events that items of ended steps are known to have:
-	// groups that come again bring the items that last longest.
+	holds     *hold.Set // of operators; may be nil
+	anyShare  bool      // disables ranks of customers, for comparison in tests
+	// lengths are lower bounds of the events of items of ended steps, whose groups may be
+	// requested again.
 	lengths map[itemKey]length
-	// reuse keeps the text of items of ended steps, since their groups may
-	// come again in a later step.
+	// reuse holds items of ended steps, whose texts are reused if their groups are requested
+	// again.
 	reuse      map[itemKey]*itemRow
-	quarantine *quarantine.Table // of items under which engines ended
-	requests   uint64            // made to attendants
+	quarantine *quarantine.Table // of items that crash engines
+	requests   uint64            // number of requests to attendants
 	rewards    *rewardGauge
 	share      fairShare
 	steps      map[string]*stepRow
-	trials     trials // of items under which engines ended
-	// unscored are the items whose whole texts wait for their scores.
+	trials     trials // of items suspected to crash engines
+	// unscored are the items in state scoring.
 	unscored map[*itemRow]bool
-	stopped  []*itemRow        // whose runs have stopped, to go on elsewhere
-	urgent   bool              // a trainer waits for no more than is whole
+	stopped  []*itemRow        // moving items whose runs have stopped
+	urgent   bool              // everything that some trainer waits for is complete
 	order    []*stepRow        // open steps by acceptance
 	named    map[string]uint64 // newest version of each model
 	log      func(event string, fields map[string]any)
-	demand   map[string]float64     // work of a model's step, in tokens
-	garbage  []string               // keys to remove
-	cuts     []*Step                // that have ended, to be kept without their items
+	demand   map[string]float64     // tokens of a step, by model
+	garbage  []string               // keys to delete
+	cuts     []*Step                // ended steps, to be stored without their items
 	gauges   map[string]*tokenGauge // by model
-	// gaugeChanges counts the changes of all gauges' estimates.
+	// gaugeChanges counts changes of the estimates of all gauges.
 	gaugeChanges gaugeChanges
 	savedAt      time.Time                // when checkpoints were last made
-	bases        map[string]time.Duration // base of the median engine, by service
+	bases        map[string]time.Duration // median base, by service
 	bests        map[string]time.Duration // base of the fastest engine, by service
-	paces        map[string]time.Duration // of the median engine, by service
+	paces        map[string]time.Duration // median pace, by service
 }
 
-// attemptBits is the part of an attempt's number that counts within an epoch.
+// attemptBits is the number of low bits of an attempt that are counted within an epoch.
 const attemptBits = 32
 
-// NewTable returns the empty table of an epoch. Log gets a line for each
-// decision; nil logs nothing.
+// NewTable returns an empty table. It calls log, if not nil, for each decision.
 func NewTable(epoch uint64, log func(event string, fields map[string]any)) *Table {
 	if log == nil {
 		log = func(string, map[string]any) {}
@@ -80,8 +79,8 @@
 	return ta
 }
 
-// SetEpoch goes on under a new epoch. Attendants take it for that of a new scheduler, and
-// are told anew of all that they were told.
+// SetEpoch continues under a new epoch. Attendants treat it as a new scheduler, so all
+// acknowledgements and orders are sent again.
 func (ta *Table) SetEpoch(epoch uint64) {
 	ta.epoch, ta.attempt = epoch, epoch<<attemptBits
 	for _, en := range ta.engines {
@@ -99,21 +98,20 @@
 	}
 }
 
-// age returns for how long this scheduler has known the step.
+// age returns the time since this scheduler first saw the step.
 //
-// The time of acceptance is another instance's time of day, which may be far off: by it,
-// items could be given up that have waited for a moment only. By this scheduler's own clock
-// a step is never older than it is.
+// The time of acceptance is by the wall clock of another instance, which may be far off and
+// let items expire too early.
 func (sr *stepRow) age(now time.Time) time.Duration { return now.Sub(sr.seenAt) }
 
-// A StoredStep is what earlier schedulers kept of a step.
+// A StoredStep is the stored progress of a step.
 type StoredStep struct {
 	Checkpoints []Checkpoint
-	Listed      [][]Result // by chunk; nil if Marked tells their items
-	Marked      [][]string
+	Listed      [][]Result // by chunk; nil if Marked is set
+	Marked      [][]string // item IDs by chunk
 }
 
-// Accept adds a step with what is kept of it.
+// Accept adds a step with its stored progress. It ignores a step that is there already.
 func (ta *Table) Accept(st *Step, ke StoredStep, ended bool, now time.Time) {
 	if _, ok := ta.steps[st.ID]; ok {
 		return
@@ -172,7 +170,7 @@
 	})
 }
 
-// fits reports whether a step may have a text.
+// fits reports whether the step allows the versions of a text's events.
 func (st *Step) fits(evs []runner.Event) bool {
 	for i, ev := range evs {
 		if ev.Version < st.MinVersion || ev.Version == 0 || st.SingleVersion && ev.Version != evs[max(i-1, 0)].Version {
@@ -182,7 +180,7 @@
 	return true
 }
 
-// finish moves an item to its last state, and notes when its group is whole.
+// finish sets the final state of an item, and updates its group.
 func (ta *Table) finish(ir *itemRow, state itemState, now time.Time) {
 	ta.unreserve(ir)
 	delete(ta.unscored, ir)
@@ -199,7 +197,7 @@
 	}
 }
 
-// End ends a step: its items stop, and nothing more is listed.
+// End ends a step: its runs stop, and no more results are listed.
 func (ta *Table) End(id string) {
 	sr, ok := ta.steps[id]
 	if !ok || sr.ended {
@@ -233,7 +231,8 @@
 	ta.order = slices.DeleteFunc(ta.order, func(other *stepRow) bool { return other == sr })
 }
 
-// cut drops the items of a step that has ended, here and where it is kept.
+// cut drops the items of a step that has ended, in memory and, with the next write, in the
+// key-value service.
 func (ta *Table) cut(sr *stepRow) {
 	if !sr.step.Cut {
 		sr.step = sr.step.cut()
@@ -241,13 +240,13 @@
 	}
 }
 
-// wake tells whoever waits for results.
+// wake notifies readers that wait for results.
 func (sr *stepRow) wake() {
 	close(sr.changed)
 	sr.changed = make(chan struct{})
 }
 
-// release takes an item off its engine, whose attendant forgets the run.
+// release removes an item's run from its engine, and makes the attendant forget it.
 func (ta *Table) release(ir *itemRow) {
 	if ir.run.engine == "" {
 		return
@@ -261,12 +260,11 @@
 	ir.run = run{}
 }
 
-// keep takes an item that is whole off its engine, whose attendant holds the
-// text until it is listed.
+// keep removes a complete item's run from its engine, but lets the attendant retain the text
+// until it is listed.
 //
-// Results can't be listed while the key-value service is away. Forgotten by the
-// attendant, the text would be in this scheduler's memory alone, and made again
-// by the next one.
+// Otherwise, in an outage of the key-value service, the only copy would be in this scheduler's
+// memory, and the next scheduler would have to generate it again.
 func (ta *Table) keep(ir *itemRow) {
 	en := ta.engines[ir.run.engine]
 	if en == nil {
@@ -277,7 +275,7 @@
 	en.kept[ir.run.key] = ir
 }
 
-// letGo lets the attendant forget an item's run, if it holds one.
+// letGo lets the attendant forget the retained run of an item, if any.
 func (ta *Table) letGo(ir *itemRow) {
 	if en := ta.engines[ir.run.engine]; en != nil && en.kept[ir.run.key] == ir {
 		delete(en.kept, ir.run.key)
@@ -286,7 +284,7 @@
 	ir.run = run{}
 }
 
-// requeue lets an item wait for a place again.
+// requeue releases an item's run and lets the item wait again.
 func (ta *Table) requeue(ir *itemRow, why string, now time.Time) {
 	ta.log("run given up", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: ir.run.engine, "events": len(ir.events), itemField: ir.item.ID,
@@ -301,10 +299,9 @@
 	ir.since = now
 }
 
-// placeStopped starts the items whose runs have stopped at the engines that keep places for
-// them, and returns the engines. Other items that wait are placed at the next tick: if they
-// were placed after each run that stopped, some would go to an engine that has just refused
-// them.
+// placeStopped starts moved items whose runs have stopped on the engines with their reserved
+// slots, and returns the IDs of these engines. Other waiting items are placed at the next tick,
+// so that they don't return at once to an engine that has just refused them.
 func (ta *Table) placeStopped(now time.Time) []string {
 	var engines []string
 	for _, ir := range ta.stopped {
@@ -321,13 +318,13 @@
 	return engines
 }
 
-// takeUrgent reports, once, that a trainer has come to wait for no more than is
-// whole: a listing is worth looking for at once.
+// takeUrgent reports whether everything that some trainer waits for has become complete since
+// the last call, so that results should be listed at once.
 func (ta *Table) takeUrgent() bool {
 	urgent := ta.urgent
 	ta.urgent = false
 	return urgent
 }
 
-// HasOpenWork reports whether any step has items to run or list.
+// HasOpenWork reports whether any step is open.
 func (ta *Table) HasOpenWork() bool { return len(ta.order) > 0 }
--- a/step/weights.go
+++ b/step/weights.go
@@ -10,26 +10,22 @@
 	"wisteriacroft/runner"
 )
 
-// Bounds of loading weights.
+// Limits of loading weights.
 const (
-	// leastAtOnce and partAtOnce say how many engines of a service load at once: the
-	// store of weights serves a fifth of them, to the nearest, at full speed, and more
-	// of them more slowly.
+	// leastAtOnce is the minimum number of concurrent loads of a service, and partAtOnce the
+	// number of engines per load. The weight store serves this many at full speed.
 	leastAtOnce = 2
 	partAtOnce  = 5
-	// orderBound is after how long an order that does not show is given up.
+	// orderBound is the timeout of an order without effect.
 	orderBound = 15 * time.Second
 )
 
 // Weights orders engines to load newer versions.
 //
-// Load pattern: several trainers share the engines, each with a model of its
-// own, and each names a version every few seconds, at once or in turns. The
-// store of weights serves fewer loads than there are engines and models. So the
-// next load is always of the model that has the fewest engines with its newest
-// version, for its part of the work: taken in the order of their names, the last
-// one's steps would wait for all others. A model stops at its share of the engines, of
-// which each may hold versions of several.
+// The weight store can't load all models to all engines as fast as versions are published. So
+// the next load is always of the model with the fewest up-to-date engines relative to its share
+// of the work, which keeps any model from starving. An engine may have weights of several
+// models.
 func (ta *Table) Weights(now time.Time) {
 	byService := map[string][]*engineRow{}
 	for _, en := range ta.sorted {
@@ -45,8 +41,7 @@
 	}
 }
 
-// loadService orders the loads of one service's engines, as many as may be
-// under way at once.
+// loadService orders loads of one service's engines up to the concurrency limit.
 func (ta *Table) loadService(ens []*engineRow, now time.Time) {
 	loading := 0
 	for _, en := range ens {
@@ -73,15 +68,14 @@
 	}
 }
 
-// loadsAtOnce returns how many of some engines load at once.
+// loadsAtOnce returns the maximum number of concurrent loads.
 func loadsAtOnce(engines int) int {
 	return max(leastAtOnce, (engines+partAtOnce/2)/partAtOnce)
 }
 
-// neededLag returns by how many versions an engine may lag and not be loaded while
-// others lag more. While there is too little room, each engine is to run the steps of
-// all models, which are more loads than the store of weights serves: those that have a
-// version that steps take can wait.
+// neededLag returns the number of versions that an engine may lag behind without a load, as long
+// as others lag more. Under overload each engine should run all models, which needs more loads
+// than the weight store can serve, so engines with a usable version can wait.
 func (ta *Table) neededLag(service string) uint64 {
 	if ta.crowded(service) {
 		return uselessLag - 1
@@ -89,9 +83,9 @@
 	return 0
 }
 
-// neediest returns the model that has the fewest engines with a version that lags by no
-// more than lag for its share, of those of the customer that goes first, and the engine
-// that is to load it, or nil.
+// neediest returns the model to load next and the engine to load it on, or nil: the model of the
+// first customer by rank with the fewest engines that lag at most lag versions, relative to its
+// share.
 func (ta *Table) neediest(
 	ens []*engineRow, shares map[string]float64, parts map[string]modelPart, lag uint64,
 ) (en *engineRow, model string) {
@@ -104,7 +98,7 @@
 				fresh++
 			}
 		}
-		// A share is met by the engine that passes it.
+		// A fractional share is rounded up to whole engines.
 		part := float64(fresh) / math.Ceil(shares[candidate])
 		order := cmp.Or(cmp.Compare(parts[candidate].rank, parts[model].rank), cmp.Compare(part, least))
 		if part >= 1 || en != nil && order >= 0 {
@@ -117,16 +111,15 @@
 	return en, model
 }
 
-// freshFor reports whether an engine has a version of a model, or loads it.
+// freshFor reports whether an engine has, or is loading, at least the given version of a model.
 func (en *engineRow) freshFor(model string, version uint64) bool {
 	loads := en.order != nil && en.order.Model == model && en.order.Version >= version
 	return en.versions[model] >= version || loads
 }
 
-// oldest returns the engine that is to load a model's newest version, or nil: of those
-// that don't have the version given, the one with the oldest. Of equally old ones it is
-// the one that serves the fewest other models, and of those the fullest, since it
-// couldn't begin anything anyway.
+// oldest returns the engine that should load a model next, or nil: the one with the oldest
+// version before the given one, then the one with the fewest other usable models, then the one
+// with the most runs, which can't start new ones anyway.
 func (ta *Table) oldest(ens []*engineRow, model string, version uint64) *engineRow {
 	var best *engineRow
 	for _, en := range ens {
@@ -143,7 +136,7 @@
 	return best
 }
 
-// compareLoads returns which of two engines is to load a model first.
+// compareLoads orders engines by which should load a model first.
 func (ta *Table) compareLoads(a, b *engineRow, model string) int {
 	return cmp.Or(
 		cmp.Compare(ta.lag(a, model), ta.lag(b, model)),
@@ -153,18 +146,16 @@
 	)
 }
 
-// lag returns by how much an engine's version lags, as a negative number so that
-// the oldest comes first. Steps take the newest version and the one before it:
-// what is older is of no use at all, however old.
+// lag returns the negative number of versions that an engine lags behind, at least -uselessLag.
+// Steps accept only the newest version and the one before it.
 func (ta *Table) lag(en *engineRow, model string) int {
 	return -int(min(ta.named[model]-en.versions[model], uselessLag))
 }
 
-// uselessLag is by how many versions an engine lags that no step takes.
+// uselessLag is the lag from which on a version is useless to all steps.
 const uselessLag = 2
 
-// serves returns how many models other than one an engine has versions of that
-// steps take.
+// serves returns the number of an engine's models with a usable version, except the given one.
 func (ta *Table) serves(en *engineRow, except string) int {
 	count := 0
 	for model, version := range en.versions {
@@ -185,13 +176,12 @@
 	})
 }
 
-// shares returns how many of a service's engines each of its models is to have,
-// by the part of the work that it makes.
+// shares returns the number of a service's engines for each model, in proportion to the models'
+// work.
 //
-// While there is too little room, each model is to have all of them: the room is given
-// to one step after the other, and a step that only a third of the engines can run gets
-// a third of the room, while the others run what is late. A load holds up nothing then,
-// since items of other models wait for the places.
+// Under overload, each model gets all engines: the plan assigns capacity step by step, and a
+// step must be able to use all of it. Loads don't leave slots idle then, as items of other
+// models are waiting.
 func (ta *Table) shares(ens []*engineRow) map[string]float64 {
 	demand, total := map[string]float64{}, 0.0
 	for model := range ta.named {
@@ -211,14 +201,13 @@
 }
 
 const (
-	// leastDemand is the work, in tokens, that a model is given engines for
-	// before any step of it has come.
+	// leastDemand is the assumed work of a model without steps, in tokens.
 	leastDemand = 1000
-	// demandWeight is the part of a new step in a model's demand.
+	// demandWeight is the weight of a new step in the moving average of a model's demand.
 	demandWeight = 0.3
 )
 
-// observeDemand takes the work of a new step in.
+// observeDemand updates a model's demand by the work of a new step.
 func (ta *Table) observeDemand(st *Step) {
 	tokens := 0.0
 	for i := range st.Items {
@@ -230,7 +219,7 @@
 	ta.demand[st.Model] = tokens
 }
 
-// wantsSingle reports whether any open step wants a single version.
+// wantsSingle reports whether an open step of a model needs samples of a single version.
 func (ta *Table) wantsSingle(model string) bool {
 	return slices.ContainsFunc(ta.order, func(sr *stepRow) bool {
 		return sr.step.Model == model && sr.step.SingleVersion
--- a/step/work.go
+++ b/step/work.go
@@ -6,8 +6,8 @@
 	"wisteriacroft/scale"
 )
 
-// OpenWork returns the work that is open, by service, and false while this process
-// doesn't run the steps or has not heard from the engines yet.
+// OpenWork returns the open work by service. It returns false if this process isn't the
+// scheduler, or attendants have yet to respond.
 func (sc *Scheduler) OpenWork(now time.Time) (map[string]scale.Work, bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -18,9 +18,9 @@
 	return te.table.openWork(now), true
 }
 
-// openWork returns a share for each open step: how long one place would take for what is
-// left of it, and when it is due. Items that must not begin now, held by an operator or
-// resting, ask for nothing: endpoints that come for them would stand idle.
+// openWork returns, for each open step with work, how long one slot would take for the rest of
+// it, and when it is due. Items that can't start, held by an operator or quarantined, are left
+// out: endpoints added for them would be idle.
 func (ta *Table) openWork(now time.Time) map[string]scale.Work {
 	works := map[string]scale.Work{}
 	for _, sr := range ta.order {
