--- a/step/archive.go
+++ b/step/archive.go
@@ -61,7 +61,7 @@
 // that is under way. Fetch goes on when ctx ends, since others may wait for it.
 func share[Out any](ctx context.Context, gr *singleflight.Group, key string, fetch func(context.Context) (Out, error)) (Out, error) {
 	result := gr.DoChan(key, func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loadTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 		defer cancel()
 		return fetch(ctx)
 	})
--- a/step/checkpoint.go
+++ b/step/checkpoint.go
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, ir := range sr.items {
-		if ir.state == waiting && !sr.step.fits(ir.events) {
+		if ir.state == waiting && !sr.step.allows(ir.events) {
 			ir.events, ir.saved = nil, 0
 		}
 	}
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -18,7 +18,7 @@
 		ta.Place(begin)
 		engine, key := keyOf(t, ta, "s", 0)
 		made, most := 0, time.Duration(0)
-		for at := tickEvery; at < 7*time.Second; at += tickEvery {
+		for at := tickInterval; at < 7*time.Second; at += tickInterval {
 			now := begin.Add(at)
 			count := int(at / pace)
 			if count > made {
--- a/step/choose.go
+++ b/step/choose.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// rankOf returns the score of an engine for an item, in free slots.
-func (ta *Table) rankOf(en *engineRow, ir *itemRow, now time.Time) float64 {
+// engineScore returns the score of an engine for an item, in free slots.
+func (ta *Table) engineScore(en *engineRow, ir *itemRow, now time.Time) float64 {
 	if ta.rank != nil {
 		return ta.rank(en, ir, now)
 	}
-	return ta.score(en, ir, now)
+	return ta.defaultScore(en, ir, now)
 }
 
-// score returns the default score of an engine for an item, in free slots.
-func (ta *Table) score(en *engineRow, ir *itemRow, now time.Time) float64 {
+// defaultScore returns the default defaultScore of an engine for an item, in free slots.
+func (ta *Table) defaultScore(en *engineRow, ir *itemRow, now time.Time) float64 {
 	score := en.baseScore(now)
 	for _, other := range en.items {
 		if other.step == ir.step && other.item.Group == ir.item.Group {
-			score += matePlaces
+			score += sameGroupBonus
 			break
 		}
 	}
 	_, end := en.memory()
 	_, added := ir.holds()
-	return score - paceCost(ir.expectedTime().Seconds(), float64(en.context()), ta.behind(en)) - en.crowding(end+added)
+	return score - paceCost(ir.expectedTime().Seconds(), float64(en.contextTokens()), ta.lagBehindBest(en)) - en.overfillCost(end+added)
 }
 
 // baseScore returns the part of an engine's score that doesn't depend on the item. An engine
 // that recently broke a run, or is slow, gets items only if no other can take them.
 func (en *engineRow) baseScore(now time.Time) float64 {
-	score := float64(en.free())
-	if now.Sub(en.failed) < failedFor {
+	score := float64(en.freeSlots())
+	if now.Sub(en.failed) < brokenRunPenalty {
 		score -= float64(en.slots)
 	}
 	if en.slow(now) {
@@ -43,16 +43,16 @@
 //
 // On a slower engine a long item would be late, while a short one still ends in time.
 func paceCost(took, context, behind float64) float64 {
-	cost := took * placesPerSecond * context * slowdownPerToken
+	cost := took * slotsPerSecond * context * slowdownPerToken
 	if behind > 0 {
-		cost += behind * took * placesPerSecond
+		cost += behind * took * slotsPerSecond
 	}
 	return cost
 }
 
-// behind returns by which fraction an engine is slower than the best one of its service, or 0
+// lagBehindBest returns by which fraction an engine is slower than the best one of its service, or 0
 // if that is less than paceTolerance or unknown.
-func (ta *Table) behind(en *engineRow) float64 {
+func (ta *Table) lagBehindBest(en *engineRow) float64 {
 	best := ta.bests[en.service]
 	if best <= 0 || en.base <= 0 {
 		return 0
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// context returns the expected mean number of tokens that an engine's runs hold.
-func (en *engineRow) context() int {
+// contextTokens returns the expected mean number of tokens that an engine's runs hold.
+func (en *engineRow) contextTokens() int {
 	now, end := en.memory()
 	return (now + end) / 2
 }
@@ -73,8 +73,8 @@
 	// paceTolerance is the fraction by which an engine may be slower than the best one
 	// without a cost.
 	paceTolerance = 0.1
-	// placesPerSecond is the cost, in free slots, of each additional second of an item.
-	placesPerSecond = 12
+	// slotsPerSecond is the cost, in free slots, of each additional second of an item.
+	slotsPerSecond = 12
 	// slowdownPerToken and slowdownPerRun are the relative increases of a decoding step's
 	// time by a token of context and by a run.
 	slowdownPerToken = 0.00163 / 592
@@ -86,17 +86,17 @@
 	return 1 + slowdownPerRun*float64(runs) + slowdownPerToken*float64(tokens)
 }
 
-// paceWith returns the expected time per event on an engine under its current load and, if not
+// expectedPace returns the expected time per event on an engine under its current load and, if not
 // nil, one more item. It returns 0 if no engine of the service has been measured.
 //
 // The last reported pace depends on the load at that time: by it, an empty engine would look
 // faster than a full one and attract all long runs at once.
-func (ta *Table) paceWith(en *engineRow, added *itemRow) time.Duration {
+func (ta *Table) expectedPace(en *engineRow, added *itemRow) time.Duration {
 	base := en.base
 	if base == 0 {
 		base = ta.bases[en.service]
 	}
-	runs, tokens := len(en.items)+len(en.coming), en.context()
+	runs, tokens := len(en.items)+len(en.coming), en.contextTokens()
 	if added != nil {
 		now, end := added.holds()
 		runs, tokens = runs+1, tokens+(now+end)/2
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -145,7 +145,7 @@
 	}
 	ta.Place(begin)
 	end = begin.Add(2 * time.Second)
-	for now := begin; !now.After(end); now = now.Add(tickEvery) {
+	for now := begin; !now.After(end); now = now.Add(tickInterval) {
 		ta.ChargeUsage(now)
 	}
 	return ta, end
@@ -161,7 +161,7 @@
 		for _, sr := range ta.order {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
-		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.due(end)})
+		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.dueAccount(end)})
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 
@@ -189,7 +189,7 @@
 	_, err := me.Client().Put(t.Context(), accountKey, []byte{0xff, 1}, 0, 0)
 	assert.NilError(t, err)
 	te := &term{table: tableOf(t, 2, "a")}
-	assert.NilError(t, sc.recall(t.Context(), te, []*Step{{Customer: "ada"}}))
+	assert.NilError(t, sc.restoreAccount(t.Context(), te, []*Step{{Customer: "ada"}}))
 	assert.Equal(t, len(te.table.Shares()), 0)
 }
 
@@ -207,18 +207,18 @@
 	assert.NilError(t, err)
 	assert.Equal(t, tx.Writes[len(tx.Writes)-1].Key, accountKey)
 	ta.Written(up, end)
-	assert.Equal(t, len(ta.share.due(end.Add(accountEvery))), 0, "unchanged, it is not written again")
+	assert.Equal(t, len(ta.share.dueAccount(end.Add(accountInterval))), 0, "unchanged, it is not written again")
 }
 
 func TestOneCustomerHasNoRank(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 4), StoredStep{}, false, begin)
 	ta.ChargeUsage(begin)
-	assert.Equal(t, len(ta.customerRank(ta.waitingCustomers(begin))), 0)
+	assert.Equal(t, len(ta.customerRanks(ta.waitingCustomers(begin))), 0)
 	for range 40 {
 		ta.ChargeUsage(begin)
 	}
-	assert.Equal(t, len(ta.share.due(begin.Add(time.Hour))), 0)
+	assert.Equal(t, len(ta.share.dueAccount(begin.Add(time.Hour))), 0)
 }
 
 // Six customers on 1,100 full engines, each with thousands of waiting items.
@@ -244,7 +244,7 @@
 	ta.Place(begin)
 	now := begin
 	for b.Loop() {
-		now = now.Add(tickEvery)
+		now = now.Add(tickInterval)
 		ta.ChargeUsage(now)
 	}
 }
@@ -252,11 +252,11 @@
 // Under overload, a customer within its share goes first. A lead of less than one step's
 // work doesn't change the order of the others.
 func TestRanksWhileTheRoomIsShort(t *testing.T) {
-	rm := NewTable(1, nil).room("service")
+	rm := NewTable(1, nil).servicePlan("service")
 	rm.withinPart = map[string]bool{"small": true}
-	ranks := map[string]int{"large": ranksOfAStep - 1, "other": 0, "small": 3, "far ahead": ranksOfAStep}
-	assert.DeepEqual(t, rm.rank(ranks), ranks) // no overload yet
+	ranks := map[string]int{"large": ranksPerStep - 1, "other": 0, "small": 3, "far ahead": ranksPerStep}
+	assert.DeepEqual(t, rm.adaptRanks(ranks), ranks) // no overload yet
 	step := &overload.Step{Due: time.Second, Groups: []*overload.Group{{Work: time.Minute}}, Wanted: 1}
 	rm.planner.Plan([]*overload.Step{step}, 1, begin)
-	assert.DeepEqual(t, rm.rank(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
+	assert.DeepEqual(t, rm.adaptRanks(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
 }
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// planEvery is the interval of capacity planning.
-	planEvery = 200 * time.Millisecond
-	// urgentSpare is the slack below which an item goes before its group's turn. It is large
+	// planInterval is the interval of capacity planning.
+	planInterval = 200 * time.Millisecond
+	// urgentSlack is the slack below which an item goes before its group's turn. It is large
 	// because hints often underestimate the length of items.
-	urgentSpare = 3 * time.Second
+	urgentSlack = 3 * time.Second
 	// graceTime is how late a group may be and still count as in time, since trainers poll
 	// with pauses.
 	graceTime = 400 * time.Millisecond
 )
 
-// planRoom plans the capacity of each service, at intervals of planEvery.
-func (ta *Table) planRoom(now time.Time) {
-	if now.Sub(ta.plannedAt) < planEvery {
+// planCapacity plans the capacity of each service, at intervals of planEvery.
+func (ta *Table) planCapacity(now time.Time) {
+	if now.Sub(ta.plannedAt) < planInterval {
 		return
 	}
 	ta.plannedAt = now
 	ta.paceRound++
-	ranks := ta.customerRank(ta.waitingCustomers(now))
+	ranks := ta.customerRanks(ta.waitingCustomers(now))
 	rows := map[string][]*stepRow{} // by service
 	for _, sr := range ta.order {
 		// A step without a due time is never late and needs no plan.
 		if sr.step.Due > 0 && !ta.idleByHold(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
-			ta.room(sr.step.Service)
+			ta.servicePlan(sr.step.Service)
 		}
 	}
 	for _, service := range slices.Sorted(maps.Keys(ta.rooms)) {
@@ -43,19 +43,19 @@
 
 // planService plans the capacity of one service.
 func (ta *Table) planService(service string, rows []*stepRow, ranks map[string]int, now time.Time) {
-	rm := ta.room(service)
-	ranks = rm.rank(ranks)
+	rm := ta.servicePlan(service)
+	ranks = rm.adaptRanks(ranks)
 	steps := make([]*overload.Step, len(rows))
 	for i, sr := range rows {
-		steps[i] = ta.openStep(sr, now)
+		steps[i] = ta.plannerStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := rm.planner.Overloaded(), ta.places(service, now)
+	was, places := rm.planner.Overloaded(), ta.usableSlots(service, now)
 	// A customer within its share must not wait for the overload of others to end.
 	rm.planner.Lingers = !ta.competesWithinPart(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
-	rm.withinPart = ta.customersWithinPart(steps, rows, places)
+	rm.withinPart = ta.customersWithinShare(steps, rows, places)
 	rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
 	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
@@ -64,7 +64,7 @@
 	}
 	if rm.planner.Overloaded() {
 		for i, sr := range rows {
-			ta.logRoom(sr, steps[i], now)
+			ta.logPlan(sr, steps[i], now)
 		}
 	}
 	if len(rows) == 0 && rm.planner.Idle() {
@@ -72,31 +72,31 @@
 	}
 }
 
-// roomLogEvery is the minimum interval of logging the planned groups of a step.
-const roomLogEvery = time.Second
+// planLogInterval is the minimum interval of logging the planned groups of a step.
+const planLogInterval = time.Second
 
-// logRoom logs the number of a step's groups with reserved capacity if it has changed.
-func (ta *Table) logRoom(sr *stepRow, st *overload.Step, now time.Time) {
+// logPlan logs the number of a step's groups with reserved capacity if it has changed.
+func (ta *Table) logPlan(sr *stepRow, st *overload.Step, now time.Time) {
 	planned := 0
 	for _, gr := range st.Groups {
 		if gr.InTime() {
 			planned++
 		}
 	}
-	if planned == sr.planned || now.Sub(sr.plannedAt) < roomLogEvery {
+	if planned == sr.planned || now.Sub(sr.plannedAt) < planLogInterval {
 		return
 	}
 	sr.planned, sr.plannedAt = planned, now
 	ta.log("room for step", map[string]any{
-		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.room(sr.step.Service).planner.Load(), "open": len(st.Groups),
+		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.servicePlan(sr.step.Service).planner.Load(), "open": len(st.Groups),
 		stepField: sr.step.ID, "wanted": st.Wanted,
 	})
 }
 
-// openStep returns a step as input of the planner.
-func (ta *Table) openStep(sr *stepRow, now time.Time) *overload.Step {
+// plannerStep returns a step as input of the planner.
+func (ta *Table) plannerStep(sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
-		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainer(),
+		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
 	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
@@ -109,11 +109,11 @@
 			st.Wanted--
 			continue
 		}
-		ta.addWork(gr, now)
+		ta.setPlanWork(gr, now)
 		open = append(open, gr)
 	}
 	if sr.interleaved {
-		slices.SortFunc(open, func(a, b *groupRow) int { return cmp.Compare(a.firstOpen(), b.firstOpen()) })
+		slices.SortFunc(open, func(a, b *groupRow) int { return cmp.Compare(a.firstOpenIndex(), b.firstOpenIndex()) })
 	}
 	for _, gr := range open {
 		st.Groups = append(st.Groups, &gr.plan)
@@ -121,29 +121,29 @@
 	return st
 }
 
-// trainer returns a key for the step's trainer that is unique among all customers.
-func (sr *stepRow) trainer() string { return sr.step.Customer + "/" + sr.step.Model }
+// trainerKey returns a key for the step's trainerKey that is unique among all customers.
+func (sr *stepRow) trainerKey() string { return sr.step.Customer + "/" + sr.step.Model }
 
-// noteGivenUp records at which age a trainer ended a step that was late and incomplete. Its
+// recordAbandonAge records at which age a trainer ended a step that was late and incomplete. Its
 // next steps are expected to end at the same age.
-func (ta *Table) noteGivenUp(sr *stepRow, now time.Time) {
+func (ta *Table) recordAbandonAge(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
 	case sr.sated():
-		delete(ta.gaveUp, sr.trainer())
+		delete(ta.gaveUp, sr.trainerKey())
 	case age > sr.step.Due:
-		ta.gaveUp[sr.trainer()] = age
+		ta.gaveUp[sr.trainerKey()] = age
 	}
 }
 
 // minWork is the assumed remaining time of an item that should have ended already.
 const minWork = 10 * time.Millisecond
 
-// places returns the number of usable slots of a service's reachable engines, weighted by the
+// usableSlots returns the number of usable slots of a service's reachable engines, weighted by the
 // engines' speed relative to the median.
-func (ta *Table) places(service string, now time.Time) float64 {
+func (ta *Table) usableSlots(service string, now time.Time) float64 {
 	total := 0.0
 	for _, en := range ta.sorted {
-		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > silentAfter {
+		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > responseTimeout {
 			continue
 		}
 		part := 1.0
@@ -155,12 +155,12 @@
 	return total
 }
 
-// saves reports whether an item would be late on its engine and in time on another one.
+// makesInTime reports whether an item would be late on its engine and in time on another one.
 //
 // Under overload, a moved run takes a fast slot from a waiting item, which then gets the slow
 // one. Moves without a gain would never end.
-func (ta *Table) saves(ir *itemRow, from, to *engineRow, now time.Time) bool {
+func (ta *Table) makesInTime(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
 	stays := ta.runsFor(ir, now)
-	return stays > left && stays-ta.gain(ir, from, to) <= left
+	return stays > left && stays-ta.timeSaved(ir, from, to) <= left
 }
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -144,8 +144,8 @@
 		}
 		hear(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
 		hear(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
-		ta.planRoom(begin.Add(time.Second))
-		assert.Assert(t, ta.crowded("service"))
+		ta.planCapacity(begin.Add(time.Second))
+		assert.Assert(t, ta.overloaded("service"))
 		text := ""
 		for _, sr := range ta.order {
 			for _, ir := range sr.items {
@@ -166,8 +166,8 @@
 		st := stepOf("large", 100, 100)
 		st.Due = due
 		ta.Accept(st, StoredStep{}, false, begin)
-		ta.planRoom(begin)
-		assert.Equal(t, ta.crowded("service"), want, "due after %s", due)
+		ta.planCapacity(begin)
+		assert.Equal(t, ta.overloaded("service"), want, "due after %s", due)
 	}
 }
 
@@ -218,8 +218,8 @@
 			})
 			b.Run(name+"-plan", func(b *testing.B) {
 				for b.Loop() {
-					re.now = re.now.Add(planEvery)
-					re.table.planRoom(re.now)
+					re.now = re.now.Add(planInterval)
+					re.table.planCapacity(re.now)
 				}
 			})
 		}
@@ -245,22 +245,22 @@
 // The time per token is measured only if engines differ from the default by more than their
 // load explains.
 func TestTokenTime(t *testing.T) {
-	var ga tokenGauge
-	usual := usualTokenTime * 64
+	var ga tokenEstimator
+	usual := defaultTokenTime * 64
 	assert.Equal(t, ga.tokenTime(usual, usual), time.Duration(0), "nothing has ended yet")
-	for range leastRatios {
-		ga.observeHint(64*gaugeEvents, gaugeEvents)
+	for range estimatorMinRatios {
+		ga.observeHint(64*estimatorMinEvents, estimatorMinEvents)
 	}
 	assert.Equal(t, ga.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone tell nothing")
-	for range leastAtBound {
-		ga.observeBound(64*gaugeEvents, gaugeEvents)
+	for range estimatorMinAtLimit {
+		ga.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
 	}
 	for name, tc := range map[string]struct{ median, best, want time.Duration }{
-		"usual":                   {usual, usual, usualTokenTime},
-		"slowed down for a while": {usual * 3, usual, usualTokenTime},
-		"three times as long":     {usual * 3, usual * 3, usualTokenTime * 3},
-		"a third as long":         {usual / 3, usual / 4, usualTokenTime / 3},
-		"one is faster":           {usual, usual / 4, usualTokenTime},
+		"usual":                   {usual, usual, defaultTokenTime},
+		"slowed down for a while": {usual * 3, usual, defaultTokenTime},
+		"three times as long":     {usual * 3, usual * 3, defaultTokenTime * 3},
+		"a third as long":         {usual / 3, usual / 4, defaultTokenTime / 3},
+		"one is faster":           {usual, usual / 4, defaultTokenTime},
 		"not seen yet":            {0, 0, 0},
 	} {
 		assert.Equal(t, ga.tokenTime(tc.median, tc.best), tc.want, name)
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -70,7 +70,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, st.Parts, 3)
 	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
-		Chunks: []Chunk{{Step: "s"}}, Cuts: []*Step{st.cut()},
+		Chunks: []Chunk{{Step: "s"}}, Cuts: []*Step{st.withoutItems()},
 	})
 	assert.NilError(t, err)
 	ch, err := me.Client().Scan(t.Context(), stepPrefix)
--- a/step/earlier.go
+++ b/step/earlier.go
@@ -20,7 +20,7 @@
 // this step may have it.
 func (ta *Table) takeOver(ir *itemRow, now time.Time) {
 	old, ok := ta.reuse[ir.key()]
-	if !ok || !bytes.Equal(old.item.Body, ir.item.Body) || !ir.step.step.fits(old.events) {
+	if !ok || !bytes.Equal(old.item.Body, ir.item.Body) || !ir.step.step.allows(old.events) {
 		return
 	}
 	ir.events = old.events
@@ -81,7 +81,7 @@
 // collecting garbage would delay the listing of results.
 func (ta *Table) outdated(ir *itemRow) bool {
 	newest := ta.named[ir.step.step.Model]
-	return slices.ContainsFunc(ir.events, func(ev runner.Event) bool { return ev.Version+uselessLag <= newest })
+	return slices.ContainsFunc(ir.events, func(ev runner.Event) bool { return ev.Version+unusableLag <= newest })
 }
 
 const (
--- a/step/engines.go
+++ b/step/engines.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// silentAfter is the time without a response of its attendant after which an engine's
+	// responseTimeout is the time without a response of its attendant after which an engine's
 	// runs are moved.
-	silentAfter = 1200 * time.Millisecond
-	// formerTime is how long engines that have left are remembered as predecessors. An
+	responseTimeout = 1200 * time.Millisecond
+	// formerEngineTTL is how long engines that have left are remembered as predecessors. An
 	// attendant may report the predecessor until a run of the successor ends. If it was
 	// forgotten, its reports could keep the successor from getting work.
-	formerTime = 10 * time.Minute
-	// failedFor is how long an engine that broke a run gets no new ones while others have
+	formerEngineTTL = 10 * time.Minute
+	// brokenRunPenalty is how long an engine that broke a run gets no new ones while others have
 	// free slots.
-	failedFor = time.Second
+	brokenRunPenalty = time.Second
 )
 
 // An EngineInfo describes an engine according to the directory.
@@ -59,7 +59,7 @@
 	}
 	for id, en := range ta.engines {
 		if !present[id] {
-			ta.drop(en, "engine is gone", now)
+			ta.requeueRuns(en, "engine is gone", now)
 			delete(ta.engines, id)
 			ta.former[id] = now
 		}
@@ -74,11 +74,11 @@
 
 // forgetFormer forgets engines that left more than formerTime ago.
 func (ta *Table) forgetFormer(now time.Time) {
-	maps.DeleteFunc(ta.former, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerTime })
+	maps.DeleteFunc(ta.former, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerEngineTTL })
 }
 
-// drop requeues an engine's runs.
-func (ta *Table) drop(en *engineRow, why string, now time.Time) {
+// requeueRuns requeues an engine's runs.
+func (ta *Table) requeueRuns(en *engineRow, why string, now time.Time) {
 	for _, ir := range en.items {
 		ta.requeue(ir, why, now)
 	}
@@ -92,8 +92,8 @@
 // EvictSilent requeues the runs of engines whose attendants haven't responded for silentAfter.
 func (ta *Table) EvictSilent(now time.Time) {
 	for _, en := range ta.sorted {
-		if len(en.items) > 0 && !en.heardAt.IsZero() && now.Sub(en.heardAt) > silentAfter {
-			ta.drop(en, "attendant is silent", now)
+		if len(en.items) > 0 && !en.heardAt.IsZero() && now.Sub(en.heardAt) > responseTimeout {
+			ta.requeueRuns(en, "attendant is silent", now)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		return runner.ExchangeRequest{}, false
 	}
 	ta.requests++
-	rq := runner.ExchangeRequest{Await: en.await(), Endpoint: id, Epoch: ta.epoch, Number: ta.requests, Order: en.order}
+	rq := runner.ExchangeRequest{Await: en.awaitTime(), Endpoint: id, Epoch: ta.epoch, Number: ta.requests, Order: en.order}
 	for key, ir := range en.items {
 		if !ir.run.confirmed {
 			rq.Launches = append(rq.Launches, ta.launch(ir))
@@ -132,36 +132,36 @@
 	return rq, true
 }
 
-// awaitEnd is how long an attendant delays its response until a run ends. New launches are
+// maxAwait is how long an attendant delays its response until a run ends. New launches are
 // delayed as much.
-const awaitEnd = 50 * time.Millisecond
+const maxAwait = 50 * time.Millisecond
 
-// await returns how long an attendant should delay its response until a run ends.
+// awaitTime returns how long an attendant should delay its response until a run ends.
 //
 // It does so for runs that hold something up: the last items of a step, and moving runs, which
 // are resumed only after they have stopped. For all runs, the load on the scheduler would be too
 // high.
-func (en *engineRow) await() time.Duration {
+func (en *engineRow) awaitTime() time.Duration {
 	for _, ir := range en.items {
-		if ir.run.stopping || ir.last() {
-			return awaitEnd
+		if ir.run.stopping || ir.isLast() {
+			return maxAwait
 		}
 	}
 	return 0
 }
 
-// last reports whether a running item is one of the last that its step waits for.
-func (ir *itemRow) last() bool { return ir.step.ending && ir.run.confirmed && !ir.run.stopping }
+// isLast reports whether a running item is one of the isLast that its step waits for.
+func (ir *itemRow) isLast() bool { return ir.step.ending && ir.run.confirmed && !ir.run.stopping }
 
-// ending reports whether an engine runs one of the last items that a step waits for, so that
+// runsLastItems reports whether an engine runs one of the last items that a step waits for, so that
 // exchanges follow without a pause.
-func (ta *Table) ending(id string) bool {
+func (ta *Table) runsLastItems(id string) bool {
 	en, ok := ta.engines[id]
 	if !ok {
 		return false
 	}
 	for _, ir := range en.items {
-		if ir.last() {
+		if ir.isLast() {
 			return true
 		}
 	}
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -11,8 +11,8 @@
 	"wisteriacroft/runner"
 )
 
-// wantsExchange reports whether there is an urgent request to an attendant.
-func (ta *Table) wantsExchange(id string) bool {
+// exchangeUrgent reports whether there is an urgent request to an attendant.
+func (ta *Table) exchangeUrgent(id string) bool {
 	en, ok := ta.engines[id]
 	if !ok {
 		return false
@@ -33,45 +33,45 @@
 func (ta *Table) exchangePause(id string) time.Duration {
 	switch {
 	case !ta.HasOpenWork():
-		return idleExchange
-	case ta.ending(id):
-		return awaitPause // the response was delayed already
-	case ta.idle(id):
-		return min(max(exchangeEvery, time.Duration(len(ta.engines))*idleCost), idleExchange)
+		return idleExchangeInterval
+	case ta.runsLastItems(id):
+		return pauseAfterAwait // the response was delayed already
+	case ta.engineIdle(id):
+		return min(max(exchangeInterval, time.Duration(len(ta.engines))*idleIntervalPerEngine), idleExchangeInterval)
 	}
-	return exchangeEvery
+	return exchangeInterval
 }
 
-// idle reports whether an engine has no runs and no order, and nothing must be sent to its
+// engineIdle reports whether an engine has no runs and no order, and nothing must be sent to its
 // attendant.
-func (ta *Table) idle(id string) bool {
+func (ta *Table) engineIdle(id string) bool {
 	en, ok := ta.engines[id]
 	return ok && len(en.items)+len(en.kept)+len(en.forget) == 0 && en.order == nil
 }
 
-// attendant returns the current address of an engine's attendant, which changes if the engine
+// attendantAddress returns the current address of an engine's attendantAddress, which changes if the engine
 // restarts elsewhere under its ID.
-func (ta *Table) attendant(id string) string {
+func (ta *Table) attendantAddress(id string) string {
 	if en, ok := ta.engines[id]; ok {
 		return en.address
 	}
 	return ""
 }
 
-// hurry wakes the writer if everything that a trainer waits for is complete.
-func (te *term) hurry() {
+// writeIfUrgent wakes the writer if everything that a trainer waits for is complete.
+func (te *term) writeIfUrgent() {
 	if te.table.takeUrgent() {
 		notify(te.writes)
 	}
 }
 
-// placeStopped starts moved items whose runs have stopped, and wakes the exchanges with their
+// restartStopped starts moved items whose runs have stopped, and wakes the exchanges with their
 // new engines.
-func (sc *Scheduler) placeStopped(te *term, now time.Time) {
-	if sc.term != te || !sc.mayPlace(te, now) {
+func (sc *Scheduler) restartStopped(te *term, now time.Time) {
+	if sc.term != te || !sc.mayStartRuns(te, now) {
 		return
 	}
-	for _, id := range te.table.placeStopped(now) {
+	for _, id := range te.table.restartStopped(now) {
 		if kick, ok := te.exchange[id]; ok {
 			notify(kick)
 		}
@@ -85,14 +85,14 @@
 	}
 }
 
-// exchangeWith runs the exchange loop with an attendant until its engine is removed or the
+// exchangeLoop runs the exchange loop with an attendant until its engine is removed or the
 // term ends.
-func (sc *Scheduler) exchangeWith(te *term, id string, kick chan struct{}) {
+func (sc *Scheduler) exchangeLoop(te *term, id string, kick chan struct{}) {
 	failed := false
 	for {
 		sc.mu.Lock()
 		rq, ok := te.table.Request(id)
-		pause, address := te.table.exchangePause(id), te.table.attendant(id)
+		pause, address := te.table.exchangePause(id), te.table.attendantAddress(id)
 		if !ok || sc.term != te {
 			delete(te.exchange, id)
 			sc.mu.Unlock()
@@ -119,12 +119,12 @@
 			if sc.term == te {
 				sc.startRewards(te, now)
 			}
-			te.hurry()
-			sc.placeStopped(te, now)
+			te.writeIfUrgent()
+			sc.restartStopped(te, now)
 			sc.mu.Unlock()
 		}
 		if err != nil {
-			pause = retryAfter
+			pause = retryDelay
 		}
 		select {
 		case <-kick:
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -16,10 +16,10 @@
 		engines int
 		idle    time.Duration
 	}{
-		{1, exchangeEvery},
-		{500, exchangeEvery},
+		{1, exchangeInterval},
+		{500, exchangeInterval},
 		{1100, 220 * time.Millisecond},
-		{2700, idleExchange},
+		{2700, idleExchangeInterval},
 	} {
 		t.Run(fmt.Sprint(tc.engines), func(t *testing.T) {
 			ta := NewTable(1, nil)
@@ -28,7 +28,7 @@
 				infos = append(infos, EngineInfo{ID: fmt.Sprintf("engine-%04d", i), Service: "service", Slots: 1, Tokens: 40000})
 			}
 			ta.SetEngines(infos, begin)
-			assert.Equal(t, ta.exchangePause("engine-0000"), idleExchange, "no step is open")
+			assert.Equal(t, ta.exchangePause("engine-0000"), idleExchangeInterval, "no step is open")
 
 			ta.Accept(stepOf("step", 1), StoredStep{}, false, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
@@ -43,8 +43,8 @@
 					continue
 				}
 				busy++
-				assert.Equal(t, ta.exchangePause(en.id), exchangeEvery)
-				assert.Assert(t, ta.wantsExchange(en.id), "what is placed is told at once")
+				assert.Equal(t, ta.exchangePause(en.id), exchangeInterval)
+				assert.Assert(t, ta.exchangeUrgent(en.id), "what is placed is told at once")
 			}
 			assert.Equal(t, busy, 1)
 		})
--- a/step/follow.go
+++ b/step/follow.go
@@ -39,7 +39,7 @@
 		accepted, ended := in.apply(ch.Items, scan)
 		kept, err := sc.kept(ctx, te, &in, accepted)
 		if err == nil {
-			err = sc.recall(ctx, te, accepted)
+			err = sc.restoreAccount(ctx, te, accepted)
 		}
 		if err != nil {
 			sc.Log.WithError(err).Warn("what is kept of steps can't be read")
@@ -62,7 +62,7 @@
 	ctx, cancel := te.revival.bound(ctx)
 	defer cancel()
 	if scan {
-		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		return sc.Keeper.Client.Scan(ctx, intakePrefix)
 	}
@@ -78,7 +78,7 @@
 // kept reads what earlier schedulers kept of steps that are open, and for a new term what
 // operators hold. The results of steps that have ended are read when someone asks.
 func (sc *Scheduler) kept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	kept := map[string]StoredStep{}
 	var mu sync.Mutex
@@ -156,6 +156,6 @@
 func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(retryAfter):
+	case <-time.After(retryDelay):
 	}
 }
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -7,28 +7,28 @@
 
 // Parameters of estimating the tokens per event.
 const (
-	// usualEventTokens is assumed before there is an estimate.
-	usualEventTokens = 62
-	// gaugeRatios is the number of recent items whose median is used.
-	gaugeRatios = 64
-	// leastRatios is the minimum number of items for a median.
-	leastRatios = 16
-	// gaugeEvents is the minimum number of events of an item to be used. In short items the
+	// defaultEventTokens is assumed before there is an estimate.
+	defaultEventTokens = 62
+	// estimatorMaxRatios is the number of recent items whose median is used.
+	estimatorMaxRatios = 64
+	// estimatorMinRatios is the minimum number of items for a median.
+	estimatorMinRatios = 16
+	// estimatorMinEvents is the minimum number of events of an item to be used. In short items the
 	// last event, which is partly filled, distorts the ratio.
-	gaugeEvents = 8
-	// leastAtBound is the number of items of maximum length from which they are assumed to
+	estimatorMinEvents = 8
+	// estimatorMinAtLimit is the number of items of maximum length from which they are assumed to
 	// have been truncated at their token limit.
-	leastAtBound = 3
-	// implausible is the factor from the median beyond which the ratio of those items is
+	estimatorMinAtLimit = 3
+	// estimatorMaxDeviation is the factor from the median beyond which the ratio of those items is
 	// rejected.
-	implausible = 1.5
+	estimatorMaxDeviation = 1.5
 )
 
-// A tokenGauge estimates the number of tokens per event of a model, which determines the memory
+// A tokenEstimator estimates the number of tokens per event of a model, which determines the memory
 // that runs take and their remaining times. The zero value has no observations.
-type tokenGauge struct {
-	changes *gaugeChanges // counts changes of the estimate; may be nil
-	tokens  int           // the estimate; 0 means none
+type tokenEstimator struct {
+	changes *estimateChanges // counts changes of the estimate; may be nil
+	tokens  int              // the estimate; 0 means none
 
 	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
@@ -39,11 +39,11 @@
 	fullestEvents int // their events
 }
 
-// A gaugeChanges counts changes of the estimates of all gauges, to invalidate caches.
-type gaugeChanges struct{ counted int }
+// A estimateChanges counts changes of the estimates of all gauges, to invalidate caches.
+type estimateChanges struct{ counted int }
 
 // count returns the count, or 0 if gc is nil.
-func (gc *gaugeChanges) count() int {
+func (gc *estimateChanges) count() int {
 	if gc == nil {
 		return 0
 	}
@@ -51,9 +51,9 @@
 }
 
 // update recomputes the estimate.
-func (ga *tokenGauge) update() {
+func (ga *tokenEstimator) update() {
 	before := ga.eventTokens()
-	ga.tokens = ga.exact()
+	ga.tokens = ga.fromLimits()
 	if ga.tokens <= 0 {
 		ga.tokens = ga.median
 	}
@@ -62,13 +62,13 @@
 	}
 }
 
-// observeBound records that an item with a token limit ended after some events.
+// observeLimit records that an item with a token limit ended after some events.
 //
 // The longest items of a step are truncated at their limits and give the exact number of tokens
 // per event. The median of the hints may be too low, so that the ends of long items would be
 // expected too late.
-func (ga *tokenGauge) observeBound(bound, events int) {
-	if bound <= 0 || events < gaugeEvents {
+func (ga *tokenEstimator) observeLimit(bound, events int) {
+	if bound <= 0 || events < estimatorMinEvents {
 		return
 	}
 	defer ga.update()
@@ -82,28 +82,28 @@
 
 // observeHint records the number of events of an item with a hint. Hints are right at the
 // median.
-func (ga *tokenGauge) observeHint(hint, events int) {
-	if hint <= 0 || events < gaugeEvents {
+func (ga *tokenEstimator) observeHint(hint, events int) {
+	if hint <= 0 || events < estimatorMinEvents {
 		return
 	}
 	defer ga.update()
 	ratio := float64(hint) / float64(events)
-	if len(ga.ratios) < gaugeRatios {
+	if len(ga.ratios) < estimatorMaxRatios {
 		ga.ratios = append(ga.ratios, ratio)
 	} else {
 		ga.ratios[ga.next] = ratio
-		ga.next = (ga.next + 1) % gaugeRatios
+		ga.next = (ga.next + 1) % estimatorMaxRatios
 	}
-	if len(ga.ratios) >= leastRatios {
+	if len(ga.ratios) >= estimatorMinRatios {
 		sorted := slices.Sorted(slices.Values(ga.ratios))
 		ga.median = int(sorted[len(sorted)/2])
 	}
 }
 
 // eventTokens returns the estimated tokens per event. The receiver may be nil.
-func (ga *tokenGauge) eventTokens() int {
+func (ga *tokenEstimator) eventTokens() int {
 	if ga == nil || ga.tokens <= 0 {
-		return usualEventTokens
+		return defaultEventTokens
 	}
 	return ga.tokens
 }
@@ -116,30 +116,30 @@
 //
 // Only items at their limits are used here. Hints would be biased, as the items that end first
 // are those with far too high hints.
-func (ga *tokenGauge) tokenTime(median, best time.Duration) time.Duration {
-	if ga == nil || ga.exact() <= 0 || best <= 0 {
+func (ga *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
+	if ga == nil || ga.fromLimits() <= 0 || best <= 0 {
 		return 0
 	}
-	tokens := ga.exact()
-	usual := float64(usualTokenTime) * float64(tokens) // of an event
-	if float64(best) > otherMake*usual || float64(median) < usual/otherMake {
+	tokens := ga.fromLimits()
+	usual := float64(defaultTokenTime) * float64(tokens) // of an event
+	if float64(best) > otherTypeFactor*usual || float64(median) < usual/otherTypeFactor {
 		return median / time.Duration(tokens)
 	}
-	return usualTokenTime
+	return defaultTokenTime
 }
 
-// otherMake is the factor by which the best engine must be slower, or the median one faster,
+// otherTypeFactor is the factor by which the best engine must be slower, or the median one faster,
 // than usualTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
 // for a short time.
-const otherMake = 2
+const otherTypeFactor = 2
 
-// exact returns the tokens per event according to items at their limits, or 0 if unknown.
-func (ga *tokenGauge) exact() int {
-	if ga.atBound < leastAtBound || ga.median <= 0 {
+// fromLimits returns the tokens per event according to items at their limits, or 0 if unknown.
+func (ga *tokenEstimator) fromLimits() int {
+	if ga.atBound < estimatorMinAtLimit || ga.median <= 0 {
 		return 0
 	}
 	exact := ga.fullest / ga.fullestEvents
-	if float64(exact) > implausible*float64(ga.median) || float64(ga.median) > implausible*float64(exact) {
+	if float64(exact) > estimatorMaxDeviation*float64(ga.median) || float64(ga.median) > estimatorMaxDeviation*float64(exact) {
 		return 0 // items that ended early had the same length by chance
 	}
 	return exact
--- a/step/gauge_test.go
+++ b/step/gauge_test.go
@@ -12,36 +12,36 @@
 	// Guards against overfilled engines: the number of tokens per event differs between
 	// deployments and is estimated from hints.
 	rng := rand.New(rand.NewPCG(1, 1))
-	var ga tokenGauge
-	assert.Equal(t, ga.eventTokens(), usualEventTokens)
+	var ga tokenEstimator
+	assert.Equal(t, ga.eventTokens(), defaultEventTokens)
 	for range 200 {
 		events := 2 + rng.IntN(140)
 		ga.observeHint(int(80*float64(events)*math.Exp(0.5*rng.NormFloat64())), events)
 	}
 	assert.Assert(t, ga.eventTokens() > 70 && ga.eventTokens() < 90, "%d", ga.eventTokens())
-	for range gaugeRatios {
+	for range estimatorMaxRatios {
 		ga.observeHint(62*50, 50)
 	}
 	assert.Equal(t, ga.eventTokens(), 62, "the newest items count")
 }
 
 func TestTokenGaugeWithoutHints(t *testing.T) {
-	var ga tokenGauge
+	var ga tokenEstimator
 	for range 100 {
 		ga.observeHint(0, 50)
 		ga.observeHint(900, 2)
 	}
-	assert.Equal(t, ga.eventTokens(), usualEventTokens)
+	assert.Equal(t, ga.eventTokens(), defaultEventTokens)
 }
 
 func TestTokenGaugeByBounds(t *testing.T) {
 	// Items that end at their token limit give the exact tokens per event, which hints give
 	// only roughly. Early ends of equal length must not be mistaken for the limit.
 	rng := rand.New(rand.NewPCG(1, 1))
-	var ga tokenGauge
+	var ga tokenEstimator
 	end := func(events int) {
 		ga.observeHint(int(80*float64(events)*math.Exp(0.1+0.5*rng.NormFloat64())), events)
-		ga.observeBound(156*80, events)
+		ga.observeLimit(156*80, events)
 	}
 	for events := 4; events < 100; events++ {
 		end(events)
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A groupWait is a summary of a group's open items. It is kept between ticks until the state
+// A groupSummary is a summary of a group's open items. It is kept between ticks until the state
 // of an item or an estimate changes.
-type groupWait struct {
+type groupSummary struct {
 	eventTokens int           // tokens per event that the summary was made with
 	tokenTime   time.Duration // time per token that the summary was made with
 	begun       bool          // a waiting item has events, so that the summary depends on eventTokens
@@ -30,8 +30,8 @@
 	}
 }
 
-// become sets the state of an item.
-func (ta *Table) become(ir *itemRow, state itemState) {
+// setState sets the state of an item.
+func (ta *Table) setState(ir *itemRow, state itemState) {
 	sr := ir.step
 	if ir.state == waiting {
 		sr.waits--
@@ -44,30 +44,30 @@
 	ir.group.markStale(ta)
 }
 
-// gather updates the summaries of groups and steps whose items or estimates have changed.
-func (ta *Table) gather() {
+// updateSummaries updates the summaries of groups and steps whose items or estimates have changed.
+func (ta *Table) updateSummaries() {
 	for _, gr := range ta.stale {
 		gr.stale = false
 		if !gr.step.ended {
-			gr.gather()
+			gr.updateSummary()
 			gr.step.gathered = true
 		}
 	}
 	clear(ta.stale)
 	ta.stale = ta.stale[:0]
 	for _, sr := range ta.order {
-		sr.gather()
+		sr.updateSummary()
 	}
 }
 
-// gather updates the summaries of groups whose estimates have changed, and then those of the
+// updateSummary updates the summaries of groups whose estimates have changed, and then those of the
 // step.
-func (sr *stepRow) gather() {
+func (sr *stepRow) updateSummary() {
 	if tokens := sr.gauge.eventTokens(); tokens != sr.eventTokens || sr.tokenTime != sr.gatheredTime {
 		sr.eventTokens, sr.gatheredTime = tokens, sr.tokenTime
 		for _, gr := range sr.list {
 			if gr.wait.begun && gr.wait.eventTokens != tokens || gr.wait.tokenTime != sr.tokenTime {
-				gr.gather()
+				gr.updateSummary()
 				sr.gathered = true
 			}
 		}
@@ -84,10 +84,10 @@
 	}
 }
 
-// gather recomputes the summary of a group.
-func (gr *groupRow) gather() {
+// updateSummary recomputes the summary of a group.
+func (gr *groupRow) updateSummary() {
 	gw := &gr.wait
-	*gw = groupWait{
+	*gw = groupSummary{
 		eventTokens: gr.step.gauge.eventTokens(), tokenTime: gr.step.tokenTime, least: math.MaxInt, shortest: math.MaxInt,
 		running: gw.running[:0], waiting: gw.waiting[:0],
 	}
@@ -105,10 +105,10 @@
 }
 
 // add adds a waiting item.
-func (gw *groupWait) add(ir *itemRow) {
+func (gw *groupSummary) add(ir *itemRow) {
 	took := ir.expectedTime()
 	gw.waiting = append(gw.waiting, ir)
-	gw.begun = gw.begun || ir.begun()
+	gw.begun = gw.begun || ir.hasEvents()
 	gw.least = min(gw.least, ir.holdsNow())
 	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
 	gw.rewarded = gw.rewarded || ir.item.Reward != nil
@@ -118,27 +118,27 @@
 	}
 }
 
-// begun reports whether events of an item are known, so that its expected time depends on the
+// hasEvents reports whether events of an item are known, so that its expected time depends on the
 // tokens per event.
-func (ir *itemRow) begun() bool { return len(ir.events) > 0 || ir.known > 0 }
+func (ir *itemRow) hasEvents() bool { return len(ir.events) > 0 || ir.known > 0 }
 
 // waitingCustomers returns the customers with waiting items that can start.
 func (ta *Table) waitingCustomers(now time.Time) map[string]bool {
-	ta.gather()
+	ta.updateSummaries()
 	customers := map[string]bool{}
 	for _, sr := range ta.order {
-		if !customers[sr.step.Customer] && sr.waits > 0 && ta.anyMayBegin(sr, now) {
+		if !customers[sr.step.Customer] && sr.waits > 0 && ta.anyCanStart(sr, now) {
 			customers[sr.step.Customer] = true
 		}
 	}
 	return customers
 }
 
-// anyMayBegin reports whether a step has a waiting item that can start.
-func (ta *Table) anyMayBegin(sr *stepRow, now time.Time) bool {
+// anyCanStart reports whether a step has a waiting item that can start.
+func (ta *Table) anyCanStart(sr *stepRow, now time.Time) bool {
 	for _, gr := range sr.list {
 		for _, ir := range gr.wait.waiting {
-			if !ta.held(ir) && !ta.rests(ir, now) {
+			if !ta.held(ir) && !ta.quarantined(ir, now) {
 				return true
 			}
 		}
@@ -146,8 +146,8 @@
 	return false
 }
 
-// addWork sets the expected work of a group's open items for the planner.
-func (ta *Table) addWork(gr *groupRow, now time.Time) {
+// setPlanWork sets the expected work of a group's open items for the planner.
+func (ta *Table) setPlanWork(gr *groupRow, now time.Time) {
 	gw, plan := &gr.wait, &gr.plan
 	plan.Work = gw.work
 	if len(gw.waiting) > 0 {
@@ -159,14 +159,14 @@
 		plan.Longest = max(plan.Longest, took)
 	}
 	for _, ir := range gw.running {
-		took := max(ta.runFor(ir, now), minWork)
+		took := max(ta.remainingTimeCached(ir, now), minWork)
 		plan.Work += took
 		plan.Longest = max(plan.Longest, took)
 	}
 }
 
-// firstOpen returns the index of the first open item of a group.
-func (gr *groupRow) firstOpen() int {
+// firstOpenIndex returns the index of the first open item of a group.
+func (gr *groupRow) firstOpenIndex() int {
 	for _, ir := range gr.items {
 		if ir.open() {
 			return ir.index
@@ -175,15 +175,15 @@
 	return len(gr.step.items)
 }
 
-// runFor returns the expected remaining time of a run, as runsFor does, but computes an
+// remainingTimeCached returns the expected remaining time of a run, as runsFor does, but computes an
 // engine's pace only once in a paceRound, in which no run starts or ends.
-func (ta *Table) runFor(ir *itemRow, now time.Time) time.Duration {
+func (ta *Table) remainingTimeCached(ir *itemRow, now time.Time) time.Duration {
 	en := ir.run.at
 	if en.base == 0 {
 		return ir.expectedTime()
 	}
 	if en.paceRound != ta.paceRound {
-		en.pace, en.paceRound = ta.paceWith(en, nil), ta.paceRound
+		en.pace, en.paceRound = ta.expectedPace(en, nil), ta.paceRound
 	}
 	return ir.runsAt(en.pace, now)
 }
--- a/step/heard.go
+++ b/step/heard.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if en.boot != "" && en.boot != re.Boot {
-		ta.drop(en, "attendant has started again", now)
+		ta.requeueRuns(en, "attendant has started again", now)
 	}
 	en.boot = re.Boot
 	ta.takeReport(en, re, now)
@@ -73,7 +73,7 @@
 	}
 	en.gone = true
 	ta.log("engine was replaced", map[string]any{"by": actual, engineField: en.id, "items": len(en.items)})
-	ta.drop(en, "engine was replaced", now)
+	ta.requeueRuns(en, "engine was replaced", now)
 }
 
 // heardOrder ends an order that the engine holds, or that its attendant has
@@ -114,12 +114,12 @@
 			return
 		}
 		ir.step.gauge.observeHint(ir.item.Hint, len(ir.events))
-		ir.step.gauge.observeBound(ir.item.Tokens-ir.item.Prompt, len(ir.events))
-		ta.keep(ir)
+		ir.step.gauge.observeLimit(ir.item.Tokens-ir.item.Prompt, len(ir.events))
+		ta.retainRun(ir)
 		ir.reward.score = pr.Score
 		ta.whole(ir, now)
 	case runner.Impossible:
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.giveUp(ir, pr.Detail, now)
 	case runner.Failed:
 		ta.fail(ir, pr.Detail, now)
@@ -128,7 +128,7 @@
 		ta.requeue(ir, "not run: "+pr.Detail, now)
 	case runner.Broken:
 		en.failed = now
-		ta.suspect(ir, pr, now)
+		ta.recordEngineEnd(ir, pr, now)
 		ta.requeue(ir, "broken: "+pr.Detail, now)
 	case runner.Stopped:
 		ta.requeue(ir, "stopped", now)
@@ -153,7 +153,7 @@
 		}
 		ir.events = nil
 		ta.dropTargetMemo(ir)
-		ta.become(ir, running)
+		ta.setState(ir, running)
 		ir.since = now
 		ir.run = run{at: en, confirmed: true, engine: en.id, eventAt: now, key: pr.Key}
 		en.items[pr.Key] = ir
@@ -188,7 +188,7 @@
 	ir.run.at.recount(ir, -1)
 	ir.events = append(ir.events[:len(ir.events):len(ir.events)], fresh...)
 	ir.run.at.recount(ir, 1)
-	if ir.step.step.fits(ir.events) {
+	if ir.step.step.allows(ir.events) {
 		return true
 	}
 	ta.requeue(ir, "made by a version that the step may not have", now)
@@ -200,7 +200,7 @@
 func (ta *Table) fail(ir *itemRow, detail string, now time.Time) {
 	ir.failures++
 	if ir.failures >= max(ir.step.step.MaxAttempts, 1) {
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.giveUp(ir, "failed too often: "+detail, now)
 		return
 	}
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -53,12 +53,12 @@
 	large.Customer, small.Customer = "bakery", "mill"
 	ta.Accept(large, StoredStep{}, false, begin)
 	ta.Accept(small, StoredStep{}, false, begin)
-	ta.planRoom(begin)
-	assert.Assert(t, ta.crowded("service"))
-	asked := ta.Rooms()["service"].Load
+	ta.planCapacity(begin)
+	assert.Assert(t, ta.overloaded("service"))
+	asked := ta.ServiceLoads()["service"].Load
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"}), begin)
-	ta.planRoom(begin.Add(planEvery))
-	assert.Assert(t, ta.Rooms()["service"].Load < asked/10)
+	ta.planCapacity(begin.Add(planInterval))
+	assert.Assert(t, ta.ServiceLoads()["service"].Load < asked/10)
 }
 
 func TestHeldRunGoesOn(t *testing.T) {
@@ -101,7 +101,7 @@
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
-	ta.DropExpired(begin.Add(st.MaxWait + giveUpSlack))
+	ta.DropExpired(begin.Add(st.MaxWait + expirySlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
@@ -112,7 +112,7 @@
 	ta.Place(begin)
 	ir := ta.steps["s"].items[0]
 	addEngines(ta, begin, "a", "b")
-	late := begin.Add(firstEventTime + time.Second)
+	late := begin.Add(firstEventTimeout + time.Second)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
 	hear(ta, "b", runner.ExchangeResponse{}, late)
 	ta.MoveStragglers(late)
--- a/step/intake.go
+++ b/step/intake.go
@@ -38,7 +38,7 @@
 				ended = append(ended, id)
 			}
 			if st := in.steps[id]; st != nil {
-				in.steps[id] = st.cut()
+				in.steps[id] = st.withoutItems()
 			}
 			continue
 		}
--- a/step/keep.go
+++ b/step/keep.go
@@ -219,11 +219,11 @@
 		if err := add(listedKey(ch.Step, ch.Number), ch.Results); err != nil {
 			return tx, err
 		}
-		data, err := cbor.Marshal(markOf(ch))
+		data, err := cbor.Marshal(manifestOf(ch))
 		if err != nil {
 			return tx, errors.Wrapf(err, "encode the mark of %s", listedKey(ch.Step, ch.Number))
 		}
-		tx.Writes = append(tx.Writes, keyvalue.Write{Key: markKey(ch.Step, ch.Number), Value: data})
+		tx.Writes = append(tx.Writes, keyvalue.Write{Key: manifestKey(ch.Step, ch.Number), Value: data})
 	}
 	for _, cp := range up.Checkpoints {
 		if err := add(checkpointKey(cp.Step, cp.Number), cp); err != nil {
--- a/step/listing.go
+++ b/step/listing.go
@@ -68,7 +68,7 @@
 // endsIn returns when the groups that a step's trainer waits for are expected to
 // be whole.
 func (ta *Table) endsIn(sr *stepRow, now time.Time) time.Duration {
-	ta.gather()
+	ta.updateSummaries()
 	ta.paceRound++
 	var must time.Duration // for groups that were asked for before
 	var others []time.Duration
@@ -100,7 +100,7 @@
 		longest = max(longest, gr.step.rewards.usual())
 	}
 	for _, ir := range gw.running {
-		longest = max(longest, ta.runFor(ir, now))
+		longest = max(longest, ta.remainingTimeCached(ir, now))
 	}
 	return longest
 }
@@ -114,12 +114,12 @@
 	if ir.state != running || en == nil || en.base == 0 {
 		return ir.expectedTime()
 	}
-	return ir.runsAt(ta.paceWith(en, nil), now)
+	return ir.runsAt(ta.expectedPace(en, nil), now)
 }
 
 // runsAt returns how long a run is expected to take still at a pace.
 func (ir *itemRow) runsAt(pace time.Duration, now time.Time) time.Duration {
-	events := float64(ir.left()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
 	return time.Duration(events*float64(pace)) - now.Sub(ir.run.eventAt)
 }
 
@@ -265,7 +265,7 @@
 	for _, ir := range sr.items {
 		if positions[ir.item.ID] {
 			ir.listed = true
-			ta.letGo(ir)
+			ta.forgetRun(ir)
 		}
 		if ir.listed && sr.groups[ir.item.Group].left == 0 {
 			ir.events = nil // the text stands in the results
@@ -274,7 +274,7 @@
 	}
 	sr.idle = sr.idle || all
 	sr.answerReads(now)
-	sr.wake()
+	sr.notifyReaders()
 	ta.log("results listed", map[string]any{
 		"chunk": ch.Number, "listed": sr.listedCount(), "reads": reads, stepField: ch.Step, "total": sr.step.Total(),
 		whyField: string(sr.why),
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -136,7 +136,7 @@
 	assert.Equal(t, rq.Await, time.Duration(0), "the run is not known to have begun")
 	sr.items[1].run.confirmed = true
 	rq, _ = ta.Request("a")
-	assert.Equal(t, rq.Await, awaitEnd)
+	assert.Equal(t, rq.Await, maxAwait)
 	sr.served = true
 	ta.Due(begin)
 	rq, _ = ta.Request("a")
--- a/step/mark.go
+++ b/step/mark.go
@@ -13,23 +13,25 @@
 	"wisteriacroft/keyvalue"
 )
 
-// A mark lists the items whose results a chunk holds. It is written with its chunk, under the
+// A manifest lists the items whose results a chunk holds. It is written with its chunk, under the
 // prefix of the step's checkpoints, so that one call reads both. Earlier releases decode it as a
 // checkpoint without text.
 //
 // A new scheduler needs only the IDs of the listed items to place the others. Reading all texts
 // first would leave the engines idle.
-type mark struct {
+type manifest struct {
 	Listed []string // item IDs, in the order of the results
 }
 
-// markPrefix returns the key prefix of a step's marks.
-func markPrefix(id string) string { return checkpointPrefix + id + "/listed/" }
+// manifestPrefix returns the key prefix of a step's marks.
+func manifestPrefix(id string) string { return checkpointPrefix + id + "/listed/" }
 
-func markKey(id string, number int) string { return fmt.Sprintf("%s%06d", markPrefix(id), number) }
+func manifestKey(id string, number int) string {
+	return fmt.Sprintf("%s%06d", manifestPrefix(id), number)
+}
 
-func markOf(ch Chunk) mark {
-	var ma mark
+func manifestOf(ch Chunk) manifest {
+	var ma manifest
 	for _, re := range ch.Results {
 		ma.Listed = append(ma.Listed, re.Item)
 	}
@@ -42,7 +44,7 @@
 	if err != nil {
 		return StoredStep{}, err
 	}
-	kept, gapless, err := decodeKept(id, ch.Items)
+	kept, gapless, err := decodeStoredStep(id, ch.Items)
 	if err != nil {
 		return StoredStep{}, err
 	}
@@ -61,17 +63,17 @@
 	return kept, err
 }
 
-// decodeKept decodes marks and checkpoints of a step, and reports whether the marks cover
+// decodeStoredStep decodes marks and checkpoints of a step, and reports whether the marks cover
 // consecutive chunks from the first one on.
-func decodeKept(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
+func decodeStoredStep(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
 	gapless = true
 	for _, it := range items {
-		if strings.HasPrefix(it.Key, markPrefix(id)) {
-			var ma mark
+		if strings.HasPrefix(it.Key, manifestPrefix(id)) {
+			var ma manifest
 			if err := cbor.Unmarshal(it.Value, &ma); err != nil {
 				return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 			}
-			gapless = gapless && it.Key == markKey(id, len(kept.Marked))
+			gapless = gapless && it.Key == manifestKey(id, len(kept.Marked))
 			kept.Marked = append(kept.Marked, ma.Listed)
 			continue
 		}
@@ -84,25 +86,25 @@
 	return kept, gapless, nil
 }
 
-// chunks returns the item IDs of each listed chunk.
-func (ke StoredStep) chunks() [][]string {
+// chunkItems returns the item IDs of each listed chunk.
+func (ke StoredStep) chunkItems() [][]string {
 	if ke.Listed == nil {
 		return ke.Marked
 	}
 	var chunks [][]string
 	for _, results := range ke.Listed {
-		chunks = append(chunks, markOf(Chunk{Results: results}).Listed)
+		chunks = append(chunks, manifestOf(Chunk{Results: results}).Listed)
 	}
 	return chunks
 }
 
-// takeKept restores the listed results of a step, and returns the set of their items.
-func (sr *stepRow) takeKept(ke StoredStep) map[string]bool {
+// restoreListed restores the listed results of a step, and returns the set of their items.
+func (sr *stepRow) restoreListed(ke StoredStep) map[string]bool {
 	sr.results = slices.Concat(ke.Listed...)
 	listed := map[string]bool{}
 	var counts []int
 	total := 0
-	for _, items := range ke.chunks() {
+	for _, items := range ke.chunkItems() {
 		counts = append(counts, len(items))
 		total += len(items)
 		for _, item := range items {
@@ -119,9 +121,9 @@
 // listedCount returns the number of listed results, loaded or not.
 func (sr *stepRow) listedCount() int { return sr.unread + len(sr.results) }
 
-// readUnread answers a read of an open step from a position whose result isn't loaded: it reads
+// readStoredResults answers a read of an open step from a position whose result isn't loaded: it reads
 // the stored chunks from there on.
-func (sc *Scheduler) readUnread(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
+func (sc *Scheduler) readStoredResults(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
 	counts, unread, later, total := sr.counts, sr.unread, sr.results, sr.step.Total()
 	sc.mu.Unlock()
@@ -148,9 +150,9 @@
 	return page(results, 0, total), nil
 }
 
-// readMarked loads the results of open steps that were restored from marks. Until then, reads
+// loadListedResults loads the results of open steps that were restored from marks. Until then, reads
 // of them depend on the key-value service.
-func (sc *Scheduler) readMarked(ctx context.Context) {
+func (sc *Scheduler) loadListedResults(ctx context.Context) {
 	sc.mu.Lock()
 	te := sc.term
 	var srs []*stepRow
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -131,7 +131,7 @@
 				ta.Listed([]Chunk{ch}, begin)
 				check(4)
 				if tt.filled {
-					sc.readMarked(t.Context())
+					sc.loadListedResults(t.Context())
 					assert.Equal(t, len(ta.steps["s"].results), 4)
 					assert.Equal(t, ta.steps["s"].unread, 0)
 					me.SetFaults(keyvalue.Faults{Outage: true})
--- a/step/memory.go
+++ b/step/memory.go
@@ -15,7 +15,7 @@
 // its end.
 func (ir *itemRow) holds() (now, end int) {
 	now = ir.holdsNow()
-	return now, now + ir.left()
+	return now, now + ir.remainingTokens()
 }
 
 // holdsNow returns how many tokens an item holds now.
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -5,7 +5,7 @@
 // measureRoom tells how much of each service's room trainers ask for. A service of which no
 // step was open for a while has no figures.
 func (sc *Scheduler) measureRoom(ta *Table) {
-	rooms := ta.Rooms()
+	rooms := ta.ServiceLoads()
 	for service, rl := range rooms {
 		sc.Metrics.GetOrCreateGauge(roomGauge(loadGauge, service), nil).Set(rl.Load)
 		sc.Metrics.GetOrCreateGauge(roomGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
--- a/step/modelshare.go
+++ b/step/modelshare.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// A modelPart is a model's claim to engines with its weights.
-type modelPart struct {
+// A modelClaim is a model's claim to engines with its weights.
+type modelClaim struct {
 	engines float64 // minimum
 	rank    int     // of the model's customer
 }
 
-// modelParts returns the claims of models, or nil unless several customers have open steps and
+// modelClaims returns the claims of models, or nil unless several customers have open steps and
 // slots are scarce.
 //
 // Divided by work alone, few engines would load the weights of a small customer, and last. So
 // each model may claim the engines that all items of one of its steps need, within its
 // customer's share, and models load in the order of their customers' ranks.
-func (ta *Table) modelParts(ens []*engineRow) map[string]modelPart {
+func (ta *Table) modelClaims(ens []*engineRow) map[string]modelClaim {
 	items, customers := map[string]int{}, map[string]string{}
 	models := map[string]int{} // by customer
 	for _, sr := range ta.order {
@@ -34,11 +34,11 @@
 	for customer := range models {
 		total += ta.share.account.Weight(customer)
 	}
-	parts := map[string]modelPart{}
+	parts := map[string]modelClaim{}
 	for model, customer := range customers {
 		due := float64(len(ens)) * ta.share.account.Weight(customer) / total / float64(models[customer])
 		need := math.Ceil(float64(items[model]) * float64(len(ens)) / float64(max(slots, 1)))
-		parts[model] = modelPart{engines: min(need, due), rank: ta.share.account.Rank(customer)}
+		parts[model] = modelClaim{engines: min(need, due), rank: ta.share.account.Rank(customer)}
 	}
 	return parts
 }
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -88,7 +88,7 @@
 			time.Sleep(6 * time.Second)
 			silent.Store(false)
 			assert.NilError(t, (&Store{Client: me.Client()}).Accept(t.Context(), stepOf("s", 1)))
-			time.Sleep(probeTimeout + retryAfter + 10*time.Millisecond)
+			time.Sleep(probeTimeout + retryDelay + 10*time.Millisecond)
 			sc.mu.Lock()
 			assert.Assert(t, te.table.steps["s"] != nil)
 			sc.mu.Unlock()
--- a/step/overview.go
+++ b/step/overview.go
@@ -50,7 +50,7 @@
 	paces := map[string]time.Duration{} // of an event beside what the engine runs
 	for _, en := range ta.sorted {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
-		paces[en.id] = ta.paceWith(en, nil)
+		paces[en.id] = ta.expectedPace(en, nil)
 	}
 	away := storeHeard >= intakeWait+intakeSlack
 	for _, sr := range ta.order {
@@ -95,7 +95,7 @@
 	switch {
 	case en.gone:
 		return overview.Gone
-	case en.heardAt.IsZero(), now.Sub(en.heardAt) > silentAfter:
+	case en.heardAt.IsZero(), now.Sub(en.heardAt) > responseTimeout:
 		return overview.Silent
 	case en.sick:
 		return overview.Sick
@@ -187,8 +187,8 @@
 // turn returns an item's place in the order of placing, the lowest first: its time to spare,
 // or, while the room is crowded, its group's position, those without room last.
 func (ta *Table) turn(ir *itemRow, now time.Time) time.Duration {
-	if !ta.crowded(ir.step.step.Service) {
-		return ir.timeToSpare(now)
+	if !ta.overloaded(ir.step.step.Service) {
+		return ir.slack(now)
 	}
 	turn := time.Duration(ir.group.plan.Position())
 	if !ir.group.plan.InTime() {
@@ -202,11 +202,11 @@
 	switch {
 	case ta.held(ir):
 		return overview.HeldByOperator
-	case ta.rests(ir, now):
+	case ta.quarantined(ir, now):
 		return overview.Quarantined
 	case wait == overview.ToBePlaced && now.Sub(ir.since) > placeSoon:
 		return overview.HeldBack
-	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.crowded(ir.step.step.Service) && !ir.group.plan.InTime():
+	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.overloaded(ir.step.step.Service) && !ir.group.plan.InTime():
 		return overview.HeldBack
 	default:
 		return wait
@@ -215,7 +215,7 @@
 
 // placeSoon is how long an item may wait beside free places before others were meant to
 // go first.
-const placeSoon = 4 * tickEvery
+const placeSoon = 4 * tickInterval
 
 // engineWait returns what the engines make an item wait for, by the engine that is nearest
 // to taking it. It is the same for all items of a step, unless each is bound to one version.
@@ -236,13 +236,13 @@
 		case en.service != st.Service:
 		case !en.reachable():
 			better(1, overview.NoneServes)
-		case !ta.usable(en, ir) && en.loads(st.Model) && version > 0:
+		case !ta.canRunItem(en, ir) && en.isLoading(st.Model) && version > 0:
 			better(3, overview.WeightsLoad)
-		case !ta.usable(en, ir):
+		case !ta.canRunItem(en, ir):
 			better(2, overview.NoVersion)
-		case en.free() <= 0:
+		case en.freeSlots() <= 0:
 			better(4, overview.NoPlace)
-		case !en.fits(ir):
+		case !en.hasMemoryFor(ir):
 			better(5, overview.NoMemory)
 		default:
 			return overview.ToBePlaced
--- a/step/pace.go
+++ b/step/pace.go
@@ -14,32 +14,32 @@
 	// slowFactor is the ratio to the median pace above which an engine is slow. Full engines
 	// are somewhat slower than empty ones.
 	slowFactor = 1.6
-	// slowSince is how long an engine must exceed slowFactor to be rated slow. Prefill of
+	// slowDelay is how long an engine must exceed slowFactor to be rated slow. Prefill of
 	// new runs slows it down for a shorter time.
-	slowSince = 400 * time.Millisecond
+	slowDelay = 400 * time.Millisecond
 	// verySlowFactor and verySlowSince are the same for a ratio that prefill can't cause.
 	verySlowFactor = 2.5
-	verySlowSince  = 100 * time.Millisecond
-	// slowFor is how long an engine stays rated slow. Without runs it can't be measured.
-	slowFor = 3 * time.Second
-	// stallTime is the longest time between events. It exceeds the time of a weight load.
-	stallTime = 1500 * time.Millisecond
-	// firstEventTime is the longest time to the first event of a run.
-	firstEventTime = 2 * time.Second
+	verySlowDelay  = 100 * time.Millisecond
+	// slowDuration is how long an engine stays rated slow. Without runs it can't be measured.
+	slowDuration = 3 * time.Second
+	// stallTimeout is the longest time between events. It exceeds the time of a weight load.
+	stallTimeout = 1500 * time.Millisecond
+	// firstEventTimeout is the longest time to the first event of a run.
+	firstEventTimeout = 2 * time.Second
 	// minMoveEvents is the minimum number of events of a run that moves to a faster engine.
 	// Shorter runs are likely to end soon.
 	minMoveEvents = 20
-	// sparePlaces is the number of slots that moved runs leave free on a target engine.
-	sparePlaces = 1
+	// slotsLeftFree is the number of slots that moved runs leave free on a target engine.
+	slotsLeftFree = 1
 	// moveCost is the minimum time that a move must save.
 	moveCost = 400 * time.Millisecond
-	// crowdedMemory is the fraction of an engine's memory above which a run is moved away,
+	// highMemoryFraction is the fraction of an engine's memory above which a run is moved away,
 	// and roomyMemory the fraction up to which the target may be filled. The difference
 	// leaves space for growth during the move.
-	crowdedMemory = 0.88
-	roomyMemory   = 0.6
-	// movedPart is the minimum fraction of the memory that a run moved for memory must hold.
-	movedPart = 0.05
+	highMemoryFraction = 0.88
+	lowMemoryFraction  = 0.6
+	// minMovedFraction is the minimum fraction of the memory that a run moved for memory must hold.
+	minMovedFraction = 0.05
 	// memoryReason is the reason to move a run from an engine that is short of memory.
 	memoryReason = "short of memory"
 	// maxMoves limits the moves of an item, each of which recomputes its whole text.
@@ -60,7 +60,7 @@
 	}
 	bases := map[string][]time.Duration{}
 	for _, en := range ta.sorted {
-		ta.judgePace(en, now)
+		ta.ratePace(en, now)
 		if en.base > 0 {
 			bases[en.service] = append(bases[en.service], en.base)
 		}
@@ -77,7 +77,7 @@
 // setTokenTime sets the time per token of a step, unless the change is small: each change
 // invalidates everything computed from it.
 func (ta *Table) setTokenTime(sr *stepRow, each time.Duration) {
-	if off := each - sr.tokenTime; each > 0 && off.Abs() <= sr.tokenTime/tokenTimeParts {
+	if off := each - sr.tokenTime; each > 0 && off.Abs() <= sr.tokenTime/tokenTimeToleranceDivisor {
 		return
 	}
 	if each != sr.tokenTime {
@@ -86,8 +86,8 @@
 	}
 }
 
-// tokenTimeParts is the inverse of the relative change of a time per token that is ignored.
-const tokenTimeParts = 10
+// tokenTimeToleranceDivisor is the inverse of the relative change of a time per token that is ignored.
+const tokenTimeToleranceDivisor = 10
 
 // median sorts durations and returns their median.
 func median(all []time.Duration) time.Duration {
@@ -95,9 +95,9 @@
 	return all[len(all)/2]
 }
 
-// judgePace updates an engine's base pace, and rates it slow if it is much slower than the
+// ratePace updates an engine's base pace, and rates it slow if it is much slower than the
 // median.
-func (ta *Table) judgePace(en *engineRow, now time.Time) {
+func (ta *Table) ratePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
 		held, _ := en.memory()
 		en.base = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
@@ -110,9 +110,9 @@
 	if en.slowerAt.IsZero() {
 		en.slowerAt = now
 	}
-	since := slowSince
+	since := slowDelay
 	if float64(en.report.Pace) > verySlowFactor*float64(median) {
-		since = verySlowSince
+		since = verySlowDelay
 	}
 	if now.Sub(en.slowerAt) < since {
 		return
@@ -128,7 +128,7 @@
 
 // slow reports whether an engine has recently been rated slow.
 func (en *engineRow) slow(now time.Time) bool {
-	return !en.slowAt.IsZero() && now.Sub(en.slowAt) < slowFor
+	return !en.slowAt.IsZero() && now.Sub(en.slowAt) < slowDuration
 }
 
 // MoveStragglers moves stalled runs, and runs on slow engines, to other engines with free slots.
@@ -137,39 +137,39 @@
 // is reserved on the target meanwhile: a waiting item could take it otherwise, and the run
 // would end up on another slow engine.
 func (ta *Table) MoveStragglers(now time.Time) {
-	ta.gather()
+	ta.updateSummaries()
 	for _, sr := range ta.order {
-		for _, le := range ta.leaving(sr, now) {
-			ta.move(le.item, le.item.run.at, le.why, now)
+		for _, le := range ta.runsToMove(sr, now) {
+			ta.moveRun(le.item, le.item.run.at, le.why, now)
 		}
 	}
 }
 
-// A leave is a run to move, with the reason.
-type leave struct {
+// A moveCandidate is a run to move, with the reason.
+type moveCandidate struct {
 	item *itemRow
 	why  string
 }
 
-// leaving returns the runs of a step to move, in the order of the items.
-func (ta *Table) leaving(sr *stepRow, now time.Time) []leave {
-	var les []leave
+// runsToMove returns the runs of a step to move, in the order of the items.
+func (ta *Table) runsToMove(sr *stepRow, now time.Time) []moveCandidate {
+	var les []moveCandidate
 	for _, gr := range sr.list {
 		for _, ir := range gr.wait.running {
 			if ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 				continue
 			}
 			why := ir.run.at.reasonToMove(ir, now)
-			if why == "" && ta.long(ir.run.at, ir) {
+			if why == "" && ta.isLongRun(ir.run.at, ir) {
 				why = "faster engine"
 			}
 			if why != "" {
-				les = append(les, leave{item: ir, why: why})
+				les = append(les, moveCandidate{item: ir, why: why})
 			}
 		}
 	}
 	if sr.interleaved {
-		slices.SortFunc(les, func(a, b leave) int { return cmp.Compare(a.item.index, b.item.index) })
+		slices.SortFunc(les, func(a, b moveCandidate) int { return cmp.Compare(a.item.index, b.item.index) })
 	}
 	return les
 }
@@ -182,18 +182,18 @@
 // that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sorted {
-		if held, _ := en.memory(); en.tokens == 0 || float64(held) < crowdedMemory*float64(en.tokens) {
+		if held, _ := en.memory(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
 			continue
 		}
-		if ir := en.mostSpare(now); ir != nil {
-			ta.move(ir, en, memoryReason, now)
+		if ir := en.mostSlack(now); ir != nil {
+			ta.moveRun(ir, en, memoryReason, now)
 		}
 	}
 }
 
-// mostSpare returns the run with the most slack among those that can be moved and hold enough
+// mostSlack returns the run with the most slack among those that can be moved and hold enough
 // memory, or nil if a run of the engine is already stopping.
-func (en *engineRow) mostSpare(now time.Time) *itemRow {
+func (en *engineRow) mostSlack(now time.Time) *itemRow {
 	var best *itemRow
 	most := time.Duration(0) // slack
 	for _, ir := range en.items {
@@ -201,10 +201,10 @@
 			return nil
 		}
 		held, _ := ir.holds()
-		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < movedPart*float64(en.tokens) {
+		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < minMovedFraction*float64(en.tokens) {
 			continue
 		}
-		spare := ir.timeToSpare(now)
+		spare := ir.slack(now)
 		if best == nil || spare > most || spare == most && ir.item.ID < best.item.ID {
 			best, most = ir, spare
 		}
@@ -212,9 +212,9 @@
 	return best
 }
 
-// move stops a run and reserves a slot for it on another engine, if one qualifies.
-func (ta *Table) move(ir *itemRow, from *engineRow, why string, now time.Time) {
-	to := ta.target(ir, from, why, now)
+// moveRun stops a run and reserves a slot for it on another engine, if one qualifies.
+func (ta *Table) moveRun(ir *itemRow, from *engineRow, why string, now time.Time) {
+	to := ta.bestMoveTarget(ir, from, why, now)
 	if to == nil {
 		return
 	}
@@ -230,47 +230,47 @@
 	})
 }
 
-// target returns the best engine to move a run to, or nil.
-func (ta *Table) target(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
+// bestMoveTarget returns the best engine to move a run to, or nil.
+func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
 	var best *engineRow
 	for _, en := range ta.sorted {
-		if en == from || ta.trials.tries(en.id, now) || en.free() <= sparePlaces || en.slow(now) || !ta.usable(en, ir) || !en.fits(ir) {
+		if en == from || ta.trials.runsTrial(en.id, now) || en.freeSlots() <= slotsLeftFree || en.slow(now) || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) {
 			continue
 		}
 		switch {
 		case why == memoryReason:
-			if !en.roomy(ir) || float64(en.base) > (1+paceTolerance)*float64(from.base) {
+			if !en.hasSpareMemory(ir) || float64(en.base) > (1+paceTolerance)*float64(from.base) {
 				continue
 			}
 		case from.stalled(ir, now):
-		case ta.gain(ir, from, en) < moveCost, ta.crowded(en.service) && !ta.saves(ir, from, en, now):
+		case ta.timeSaved(ir, from, en) < moveCost, ta.overloaded(en.service) && !ta.makesInTime(ir, from, en, now):
 			continue
 		}
-		if best == nil || ta.rankOf(en, ir, now) > ta.rankOf(best, ir, now) {
+		if best == nil || ta.engineScore(en, ir, now) > ta.engineScore(best, ir, now) {
 			best = en
 		}
 	}
 	return best
 }
 
-// roomy reports whether an engine would stay within roomyMemory with an additional item.
-func (en *engineRow) roomy(ir *itemRow) bool {
+// hasSpareMemory reports whether an engine would stay within roomyMemory with an additional item.
+func (en *engineRow) hasSpareMemory(ir *itemRow) bool {
 	now, _ := en.memory()
 	added, _ := ir.holds()
-	return float64(now+added) <= roomyMemory*float64(en.tokens)
+	return float64(now+added) <= lowMemoryFraction*float64(en.tokens)
 }
 
-// gain returns the expected time that a move saves.
-func (ta *Table) gain(ir *itemRow, from, to *engineRow) time.Duration {
+// timeSaved returns the expected time that a move saves.
+func (ta *Table) timeSaved(ir *itemRow, from, to *engineRow) time.Duration {
 	if from.base == 0 {
 		return 0
 	}
-	events := float64(ir.left()) / float64(ir.step.gauge.eventTokens())
-	return time.Duration(events * float64(ta.paceWith(from, nil)-ta.paceWith(to, ir)))
+	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
+	return time.Duration(events * float64(ta.expectedPace(from, nil)-ta.expectedPace(to, ir)))
 }
 
-// unreserve releases the reserved slot of an item, if any.
-func (ta *Table) unreserve(ir *itemRow) {
+// releaseReserved releases the reserved slot of an item, if any.
+func (ta *Table) releaseReserved(ir *itemRow) {
 	if en, ok := ta.engines[ir.target]; ok && ir.target != "" {
 		delete(en.coming, ir)
 		en.dropMemo()
@@ -285,9 +285,9 @@
 func (en *engineRow) reasonToMove(ir *itemRow, now time.Time) string {
 	quiet := now.Sub(ir.run.eventAt)
 	switch {
-	case en.sick && quiet > stallTime/2:
+	case en.sick && quiet > stallTimeout/2:
 		return "engine does not answer"
-	case quiet > firstEventTime, quiet > stallTime && len(ir.events) > ir.run.prior:
+	case quiet > firstEventTimeout, quiet > stallTimeout && len(ir.events) > ir.run.prior:
 		return "no event"
 	case en.slow(now):
 		return "slow engine"
@@ -301,8 +301,8 @@
 	return en.reasonToMove(ir, now) != "" && !en.slow(now)
 }
 
-// long reports whether a run is long and its engine slower than the best one at equal load.
+// isLongRun reports whether a run is isLongRun and its engine slower than the best one at equal load.
 // The current load isn't considered, as it changes quickly.
-func (ta *Table) long(en *engineRow, ir *itemRow) bool {
+func (ta *Table) isLongRun(en *engineRow, ir *itemRow) bool {
 	return len(ir.events)-ir.run.prior >= minMoveEvents && float64(ta.bests[en.service]) < (1-paceTolerance)*float64(en.base)
 }
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -60,12 +60,12 @@
 func TestComingRunsCount(t *testing.T) {
 	// Incoming runs count as load of the target engine, so that it isn't overfilled.
 	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
-	ta.move(irs[0], ta.engines["a"], memoryReason, begin)
+	ta.moveRun(irs[0], ta.engines["a"], memoryReason, begin)
 	assert.Equal(t, irs[0].target, "b")
 	now, _ := ta.engines["b"].memory()
 	assert.Assert(t, now >= 4000, "%d", now)
-	assert.Assert(t, !ta.engines["b"].roomy(irs[1]))
-	assert.Equal(t, ta.engines["b"].free(), 1)
+	assert.Assert(t, !ta.engines["b"].hasSpareMemory(irs[1]))
+	assert.Equal(t, ta.engines["b"].freeSlots(), 1)
 }
 
 func TestPaceOfFullEngineIsNoReasonToMove(t *testing.T) {
@@ -74,19 +74,19 @@
 	ta, irs := crowded(t, 40*time.Millisecond, 2000, 2000, 2000, 2000)
 	for i, ir := range irs {
 		ir.events = events(1, minMoveEvents+1, 1)
-		assert.Assert(t, !ta.long(ta.engines["a"], ir), "item %d", i)
+		assert.Assert(t, !ta.isLongRun(ta.engines["a"], ir), "item %d", i)
 	}
 	full, empty := ta.engines["a"], ta.engines["b"]
 	full.base, empty.base = 40*time.Millisecond, 40*time.Millisecond
-	assert.Assert(t, ta.paceWith(full, nil) > ta.paceWith(empty, nil))
+	assert.Assert(t, ta.expectedPace(full, nil) > ta.expectedPace(empty, nil))
 	full.base = 60 * time.Millisecond
-	assert.Assert(t, ta.long(full, irs[0]), "it is slower all day")
+	assert.Assert(t, ta.isLongRun(full, irs[0]), "it is slower all day")
 }
 
 func TestLoadsAtOnce(t *testing.T) {
 	// A fifth of the engines, rounded to the nearest, loads weights at the same time.
 	for engines, loads := range map[int]int{4: 2, 11: 2, 12: 2, 38: 8, 46: 9, 47: 9, 50: 10} {
-		assert.Equal(t, loadsAtOnce(engines), loads, "%d engines", engines)
+		assert.Equal(t, maxConcurrentLoads(engines), loads, "%d engines", engines)
 	}
 }
 
@@ -103,10 +103,10 @@
 	ir := ta.steps["s"].items[0]
 	ir.run.stopping, ir.target = true, map[string]string{"a": "b", "b": "a"}[engine]
 	rq, _ = ta.Request(engine)
-	assert.Equal(t, rq.Await, awaitEnd)
-	assert.Equal(t, len(ta.placeStopped(begin)), 0)
+	assert.Equal(t, rq.Await, maxAwait)
+	assert.Equal(t, len(ta.restartStopped(begin)), 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 3, Key: key, State: runner.Stopped}}}, begin)
-	engines := ta.placeStopped(begin)
+	engines := ta.restartStopped(begin)
 	assert.DeepEqual(t, engines, []string{ir.run.engine})
 	assert.Equal(t, ir.state, running)
 	assert.Assert(t, ir.run.engine != engine)
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -139,7 +139,7 @@
 		rq, _ := ta.Request(en.id)
 		ta.HandleResponse(en.id, rq, re, tw.now)
 		if goesOn {
-			ta.placeStopped(tw.now)
+			ta.restartStopped(tw.now)
 		}
 	})
 }
@@ -148,9 +148,9 @@
 func (tw *twinTable) drawGauge(t *rapid.T) {
 	model, tokens := rapid.SampledFrom(twinModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
 	tw.both(func(ta *Table) {
-		for range gaugeRatios {
+		for range estimatorMaxRatios {
 			if gauge := ta.gauges[model]; gauge != nil {
-				gauge.observeHint(tokens*gaugeEvents, gaugeEvents)
+				gauge.observeHint(tokens*estimatorMinEvents, estimatorMinEvents)
 			}
 		}
 	})
@@ -200,7 +200,7 @@
 
 // tick runs all systems of a tick on both tables, each with its own placement.
 func (tw *twinTable) tick() {
-	tw.now = tw.now.Add(tickEvery)
+	tw.now = tw.now.Add(tickInterval)
 	for i, ta := range tw.tables {
 		ta.EvictSilent(tw.now)
 		ta.MeasurePace(tw.now)
@@ -213,7 +213,7 @@
 		} else {
 			placePlainly(ta, tw.now)
 		}
-		ta.Weights(tw.now)
+		ta.OrderLoads(tw.now)
 	}
 }
 
@@ -222,7 +222,7 @@
 func (tw *twinTable) compare(t *rapid.T) {
 	lines := [2][]string{}
 	for i, ta := range tw.tables {
-		lines[i] = append(lines[i], fmt.Sprint("rooms ", ta.Rooms(), " ahead ", ta.sendsAhead("service")))
+		lines[i] = append(lines[i], fmt.Sprint("rooms ", ta.ServiceLoads(), " ahead ", ta.prequeues("service")))
 		for _, sr := range ta.order {
 			for _, ir := range sr.items {
 				lines[i] = append(lines[i], fmt.Sprint(
@@ -239,10 +239,10 @@
 	}
 	assert.DeepEqual(t, lines[0], lines[1])
 	ta := tw.tables[0]
-	assert.Equal(t, fmt.Sprint(ta.counts(tw.now)), fmt.Sprint(plainCounts(ta, tw.now)))
+	assert.Equal(t, fmt.Sprint(ta.customerCounts(tw.now)), fmt.Sprint(plainCounts(ta, tw.now)))
 	for _, sr := range ta.order {
 		assert.Equal(t, ta.endsIn(sr, tw.now), plainEndsIn(ta, sr, tw.now), "end of %s", sr.step.ID)
-		assert.Assert(t, slices.Equal(ta.leaving(sr, tw.now), plainLeaving(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
+		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tw.now), plainLeaving(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
 	}
 }
 
--- a/step/placing.go
+++ b/step/placing.go
@@ -5,110 +5,110 @@
 	"time"
 )
 
-// A placing is one round of placement: the assignment of waiting items to engine slots.
+// A placement is one round of placement: the assignment of waiting items to engine slots.
 //
 // It evaluates each engine once, and again when a slot of it is taken or released. The order of
 // items is that of bySpare or, under overload, of byRoom.
-type placing struct {
-	summaries []seatSummary // of seats
-	live      int           // number of seats that aren't full
-	lists     map[seatKey]*seatList
+type placement struct {
+	summaries []candidateSummary // of seats
+	live      int                // number of seats that aren't full
+	lists     map[candidateKey]*candidateList
 	now       time.Time
-	seats     []seat
+	seats     []candidate
 	steps     []*stepRow // open steps of the current service
 	table     *Table
 }
 
-// newPlacing returns a round with the engines that have a free slot or one that is reserved
+// newPlacement returns a round with the engines that have a free slot or one that is reserved
 // for a moving item.
-func (ta *Table) newPlacing(now time.Time) *placing {
-	pl := &placing{lists: map[seatKey]*seatList{}, now: now, table: ta}
+func (ta *Table) newPlacement(now time.Time) *placement {
+	pl := &placement{lists: map[candidateKey]*candidateList{}, now: now, table: ta}
 	for _, en := range ta.sorted {
 		en.seat = -1
-		free := en.free()
-		if len(en.coming) == 0 && (free < 0 || free == 0 && !ta.sendsAhead(en.service)) {
+		free := en.freeSlots()
+		if len(en.coming) == 0 && (free < 0 || free == 0 && !ta.prequeues(en.service)) {
 			continue
 		}
 		en.refreshMemo()
-		se := seat{endsSoon: en.memo.endsSoon, engine: en}
-		if pl.countOpen(&se) <= 0 && len(en.coming) == 0 {
+		se := candidate{endsSoon: en.memo.endsSoon, engine: en}
+		if pl.countOpenSlots(&se) <= 0 && len(en.coming) == 0 {
 			continue
 		}
 		en.seat = len(pl.seats)
 		pl.seats = append(pl.seats, se)
-		pl.summaries = append(pl.summaries, seatSummary{})
+		pl.summaries = append(pl.summaries, candidateSummary{})
 		pl.live++
 		pl.refresh(en.seat)
 	}
 	return pl
 }
 
-// give starts a waiting item if some engine can take it: the one with its reserved slot if it
+// assign starts a waiting item if some engine can take it: the one with its reserved slot if it
 // can still run the item, or else the best.
-func (pl *placing) give(ir *itemRow) {
+func (pl *placement) assign(ir *itemRow) {
 	ta := pl.table
-	if ta.held(ir) || ta.rests(ir, pl.now) {
+	if ta.held(ir) || ta.quarantined(ir, pl.now) {
 		return
 	}
 	kept := ta.engines[ir.target]
-	pl.release(ir)
-	if ta.tried(ir, pl.now) {
-		if en := ta.chooseTrial(ir, pl.now); en != nil {
-			ta.trials.begin(en.id, ir)
-			pl.start(ir, pl.seatOf(en))
+	pl.releaseReserved(ir)
+	if ta.needsTrial(ir, pl.now) {
+		if en := ta.trialEngine(ir, pl.now); en != nil {
+			ta.trials.start(en.id, ir)
+			pl.startRun(ir, pl.indexOf(en))
 		}
 		return
 	}
-	i := pl.seatOf(kept)
-	if i < 0 || pl.seats[i].open <= 0 || !ta.usable(kept, ir) || pl.seats[i].trying {
+	i := pl.indexOf(kept)
+	if i < 0 || pl.seats[i].open <= 0 || !ta.canRunItem(kept, ir) || pl.seats[i].trying {
 		i = pl.choose(ir)
 	}
 	if i >= 0 {
-		pl.start(ir, i)
+		pl.startRun(ir, i)
 	}
 }
 
-// release releases the reserved slot of an item, if any.
-func (pl *placing) release(ir *itemRow) {
+// releaseReserved releases the reserved slot of an item, if any.
+func (pl *placement) releaseReserved(ir *itemRow) {
 	if ir.target == "" {
 		return
 	}
-	i := pl.seatOf(pl.table.engines[ir.target])
-	pl.table.unreserve(ir)
+	i := pl.indexOf(pl.table.engines[ir.target])
+	pl.table.releaseReserved(ir)
 	if i >= 0 {
 		pl.seats[i].released = true
 		pl.refresh(i)
-		pl.dropBounds()
+		pl.resetBounds()
 	}
 }
 
-// start starts an item on the engine of a seat. It doesn't update endsSoon of an engine that
+// startRun starts an item on the engine of a seat. It doesn't update endsSoon of an engine that
 // released a reserved slot in this round.
-func (pl *placing) start(ir *itemRow, i int) {
+func (pl *placement) startRun(ir *itemRow, i int) {
 	se := &pl.seats[i]
-	pl.table.start(ir, se.engine, pl.now)
+	pl.table.startRun(ir, se.engine, pl.now)
 	if se.engine.refreshMemo(); !se.released {
 		se.endsSoon = se.engine.memo.endsSoon
 	}
 	pl.refresh(i)
 }
 
-// mayTake reports whether an item of a step may get a slot: one with held tokens may fit some
+// mayFit reports whether an item of a step may get a slot: one with held tokens may fit some
 // engine, or moving items may release reserved slots.
-func (pl *placing) mayTake(sr *stepRow, held, moving int) bool {
+func (pl *placement) mayFit(sr *stepRow, held, moving int) bool {
 	return moving > 0 || pl.listOf(sr).most >= held
 }
 
-// idle reports whether no item of any step can get or release a slot.
-func (pl *placing) idle() bool {
+// exhausted reports whether no item of any step can get or release a slot.
+func (pl *placement) exhausted() bool {
 	return !slices.ContainsFunc(pl.steps, func(sr *stepRow) bool {
-		return sr.waits > 0 && pl.mayTake(sr, sr.least, sr.moving)
+		return sr.waits > 0 && pl.mayFit(sr, sr.least, sr.moving)
 	})
 }
 
 // rankSteps sets the index and the customer's rank of each step. It returns the distinct ranks
 // of steps with waiting items in ascending order.
-func (pl *placing) rankSteps(ranks map[string]int) []int {
+func (pl *placement) rankSteps(ranks map[string]int) []int {
 	var all []int
 	for i, sr := range pl.steps {
 		sr.place, sr.rank = i, ranks[sr.step.Customer]
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -6,16 +6,16 @@
 )
 
 // plainCounts counts customers' items without cached summaries.
-func plainCounts(ta *Table, now time.Time) map[useKey]useCount {
-	counts := map[useKey]useCount{}
+func plainCounts(ta *Table, now time.Time) map[usageKey]itemCounts {
+	counts := map[usageKey]itemCounts{}
 	for _, sr := range ta.order {
-		key := useKey{sr.step.Customer, sr.step.Service}
+		key := usageKey{sr.step.Customer, sr.step.Service}
 		co := counts[key]
 		for _, ir := range sr.items {
 			switch {
 			case ir.state == waiting && !ta.held(ir):
 				co.waits++
-				co.ready = co.ready || !ta.rests(ir, now)
+				co.ready = co.ready || !ta.quarantined(ir, now)
 			case ir.state == running:
 				held, _ := ir.holds()
 				co.tokens += held
@@ -54,19 +54,19 @@
 }
 
 // plainLeaving returns the runs of a step that should move, without cached summaries.
-func plainLeaving(ta *Table, sr *stepRow, now time.Time) []leave {
-	var les []leave
+func plainLeaving(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
+	var les []moveCandidate
 	for _, ir := range sr.items {
 		en := ta.engines[ir.run.engine]
 		if en == nil || ir.state != running || ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 			continue
 		}
 		why := en.reasonToMove(ir, now)
-		if why == "" && ta.long(en, ir) {
+		if why == "" && ta.isLongRun(en, ir) {
 			why = "faster engine"
 		}
 		if why != "" {
-			les = append(les, leave{item: ir, why: why})
+			les = append(les, moveCandidate{item: ir, why: why})
 		}
 	}
 	return les
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -11,10 +11,10 @@
 // placePlainly is the reference implementation of Place: it keeps no state between ticks and
 // compares every waiting item with every engine that has a free slot.
 func placePlainly(ta *Table, now time.Time) {
-	if ta.listening(now) {
+	if ta.awaitingEngines(now) {
 		return
 	}
-	if now.Sub(ta.plannedAt) >= planEvery {
+	if now.Sub(ta.plannedAt) >= planInterval {
 		planPlainly(ta, now)
 	}
 	if len(ta.order) == 0 {
@@ -30,18 +30,18 @@
 		if open = slices.DeleteFunc(open, full); len(open) == 0 {
 			return
 		}
-		if ta.tried(ir, now) {
+		if ta.needsTrial(ir, now) {
 			pp.release(ta, ir)
 			if en := plainTrial(ta, ir, now); en != nil {
 				pp.start(ta, ir, en, now)
-				ta.trials.begin(en.id, ir)
+				ta.trials.start(en.id, ir)
 			}
 			continue
 		}
 		kept := ta.engines[ir.target]
 		pp.release(ta, ir)
 		en := kept
-		if en == nil || pp.open(ta, en) <= 0 || !ta.usable(en, ir) || ta.trials.tries(en.id, now) {
+		if en == nil || pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
 			en = plainChoose(pp, ta, ir, open, now)
 		}
 		if en != nil {
@@ -58,18 +58,18 @@
 	if en := ta.engines[ir.target]; en != nil {
 		pp.released[en] = true
 	}
-	ta.unreserve(ir)
+	ta.releaseReserved(ir)
 }
 
 func (pp *plainPlacing) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
-	ta.start(ir, en, now)
+	ta.startRun(ir, en, now)
 	if !pp.released[en] {
 		pp.soon[en] = plainEnd(en) <= aheadTime
 	}
 }
 
 func (pp *plainPlacing) open(ta *Table, en *engineRow) int {
-	if free := en.free(); free != 0 || !ta.sendsAhead(en.service) || !pp.soon[en] {
+	if free := en.freeSlots(); free != 0 || !ta.prequeues(en.service) || !pp.soon[en] {
 		return free
 	}
 	return 1
@@ -80,11 +80,11 @@
 	waiting := plainRanks(ta, plainWaits(ta, now))
 	for _, sr := range ta.order {
 		if sr.step.Due > 0 && !ta.idleByHold(sr) {
-			ta.room(sr.step.Service)
+			ta.servicePlan(sr.step.Service)
 		}
 	}
 	for service, rm := range ta.rooms {
-		ranks := rm.rank(waiting)
+		ranks := rm.adaptRanks(waiting)
 		var steps []*overload.Step
 		var rows []*stepRow
 		for _, sr := range ta.order {
@@ -95,10 +95,10 @@
 			st.Rank = ranks[sr.step.Customer]
 			steps, rows = append(steps, st), append(rows, sr)
 		}
-		places := ta.places(service, now)
+		places := ta.usableSlots(service, now)
 		rm.planner.Lingers = !ta.competesWithinPart(rm)
 		rm.planner.Plan(steps, places, now)
-		rm.withinPart = ta.customersWithinPart(steps, rows, places)
+		rm.withinPart = ta.customersWithinShare(steps, rows, places)
 		rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
 		if len(rows) == 0 && rm.planner.Idle() {
 			delete(ta.rooms, service)
@@ -108,7 +108,7 @@
 
 func plainStep(ta *Table, sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
-		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainer(),
+		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
 	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
@@ -139,7 +139,7 @@
 	var irs []*itemRow
 	for _, sr := range ta.order {
 		for _, ir := range sr.items {
-			if ir.state == waiting && !ta.rests(ir, now) && !ta.held(ir) {
+			if ir.state == waiting && !ta.quarantined(ir, now) && !ta.held(ir) {
 				irs = append(irs, ir)
 			}
 		}
@@ -164,14 +164,14 @@
 func plainWaiting(ta *Table, now time.Time) []*itemRow {
 	irs := plainWaits(ta, now)
 	waiting := plainRanks(ta, irs)
-	turn := func(ir *itemRow) placeTurn {
+	turn := func(ir *itemRow) passKind {
 		switch {
 		case !ir.group.plan.InTime():
-			return unplanned
-		case ir.timeToSpare(now) < urgentSpare:
-			return urgent
+			return unplannedPass
+		case ir.slack(now) < urgentSlack:
+			return urgentPass
 		default:
-			return planned
+			return plannedPass
 		}
 	}
 	slices.SortStableFunc(irs, func(a, b *itemRow) int {
@@ -179,12 +179,12 @@
 		if order := cmp.Compare(service, b.step.step.Service); order != 0 {
 			return order // services don't compete for slots
 		}
-		ranks := ta.rooms[service].rank(waiting)
+		ranks := ta.rooms[service].adaptRanks(waiting)
 		order := cmp.Compare(ranks[a.step.step.Customer], ranks[b.step.step.Customer])
-		if order == 0 && ta.crowded(service) {
+		if order == 0 && ta.overloaded(service) {
 			order = cmp.Or(cmp.Compare(turn(a), turn(b)), cmp.Compare(a.group.plan.Position(), b.group.plan.Position()))
 		}
-		return cmp.Or(order, cmp.Compare(a.timeToSpare(now), b.timeToSpare(now)))
+		return cmp.Or(order, cmp.Compare(a.slack(now), b.slack(now)))
 	})
 	return irs
 }
@@ -213,16 +213,16 @@
 func plainFits(en *engineRow, ir *itemRow) bool {
 	now, _ := plainMemory(en)
 	added, _ := ir.holds()
-	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= memoryPart*float64(en.tokens)
+	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= maxMemoryFraction*float64(en.tokens)
 }
 
 func plainTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
-	if ta.trials.count(now) >= max(1, len(ta.sorted)/trialPart) {
+	if ta.trials.count(now) >= max(1, len(ta.sorted)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
 	for _, en := range ta.sorted {
-		if en.free() <= 0 || !ta.usable(en, ir) || !plainFits(en, ir) || ta.trials.tries(en.id, now) {
+		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
 		if best == nil || len(en.items)+len(en.coming) < len(best.items)+len(best.coming) {
@@ -236,10 +236,10 @@
 	var best *engineRow
 	bestScore := 0.0
 	for _, en := range ens {
-		if pp.open(ta, en) <= 0 || !ta.usable(en, ir) || !plainFits(en, ir) || ta.trials.tries(en.id, now) {
+		if pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if en.id == ir.unwanted && now.Sub(ir.since) < againAfter {
+		if en.id == ir.unwanted && now.Sub(ir.since) < avoidEngineFor {
 			continue
 		}
 		score := plainScore(ta, en, ir, now)
@@ -251,14 +251,14 @@
 }
 
 func plainScore(ta *Table, en *engineRow, ir *itemRow, now time.Time) float64 {
-	score := float64(en.free())
+	score := float64(en.freeSlots())
 	for _, other := range en.items {
 		if other.step == ir.step && other.item.Group == ir.item.Group {
-			score += matePlaces
+			score += sameGroupBonus
 			break
 		}
 	}
-	if now.Sub(en.failed) < failedFor {
+	if now.Sub(en.failed) < brokenRunPenalty {
 		score -= float64(en.slots)
 	}
 	if en.slow(now) {
@@ -266,16 +266,16 @@
 	}
 	held, end := plainMemory(en)
 	took := ir.expectedTime().Seconds()
-	cost := took * placesPerSecond * float64((held+end)/2) * slowdownPerToken
+	cost := took * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
 	if best := ta.bests[en.service]; best > 0 && en.base > 0 {
 		if behind := float64(en.base)/float64(best) - 1; behind >= paceTolerance {
-			cost += behind * took * placesPerSecond
+			cost += behind * took * slotsPerSecond
 		}
 	}
 	crowding := 0.0
 	if en.tokens > 0 {
 		_, added := ir.holds()
-		crowding = crowdingPlaces * max(0, float64(end+added)/float64(en.tokens)-1)
+		crowding = overfillCostSlots * max(0, float64(end+added)/float64(en.tokens)-1)
 	}
 	return score - cost - crowding
 }
--- a/step/queue.go
+++ b/step/queue.go
@@ -57,14 +57,14 @@
 	var fresh [4][]waitEntry
 	for _, ir := range sq.fresh {
 		if ir.state == waiting {
-			fresh[ir.queue()] = append(fresh[ir.queue()], ir.entry())
+			fresh[ir.queueIndex()] = append(fresh[ir.queueIndex()], ir.entry())
 		}
 	}
 	sq.fresh = sq.fresh[:0]
 	tokens := sr.gauge.eventTokens()
 	for i := range sq.queues {
 		wq := &sq.queues[i]
-		if i&queueBegun != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
+		if i&queueWithEvents != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
 			wq.reorder()
 		}
 		wq.eventTokens, wq.tokenTime = tokens, sr.tokenTime
@@ -72,20 +72,20 @@
 	}
 }
 
-// queueBegun and queueRewarded are the bits of the index of an item's queue.
+// queueWithEvents and queueWithReward are the bits of the index of an item's queue.
 const (
-	queueBegun    = 1
-	queueRewarded = 2
+	queueWithEvents = 1
+	queueWithReward = 2
 )
 
-// queue returns the index of the queue for an item.
-func (ir *itemRow) queue() int {
+// queueIndex returns the index of the queueIndex for an item.
+func (ir *itemRow) queueIndex() int {
 	number := 0
-	if ir.begun() {
-		number |= queueBegun
+	if ir.hasEvents() {
+		number |= queueWithEvents
 	}
 	if ir.item.Reward != nil {
-		number |= queueRewarded
+		number |= queueWithReward
 	}
 	return number
 }
@@ -110,15 +110,15 @@
 	slices.SortFunc(wq.entries, compareEntries)
 }
 
-// fewFresh is the largest number of entries to insert one by one rather than by a merge.
-const fewFresh = 16
+// maxInserts is the largest number of entries to insert one by one rather than by a merge.
+const maxInserts = 16
 
 // merge adds entries. It drops invalid ones at the front, or all invalid ones if it merges.
 func (wq *waitQueue) merge(fresh []waitEntry) {
 	for len(wq.entries) > 0 && !wq.entries[0].valid() {
 		wq.entries = wq.entries[1:]
 	}
-	if len(fresh) <= fewFresh {
+	if len(fresh) <= maxInserts {
 		for _, we := range fresh {
 			at, _ := slices.BinarySearchFunc(wq.entries, we, compareEntries)
 			wq.entries = slices.Insert(wq.entries, at, we)
--- a/step/read.go
+++ b/step/read.go
@@ -36,7 +36,7 @@
 		}
 		if rq.After < sr.unread {
 			sc.mu.Unlock()
-			return sc.readUnread(ctx, sr, rq)
+			return sc.readStoredResults(ctx, sr, rq)
 		}
 		li, wait := sr.answer(rq, begun, time.Now())
 		if wait <= 0 {
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -130,7 +130,7 @@
 // decideAfter runs the systems that follow placement.
 func (re *replay) decideAfter() {
 	ta := re.table
-	ta.Weights(re.now)
+	ta.OrderLoads(re.now)
 	if chunks := ta.Due(re.now); len(chunks) > 0 {
 		ta.Listed(chunks, re.now)
 	}
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -77,7 +77,7 @@
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	enter(ta, 20, 1)
-	ta.EvictSilent(begin.Add(silentAfter + time.Millisecond))
+	ta.EvictSilent(begin.Add(responseTimeout + time.Millisecond))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 }
 
@@ -86,6 +86,6 @@
 	ta := NewTable(1, nil)
 	ta.SetEngines([]EngineInfo{{Address: "one", ID: "a", Incarnation: 10}}, begin)
 	ta.SetEngines([]EngineInfo{{Address: "two", ID: "a", Incarnation: 20}}, begin)
-	assert.Equal(t, ta.attendant("a"), "two")
-	assert.Equal(t, ta.attendant("b"), "")
+	assert.Equal(t, ta.attendantAddress("a"), "two")
+	assert.Equal(t, ta.attendantAddress("b"), "")
 }
--- a/step/revival.go
+++ b/step/revival.go
@@ -69,6 +69,6 @@
 	select {
 	case <-ctx.Done():
 	case <-back:
-	case <-time.After(retryAfter):
+	case <-time.After(retryDelay):
 	}
 }
--- a/step/reward.go
+++ b/step/reward.go
@@ -49,8 +49,8 @@
 		ta.finish(ir, complete, now)
 		return
 	}
-	ta.unreserve(ir)
-	ta.become(ir, scoring)
+	ta.releaseReserved(ir)
+	ta.setState(ir, scoring)
 	ir.reward.since = now
 	ta.unscored[ir] = true
 }
@@ -169,7 +169,7 @@
 		ta.rewards.observe(now.Sub(ir.reward.since))
 		ta.finish(ir, complete, now)
 	case ir.reward.failures >= max(ir.step.step.MaxAttempts, re.MaxAttempts, 1):
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.giveUp(ir, "its reward call failed too often", now)
 	default:
 		ir.reward.nextAt = now.Add(max(re.HeldFor, min(rewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -291,7 +291,7 @@
 	ta.steps["s"].step.MaxWait = 10 * time.Second
 	ta.DropExpired(begin.Add(10 * time.Second))
 	assert.Equal(t, ta.steps["s"].items[0].state, scoring)
-	ta.DropExpired(begin.Add(10*time.Second + giveUpSlack))
+	ta.DropExpired(begin.Add(10*time.Second + expirySlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
@@ -301,7 +301,7 @@
 	st := stepOf("s", 2)
 	st.Items[1].Reward = &forward.Call{Host: "desk", ID: "call", Path: "/"}
 	ta.Accept(st, StoredStep{}, false, begin)
-	spare := func(item int) time.Duration { return ta.steps["s"].items[item].timeToSpare(begin) }
+	spare := func(item int) time.Duration { return ta.steps["s"].items[item].slack(begin) }
 	assert.Equal(t, spare(0)-spare(1), usualReward)
 	for range 200 {
 		ta.rewards.observe(2 * time.Second)
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -72,5 +72,5 @@
 	}
 	te.table.rewarded(ir, re, now.Sub(begun), now)
 	sc.startRewards(te, now)
-	te.hurry()
+	te.writeIfUrgent()
 }
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -56,7 +56,7 @@
 	st := stepOf("t", 1)
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	assert.Assert(t, plannedGroups(ta, "s") < 20)
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
@@ -70,14 +70,14 @@
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.SetVersion("model", 2)
 	ta.SetVersion("second", 2)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	total := 0.0
-	for _, part := range ta.shares(ta.sorted[1:]) {
+	for _, part := range ta.engineShares(ta.sorted[1:]) {
 		total += part
 	}
 	assert.Assert(t, total < 4.01, "each model of the service with room has its share alone: %v", total)
 	total = 0
-	for _, part := range ta.shares(ta.sorted[:1]) {
+	for _, part := range ta.engineShares(ta.sorted[:1]) {
 		total += part
 	}
 	assert.Equal(t, total, 2.0, "each model of the crowded one has all")
@@ -87,14 +87,14 @@
 // The hysteresis of overload detection is kept for each service on its own.
 func TestServicesRememberWhetherTheyWereCrowded(t *testing.T) {
 	ta := twoServices(t, 1, 1, 30)
-	ta.planRoom(begin)
-	assert.Assert(t, ta.crowded("service") && !ta.crowded("other"))
+	ta.planCapacity(begin)
+	assert.Assert(t, ta.overloaded("service") && !ta.overloaded("other"))
 	ta.End("s")
 	st := stepOf("t", 1)
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
-	ta.planRoom(begin.Add(planEvery))
-	rooms := ta.Rooms()
+	ta.planCapacity(begin.Add(planInterval))
+	rooms := ta.ServiceLoads()
 	assert.Assert(t, !rooms["service"].Crowded && !rooms["other"].Crowded)
 	assert.Equal(t, rooms["service"].Load, 0.0)
 	assert.Assert(t, rooms["other"].Load > 0)
@@ -107,17 +107,17 @@
 	st := stepOf("t", 8)
 	st.Service, st.Customer = "other", "small"
 	ta.Accept(st, StoredStep{}, false, begin)
-	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
+	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickInterval) {
 		ta.ChargeUsage(now)
 		ta.Place(now)
 	}
-	assert.Assert(t, ta.sendsAhead("service"))
+	assert.Assert(t, ta.prequeues("service"))
 }
 
 // Each service has its own metrics, which are unregistered after it had no steps for a while.
 func TestRoomsAreMeasuredByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	sc := &Scheduler{Metrics: metrics.NewSet()}
 	sc.measureRoom(ta)
 	assert.DeepEqual(t, sc.Metrics.ListMetricNames(), []string{
@@ -125,10 +125,10 @@
 	})
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_steps_crowded{service="service"}`, nil).Get(), 1.0)
 	ta.End("s")
-	ta.planRoom(begin.Add(planEvery))
+	ta.planCapacity(begin.Add(planInterval))
 	sc.measureRoom(ta)
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_step_load{service="service"}`, nil).Get(), 0.0)
-	ta.planRoom(begin.Add(2 * time.Minute))
+	ta.planCapacity(begin.Add(2 * time.Minute))
 	sc.measureRoom(ta)
 	assert.Equal(t, len(sc.Metrics.ListMetricNames()), 0)
 }
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -1,8 +1,8 @@
 package step
 
-// order sorts the groups of a service's open steps by position into withRoom and without. It
-// does nothing unless the order is stale.
-func (rm *room) order(steps []*stepRow) {
+// sortGroups sorts the groups of a service's open steps by position into withRoom and without. It
+// does nothing unless the sortGroups is stale.
+func (rm *servicePlan) sortGroups(steps []*stepRow) {
 	if !rm.stale {
 		return
 	}
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -2,30 +2,30 @@
 
 import "wisteriacroft/overload"
 
-// rank adapts the ranks of customers to overload.
+// adaptRanks adapts the ranks of customers to overload.
 //
 // Customers within their share go first. Among the others, only a lead of at least one step's
 // work counts, since capacity is assigned step by step. With smaller leads, customers would
 // take slots from each other's started groups, and fewer groups would be complete in time.
-func (rm *room) rank(ranks map[string]int) map[string]int {
+func (rm *servicePlan) adaptRanks(ranks map[string]int) map[string]int {
 	if rm == nil || !rm.planner.Overloaded() {
 		return ranks
 	}
 	room := make(map[string]int, len(ranks))
 	for customer, rank := range ranks {
 		if !rm.withinPart[customer] {
-			room[customer] = 1 + rank/ranksOfAStep
+			room[customer] = 1 + rank/ranksPerStep
 		}
 	}
 	return room
 }
 
-// ranksOfAStep is the number of ranks that a customer may fall back by one executed step.
-const ranksOfAStep = 12
+// ranksPerStep is the number of ranks that a customer may fall back by one executed step.
+const ranksPerStep = 12
 
-// customersWithinPart returns, for each customer with open steps, whether their work needs no
+// customersWithinShare returns, for each customer with open steps, whether their work needs no
 // more than its share of the slots. Customers without open steps have no share.
-func (ta *Table) customersWithinPart(steps []*overload.Step, rows []*stepRow, places float64) map[string]bool {
+func (ta *Table) customersWithinShare(steps []*overload.Step, rows []*stepRow, places float64) map[string]bool {
 	asked, total := map[string]float64{}, 0.0 // slots; weight
 	for i, st := range steps {
 		customer := rows[i].step.Customer
--- a/step/row.go
+++ b/step/row.go
@@ -66,7 +66,7 @@
 	items []*itemRow
 	stale bool // wait is out of date
 	step  *stepRow
-	wait  groupWait
+	wait  groupSummary
 	left  int            // open items
 	plan  overload.Group // of the last capacity plan
 }
@@ -76,23 +76,23 @@
 	seenAt       time.Time // when this scheduler first saw the step
 	step         *Step
 	ended        bool
-	gauge        *tokenGauge   // of the step's model
-	tokenTime    time.Duration // per token on the service's engines; 0 means unknown
+	gauge        *tokenEstimator // of the step's model
+	tokenTime    time.Duration   // per token on the service's engines; 0 means unknown
 	rewards      *rewardGauge
 	groups       map[string]*groupRow
-	list         []*groupRow   // ordered by their first items
-	interleaved  bool          // items of a group aren't consecutive
-	waits        int           // number of waiting items
-	queue        stepQueue     // of waiting items
-	eventTokens  int           // tokens per event that the group summaries were made with
-	gatheredTime time.Duration // time per token that the group summaries were made with
-	gathered     bool          // group summaries changed after least and moving
-	least        int           // lower bound of the tokens of a waiting item
-	moving       int           // waiting items with a reserved slot
-	place        int           // index of the step, in this round of placement
-	round        *placing      // that seats belongs to
-	seats        *seatList     // engines that can run the step's items
-	rank         int           // of the customer, in this round of placement
+	list         []*groupRow    // ordered by their first items
+	interleaved  bool           // items of a group aren't consecutive
+	waits        int            // number of waiting items
+	queue        stepQueue      // of waiting items
+	eventTokens  int            // tokens per event that the group summaries were made with
+	gatheredTime time.Duration  // time per token that the group summaries were made with
+	gathered     bool           // group summaries changed after least and moving
+	least        int            // lower bound of the tokens of a waiting item
+	moving       int            // waiting items with a reserved slot
+	place        int            // index of the step, in this round of placement
+	round        *placement     // that seats belongs to
+	seats        *candidateList // engines that can run the step's items
+	rank         int            // of the customer, in this round of placement
 	items        []*itemRow
 	chunks       int             // number of listed chunks
 	counted      bool            // counts is set
@@ -124,7 +124,7 @@
 	born      incarnation.Number // of the engine that the row describes
 	forget    map[runner.Key]bool
 	foreign   int // running requests that aren't items
-	gauges    *gaugeChanges
+	gauges    *estimateChanges
 	gone      bool // another engine responds at its address
 	items     map[runner.Key]*itemRow
 	kept      map[runner.Key]*itemRow // complete items that the attendant retains until they are listed
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -25,17 +25,17 @@
 
 // Intervals and timeouts of a scheduler.
 const (
-	// tickEvery is the interval of the systems while steps are open.
-	tickEvery = 50 * time.Millisecond
-	// exchangeEvery is the pause between exchanges with an attendant while steps are open.
-	exchangeEvery = 100 * time.Millisecond
-	// idleExchange is the pause between exchanges while no step is open.
-	idleExchange = 400 * time.Millisecond
-	// idleCost is the pause that each engine adds for idle engines. Its inverse limits
+	// tickInterval is the interval of the systems while steps are open.
+	tickInterval = 50 * time.Millisecond
+	// exchangeInterval is the pause between exchanges with an attendant while steps are open.
+	exchangeInterval = 100 * time.Millisecond
+	// idleExchangeInterval is the pause between exchanges while no step is open.
+	idleExchangeInterval = 400 * time.Millisecond
+	// idleIntervalPerEngine is the pause that each engine adds for idle engines. Its inverse limits
 	// the rate of exchanges with them.
-	idleCost = 200 * time.Microsecond
-	// awaitPause is the pause after an exchange whose response waited for the end of a run.
-	awaitPause = 10 * time.Millisecond
+	idleIntervalPerEngine = 200 * time.Microsecond
+	// pauseAfterAwait is the pause after an exchange whose response waited for the end of a run.
+	pauseAfterAwait = 10 * time.Millisecond
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
 	// intakeWait is the duration of a long poll for new and ended steps. Without a recent
@@ -43,17 +43,17 @@
 	intakeWait = 2 * time.Second
 	// intakeSlack is how late the response of a poll may be.
 	intakeSlack = 500 * time.Millisecond
-	// listTimeout bounds one write of results. Writes can safely be repeated.
-	listTimeout = time.Second
+	// resultsWriteTimeout bounds one write of results. Writes can safely be repeated.
+	resultsWriteTimeout = time.Second
 	// probeTimeout bounds calls to the key-value service after a failed one, to detect its
 	// recovery early.
 	probeTimeout = 600 * time.Millisecond
-	// loadTimeout bounds reads of the state of earlier schedulers.
-	loadTimeout = 5 * time.Second
-	// retryAfter is the delay after a failed call to the key-value service.
-	retryAfter = 200 * time.Millisecond
-	// housekeeping is the interval at which expired steps are dropped.
-	housekeeping = 2 * time.Second
+	// readTimeout bounds reads of the state of earlier schedulers.
+	readTimeout = 5 * time.Second
+	// retryDelay is the delay after a failed call to the key-value service.
+	retryDelay = 200 * time.Millisecond
+	// cleanupInterval is the interval at which expired steps are dropped.
+	cleanupInterval = 2 * time.Second
 )
 
 // errNotScheduler means that this process doesn't hold the scheduler lease.
@@ -94,7 +94,7 @@
 	archive      archive
 	cancelHolder context.CancelFunc
 	accepted     chan struct{} // wakes the systems after a step was accepted
-	measured     map[string]RoomLoad
+	measured     map[string]ServiceLoad
 	mu           sync.Mutex
 	replacedAt   time.Time // when the last term ended
 	term         *term     // nil without the lease
@@ -168,16 +168,16 @@
 	resumed := make(chan struct{}, 1)
 	sc.Holder.HeldFunc = func() { notify(resumed) }
 	go sc.Holder.Run(holding)
-	ti := time.NewTicker(tickEvery)
+	ti := time.NewTicker(tickInterval)
 	defer ti.Stop()
 	// In its own goroutine: removing keys may block, which must not delay placement.
 	go (&tick.Loop{
-		Every: housekeeping, Systems: []tick.System{{Name: "keep house", Run: func(now time.Time) { sc.keepHouse(ctx, now) }}},
+		Every: cleanupInterval, Systems: []tick.System{{Name: "keep house", Run: func(now time.Time) { sc.cleanUp(ctx, now) }}},
 	}).Run(ctx)
 	for {
 		select {
 		case <-ctx.Done():
-			sc.stand(ctx, 0)
+			sc.updateTerm(ctx, 0)
 			return
 		case <-resumed:
 			sc.resume(ctx)
@@ -196,19 +196,19 @@
 	if st == lease.NotHeld {
 		epoch = 0
 	}
-	sc.stand(ctx, epoch)
+	sc.updateTerm(ctx, epoch)
 	sc.tick(now)
 }
 
-// stand begins, continues or ends a term according to the epoch of the lease, which is 0
+// updateTerm begins, continues or ends a term according to the epoch of the lease, which is 0
 // without a lease.
-func (sc *Scheduler) stand(ctx context.Context, epoch uint64) {
+func (sc *Scheduler) updateTerm(ctx context.Context, epoch uint64) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil && epoch != 0 && sc.Holder.Continues(sc.term.epoch) {
 		sc.Log.WithFields(logrus.Fields{"epoch": epoch, "former": sc.term.epoch}).Info("scheduler goes on")
 		sc.Metrics.GetOrCreateCounter(`wisteriacroft_scheduler_continuations_total`).Inc()
-		sc.term.goOn(epoch)
+		sc.term.renew(epoch)
 		return
 	}
 	if sc.term != nil && sc.term.epoch != epoch {
@@ -238,12 +238,12 @@
 	go sc.write(ctx, te)
 }
 
-// goOn continues a term under a new epoch.
+// renew continues a term under a new epoch.
 //
 // In a long outage of the key-value service the lease expires, but nobody else can acquire it,
 // so the state of the term stays valid. A new term would delay results by loading all state
 // and awaiting all attendants first.
-func (te *term) goOn(epoch uint64) {
+func (te *term) renew(epoch uint64) {
 	te.epoch = epoch
 	te.table.SetEpoch(epoch)
 	notify(te.writes)
@@ -273,28 +273,28 @@
 	ta.EvictSilent(now)
 	ta.MeasurePace(now)
 	if sc.LiveFunc != nil {
-		ta.SetLive(sc.LiveFunc(now))
+		ta.SetLiveUsage(sc.LiveFunc(now))
 	}
 	ta.ChargeUsage(now)
 	ta.DropExpired(now)
-	if sc.mayPlace(te, now) {
+	if sc.mayStartRuns(te, now) {
 		ta.MoveStragglers(now)
 		ta.RelieveMemory(now)
 		ta.Place(now)
-		ta.Weights(now)
+		ta.OrderLoads(now)
 		sc.measureRoom(ta)
 	}
 	sc.measureCustomers(ta)
 	sc.startRewards(te, now)
 	for id, kick := range te.exchange {
-		if ta.wantsExchange(id) {
+		if ta.exchangeUrgent(id) {
 			notify(kick)
 		}
 	}
 }
 
-// mayPlace reports whether runs may start: the lease is held, and the intake is up to date.
-func (sc *Scheduler) mayPlace(te *term, now time.Time) bool {
+// mayStartRuns reports whether runs may start: the lease is held, and the intake is up to date.
+func (sc *Scheduler) mayStartRuns(te *term, now time.Time) bool {
 	_, held := sc.Holder.Held(now)
 	return held && now.Sub(te.freshAt) < intakeWait+intakeSlack
 }
@@ -331,13 +331,13 @@
 	for _, in := range infos {
 		if _, ok := te.exchange[in.ID]; !ok {
 			te.exchange[in.ID] = make(chan struct{}, 1)
-			go sc.exchangeWith(te, in.ID, te.exchange[in.ID])
+			go sc.exchangeLoop(te, in.ID, te.exchange[in.ID])
 		}
 	}
 }
 
-// attendantOf returns the address of an engine's attendant.
-func (sc *Scheduler) attendantOf(en directory.Endpoint) string {
+// attendantAddress returns the address of an engine's attendant.
+func (sc *Scheduler) attendantAddress(en directory.Endpoint) string {
 	host, _, err := net.SplitHostPort(en.Address)
 	if err != nil {
 		host = en.Address
@@ -347,7 +347,7 @@
 
 func (sc *Scheduler) engineInfo(en directory.Endpoint, se directory.Service) EngineInfo {
 	in := EngineInfo{
-		Address: sc.attendantOf(en), Endpoint: en.Address, ID: en.ID, Incarnation: en.Incarnation, Leaving: en.Leaving,
+		Address: sc.attendantAddress(en), Endpoint: en.Address, ID: en.ID, Incarnation: en.Incarnation, Leaving: en.Leaving,
 		Service: en.Service, Slots: en.Slots, Tokens: se.Tokens, Versions: map[string]uint64{},
 	}
 	if in.Slots == 0 {
@@ -359,8 +359,8 @@
 	return in
 }
 
-// keepHouse drops expired steps, logs the load and loads results of earlier schedulers.
-func (sc *Scheduler) keepHouse(ctx context.Context, now time.Time) {
+// cleanUp drops expired steps, logs the load and loads results of earlier schedulers.
+func (sc *Scheduler) cleanUp(ctx context.Context, now time.Time) {
 	sc.mu.Lock()
 	var ids []string
 	if sc.term != nil && sc.term.ready {
@@ -369,9 +369,9 @@
 		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItems()))
 	}
 	sc.mu.Unlock()
-	sc.readMarked(ctx)
+	sc.loadListedResults(ctx)
 	for _, id := range ids {
-		cx, cancel := context.WithTimeout(ctx, loadTimeout)
+		cx, cancel := context.WithTimeout(ctx, readTimeout)
 		err := sc.Keeper.Drop(cx, id)
 		cancel()
 		if err != nil {
--- a/step/seat.go
+++ b/step/seat.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// A seat is a candidate engine in a round of placement, with precomputed inputs of its score.
+// A candidate is a candidate engine in a round of placement, with precomputed inputs of its score.
 //
 // The values that exclude most candidates are kept in a compact seatSummary, since every
 // candidate is checked for every waiting item.
-type seat struct {
+type candidate struct {
 	behind   float64 // see Table.behind
 	context  float64 // see engineRow.context
 	end      int     // total tokens at the ends of its runs
@@ -21,77 +21,77 @@
 	trying   bool // runs an isolated trial of an item
 }
 
-// A seatSummary holds the values that exclude a seat for most items.
-type seatSummary struct {
+// A candidateSummary holds the values that exclude a seat for most items.
+type candidateSummary struct {
 	room  int     // maximum tokens of an item that fits; fullRoom if none does
 	score float64 // upper bound of the score: the part that depends on the item is only subtracted
 }
 
-// fullRoom is the room of an engine that takes no items.
-const fullRoom = math.MinInt
+// noFreeTokens is the room of an engine that takes no items.
+const noFreeTokens = math.MinInt
 
-// A seatKey identifies steps whose items can run on the same engines. They share a seatList.
-type seatKey struct {
+// A candidateKey identifies steps whose items can run on the same engines. They share a seatList.
+type candidateKey struct {
 	minVersion     uint64
 	model, service string
 }
 
-// A seatList holds the seats that can run the items of some steps.
-type seatList struct {
+// A candidateList holds the seats that can run the items of some steps.
+type candidateList struct {
 	last  int   // last chosen index, or -1
 	most  int   // upper bound of the tokens of an item that fits
 	seats []int // indexes
 }
 
-// countOpen returns how many items an engine may get now.
+// countOpenSlots returns how many items an engine may get now.
 //
 // A full engine with a run about to end gets one item in advance, so that the slot isn't idle
 // until the scheduler learns of the end. This isn't done while a customer within its share
 // competes, since the next free slot would already be taken when its step arrives.
-func (pl *placing) countOpen(se *seat) int {
-	free := se.engine.free()
-	if free == 0 && se.endsSoon && pl.table.sendsAhead(se.engine.service) {
+func (pl *placement) countOpenSlots(se *candidate) int {
+	free := se.engine.freeSlots()
+	if free == 0 && se.endsSoon && pl.table.prequeues(se.engine.service) {
 		return 1
 	}
 	return free
 }
 
 // refresh recomputes a seat from the current state of its engine.
-func (pl *placing) refresh(i int) {
+func (pl *placement) refresh(i int) {
 	se, ta := &pl.seats[i], pl.table
 	en := se.engine
 	now, end := en.memory()
-	se.open, se.end, se.context = pl.countOpen(se), end, float64((now+end)/2)
-	se.trying = ta.trials.tries(en.id, pl.now)
+	se.open, se.end, se.context = pl.countOpenSlots(se), end, float64((now+end)/2)
+	se.trying = ta.trials.runsTrial(en.id, pl.now)
 	pl.summaries[i] = pl.summaryOf(se, now)
-	se.behind = ta.behind(en)
+	se.behind = ta.lagBehindBest(en)
 	if !se.full && se.open <= 0 && len(en.coming) == 0 {
 		se.full = true
-		if pl.live--; pl.live < len(pl.summaries)/2 && pl.live%dropEvery == 0 {
-			pl.dropFull()
+		if pl.live--; pl.live < len(pl.summaries)/2 && pl.live%compactEvery == 0 {
+			pl.compactLists()
 		}
 	}
 }
 
-// dropEvery is the number of seats that must become full between two compactions of the lists.
-const dropEvery = 16
+// compactEvery is the number of seats that must become full between two compactions of the lists.
+const compactEvery = 16
 
 // summaryOf returns the summary of a seat whose engine holds now tokens.
-func (pl *placing) summaryOf(se *seat, now int) seatSummary {
+func (pl *placement) summaryOf(se *candidate, now int) candidateSummary {
 	en := se.engine
-	su := seatSummary{room: math.MaxInt, score: en.baseScore(pl.now)}
+	su := candidateSummary{room: math.MaxInt, score: en.baseScore(pl.now)}
 	switch {
 	case se.open <= 0 || se.trying:
-		su.room = fullRoom
+		su.room = noFreeTokens
 	case en.tokens > 0 && len(en.items) > 0:
-		su.room = int(math.Floor(memoryPart*float64(en.tokens))) - now
+		su.room = int(math.Floor(maxMemoryFraction*float64(en.tokens))) - now
 	}
 	return su
 }
 
-// seatOf returns the index of an engine's seat, or -1. The index stored in the engine may be of
+// indexOf returns the index of an engine's seat, or -1. The index stored in the engine may be of
 // an earlier round.
-func (pl *placing) seatOf(en *engineRow) int {
+func (pl *placement) indexOf(en *engineRow) int {
 	if en != nil && en.seat >= 0 && en.seat < len(pl.seats) && pl.seats[en.seat].engine == en {
 		return en.seat
 	}
@@ -99,17 +99,17 @@
 }
 
 // listOf returns the seats that can run a step's items, cached for this round.
-func (pl *placing) listOf(sr *stepRow) *seatList {
+func (pl *placement) listOf(sr *stepRow) *candidateList {
 	if sr.round == pl {
 		return sr.seats
 	}
-	key := seatKey{minVersion: sr.step.MinVersion, model: sr.step.Model, service: sr.step.Service}
+	key := candidateKey{minVersion: sr.step.MinVersion, model: sr.step.Model, service: sr.step.Service}
 	sl := pl.lists[key]
 	if sl == nil {
-		sl = &seatList{last: -1, most: fullRoom}
+		sl = &candidateList{last: -1, most: noFreeTokens}
 		for i := range pl.seats {
 			se := &pl.seats[i]
-			if se.full || !pl.table.runsStep(se.engine, sr.step) {
+			if se.full || !pl.table.canRunStep(se.engine, sr.step) {
 				continue
 			}
 			sl.seats = append(sl.seats, i)
@@ -121,9 +121,9 @@
 	return sl
 }
 
-// dropBounds resets the bounds of all lists after memory of an engine was released. The next
+// resetBounds resets the bounds of all lists after memory of an engine was released. The next
 // choice from a list computes its bound again.
-func (pl *placing) dropBounds() {
+func (pl *placement) resetBounds() {
 	for _, sl := range pl.lists {
 		if len(sl.seats) > 0 {
 			sl.most = math.MaxInt
@@ -131,31 +131,31 @@
 	}
 }
 
-// An itemNeeds holds precomputed properties of an item for the choice of an engine.
-type itemNeeds struct {
+// An itemDemand holds precomputed properties of an item for the choice of an engine.
+type itemDemand struct {
 	item     *itemRow
 	now, end int     // tokens now and at the expected end
 	took     float64 // expected seconds to complete
 	unwanted string  // engine to avoid, or empty
 }
 
-func (pl *placing) needsOf(ir *itemRow) itemNeeds {
-	ne := itemNeeds{item: ir, took: ir.expectedTime().Seconds()}
+func (pl *placement) demandOf(ir *itemRow) itemDemand {
+	ne := itemDemand{item: ir, took: ir.expectedTime().Seconds()}
 	ne.now, ne.end = ir.holds()
-	if pl.now.Sub(ir.since) < againAfter {
+	if pl.now.Sub(ir.since) < avoidEngineFor {
 		ne.unwanted = ir.unwanted
 	}
 	return ne
 }
 
-// takes reports whether an engine with enough free memory for an item can run it.
-func (se *seat) takes(ne *itemNeeds) bool {
-	return (ne.unwanted == "" || se.engine.id != ne.unwanted) && se.engine.goesOnWith(ne.item)
+// accepts reports whether an engine with enough free memory for an item can run it.
+func (se *candidate) accepts(ne *itemDemand) bool {
+	return (ne.unwanted == "" || se.engine.id != ne.unwanted) && se.engine.canContinue(ne.item)
 }
 
-// scoreOf returns the score of a seat for an item, given the part that doesn't depend on it.
-func (se *seat) scoreOf(ne *itemNeeds, score float64) float64 {
-	return score - paceCost(ne.took, se.context, se.behind) - se.engine.crowding(se.end+ne.end)
+// score returns the score of a seat for an item, given the part that doesn't depend on it.
+func (se *candidate) score(ne *itemDemand, score float64) float64 {
+	return score - paceCost(ne.took, se.context, se.behind) - se.engine.overfillCost(se.end+ne.end)
 }
 
 // choose returns the index of the best seat for an item, or -1, and updates the bound of the
@@ -164,16 +164,16 @@
 // It skips seats whose upper bound is below the best score, unless the table has a custom
 // score, which has no such bound. Engines that run items of the same group are considered
 // first, with their bonus.
-func (pl *placing) choose(ir *itemRow) int {
+func (pl *placement) choose(ir *itemRow) int {
 	sl := pl.listOf(ir.step)
-	ne := pl.needsOf(ir)
-	best, bestScore, most := -1, 0.0, fullRoom
+	ne := pl.demandOf(ir)
+	best, bestScore, most := -1, 0.0, noFreeTokens
 	consider := func(i int, score float64) {
 		se := &pl.seats[i]
-		if !se.takes(&ne) {
+		if !se.accepts(&ne) {
 			return
 		}
-		score = pl.rankOf(se, &ne, score)
+		score = pl.score(se, &ne, score)
 		if best < 0 || score > bestScore || score == bestScore && se.engine.id < pl.seats[best].engine.id {
 			best, bestScore = i, score
 		}
@@ -183,8 +183,8 @@
 		if mate.state != running {
 			continue
 		}
-		if i := pl.seatOf(mate.run.at); i >= 0 && ne.now <= pl.summaries[i].room && pl.table.runsStep(mate.run.at, ir.step.step) {
-			consider(i, pl.summaries[i].score+matePlaces)
+		if i := pl.indexOf(mate.run.at); i >= 0 && ne.now <= pl.summaries[i].room && pl.table.canRunStep(mate.run.at, ir.step.step) {
+			consider(i, pl.summaries[i].score+sameGroupBonus)
 		}
 	}
 	if i := sl.last; i >= 0 && ne.now <= pl.summaries[i].room {
@@ -204,17 +204,17 @@
 	return best
 }
 
-// dropFull removes full seats from all lists.
-func (pl *placing) dropFull() {
+// compactLists removes full seats from all lists.
+func (pl *placement) compactLists() {
 	for _, sl := range pl.lists {
 		sl.seats = slices.DeleteFunc(sl.seats, func(i int) bool { return pl.seats[i].full })
 	}
 }
 
-// rankOf returns the score of a seat for an item, by the table's custom score if it has one.
-func (pl *placing) rankOf(se *seat, ne *itemNeeds, score float64) float64 {
+// score returns the score of a seat for an item, by the table's custom score if it has one.
+func (pl *placement) score(se *candidate, ne *itemDemand, score float64) float64 {
 	if rank := pl.table.rank; rank != nil {
 		return rank(se.engine, ne.item, pl.now)
 	}
-	return se.scoreOf(ne, score)
+	return se.score(ne, score)
 }
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -22,7 +22,7 @@
 // competesWithinPart reports whether, of two or more customers, one that asks for no more
 // than its part of a room has steps open there, or may soon have some. A customer that has
 // steps open at other services only doesn't count.
-func (ta *Table) competesWithinPart(rm *room) bool {
+func (ta *Table) competesWithinPart(rm *servicePlan) bool {
 	customers := ta.share.account.Balances()
 	if len(customers) < 2 {
 		return false
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -42,11 +42,11 @@
 				st.Customer = "small"
 				ta.Accept(st, StoredStep{}, false, begin)
 			}
-			for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
+			for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickInterval) {
 				ta.ChargeUsage(now)
 				ta.Place(now)
 			}
-			assert.Assert(t, ta.crowded("service"))
+			assert.Assert(t, ta.overloaded("service"))
 			assert.Equal(t, len(ta.engines["a"].items), tc.want)
 		})
 	}
@@ -70,7 +70,7 @@
 			from.base, to.base = 100*time.Millisecond, 40*time.Millisecond
 			now := begin.Add(tc.age)
 			irs[0].item.Hint, irs[0].run.eventAt = 1000, now // 16 events left
-			assert.Equal(t, ta.saves(irs[0], from, to, now), tc.want)
+			assert.Equal(t, ta.makesInTime(irs[0], from, to, now), tc.want)
 		})
 	}
 }
@@ -85,11 +85,11 @@
 	}
 	ta.SetVersion("model", 2)
 	ta.SetVersion("other", 2)
-	before := ta.shares(ta.sorted)
+	before := ta.engineShares(ta.sorted)
 	assert.Assert(t, before["model"]+before["other"] < 4.01, "with room, each has its share: %v", before)
-	assert.Equal(t, ta.neededLag("service"), uint64(0))
-	ta.planRoom(begin)
-	assert.Assert(t, ta.crowded("service"))
-	assert.DeepEqual(t, ta.shares(ta.sorted), map[string]float64{"model": 4, "other": 4})
-	assert.Equal(t, ta.neededLag("service"), uint64(uselessLag-1), "what steps take can wait for what they don't")
+	assert.Equal(t, ta.toleratedLag("service"), uint64(0))
+	ta.planCapacity(begin)
+	assert.Assert(t, ta.overloaded("service"))
+	assert.DeepEqual(t, ta.engineShares(ta.sorted), map[string]float64{"model": 4, "other": 4})
+	assert.Equal(t, ta.toleratedLag("service"), uint64(unusableLag-1), "what steps take can wait for what they don't")
 }
--- a/step/settle_test.go
+++ b/step/settle_test.go
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
-				ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
+				ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 				defer cancel()
 				begun := time.Now()
 				assert.NilError(t, (&Store{Client: losing(&me, tc.losses...)}).Accept(ctx, stepOf("s", 1)))
@@ -70,7 +70,7 @@
 				ho.Step(t.Context())
 				fence, _ := ho.Fence(1)
 				up := WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "s-0-0"}}, Step: "s"}}}
-				ctx, cancel = context.WithTimeout(t.Context(), listTimeout)
+				ctx, cancel = context.WithTimeout(t.Context(), resultsWriteTimeout)
 				defer cancel()
 				begun = time.Now()
 				done, err := (&Store{Client: losing(&me, tc.losses...)}).Write(ctx, fence, up)
@@ -94,7 +94,7 @@
 			<-ctx.Done()
 			return keyvalue.Item{}, keyvalue.ErrUnavailable
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
+		ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 		defer cancel()
 		err := (&Store{Client: cl}).Accept(ctx, stepOf("s", 1))
 		assert.Assert(t, errors.Is(err, keyvalue.ErrOutcomeUnknown), "%v", err)
@@ -130,7 +130,7 @@
 // write applies an update and fails the test unless it succeeds.
 func write(t *testing.T, ke *Store, up WriteSet) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), listTimeout)
+	ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 	defer cancel()
 	done, err := ke.Write(ctx, keyvalue.Expectation{Key: "fence"}, up)
 	assert.NilError(t, err)
@@ -168,7 +168,7 @@
 			assert.NilError(t, other.Accept(t.Context(), stepOf("s", 2)))
 			assert.NilError(t, other.End(t.Context(), "s"))
 			ke := &Store{Client: ls.client()}
-			write(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).cut()}, Deletes: []string{"x"}})
+			write(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).withoutItems()}, Deletes: []string{"x"}})
 			assert.NilError(t, ke.Drop(t.Context(), "s"))
 			ls.arrive(t)
 			ch, err := ls.Client().Scan(t.Context(), intakePrefix)
@@ -197,7 +197,7 @@
 			ta = NewTable(1, nil)
 			kept, err = ke.Stored(t.Context(), "s")
 			assert.NilError(t, err)
-			ta.Accept(stepOf("s", 1).cut(), kept, true, begin)
+			ta.Accept(stepOf("s", 1).withoutItems(), kept, true, begin)
 			assert.Assert(t, !ta.HasOpenWork())
 			assert.NilError(t, ke.Drop(t.Context(), "s"))
 			ch, err := ls.Client().Scan(t.Context(), checkpointPrefix)
--- a/step/share.go
+++ b/step/share.go
@@ -10,18 +10,18 @@
 
 // Limits of logging ranks.
 const (
-	// logRanksEvery is the interval of logging changed ranks.
-	logRanksEvery = time.Second
+	// rankLogInterval is the interval of logging changed ranks.
+	rankLogInterval = time.Second
 	// maxRankLines limits the customers logged at once. Changes beyond it are not logged.
 	maxRankLines = 20
 )
 
-// mostElapsed limits the time that one update accounts for. After a longer suspension of the
+// maxElapsed limits the time that one update accounts for. After a longer suspension of the
 // process it isn't known what was running meanwhile.
-const mostElapsed = time.Second
+const maxElapsed = time.Second
 
-// A fairShare holds the usage accounts of customers.
-type fairShare struct {
+// A customerUsage holds the usage accounts of customers.
+type customerUsage struct {
 	account   fairshare.Account
 	countedAt time.Time
 	live      map[string]float64 // fractions of plain services' slots in use by live requests, by customer
@@ -42,13 +42,13 @@
 	fs := &ta.share
 	elapsed := time.Duration(0)
 	if !fs.countedAt.IsZero() {
-		elapsed = min(now.Sub(fs.countedAt), mostElapsed)
+		elapsed = min(now.Sub(fs.countedAt), maxElapsed)
 	}
 	fs.countedAt = now
-	counts := ta.counts(now)
-	fs.account.Advance(ta.uses(counts), elapsed)
-	fs.recent.Add(heldPlaces(counts), elapsed, now)
-	if now.Sub(fs.loggedAt) >= logRanksEvery {
+	counts := ta.customerCounts(now)
+	fs.account.Advance(ta.customerUses(counts), elapsed)
+	fs.recent.Add(slotsInUse(counts), elapsed, now)
+	if now.Sub(fs.loggedAt) >= rankLogInterval {
 		fs.loggedAt = now
 		ta.logRanks()
 	}
@@ -84,27 +84,27 @@
 // SetWeights sets the customers' weights. The default weight is 1.
 func (ta *Table) SetWeights(weights map[string]float64) { ta.share.account.SetWeights(weights) }
 
-// SetLive sets, by customer, the fractions of scarce slots of plain services that live requests
+// SetLiveUsage sets, by customer, the fractions of scarce slots of plain services that live requests
 // use.
-func (ta *Table) SetLive(parts map[string]float64) { ta.share.live = parts }
+func (ta *Table) SetLiveUsage(parts map[string]float64) { ta.share.live = parts }
 
-type useKey struct{ customer, service string }
+type usageKey struct{ customer, service string }
 
-// A useCount counts a customer's items at a service.
-type useCount struct {
+// A itemCounts counts a customer's items at a service.
+type itemCounts struct {
 	held   int  // running items
 	ready  bool // a waiting item can start
 	tokens int  // of running items
 	waits  int  // waiting items
 }
 
-// scarcePart is the fraction of a service's slots in use from which they count as scarce. With
+// scarceFraction is the fraction of a service's slots in use from which they count as scarce. With
 // fewer in use, items wait for weights rather than for slots.
-const scarcePart = 0.75
+const scarceFraction = 0.75
 
-// uses returns what customers use and want of services with waiting items. Slots in use count
+// customerUses returns what customers use and want of services with waiting items. Slots in use count
 // only where they are scarce.
-func (ta *Table) uses(counts map[useKey]useCount) map[string]fairshare.Usage {
+func (ta *Table) customerUses(counts map[usageKey]itemCounts) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
 	for key, co := range counts {
 		waits[key.service] = waits[key.service] || co.ready
@@ -116,8 +116,8 @@
 		if !some {
 			continue
 		}
-		places, tokens := ta.capacity(service)
-		scarce := ratio(held[service], places) >= scarcePart
+		places, tokens := ta.serviceCapacity(service)
+		scarce := ratio(held[service], places) >= scarceFraction
 		ta.share.scarce[service] = scarce
 		addUses(uses, service, counts, places, tokens, scarce)
 	}
@@ -130,19 +130,19 @@
 	return uses
 }
 
-// counts returns the numbers of customers' items in open steps by service.
-func (ta *Table) counts(now time.Time) map[useKey]useCount {
-	ta.gather()
-	counts := map[useKey]useCount{}
+// customerCounts returns the numbers of customers' items in open steps by service.
+func (ta *Table) customerCounts(now time.Time) map[usageKey]itemCounts {
+	ta.updateSummaries()
+	counts := map[usageKey]itemCounts{}
 	for _, sr := range ta.order {
-		key := useKey{sr.step.Customer, sr.step.Service}
+		key := usageKey{sr.step.Customer, sr.step.Service}
 		co := counts[key]
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); held {
-			ta.countHeld(&co, sr)
+			ta.countUnheld(&co, sr)
 		} else {
 			co.waits += sr.waits
 		}
-		co.ready = co.ready || sr.waits > 0 && ta.anyMayBegin(sr, now)
+		co.ready = co.ready || sr.waits > 0 && ta.anyCanStart(sr, now)
 		eventTokens := sr.gauge.eventTokens()
 		for _, gr := range sr.list {
 			co.held += len(gr.wait.running)
@@ -155,8 +155,8 @@
 	return counts
 }
 
-// heldPlaces returns the number of slots in use by customer.
-func heldPlaces(counts map[useKey]useCount) map[string]int {
+// slotsInUse returns the number of slots in use by customer.
+func slotsInUse(counts map[usageKey]itemCounts) map[string]int {
 	places := map[string]int{}
 	for key, co := range counts {
 		places[key.customer] += co.held
@@ -164,8 +164,8 @@
 	return places
 }
 
-// countHeld counts the waiting items of a held step that aren't held themselves.
-func (ta *Table) countHeld(co *useCount, sr *stepRow) {
+// countUnheld counts the waiting items of a held step that aren't held themselves.
+func (ta *Table) countUnheld(co *itemCounts, sr *stepRow) {
 	for _, gr := range sr.list {
 		for _, ir := range gr.wait.waiting {
 			if !ta.held(ir) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// capacity returns the slots and the memory of a service's engines.
-func (ta *Table) capacity(service string) (places, tokens int) {
+// serviceCapacity returns the slots and the memory of a service's engines.
+func (ta *Table) serviceCapacity(service string) (places, tokens int) {
 	for _, en := range ta.sorted {
 		if en.service == service && !en.gone {
 			places += en.slots
@@ -187,7 +187,7 @@
 }
 
 // addUses adds what customers want of a service and, if its slots are scarce, what they use.
-func addUses(uses map[string]fairshare.Usage, service string, counts map[useKey]useCount, places, tokens int, scarce bool) {
+func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, places, tokens int, scarce bool) {
 	for key, co := range counts {
 		if key.service != service || co.held+co.waits == 0 {
 			continue
@@ -205,9 +205,9 @@
 
 func ratio(count, whole int) float64 { return float64(count) / float64(max(whole, 1)) }
 
-// customerRank returns the ranks of customers, of which the lowest goes first. A missing
+// customerRanks returns the ranks of customers, of which the lowest goes first. A missing
 // customer has rank 0.
-func (ta *Table) customerRank(customers map[string]bool) map[string]int {
+func (ta *Table) customerRanks(customers map[string]bool) map[string]int {
 	ranks := map[string]int{}
 	if ta.anyShare {
 		return ranks
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -14,9 +14,9 @@
 	"wisteriacroft/keyvalue"
 )
 
-// accountEvery is the minimum interval of writing the account, always with other writes. A new
+// accountInterval is the minimum interval of writing the account, always with other writes. A new
 // scheduler may miss as much usage.
-const accountEvery = time.Second
+const accountInterval = time.Second
 
 // accountMode is a canonical encoding, so that unchanged accounts can be detected.
 var accountMode = func() cbor.EncMode {
@@ -27,9 +27,9 @@
 	return mode
 }()
 
-// due returns the encoded account if it must be written now, or nil.
-func (fs *fairShare) due(now time.Time) []byte {
-	if now.Sub(fs.savedAt) < accountEvery {
+// dueAccount returns the encoded account if it must be written now, or nil.
+func (fs *customerUsage) dueAccount(now time.Time) []byte {
+	if now.Sub(fs.savedAt) < accountInterval {
 		return nil
 	}
 	me := fs.account.Snapshot()
@@ -43,23 +43,23 @@
 	return data
 }
 
-// written records that an account was written.
-func (fs *fairShare) written(data []byte, now time.Time) {
+// accountWritten records that an account was accountWritten.
+func (fs *customerUsage) accountWritten(data []byte, now time.Time) {
 	if len(data) > 0 {
 		fs.saved, fs.savedAt = data, now
 	}
 }
 
-// recall loads the account of an earlier scheduler, so that customers keep their ranks. It
+// restoreAccount loads the account of an earlier scheduler, so that customers keep their ranks. It
 // makes no call unless a step has a customer.
-func (sc *Scheduler) recall(ctx context.Context, te *term, accepted []*Step) error {
+func (sc *Scheduler) restoreAccount(ctx context.Context, te *term, accepted []*Step) error {
 	sc.mu.Lock()
 	first := !te.ready
 	sc.mu.Unlock()
 	if !first || !slices.ContainsFunc(accepted, func(st *Step) bool { return st.Customer != "" }) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	data, err := sc.Keeper.Account(ctx)
 	if err != nil {
@@ -97,7 +97,7 @@
 // newest. Nothing else in it may depend on the replaced account.
 func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
-	for range accountTries {
+	for range maxAccountTries {
 		version, known := ke.account.get()
 		if !known {
 			if _, err = ke.Account(ctx); err != nil {
@@ -124,8 +124,8 @@
 	return false, keyvalue.ErrConflict
 }
 
-// accountTries limits the attempts to write the account: one retry after a version conflict.
-const accountTries = 2
+// maxAccountTries limits the attempts to write the account: one retry after a version conflict.
+const maxAccountTries = 2
 
 // An accountVersion is the version of the account's key, if known. It is safe for concurrent
 // use. The zero value is unknown.
--- a/step/step.go
+++ b/step/step.go
@@ -66,16 +66,16 @@
 func QualifiedID(customer, id string) (string, error) {
 	qualified := id
 	if customer != "" {
-		qualified = url.QueryEscape(customer) + qualifier + id
+		qualified = url.QueryEscape(customer) + customerSeparator + id
 	}
-	if id == "" || strings.ContainsAny(id, "/"+qualifier) || len(qualified) > maxID {
+	if id == "" || strings.ContainsAny(id, "/"+customerSeparator) || len(qualified) > maxID {
 		return "", ErrBadID
 	}
 	return qualified, nil
 }
 
-// qualifier separates the customer from the ID. Neither contains it.
-const qualifier = ":"
+// customerSeparator separates the customer from the ID. Neither contains it.
+const customerSeparator = ":"
 
 // A Result is the outcome of an item.
 type Result struct {
@@ -95,9 +95,9 @@
 // Total returns the number of items, also of a step whose items were removed.
 func (st *Step) Total() int { return st.Count + len(st.Items) }
 
-// cut returns a copy of a step that has ended, without its items. This keeps the amount of
+// withoutItems returns a copy of a step that has ended, without its items. This keeps the amount of
 // data small that a new scheduler reads before it resumes open steps.
-func (st *Step) cut() *Step {
+func (st *Step) withoutItems() *Step {
 	cut := *st
 	cut.Items, cut.Cut, cut.Count = nil, true, st.Total()
 	return &cut
--- a/step/suspect.go
+++ b/step/suspect.go
@@ -11,27 +11,27 @@
 
 // Parameters of finding items that crash engines.
 const (
-	// trialTime is how long a run is young. Items that crash their engine do so during
+	// youngTime is how long a run is young. Items that crash their engine do so during
 	// prefill or the first events, so young runs are suspected first.
-	trialTime = time.Second
+	youngTime = time.Second
 	// trialEvents is the number of events after which a trial has passed.
 	trialEvents = 3
-	// trialEnds is the number of engines that must end during young runs of an item before
+	// minSuspectEnds is the number of engines that must end during young runs of an item before
 	// the item is tried alone.
-	trialEnds = 2
-	// trialWait is how long an item waits for a trial before it is placed as others are.
+	minSuspectEnds = 2
+	// maxTrialWait is how long an item waits for a trial before it is placed as others are.
 	// Crashes of many engines may make all items of a step suspects.
-	trialWait = 2 * time.Second
-	// trialPart is the number of engines per concurrent trial.
-	trialPart = 8
-	// guiltyStrikes is the number of strikes for an item whose engine ended during its trial.
+	maxTrialWait = 2 * time.Second
+	// enginesPerTrial is the number of engines per concurrent trial.
+	enginesPerTrial = 8
+	// trialStrikes is the number of strikes for an item whose engine ended during its trial.
 	// It bars the item at once.
-	guiltyStrikes = 6
-	// leastWave and the fraction 1/wavePart of all engines are the numbers of other engines
+	trialStrikes = 6
+	// minCrashWave and the fraction 1/wavePart of all engines are the numbers of other engines
 	// that end within waveTime from which on a common cause is assumed.
-	leastWave = 2
-	wavePart  = 4
-	waveTime  = time.Second
+	minCrashWave     = 2
+	crashWaveDivisor = 4
+	crashWaveTime    = time.Second
 	// maxYoung limits the items whose engine ends are remembered.
 	maxYoung = 1000
 )
@@ -44,16 +44,16 @@
 	young    map[quarantine.Digest]int // engines that ended during young runs, by item
 }
 
-// begin records that an engine tries an item.
-func (tr *trials) begin(engine string, ir *itemRow) {
+// start records that an engine tries an item.
+func (tr *trials) start(engine string, ir *itemRow) {
 	if tr.byEngine == nil {
 		tr.byEngine = map[string]*itemRow{}
 	}
 	tr.byEngine[engine] = ir
 }
 
-// tries reports whether an engine is running a trial, so that no other item may start there.
-func (tr *trials) tries(engine string, now time.Time) bool {
+// runsTrial reports whether an engine is running a trial, so that no other item may start there.
+func (tr *trials) runsTrial(engine string, now time.Time) bool {
 	ir := tr.byEngine[engine]
 	if ir == nil {
 		return false
@@ -69,25 +69,25 @@
 func (tr *trials) count(now time.Time) int {
 	count := 0
 	for engine := range maps.Clone(tr.byEngine) {
-		if tr.tries(engine, now) {
+		if tr.runsTrial(engine, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// end records the end of an engine, and returns how many others ended within waveTime.
-func (tr *trials) end(engine string, now time.Time) int {
+// recordEnd records the recordEnd of an engine, and returns how many others ended within waveTime.
+func (tr *trials) recordEnd(engine string, now time.Time) int {
 	if tr.ends == nil {
 		tr.ends = map[string]time.Time{}
 	}
 	tr.ends[engine] = now
-	maps.DeleteFunc(tr.ends, func(_ string, at time.Time) bool { return now.Sub(at) > waveTime })
+	maps.DeleteFunc(tr.ends, func(_ string, at time.Time) bool { return now.Sub(at) > crashWaveTime })
 	return len(tr.ends) - 1
 }
 
-// note records that an engine ended during a young run of an item.
-func (tr *trials) note(di quarantine.Digest) {
+// recordYoung records that an engine ended during a young run of an item.
+func (tr *trials) recordYoung(di quarantine.Digest) {
 	if tr.young == nil || len(tr.young) >= maxYoung {
 		tr.young = map[quarantine.Digest]int{}
 	}
@@ -95,24 +95,24 @@
 }
 
 // young reports whether an item's run has started within trialTime.
-func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.since) < trialTime }
+func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.since) < youngTime }
 
-// suspect records that a run broke because its engine ended, which the item may have caused.
+// recordEngineEnd records that a run broke because its engine ended, which the item may have caused.
 //
 // Without quarantine, an item that crashes engines would take down one after the other, with
 // all other runs there. Items with young runs are tried alone first, so that the others beside
 // them aren't quarantined as well.
-func (ta *Table) suspect(ir *itemRow, pr runner.Progress, now time.Time) {
+func (ta *Table) recordEngineEnd(ir *itemRow, pr runner.Progress, now time.Time) {
 	if !pr.EngineEnded {
 		return
 	}
-	others := ta.trials.end(ir.run.engine, now)
+	others := ta.trials.recordEnd(ir.run.engine, now)
 	weight, tried, young := 1, ta.trials.byEngine[ir.run.engine] == ir, ir.young(now)
 	if young {
-		ta.trials.note(ir.digest)
+		ta.trials.recordYoung(ir.digest)
 	}
-	if young && tried && others < max(leastWave, len(ta.sorted)/wavePart) {
-		weight = guiltyStrikes
+	if young && tried && others < max(minCrashWave, len(ta.sorted)/crashWaveDivisor) {
+		weight = trialStrikes
 	}
 	for i := range weight {
 		// Keyed by run, since the engine may have restarted already.
@@ -126,24 +126,24 @@
 	})
 }
 
-// rests reports whether an item is quarantined.
-func (ta *Table) rests(ir *itemRow, now time.Time) bool {
+// quarantined reports whether an item is quarantined.
+func (ta *Table) quarantined(ir *itemRow, now time.Time) bool {
 	return ta.quarantine.CheckItem(ir.digest, now).Held()
 }
 
-// tried reports whether an item must be tried alone.
-func (ta *Table) tried(ir *itemRow, now time.Time) bool {
-	return ta.trials.young[ir.digest] >= trialEnds && now.Sub(ir.since) < trialWait
+// needsTrial reports whether an item must be needsTrial alone.
+func (ta *Table) needsTrial(ir *itemRow, now time.Time) bool {
+	return ta.trials.young[ir.digest] >= minSuspectEnds && now.Sub(ir.since) < maxTrialWait
 }
 
-// chooseTrial returns the engine for a trial of an item, or nil: the one with the fewest runs.
-func (ta *Table) chooseTrial(ir *itemRow, now time.Time) *engineRow {
-	if ta.trials.count(now) >= max(1, len(ta.sorted)/trialPart) {
+// trialEngine returns the engine for a trial of an item, or nil: the one with the fewest runs.
+func (ta *Table) trialEngine(ir *itemRow, now time.Time) *engineRow {
+	if ta.trials.count(now) >= max(1, len(ta.sorted)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
 	for _, en := range ta.sorted {
-		if en.free() <= 0 || !ta.usable(en, ir) || !en.fits(ir) || ta.trials.tries(en.id, now) {
+		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
 		if best == nil || len(en.items)+len(en.coming) < len(best.items)+len(best.coming) {
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -109,7 +109,7 @@
 	}
 	for ir, ends := range deadly {
 		assert.Assert(t, ends <= 3, "%s took %d engines", ir.item.ID, ends)
-		assert.Assert(t, ta.rests(ir, begin.Add(time.Hour)), "it is barred")
+		assert.Assert(t, ta.quarantined(ir, begin.Add(time.Hour)), "it is barred")
 	}
 	for _, ir := range items {
 		_, ended := deadly[ir]
@@ -168,6 +168,6 @@
 		}
 	}
 	for _, ir := range ta.steps["s"].items {
-		assert.Assert(t, !ta.tried(ir, at) && !ta.rests(ir, at))
+		assert.Assert(t, !ta.needsTrial(ir, at) && !ta.quarantined(ir, at))
 	}
 }
--- a/step/table.go
+++ b/step/table.go
@@ -20,8 +20,8 @@
 	sorted    []*engineRow             // engines by ID, for deterministic decisions
 	gaveUp    map[string]time.Duration // age at which a trainer ended an incomplete step
 	plannedAt time.Time
-	rooms     map[string]*room    // by service
-	way       overload.Discipline // of all services
+	rooms     map[string]*servicePlan // by service
+	way       overload.Discipline     // of all services
 	// rank returns the score of an engine for an item; nil means the default score.
 	rank      func(en *engineRow, ir *itemRow, now time.Time) float64
 	paceRound int         // incremented when cached paces of engines expire
@@ -38,7 +38,7 @@
 	quarantine *quarantine.Table // of items that crash engines
 	requests   uint64            // number of requests to attendants
 	rewards    *rewardGauge
-	share      fairShare
+	share      customerUsage
 	steps      map[string]*stepRow
 	trials     trials // of items suspected to crash engines
 	// unscored are the items in state scoring.
@@ -48,12 +48,12 @@
 	order    []*stepRow        // open steps by acceptance
 	named    map[string]uint64 // newest version of each model
 	log      func(event string, fields map[string]any)
-	demand   map[string]float64     // tokens of a step, by model
-	garbage  []string               // keys to delete
-	cuts     []*Step                // ended steps, to be stored without their items
-	gauges   map[string]*tokenGauge // by model
+	demand   map[string]float64         // tokens of a step, by model
+	garbage  []string                   // keys to delete
+	cuts     []*Step                    // ended steps, to be stored without their items
+	gauges   map[string]*tokenEstimator // by model
 	// gaugeChanges counts changes of the estimates of all gauges.
-	gaugeChanges gaugeChanges
+	gaugeChanges estimateChanges
 	savedAt      time.Time                // when checkpoints were last made
 	bases        map[string]time.Duration // median base, by service
 	bests        map[string]time.Duration // base of the fastest engine, by service
@@ -71,9 +71,9 @@
 	ta := &Table{
 		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardGauge{},
 		bases: map[string]time.Duration{}, bests: map[string]time.Duration{}, demand: map[string]float64{},
-		engines: map[string]*engineRow{}, former: map[string]time.Time{}, gauges: map[string]*tokenGauge{},
+		engines: map[string]*engineRow{}, former: map[string]time.Time{}, gauges: map[string]*tokenEstimator{},
 		lengths: map[itemKey]length{}, named: map[string]uint64{}, paces: map[string]time.Duration{},
-		gaveUp: map[string]time.Duration{}, reuse: map[itemKey]*itemRow{}, rooms: map[string]*room{},
+		gaveUp: map[string]time.Duration{}, reuse: map[itemKey]*itemRow{}, rooms: map[string]*servicePlan{},
 		steps: map[string]*stepRow{}, unscored: map[*itemRow]bool{},
 	}
 	return ta
@@ -118,7 +118,7 @@
 	}
 	gauge := ta.gauges[st.Model]
 	if gauge == nil {
-		gauge = &tokenGauge{changes: &ta.gaugeChanges}
+		gauge = &tokenEstimator{changes: &ta.gaugeChanges}
 		ta.gauges[st.Model] = gauge
 	}
 	sr := &stepRow{
@@ -126,9 +126,9 @@
 		seenAt: now, step: st,
 	}
 	ta.steps[st.ID] = sr
-	listed := sr.takeKept(ke)
+	listed := sr.restoreListed(ke)
 	if ended {
-		ta.cut(sr)
+		ta.dropItems(sr)
 		return
 	}
 	for i := range st.Items {
@@ -161,7 +161,7 @@
 	sr.restore(ke.Checkpoints)
 	ta.observeDemand(st)
 	ta.order = append(ta.order, sr)
-	ta.staleRoom(st.Service)
+	ta.markPlanStale(st.Service)
 	slices.SortStableFunc(ta.order, func(a, b *stepRow) int { return a.step.Accepted.Compare(b.step.Accepted) })
 	ta.log("step accepted", map[string]any{
 		customerField: st.Customer, "due-ms": st.Due.Milliseconds(), "groups": len(sr.groups), "items": len(st.Items), "listed": sr.listedCount(),
@@ -170,8 +170,8 @@
 	})
 }
 
-// fits reports whether the step allows the versions of a text's events.
-func (st *Step) fits(evs []runner.Event) bool {
+// allows reports whether the step allows the versions of a text's events.
+func (st *Step) allows(evs []runner.Event) bool {
 	for i, ev := range evs {
 		if ev.Version < st.MinVersion || ev.Version == 0 || st.SingleVersion && ev.Version != evs[max(i-1, 0)].Version {
 			return false
@@ -182,9 +182,9 @@
 
 // finish sets the final state of an item, and updates its group.
 func (ta *Table) finish(ir *itemRow, state itemState, now time.Time) {
-	ta.unreserve(ir)
+	ta.releaseReserved(ir)
 	delete(ta.unscored, ir)
-	ta.become(ir, state)
+	ta.setState(ir, state)
 	ir.doneAt = now
 	ir.measure()
 	gr := ir.step.groups[ir.item.Group]
@@ -203,12 +203,12 @@
 	if !ok || sr.ended {
 		return
 	}
-	ta.noteGivenUp(sr, ta.plannedAt)
+	ta.recordAbandonAge(sr, ta.plannedAt)
 	sr.ended, sr.idle = true, true
 	ta.log("step ended", map[string]any{"listed": sr.listedCount(), stepField: id, "total": sr.step.Total()})
 	for _, ir := range sr.items {
-		ta.release(ir)
-		ta.unreserve(ir)
+		ta.releaseRun(ir)
+		ta.releaseReserved(ir)
 		ta.noteLength(ir)
 		delete(ta.unscored, ir)
 		if ir.state == scoring {
@@ -223,31 +223,31 @@
 	for number := range sr.checkpoints {
 		ta.garbage = append(ta.garbage, checkpointKey(id, number))
 	}
-	sr.wake()
+	sr.notifyReaders()
 	sr.items, sr.groups, sr.list = nil, nil, nil
 	sr.queue.drop()
-	ta.staleRoom(sr.step.Service)
-	ta.cut(sr)
+	ta.markPlanStale(sr.step.Service)
+	ta.dropItems(sr)
 	ta.order = slices.DeleteFunc(ta.order, func(other *stepRow) bool { return other == sr })
 }
 
-// cut drops the items of a step that has ended, in memory and, with the next write, in the
+// dropItems drops the items of a step that has ended, in memory and, with the next write, in the
 // key-value service.
-func (ta *Table) cut(sr *stepRow) {
+func (ta *Table) dropItems(sr *stepRow) {
 	if !sr.step.Cut {
-		sr.step = sr.step.cut()
+		sr.step = sr.step.withoutItems()
 		ta.cuts = append(ta.cuts, sr.step)
 	}
 }
 
-// wake notifies readers that wait for results.
-func (sr *stepRow) wake() {
+// notifyReaders notifies readers that wait for results.
+func (sr *stepRow) notifyReaders() {
 	close(sr.changed)
 	sr.changed = make(chan struct{})
 }
 
-// release removes an item's run from its engine, and makes the attendant forget it.
-func (ta *Table) release(ir *itemRow) {
+// releaseRun removes an item's run from its engine, and makes the attendant forget it.
+func (ta *Table) releaseRun(ir *itemRow) {
 	if ir.run.engine == "" {
 		return
 	}
@@ -260,12 +260,12 @@
 	ir.run = run{}
 }
 
-// keep removes a complete item's run from its engine, but lets the attendant retain the text
+// retainRun removes a complete item's run from its engine, but lets the attendant retain the text
 // until it is listed.
 //
 // Otherwise, in an outage of the key-value service, the only copy would be in this scheduler's
 // memory, and the next scheduler would have to generate it again.
-func (ta *Table) keep(ir *itemRow) {
+func (ta *Table) retainRun(ir *itemRow) {
 	en := ta.engines[ir.run.engine]
 	if en == nil {
 		return
@@ -275,8 +275,8 @@
 	en.kept[ir.run.key] = ir
 }
 
-// letGo lets the attendant forget the retained run of an item, if any.
-func (ta *Table) letGo(ir *itemRow) {
+// forgetRun lets the attendant forget the retained run of an item, if any.
+func (ta *Table) forgetRun(ir *itemRow) {
 	if en := ta.engines[ir.run.engine]; en != nil && en.kept[ir.run.key] == ir {
 		delete(en.kept, ir.run.key)
 		en.forget[ir.run.key] = true
@@ -294,23 +294,23 @@
 	if ir.target != "" {
 		ta.stopped = append(ta.stopped, ir)
 	}
-	ta.release(ir)
-	ta.become(ir, waiting)
+	ta.releaseRun(ir)
+	ta.setState(ir, waiting)
 	ir.since = now
 }
 
-// placeStopped starts moved items whose runs have stopped on the engines with their reserved
+// restartStopped starts moved items whose runs have stopped on the engines with their reserved
 // slots, and returns the IDs of these engines. Other waiting items are placed at the next tick,
 // so that they don't return at once to an engine that has just refused them.
-func (ta *Table) placeStopped(now time.Time) []string {
+func (ta *Table) restartStopped(now time.Time) []string {
 	var engines []string
 	for _, ir := range ta.stopped {
 		en := ta.engines[ir.target]
-		if ir.state != waiting || en == nil || ta.listening(now) || ta.tried(ir, now) || ta.trials.tries(en.id, now) {
+		if ir.state != waiting || en == nil || ta.awaitingEngines(now) || ta.needsTrial(ir, now) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if ta.unreserve(ir); en.free() > 0 && ta.usable(en, ir) {
-			ta.start(ir, en, now)
+		if ta.releaseReserved(ir); en.freeSlots() > 0 && ta.canRunItem(en, ir) {
+			ta.startRun(ir, en, now)
 			engines = append(engines, en.id)
 		}
 	}
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -68,7 +68,7 @@
 			for i, version := range tc.versions {
 				evs = append(evs, runner.Event{ID: int64(i + 1), Version: version})
 			}
-			assert.Equal(t, st.fits(evs), tc.usable)
+			assert.Equal(t, st.allows(evs), tc.usable)
 		})
 	}
 }
@@ -81,7 +81,7 @@
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 	ta.SetVersion("model", 2)
-	ta.Weights(begin)
+	ta.OrderLoads(begin)
 	rq, _ := ta.Request("a")
 	assert.Equal(t, rq.Order.Version, uint64(2))
 	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
@@ -144,10 +144,10 @@
 		st.Due = due
 		ta.Accept(st, StoredStep{}, false, begin)
 		ta.Place(begin)
-		assert.Equal(t, ta.crowded(st.Service), due > 0)
+		assert.Equal(t, ta.overloaded(st.Service), due > 0)
 		assert.Equal(t, ta.steps["s"].queue.built, due == 0)
 		ta.End("s")
-		ta.Place(begin.Add(tickEvery))
+		ta.Place(begin.Add(tickInterval))
 		sr := ta.steps["s"]
 		assert.Equal(t, len(sr.items)+len(sr.list)+len(ta.stale), 0)
 		if rm := ta.rooms[st.Service]; rm != nil {
@@ -216,7 +216,7 @@
 	}
 	have := map[string]int{}
 	for range len(ids) {
-		ta.Weights(begin)
+		ta.OrderLoads(begin)
 		for _, en := range ta.sorted {
 			if en.order != nil {
 				have[en.order.Model]++
@@ -269,7 +269,7 @@
 				ta.SetVersion(model, uint64(2+round/4))
 			}
 		}
-		ta.Weights(begin)
+		ta.OrderLoads(begin)
 		for _, en := range ta.sorted {
 			if en.order != nil {
 				loads[en.order.Model]++
@@ -287,7 +287,7 @@
 	ta := tableOf(t, 1, "a")
 	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
 	ta.SetVersion("other", 2)
-	ta.Weights(begin)
+	ta.OrderLoads(begin)
 	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
 	st := stepOf("other-step", 1)
 	st.Model = "other"
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -37,7 +37,7 @@
 	hear(ta, "a", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
-	ta.Place(begin.Add(listenTime + 1))
+	ta.Place(begin.Add(maxEngineWait + 1))
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 }
 
--- a/step/update.go
+++ b/step/update.go
@@ -26,7 +26,7 @@
 	if up.empty() {
 		return up
 	}
-	up.Account = ta.share.due(now)
+	up.Account = ta.share.dueAccount(now)
 	garbage := ta.Garbage()
 	up.Deletes = garbage[:min(len(garbage), room)]
 	room -= len(up.Deletes)
@@ -63,7 +63,7 @@
 func (ta *Table) Written(up WriteSet, now time.Time) {
 	ta.Listed(up.Chunks, now)
 	ta.CheckpointsSaved(up.Checkpoints)
-	ta.share.written(up.Account, now)
+	ta.share.accountWritten(up.Account, now)
 	ta.Removed(len(up.Deletes))
 	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
 }
--- a/step/witness.go
+++ b/step/witness.go
@@ -49,7 +49,7 @@
 		if len(en.Models) == 0 || heard+silent >= witnesses {
 			continue
 		}
-		re, err := callFor[Empty, runner.LastContactResponse](sc, sc.attendantOf(en), runner.LastContactMethod)
+		re, err := callFor[Empty, runner.LastContactResponse](sc, sc.attendantAddress(en), runner.LastContactMethod)
 		switch {
 		case err != nil:
 		case re.Since < deadAfter:
--- a/step/work.go
+++ b/step/work.go
@@ -12,7 +12,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te, err := sc.current()
-	if err != nil || te.table.begun.IsZero() || te.table.listening(now) {
+	if err != nil || te.table.begun.IsZero() || te.table.awaitingEngines(now) {
 		return nil, false
 	}
 	return te.table.openWork(now), true
@@ -26,7 +26,7 @@
 	for _, sr := range ta.order {
 		work := time.Duration(0)
 		for _, ir := range sr.items {
-			if ir.state == running || ir.state == waiting && !ta.held(ir) && !ta.rests(ir, now) {
+			if ir.state == running || ir.state == waiting && !ta.held(ir) && !ta.quarantined(ir, now) {
 				work += ir.expectedTime()
 			}
 		}
--- a/step/write.go
+++ b/step/write.go
@@ -13,7 +13,7 @@
 // time. One whose outcome is not known is repeated as it was.
 func (sc *Scheduler) write(ctx context.Context, te *term) {
 	var up WriteSet
-	timeout := listTimeout
+	timeout := resultsWriteTimeout
 	for ctx.Err() == nil {
 		back := te.revival.next()
 		if up.empty() {
@@ -31,10 +31,10 @@
 		done, err := sc.writeOnce(ctx, te, epoch, up, timeout)
 		switch {
 		case done:
-			if timeout != listTimeout {
+			if timeout != resultsWriteTimeout {
 				te.revival.tell()
 			}
-			timeout = listTimeout
+			timeout = resultsWriteTimeout
 			sc.mu.Lock()
 			te.table.Written(up, time.Now())
 			sc.mu.Unlock()
@@ -57,7 +57,7 @@
 	select {
 	case <-ctx.Done():
 	case <-te.writes:
-	case <-time.After(tickEvery):
+	case <-time.After(tickInterval):
 	}
 }
 
