--- a/step/archive.go
+++ b/step/archive.go
@@ -80,7 +80,7 @@
 // archived reports whether a step's results are to be read from what is kept: it
 // ended before the scheduler's term, or they were dropped from memory.
 func (sr *stepRow) archived() bool {
-	return sr.ended && len(sr.results) == 0 && !sr.loaded && (!sr.counted || len(sr.counts) > 0)
+	return sr.ended && len(sr.results) == 0 && !sr.resultsLoaded && (!sr.chunkSizesKnown || len(sr.chunkSizes) > 0)
 }
 
 // locate returns the chunk that holds a position, and the chunk's own position.
@@ -101,7 +101,7 @@
 // reader was told that there was nothing where it had read results before.
 func (sc *Scheduler) readEnded(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
-	counts, counted, total := sr.counts, sr.counted, sr.step.Total()
+	counts, counted, total := sr.chunkSizes, sr.chunkSizesKnown, sr.step.Total()
 	sc.mu.Unlock()
 	if !counted {
 		return sc.readWhole(ctx, te, sr, rq)
@@ -126,18 +126,18 @@
 	results := slices.Concat(chunks...)
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	if sc.term == te && !sr.counted {
+	if sc.term == te && !sr.chunkSizesKnown {
 		var counts []int
 		for _, chunk := range chunks {
 			counts = append(counts, len(chunk))
 		}
 		sr.count(counts)
-		sr.loaded, sr.results = true, results
+		sr.resultsLoaded, sr.results = true, results
 	}
 	return page(results, rq.After, sr.step.Total()), nil
 }
 
 // count notes how many results each chunk that is listed holds.
 func (sr *stepRow) count(counts []int) {
-	sr.counted, sr.chunks, sr.counts = true, len(counts), counts
+	sr.chunkSizesKnown, sr.chunks, sr.chunkSizes = true, len(counts), counts
 }
--- a/step/byroom.go
+++ b/step/byroom.go
@@ -9,12 +9,12 @@
 // A passItem is an item to be placed in the current pass.
 type passItem struct {
 	item  *itemRow
-	spare time.Duration // slack
+	slack time.Duration // slack
 }
 
 func comparePassItems(a, b passItem) int {
 	return cmp.Or(
-		cmp.Compare(a.spare, b.spare), cmp.Compare(a.item.step.place, b.item.step.place), cmp.Compare(a.item.index, b.item.index),
+		cmp.Compare(a.slack, b.slack), cmp.Compare(a.item.step.orderIndex, b.item.step.orderIndex), cmp.Compare(a.item.index, b.item.index),
 	)
 }
 
@@ -24,7 +24,7 @@
 func (pl *placement) placeByPlan(rm *servicePlan, ranks map[string]int) {
 	rm.sortGroups(pl.steps)
 	for _, rank := range pl.rankSteps(ranks) {
-		for turn, groups := range [][]*groupRow{rm.withRoom, rm.withRoom, rm.without} {
+		for turn, groups := range [][]*groupRow{rm.reserved, rm.reserved, rm.unreserved} {
 			if pl.exhausted() {
 				return
 			}
@@ -39,11 +39,11 @@
 func (pl *placement) runPass(groups []*groupRow, rank int, turn passKind) {
 	var items []passItem
 	for i, gr := range groups {
-		if pl.live == 0 {
+		if pl.openCount == 0 {
 			return
 		}
-		if gr.step.rank == rank && gr.step.waits > 0 && pl.mayFit(gr.step, gr.step.least, gr.step.moving) &&
-			pl.mayFit(gr.step, gr.wait.least, gr.wait.moving) && gr.mayHaveItems(turn, pl.now) {
+		if gr.step.customerRank == rank && gr.step.waitingCount > 0 && pl.mayFit(gr.step, gr.step.leastTokens, gr.step.movingCount) &&
+			pl.mayFit(gr.step, gr.summary.leastTokens, gr.summary.movingCount) && gr.mayHaveItems(turn, pl.now) {
 			items = gr.appendItems(items, turn, pl.now)
 		}
 		if i+1 < len(groups) && groups[i+1].plan.Position() == gr.plan.Position() {
@@ -51,10 +51,10 @@
 		}
 		slices.SortFunc(items, comparePassItems)
 		for _, pi := range items {
-			if pl.live == 0 {
+			if pl.openCount == 0 {
 				return
 			}
-			if pi.item.target != "" || pi.item.holdsNow() <= pl.listOf(pi.item.step).most {
+			if pi.item.moveTarget != "" || pi.item.holdsNow() <= pl.listOf(pi.item.step).maxTokens {
 				pl.assign(pi.item)
 			}
 		}
@@ -76,9 +76,9 @@
 	left := gr.step.step.Due - gr.step.age(now)
 	switch turn {
 	case urgentPass:
-		return gr.wait.rewarded || left-gr.wait.longest < urgentSlack
+		return gr.summary.needsScore || left-gr.summary.longest < urgentSlack
 	case plannedPass:
-		return left-gr.wait.shortest >= urgentSlack
+		return left-gr.summary.shortest >= urgentSlack
 	default:
 		return true
 	}
@@ -86,13 +86,13 @@
 
 // appendItems appends the waiting items of a group that belong to a pass.
 func (gr *groupRow) appendItems(items []passItem, turn passKind, now time.Time) []passItem {
-	for _, ir := range gr.wait.waiting {
+	for _, ir := range gr.summary.waiting {
 		if ir.state != waiting {
 			continue
 		}
 		spare := ir.slack(now)
 		if turn == unplannedPass || (turn == urgentPass) == (spare < urgentSlack) {
-			items = append(items, passItem{item: ir, spare: spare})
+			items = append(items, passItem{item: ir, slack: spare})
 		}
 	}
 	return items
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -8,25 +8,25 @@
 
 // A queueCursor is the position of a round of placement in one queue of a step.
 type queueCursor struct {
-	at    int // index of the next entry
+	next  int // index of the next entry
 	list  *candidateList
 	queue *waitQueue
-	spare time.Duration // slack of an item that would take no time
+	slack time.Duration // slack of an item that would take no time
 	step  *stepRow
 }
 
 // A slackKey is the sort key of an item in the order of slack.
 type slackKey struct {
-	rank  int // of the customer
-	spare time.Duration
-	step  int // index of the step
-	index int // in the step
+	rank      int // of the customer
+	slack     time.Duration
+	stepIndex int // index of the step
+	itemIndex int // in the step
 }
 
 func (sk slackKey) compare(other slackKey) int {
 	return cmp.Or(
-		cmp.Compare(sk.rank, other.rank), cmp.Compare(sk.spare, other.spare), cmp.Compare(sk.step, other.step),
-		cmp.Compare(sk.index, other.index),
+		cmp.Compare(sk.rank, other.rank), cmp.Compare(sk.slack, other.slack), cmp.Compare(sk.stepIndex, other.stepIndex),
+		cmp.Compare(sk.itemIndex, other.itemIndex),
 	)
 }
 
@@ -37,7 +37,7 @@
 	var heads []queueCursor
 	var moving []slackKey // of items with a reserved slot
 	for _, sr := range pl.steps {
-		if sr.waits == 0 {
+		if sr.waitingCount == 0 {
 			continue
 		}
 		sr.queue.refresh(sr)
@@ -45,7 +45,7 @@
 		moving = pl.appendMovingKeys(moving, sr)
 	}
 	slices.SortFunc(moving, slackKey.compare)
-	for pl.live > 0 {
+	for pl.openCount > 0 {
 		best, bestKey := -1, slackKey{}
 		for i := range heads {
 			if key, ok := heads[i].advance(moving); ok && (best < 0 || key.compare(bestKey) < 0) {
@@ -55,12 +55,12 @@
 		if best < 0 {
 			return
 		}
-		we := heads[best].queue.entries[heads[best].at]
-		heads[best].at++
-		if we.item.target != "" {
+		we := heads[best].queue.entries[heads[best].next]
+		heads[best].next++
+		if we.item.moveTarget != "" {
 			moving = moving[1:]
 		}
-		if we.item.target != "" || we.held <= heads[best].list.most {
+		if we.item.moveTarget != "" || we.tokens <= heads[best].list.maxTokens {
 			pl.assign(we.item)
 		}
 	}
@@ -70,9 +70,9 @@
 func (pl *placement) appendCursors(heads []queueCursor, sr *stepRow) []queueCursor {
 	for number := range sr.queue.queues {
 		wq := &sr.queue.queues[number]
-		he := queueCursor{list: pl.listOf(sr), queue: wq, spare: sr.step.Due - sr.age(pl.now), step: sr}
+		he := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
 		if number&queueWithReward != 0 {
-			he.spare -= sr.rewards.usual()
+			he.slack -= sr.rewards.usual()
 		}
 		if len(wq.entries) > 0 {
 			heads = append(heads, he)
@@ -83,13 +83,13 @@
 
 // appendMovingKeys appends the keys of a step's waiting items with a reserved slot.
 func (pl *placement) appendMovingKeys(keys []slackKey, sr *stepRow) []slackKey {
-	if sr.moving == 0 {
+	if sr.movingCount == 0 {
 		return keys
 	}
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.waiting {
-			if ir.target != "" {
-				keys = append(keys, slackKey{index: ir.index, rank: sr.rank, spare: ir.slack(pl.now), step: sr.place})
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.waiting {
+			if ir.moveTarget != "" {
+				keys = append(keys, slackKey{itemIndex: ir.index, rank: sr.customerRank, slack: ir.slack(pl.now), stepIndex: sr.orderIndex})
 			}
 		}
 	}
@@ -100,12 +100,12 @@
 // holds the keys of items that will still release a reserved slot. An item after the first of
 // these isn't skipped, since it may fit once that slot is free.
 func (he *queueCursor) advance(moving []slackKey) (slackKey, bool) {
-	if len(moving) == 0 && he.list.most < he.step.least {
+	if len(moving) == 0 && he.list.maxTokens < he.step.leastTokens {
 		return slackKey{}, false
 	}
-	for ; he.at < len(he.queue.entries); he.at++ {
-		we := &he.queue.entries[he.at]
-		if we.held <= he.list.most {
+	for ; he.next < len(he.queue.entries); he.next++ {
+		we := &he.queue.entries[he.next]
+		if we.tokens <= he.list.maxTokens {
 			if we.valid() {
 				return he.key(we), true
 			}
@@ -122,5 +122,5 @@
 }
 
 func (he *queueCursor) key(we *waitEntry) slackKey {
-	return slackKey{index: we.item.index, rank: he.step.rank, spare: he.spare - we.need, step: he.step.place}
+	return slackKey{itemIndex: we.item.index, rank: he.step.customerRank, slack: he.slack - we.duration, stepIndex: he.step.orderIndex}
 }
--- a/step/checkpoint.go
+++ b/step/checkpoint.go
@@ -53,7 +53,7 @@
 	}
 	ta.savedAt = now
 	var cps []Checkpoint
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if cp := sr.checkpoint(); len(cp.Partials) > 0 && len(cps) < maxChunks {
 			cps = append(cps, cp)
 		}
@@ -75,7 +75,7 @@
 	cp := Checkpoint{Number: sr.checkpoints, Step: sr.step.ID}
 	size := 0
 	for _, ir := range irs {
-		pa := Partial{Events: ir.events[ir.saved:], First: ir.saved, Item: ir.item.ID}
+		pa := Partial{Events: ir.events[ir.savedEvents:], First: ir.savedEvents, Item: ir.item.ID}
 		for _, ev := range pa.Events {
 			size += len(ev.Data)
 		}
@@ -89,14 +89,14 @@
 
 // worthKeeping returns how many new events an item must have to be in a checkpoint.
 func (ir *itemRow) worthKeeping() int {
-	if ir.saved == 0 {
+	if ir.savedEvents == 0 {
 		return checkpointEvents
 	}
 	return checkpointMore
 }
 
 // unsaved returns how many of an item's events are in no checkpoint.
-func (ir *itemRow) unsaved() int { return len(ir.events) - ir.saved }
+func (ir *itemRow) unsaved() int { return len(ir.events) - ir.savedEvents }
 
 // CheckpointsSaved takes in that checkpoints are kept.
 func (ta *Table) CheckpointsSaved(cps []Checkpoint) {
@@ -107,7 +107,7 @@
 		}
 		sr.checkpoints = max(sr.checkpoints, cp.Number+1)
 		if sr.ended {
-			ta.garbage = append(ta.garbage, checkpointKey(cp.Step, cp.Number))
+			ta.garbageKeys = append(ta.garbageKeys, checkpointKey(cp.Step, cp.Number))
 			continue
 		}
 		saved := map[string]int{}
@@ -116,7 +116,7 @@
 		}
 		for _, ir := range sr.items {
 			if count, ok := saved[ir.item.ID]; ok {
-				ir.saved = min(count, len(ir.events))
+				ir.savedEvents = min(count, len(ir.events))
 			}
 		}
 	}
@@ -136,19 +136,19 @@
 				continue
 			}
 			ir.events = append(ir.events[:pa.First:pa.First], pa.Events...)
-			ir.saved = len(ir.events)
+			ir.savedEvents = len(ir.events)
 		}
 	}
 	for _, ir := range sr.items {
 		if ir.state == waiting && !sr.step.allows(ir.events) {
-			ir.events, ir.saved = nil, 0
+			ir.events, ir.savedEvents = nil, 0
 		}
 	}
 }
 
 // Garbage returns keys that are no longer needed, to be removed with the next
 // write.
-func (ta *Table) Garbage() []string { return ta.garbage[:min(len(ta.garbage), maxDeletes)] }
+func (ta *Table) Garbage() []string { return ta.garbageKeys[:min(len(ta.garbageKeys), maxDeletes)] }
 
 // Removed takes in that keys are removed.
-func (ta *Table) Removed(count int) { ta.garbage = ta.garbage[count:] }
+func (ta *Table) Removed(count int) { ta.garbageKeys = ta.garbageKeys[count:] }
--- a/step/choose.go
+++ b/step/choose.go
@@ -4,8 +4,8 @@
 
 // engineScore returns the score of an engine for an item, in free slots.
 func (ta *Table) engineScore(en *engineRow, ir *itemRow, now time.Time) float64 {
-	if ta.rank != nil {
-		return ta.rank(en, ir, now)
+	if ta.scoreFunc != nil {
+		return ta.scoreFunc(en, ir, now)
 	}
 	return ta.defaultScore(en, ir, now)
 }
@@ -28,7 +28,7 @@
 // that recently broke a run, or is slow, gets items only if no other can take them.
 func (en *engineRow) baseScore(now time.Time) float64 {
 	score := float64(en.freeSlots())
-	if now.Sub(en.failed) < brokenRunPenalty {
+	if now.Sub(en.brokeRunAt) < brokenRunPenalty {
 		score -= float64(en.slots)
 	}
 	if en.slow(now) {
@@ -53,11 +53,11 @@
 // lagBehindBest returns by which fraction an engine is slower than the best one of its service, or 0
 // if that is less than paceTolerance or unknown.
 func (ta *Table) lagBehindBest(en *engineRow) float64 {
-	best := ta.bests[en.service]
-	if best <= 0 || en.base <= 0 {
+	best := ta.bestBases[en.service]
+	if best <= 0 || en.basePace <= 0 {
 		return 0
 	}
-	if behind := float64(en.base)/float64(best) - 1; behind >= paceTolerance {
+	if behind := float64(en.basePace)/float64(best) - 1; behind >= paceTolerance {
 		return behind
 	}
 	return 0
@@ -92,11 +92,11 @@
 // The last reported pace depends on the load at that time: by it, an empty engine would look
 // faster than a full one and attract all long runs at once.
 func (ta *Table) expectedPace(en *engineRow, added *itemRow) time.Duration {
-	base := en.base
+	base := en.basePace
 	if base == 0 {
-		base = ta.bases[en.service]
+		base = ta.medianBases[en.service]
 	}
-	runs, tokens := len(en.items)+len(en.coming), en.contextTokens()
+	runs, tokens := len(en.items)+len(en.incoming), en.contextTokens()
 	if added != nil {
 		now, end := added.holds()
 		runs, tokens = runs+1, tokens+(now+end)/2
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -121,7 +121,7 @@
 			if at < dayLength/2+2*time.Second {
 				return
 			}
-			for _, en := range re.table.sorted {
+			for _, en := range re.table.sortedEngines {
 				for _, ir := range en.items {
 					held[ir.step.step.Customer]++
 				}
@@ -158,10 +158,10 @@
 		var me keyvalue.Memory
 		sc := schedulerOf(me.Client())
 		ta, end := crowd(t)
-		for _, sr := range ta.order {
+		for _, sr := range ta.openSteps {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
-		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.dueAccount(end)})
+		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.usage.dueAccount(end)})
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 
@@ -207,7 +207,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, tx.Writes[len(tx.Writes)-1].Key, accountKey)
 	ta.Written(up, end)
-	assert.Equal(t, len(ta.share.dueAccount(end.Add(accountInterval))), 0, "unchanged, it is not written again")
+	assert.Equal(t, len(ta.usage.dueAccount(end.Add(accountInterval))), 0, "unchanged, it is not written again")
 }
 
 func TestOneCustomerHasNoRank(t *testing.T) {
@@ -218,7 +218,7 @@
 	for range 40 {
 		ta.ChargeUsage(begin)
 	}
-	assert.Equal(t, len(ta.share.dueAccount(begin.Add(time.Hour))), 0)
+	assert.Equal(t, len(ta.usage.dueAccount(begin.Add(time.Hour))), 0)
 }
 
 // Six customers on 1,100 full engines, each with thousands of waiting items.
@@ -229,7 +229,7 @@
 		infos = append(infos, EngineInfo{ID: fmt.Sprintf("engine-%04d", i), Service: "service", Slots: 8, Tokens: 40000})
 	}
 	ta.SetEngines(infos, begin)
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		hear(ta, en.id, runner.ExchangeResponse{}, begin)
 	}
 	for i := range 6 {
@@ -253,7 +253,7 @@
 // work doesn't change the order of the others.
 func TestRanksWhileTheRoomIsShort(t *testing.T) {
 	rm := NewTable(1, nil).servicePlan("service")
-	rm.withinPart = map[string]bool{"small": true}
+	rm.withinShare = map[string]bool{"small": true}
 	ranks := map[string]int{"large": ranksPerStep - 1, "other": 0, "small": 3, "far ahead": ranksPerStep}
 	assert.DeepEqual(t, rm.adaptRanks(ranks), ranks) // no overload yet
 	step := &overload.Step{Due: time.Second, Groups: []*overload.Group{{Work: time.Minute}}, Wanted: 1}
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -29,14 +29,14 @@
 	ta.paceRound++
 	ranks := ta.customerRanks(ta.waitingCustomers(now))
 	rows := map[string][]*stepRow{} // by service
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		// A step without a due time is never late and needs no plan.
 		if sr.step.Due > 0 && !ta.idleByHold(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
 			ta.servicePlan(sr.step.Service)
 		}
 	}
-	for _, service := range slices.Sorted(maps.Keys(ta.rooms)) {
+	for _, service := range slices.Sorted(maps.Keys(ta.servicePlans)) {
 		ta.planService(service, rows[service], ranks, now)
 	}
 }
@@ -55,8 +55,8 @@
 	rm.planner.Lingers = !ta.competesWithinPart(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
-	rm.withinPart = ta.customersWithinShare(steps, rows, places)
-	rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+	rm.withinShare = ta.customersWithinShare(steps, rows, places)
+	rm.prequeues = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
 	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
 			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(rows) == 0 && rm.planner.Idle() {
-		delete(ta.rooms, service)
+		delete(ta.servicePlans, service)
 	}
 }
 
@@ -99,13 +99,13 @@
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
-	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
+	if gaveUp := ta.abandonAges[st.Trainer]; gaveUp > 0 {
 		st.GivesUp = max(gaveUp-sr.age(now), 1)
 	}
 	var open []*groupRow // ordered by their first open items, for a deterministic plan
-	for _, gr := range sr.list {
-		gr.plan = overload.Group{Again: gr.again}
-		if gr.left == 0 {
+	for _, gr := range sr.groupList {
+		gr.plan = overload.Group{Again: gr.recurring}
+		if gr.openItems == 0 {
 			st.Wanted--
 			continue
 		}
@@ -129,9 +129,9 @@
 func (ta *Table) recordAbandonAge(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
 	case sr.sated():
-		delete(ta.gaveUp, sr.trainerKey())
+		delete(ta.abandonAges, sr.trainerKey())
 	case age > sr.step.Due:
-		ta.gaveUp[sr.trainerKey()] = age
+		ta.abandonAges[sr.trainerKey()] = age
 	}
 }
 
@@ -142,15 +142,15 @@
 // engines' speed relative to the median.
 func (ta *Table) usableSlots(service string, now time.Time) float64 {
 	total := 0.0
-	for _, en := range ta.sorted {
-		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > responseTimeout {
+	for _, en := range ta.sortedEngines {
+		if en.service != service || !en.reachable() || now.Sub(en.respondedAt) > responseTimeout {
 			continue
 		}
 		part := 1.0
-		if median := ta.bases[service]; median > 0 && en.base > 0 {
-			part = float64(median) / float64(en.base)
+		if median := ta.medianBases[service]; median > 0 && en.basePace > 0 {
+			part = float64(median) / float64(en.basePace)
 		}
-		total += part * float64(max(en.slots-en.foreign, 0))
+		total += part * float64(max(en.slots-en.foreignRequests, 0))
 	}
 	return total
 }
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -64,7 +64,7 @@
 		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.lesson, uint64(100*i)))
 	}
 	re := newReplay(hl.sheet, hl.factors, trainers)
-	re.table.way = way
+	re.table.policy = way
 	return re
 }
 
@@ -147,7 +147,7 @@
 		ta.planCapacity(begin.Add(time.Second))
 		assert.Assert(t, ta.overloaded("service"))
 		text := ""
-		for _, sr := range ta.order {
+		for _, sr := range ta.openSteps {
 			for _, ir := range sr.items {
 				text += fmt.Sprint(ir.item.ID, " ", ir.group.plan.InTime(), " ", ir.group.plan.Position(), "\n")
 			}
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -33,7 +33,7 @@
 		assert.NilError(t, err)
 	}
 	ta.Written(up, begin)
-	assert.Equal(t, len(ta.cuts), 0)
+	assert.Equal(t, len(ta.endedSteps), 0)
 
 	ch, err := me.Client().Scan(t.Context(), intakePrefix)
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	next := NewTable(2, nil)
 	next.Accept(in.steps["ended"], StoredStep{}, in.ended["ended"], begin)
 	assert.Assert(t, !next.HasOpenWork())
-	assert.Equal(t, len(next.cuts), 0)
+	assert.Equal(t, len(next.endedSteps), 0)
 	assert.Equal(t, next.steps["ended"].listing(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("ended", 2)), "it is known as accepted")
@@ -79,7 +79,7 @@
 
 	ta := NewTable(1, nil)
 	ta.Accept(st, StoredStep{}, true, begin)
-	assert.Equal(t, len(ta.cuts), 1)
+	assert.Equal(t, len(ta.endedSteps), 1)
 	ta.Forget(0, begin.Add(1))
-	assert.Equal(t, len(ta.cuts), 0)
+	assert.Equal(t, len(ta.endedSteps), 0)
 }
--- a/step/earlier.go
+++ b/step/earlier.go
@@ -19,7 +19,7 @@
 // takeOver starts an item with the text that an earlier step made of it, if
 // this step may have it.
 func (ta *Table) takeOver(ir *itemRow, now time.Time) {
-	old, ok := ta.reuse[ir.key()]
+	old, ok := ta.reusableItems[ir.key()]
 	if !ok || !bytes.Equal(old.item.Body, ir.item.Body) || !ir.step.step.allows(old.events) {
 		return
 	}
@@ -44,8 +44,8 @@
 // A trainer ends a step by what it has read. Groups that became whole just before
 // come again as well, and their longest items looked as short as their hints say.
 func (ta *Table) noteLength(ir *itemRow) {
-	if events := max(ir.known, len(ir.events)); events > 0 {
-		ta.lengths[ir.key()] = length{events: events, step: ir.step}
+	if events := max(ir.knownEvents, len(ir.events)); events > 0 {
+		ta.knownLengths[ir.key()] = length{events: events, step: ir.step}
 	}
 }
 
@@ -56,17 +56,17 @@
 		if sr.ended && sr.age(now) > keep {
 			delete(ta.steps, id)
 			ids = append(ids, id)
-			ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return st.ID == id })
+			ta.endedSteps = slices.DeleteFunc(ta.endedSteps, func(st *Step) bool { return st.ID == id })
 		}
 	}
-	for id, ir := range ta.reuse {
+	for id, ir := range ta.reusableItems {
 		if ir.step.age(now) > reuseTime || ta.outdated(ir) {
-			delete(ta.reuse, id)
+			delete(ta.reusableItems, id)
 		}
 	}
-	for id, le := range ta.lengths {
+	for id, le := range ta.knownLengths {
 		if le.step.age(now) > reuseTime {
-			delete(ta.lengths, id)
+			delete(ta.knownLengths, id)
 		}
 	}
 	ta.forgetFormer(now)
@@ -80,7 +80,7 @@
 // then most of what a scheduler holds. Kept for reuseTime, it would fill the memory, and
 // collecting garbage would delay the listing of results.
 func (ta *Table) outdated(ir *itemRow) bool {
-	newest := ta.named[ir.step.step.Model]
+	newest := ta.newestVersions[ir.step.step.Model]
 	return slices.ContainsFunc(ir.events, func(ev runner.Event) bool { return ev.Version+unusableLag <= newest })
 }
 
@@ -110,7 +110,7 @@
 			held += len(re.Text)
 		}
 		if held > cachedResults {
-			sr.results, sr.loaded = nil, false
+			sr.results, sr.resultsLoaded = nil, false
 		}
 	}
 }
--- a/step/engines.go
+++ b/step/engines.go
@@ -45,9 +45,9 @@
 		en := ta.engines[in.ID]
 		if en == nil {
 			en = &engineRow{
-				forget: map[runner.Key]bool{}, id: in.ID, items: map[runner.Key]*itemRow{}, joinedAt: now,
-				coming: map[*itemRow]bool{}, kept: map[runner.Key]*itemRow{},
-				gauges: &ta.gaugeChanges, versions: map[string]uint64{},
+				toForget: map[runner.Key]bool{}, id: in.ID, items: map[runner.Key]*itemRow{}, joinedAt: now,
+				incoming: map[*itemRow]bool{}, retained: map[runner.Key]*itemRow{},
+				estimateChanges: &ta.estimateChanges, versions: map[string]uint64{},
 			}
 			ta.engines[in.ID] = en
 			ta.log("engine joined", map[string]any{engineField: in.ID, "service": in.Service})
@@ -61,20 +61,20 @@
 		if !present[id] {
 			ta.requeueRuns(en, "engine is gone", now)
 			delete(ta.engines, id)
-			ta.former[id] = now
+			ta.formerEngines[id] = now
 		}
 	}
-	maps.DeleteFunc(ta.former, func(id string, _ time.Time) bool { return present[id] })
+	maps.DeleteFunc(ta.formerEngines, func(id string, _ time.Time) bool { return present[id] })
 	ta.forgetFormer(now)
-	ta.sorted = ta.sorted[:0]
+	ta.sortedEngines = ta.sortedEngines[:0]
 	for _, id := range slices.Sorted(maps.Keys(ta.engines)) {
-		ta.sorted = append(ta.sorted, ta.engines[id])
+		ta.sortedEngines = append(ta.sortedEngines, ta.engines[id])
 	}
 }
 
 // forgetFormer forgets engines that left more than formerTime ago.
 func (ta *Table) forgetFormer(now time.Time) {
-	maps.DeleteFunc(ta.former, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerEngineTTL })
+	maps.DeleteFunc(ta.formerEngines, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerEngineTTL })
 }
 
 // requeueRuns requeues an engine's runs.
@@ -86,13 +86,13 @@
 
 // SetVersion records a published version of a model. Versions older than the newest are ignored.
 func (ta *Table) SetVersion(model string, version uint64) {
-	ta.named[model] = max(ta.named[model], version)
+	ta.newestVersions[model] = max(ta.newestVersions[model], version)
 }
 
 // EvictSilent requeues the runs of engines whose attendants haven't responded for silentAfter.
 func (ta *Table) EvictSilent(now time.Time) {
-	for _, en := range ta.sorted {
-		if len(en.items) > 0 && !en.heardAt.IsZero() && now.Sub(en.heardAt) > responseTimeout {
+	for _, en := range ta.sortedEngines {
+		if len(en.items) > 0 && !en.respondedAt.IsZero() && now.Sub(en.respondedAt) > responseTimeout {
 			ta.requeueRuns(en, "attendant is silent", now)
 		}
 	}
@@ -112,19 +112,19 @@
 			rq.Launches = append(rq.Launches, ta.launch(ir))
 			continue
 		}
-		if ir.run.said < len(ir.events)+1 {
+		if ir.run.acked < len(ir.events)+1 {
 			rq.Seen = append(rq.Seen, runner.Ack{Events: len(ir.events), Key: key})
 		}
 		if ir.run.stopping {
 			rq.Stops = append(rq.Stops, key)
 		}
 	}
-	for key, ir := range en.kept {
-		if !ir.run.saidEnd || ir.run.saidScore != ir.reward.score {
+	for key, ir := range en.retained {
+		if !ir.run.ackedEnd || ir.run.storedScore != ir.reward.score {
 			rq.Seen = append(rq.Seen, runner.Ack{Ended: true, Events: len(ir.events), Key: key, Score: ir.reward.score})
 		}
 	}
-	for key := range en.forget {
+	for key := range en.toForget {
 		rq.Forget = append(rq.Forget, key)
 	}
 	// Engines run requests in the order of arrival.
@@ -170,7 +170,7 @@
 
 func (ta *Table) launch(ir *itemRow) runner.RunRequest {
 	return runner.RunRequest{
-		Body: ir.item.Body, Customer: ir.step.step.Customer, Endpoint: ir.run.engine, Header: ir.item.Header, Host: ir.step.step.Host, Key: ir.run.key,
-		Path: ir.item.Path, Prior: ir.events[:ir.run.prior], Version: ir.run.version,
+		Body: ir.item.Body, Customer: ir.step.step.Customer, Endpoint: ir.run.engineID, Header: ir.item.Header, Host: ir.step.step.Host, Key: ir.run.key,
+		Path: ir.item.Path, Prior: ir.events[:ir.run.priorEvents], Version: ir.run.version,
 	}
 }
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -22,7 +22,7 @@
 			return true
 		}
 	}
-	return en.order != nil && en.order.Version > 0 && !en.ordered
+	return en.order != nil && en.order.Version > 0 && !en.orderAcked
 }
 
 // exchangePause returns the pause after the next exchange with an engine's attendant, unless
@@ -46,7 +46,7 @@
 // attendant.
 func (ta *Table) engineIdle(id string) bool {
 	en, ok := ta.engines[id]
-	return ok && len(en.items)+len(en.kept)+len(en.forget) == 0 && en.order == nil
+	return ok && len(en.items)+len(en.retained)+len(en.toForget) == 0 && en.order == nil
 }
 
 // attendantAddress returns the current address of an engine's attendantAddress, which changes if the engine
@@ -61,7 +61,7 @@
 // writeIfUrgent wakes the writer if everything that a trainer waits for is complete.
 func (te *term) writeIfUrgent() {
 	if te.table.takeUrgent() {
-		notify(te.writes)
+		notify(te.writeKick)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, id := range te.table.restartStopped(now) {
-		if kick, ok := te.exchange[id]; ok {
+		if kick, ok := te.exchangeKicks[id]; ok {
 			notify(kick)
 		}
 	}
@@ -94,7 +94,7 @@
 		rq, ok := te.table.Request(id)
 		pause, address := te.table.exchangePause(id), te.table.attendantAddress(id)
 		if !ok || sc.term != te {
-			delete(te.exchange, id)
+			delete(te.exchangeKicks, id)
 			sc.mu.Unlock()
 			return
 		}
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -33,12 +33,12 @@
 			ta.Accept(stepOf("step", 1), StoredStep{}, false, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
 
-			for _, en := range ta.sorted {
+			for _, en := range ta.sortedEngines {
 				hear(ta, en.id, runner.ExchangeResponse{}, begin)
 			}
 			ta.Place(begin)
 			busy := 0
-			for _, en := range ta.sorted {
+			for _, en := range ta.sortedEngines {
 				if len(en.items) == 0 {
 					continue
 				}
--- a/step/fixture_test.go
+++ b/step/fixture_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	ir := ta.steps[step].items[item]
 	assert.Equal(t, ir.state, running)
-	return ir.run.engine, ir.run.key
+	return ir.run.engineID, ir.run.key
 }
 
 func end(ta *Table, t *testing.T, step string, item int, state runner.State, evs []runner.Event, now time.Time) {
--- a/step/follow.go
+++ b/step/follow.go
@@ -140,12 +140,12 @@
 	}
 	if !te.ready {
 		te.ready = true
-		sc.Log.WithFields(logrus.Fields{"epoch": te.epoch, "open": len(te.table.order), "steps": len(in.steps)}).Info("scheduler is ready")
+		sc.Log.WithFields(logrus.Fields{"epoch": te.epoch, "open": len(te.table.openSteps), "steps": len(in.steps)}).Info("scheduler is ready")
 	}
-	stale := now.Sub(te.freshAt) >= intakeWait+intakeSlack
-	te.freshAt = now
+	stale := now.Sub(te.polledAt) >= intakeWait+intakeSlack
+	te.polledAt = now
 	if len(accepted) > 0 || stale {
-		notify(sc.accepted)
+		notify(sc.stepAccepted)
 	}
 	if len(accepted) > 0 {
 		sc.Metrics.GetOrCreateCounter(`wisteriacroft_steps_accepted_total`).Add(len(accepted))
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -27,16 +27,16 @@
 // A tokenEstimator estimates the number of tokens per event of a model, which determines the memory
 // that runs take and their remaining times. The zero value has no observations.
 type tokenEstimator struct {
-	changes *estimateChanges // counts changes of the estimate; may be nil
-	tokens  int              // the estimate; 0 means none
+	changes  *estimateChanges // counts changes of the estimate; may be nil
+	estimate int              // the estimate; 0 means none
 
 	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
 	median int       // of the ratios
 
-	atBound       int // number of items with the most events for their limit
-	fullest       int // their token limit
-	fullestEvents int // their events
+	atLimit       int // number of items with the most events for their limit
+	longestTokens int // their token limit
+	longestEvents int // their events
 }
 
 // A estimateChanges counts changes of the estimates of all gauges, to invalidate caches.
@@ -53,9 +53,9 @@
 // update recomputes the estimate.
 func (ga *tokenEstimator) update() {
 	before := ga.eventTokens()
-	ga.tokens = ga.fromLimits()
-	if ga.tokens <= 0 {
-		ga.tokens = ga.median
+	ga.estimate = ga.fromLimits()
+	if ga.estimate <= 0 {
+		ga.estimate = ga.median
 	}
 	if ga.changes != nil && ga.eventTokens() != before {
 		ga.changes.counted++
@@ -72,11 +72,11 @@
 		return
 	}
 	defer ga.update()
-	switch more := events*ga.fullest - ga.fullestEvents*bound; {
-	case ga.fullest == 0, more > 0:
-		ga.atBound, ga.fullest, ga.fullestEvents = 1, bound, events
+	switch more := events*ga.longestTokens - ga.longestEvents*bound; {
+	case ga.longestTokens == 0, more > 0:
+		ga.atLimit, ga.longestTokens, ga.longestEvents = 1, bound, events
 	case more == 0:
-		ga.atBound++
+		ga.atLimit++
 	}
 }
 
@@ -102,10 +102,10 @@
 
 // eventTokens returns the estimated tokens per event. The receiver may be nil.
 func (ga *tokenEstimator) eventTokens() int {
-	if ga == nil || ga.tokens <= 0 {
+	if ga == nil || ga.estimate <= 0 {
 		return defaultEventTokens
 	}
-	return ga.tokens
+	return ga.estimate
 }
 
 // tokenTime returns the time per token of engines with the given median and best times per
@@ -135,10 +135,10 @@
 
 // fromLimits returns the tokens per event according to items at their limits, or 0 if unknown.
 func (ga *tokenEstimator) fromLimits() int {
-	if ga.atBound < estimatorMinAtLimit || ga.median <= 0 {
+	if ga.atLimit < estimatorMinAtLimit || ga.median <= 0 {
 		return 0
 	}
-	exact := ga.fullest / ga.fullestEvents
+	exact := ga.longestTokens / ga.longestEvents
 	if float64(exact) > estimatorMaxDeviation*float64(ga.median) || float64(ga.median) > estimatorMaxDeviation*float64(exact) {
 		return 0 // items that ended early had the same length by chance
 	}
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -8,25 +8,25 @@
 // A groupSummary is a summary of a group's open items. It is kept between ticks until the state
 // of an item or an estimate changes.
 type groupSummary struct {
-	eventTokens int           // tokens per event that the summary was made with
-	tokenTime   time.Duration // time per token that the summary was made with
-	begun       bool          // a waiting item has events, so that the summary depends on eventTokens
-	least       int           // minimum tokens of a waiting item
-	longest     time.Duration // expected time of the longest waiting item
-	moving      int           // waiting items with a reserved slot
-	rewarded    bool          // a waiting item needs a score
-	running     []*itemRow
-	scoring     int           // number of items
-	shortest    time.Duration // expected time of the shortest waiting item
-	waiting     []*itemRow    // in the order of the step
-	work        time.Duration // total expected time of the waiting items
+	eventTokens  int           // tokens per event that the summary was made with
+	tokenTime    time.Duration // time per token that the summary was made with
+	hasEvents    bool          // a waiting item has events, so that the summary depends on eventTokens
+	leastTokens  int           // minimum tokens of a waiting item
+	longest      time.Duration // expected time of the longest waiting item
+	movingCount  int           // waiting items with a reserved slot
+	needsScore   bool          // a waiting item needs a score
+	running      []*itemRow
+	scoringCount int           // number of items
+	shortest     time.Duration // expected time of the shortest waiting item
+	waiting      []*itemRow    // in the order of the step
+	work         time.Duration // total expected time of the waiting items
 }
 
 // markStale schedules an update of the group's summary.
 func (gr *groupRow) markStale(ta *Table) {
 	if !gr.stale {
 		gr.stale = true
-		ta.stale = append(ta.stale, gr)
+		ta.staleGroups = append(ta.staleGroups, gr)
 	}
 }
 
@@ -34,10 +34,10 @@
 func (ta *Table) setState(ir *itemRow, state itemState) {
 	sr := ir.step
 	if ir.state == waiting {
-		sr.waits--
+		sr.waitingCount--
 	}
 	if state == waiting {
-		sr.waits++
+		sr.waitingCount++
 		sr.queue.add(ir)
 	}
 	ir.state = state
@@ -46,16 +46,16 @@
 
 // updateSummaries updates the summaries of groups and steps whose items or estimates have changed.
 func (ta *Table) updateSummaries() {
-	for _, gr := range ta.stale {
+	for _, gr := range ta.staleGroups {
 		gr.stale = false
 		if !gr.step.ended {
 			gr.updateSummary()
-			gr.step.gathered = true
+			gr.step.summariesChanged = true
 		}
 	}
-	clear(ta.stale)
-	ta.stale = ta.stale[:0]
-	for _, sr := range ta.order {
+	clear(ta.staleGroups)
+	ta.staleGroups = ta.staleGroups[:0]
+	for _, sr := range ta.openSteps {
 		sr.updateSummary()
 	}
 }
@@ -63,32 +63,32 @@
 // updateSummary updates the summaries of groups whose estimates have changed, and then those of the
 // step.
 func (sr *stepRow) updateSummary() {
-	if tokens := sr.gauge.eventTokens(); tokens != sr.eventTokens || sr.tokenTime != sr.gatheredTime {
-		sr.eventTokens, sr.gatheredTime = tokens, sr.tokenTime
-		for _, gr := range sr.list {
-			if gr.wait.begun && gr.wait.eventTokens != tokens || gr.wait.tokenTime != sr.tokenTime {
+	if tokens := sr.estimator.eventTokens(); tokens != sr.summaryEventTokens || sr.tokenTime != sr.summaryTokenTime {
+		sr.summaryEventTokens, sr.summaryTokenTime = tokens, sr.tokenTime
+		for _, gr := range sr.groupList {
+			if gr.summary.hasEvents && gr.summary.eventTokens != tokens || gr.summary.tokenTime != sr.tokenTime {
 				gr.updateSummary()
-				sr.gathered = true
+				sr.summariesChanged = true
 			}
 		}
 	}
-	if !sr.gathered {
+	if !sr.summariesChanged {
 		return
 	}
-	sr.gathered, sr.moving, sr.least = false, 0, math.MaxInt
-	for _, gr := range sr.list {
-		sr.moving += gr.wait.moving
-		if len(gr.wait.waiting) > 0 {
-			sr.least = min(sr.least, gr.wait.least)
+	sr.summariesChanged, sr.movingCount, sr.leastTokens = false, 0, math.MaxInt
+	for _, gr := range sr.groupList {
+		sr.movingCount += gr.summary.movingCount
+		if len(gr.summary.waiting) > 0 {
+			sr.leastTokens = min(sr.leastTokens, gr.summary.leastTokens)
 		}
 	}
 }
 
 // updateSummary recomputes the summary of a group.
 func (gr *groupRow) updateSummary() {
-	gw := &gr.wait
+	gw := &gr.summary
 	*gw = groupSummary{
-		eventTokens: gr.step.gauge.eventTokens(), tokenTime: gr.step.tokenTime, least: math.MaxInt, shortest: math.MaxInt,
+		eventTokens: gr.step.estimator.eventTokens(), tokenTime: gr.step.tokenTime, leastTokens: math.MaxInt, shortest: math.MaxInt,
 		running: gw.running[:0], waiting: gw.waiting[:0],
 	}
 	for _, ir := range gr.items {
@@ -98,7 +98,7 @@
 		case running:
 			gw.running = append(gw.running, ir)
 		case scoring:
-			gw.scoring++
+			gw.scoringCount++
 		case complete, lost:
 		}
 	}
@@ -108,26 +108,26 @@
 func (gw *groupSummary) add(ir *itemRow) {
 	took := ir.expectedTime()
 	gw.waiting = append(gw.waiting, ir)
-	gw.begun = gw.begun || ir.hasEvents()
-	gw.least = min(gw.least, ir.holdsNow())
+	gw.hasEvents = gw.hasEvents || ir.hasEvents()
+	gw.leastTokens = min(gw.leastTokens, ir.holdsNow())
 	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
-	gw.rewarded = gw.rewarded || ir.item.Reward != nil
+	gw.needsScore = gw.needsScore || ir.item.Reward != nil
 	gw.work += max(took, minWork)
-	if ir.target != "" {
-		gw.moving++
+	if ir.moveTarget != "" {
+		gw.movingCount++
 	}
 }
 
 // hasEvents reports whether events of an item are known, so that its expected time depends on the
 // tokens per event.
-func (ir *itemRow) hasEvents() bool { return len(ir.events) > 0 || ir.known > 0 }
+func (ir *itemRow) hasEvents() bool { return len(ir.events) > 0 || ir.knownEvents > 0 }
 
 // waitingCustomers returns the customers with waiting items that can start.
 func (ta *Table) waitingCustomers(now time.Time) map[string]bool {
 	ta.updateSummaries()
 	customers := map[string]bool{}
-	for _, sr := range ta.order {
-		if !customers[sr.step.Customer] && sr.waits > 0 && ta.anyCanStart(sr, now) {
+	for _, sr := range ta.openSteps {
+		if !customers[sr.step.Customer] && sr.waitingCount > 0 && ta.anyCanStart(sr, now) {
 			customers[sr.step.Customer] = true
 		}
 	}
@@ -136,8 +136,8 @@
 
 // anyCanStart reports whether a step has a waiting item that can start.
 func (ta *Table) anyCanStart(sr *stepRow, now time.Time) bool {
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.waiting {
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.waiting {
 			if !ta.held(ir) && !ta.quarantined(ir, now) {
 				return true
 			}
@@ -148,14 +148,14 @@
 
 // setPlanWork sets the expected work of a group's open items for the planner.
 func (ta *Table) setPlanWork(gr *groupRow, now time.Time) {
-	gw, plan := &gr.wait, &gr.plan
+	gw, plan := &gr.summary, &gr.plan
 	plan.Work = gw.work
 	if len(gw.waiting) > 0 {
 		plan.Longest = max(gw.longest, minWork)
 	}
-	if gw.scoring > 0 {
+	if gw.scoringCount > 0 {
 		took := max(gr.step.rewards.usual(), minWork)
-		plan.Work += time.Duration(gw.scoring) * took
+		plan.Work += time.Duration(gw.scoringCount) * took
 		plan.Longest = max(plan.Longest, took)
 	}
 	for _, ir := range gw.running {
@@ -178,8 +178,8 @@
 // remainingTimeCached returns the expected remaining time of a run, as runsFor does, but computes an
 // engine's pace only once in a paceRound, in which no run starts or ends.
 func (ta *Table) remainingTimeCached(ir *itemRow, now time.Time) time.Duration {
-	en := ir.run.at
-	if en.base == 0 {
+	en := ir.run.engine
+	if en.basePace == 0 {
 		return ir.expectedTime()
 	}
 	if en.paceRound != ta.paceRound {
--- a/step/heard.go
+++ b/step/heard.go
@@ -20,7 +20,7 @@
 	en.boot = re.Boot
 	ta.takeReport(en, re, now)
 	for _, key := range rq.Forget {
-		delete(en.forget, key)
+		delete(en.toForget, key)
 	}
 	en.said(rq.Seen)
 	for _, pr := range re.Runs {
@@ -29,7 +29,7 @@
 		}
 	}
 	ta.replace(en, re.Engine, now)
-	en.foreign = max(0, re.Report.Active+re.Report.Queued-re.Running)
+	en.foreignRequests = max(0, re.Report.Active+re.Report.Queued-re.Running)
 	ta.heardOrder(en, rq, re)
 }
 
@@ -37,10 +37,10 @@
 func (en *engineRow) said(seen []runner.Ack) {
 	for _, se := range seen {
 		if ir, ok := en.items[se.Key]; ok {
-			ir.run.said = max(ir.run.said, se.Events+1)
+			ir.run.acked = max(ir.run.acked, se.Events+1)
 		}
-		if ir, ok := en.kept[se.Key]; ok && se.Ended {
-			ir.run.saidEnd, ir.run.saidScore = true, se.Score
+		if ir, ok := en.retained[se.Key]; ok && se.Ended {
+			ir.run.ackedEnd, ir.run.storedScore = true, se.Score
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		return true
 	}
 	if ta.engines[pr.Endpoint] == nil {
-		en.forget[pr.Key] = true
+		en.toForget[pr.Key] = true
 	}
 	return false
 }
@@ -64,14 +64,14 @@
 // replace takes in that another engine answers at an engine's address: this one
 // is gone for good, though its entry may stay for some seconds.
 func (ta *Table) replace(en *engineRow, actual string, now time.Time) {
-	if actual == "" || actual == en.id || en.gone {
+	if actual == "" || actual == en.id || en.replaced {
 		return
 	}
 	other, known := ta.engines[actual]
-	if known && other.joinedAt.Before(en.joinedAt) || !ta.former[actual].IsZero() {
+	if known && other.joinedAt.Before(en.joinedAt) || !ta.formerEngines[actual].IsZero() {
 		return // it was the one before this
 	}
-	en.gone = true
+	en.replaced = true
 	ta.log("engine was replaced", map[string]any{"by": actual, engineField: en.id, "items": len(en.items)})
 	ta.requeueRuns(en, "engine was replaced", now)
 }
@@ -82,22 +82,22 @@
 	if en.order == nil {
 		return
 	}
-	en.ordered = en.ordered || rq.Order == en.order
+	en.orderAcked = en.orderAcked || rq.Order == en.order
 	holds := en.versions[en.order.Model] >= en.order.Version && !re.Report.Busy
-	if holds || en.ordered && re.Ordered == 0 {
+	if holds || en.orderAcked && re.Ordered == 0 {
 		en.order = nil
 	}
 }
 
 // progress takes what an attendant says of a run in.
 func (ta *Table) progress(en *engineRow, pr runner.Progress, now time.Time) {
-	if en.kept[pr.Key] != nil {
+	if en.retained[pr.Key] != nil {
 		return
 	}
 	ir, ok := en.items[pr.Key]
 	if !ok {
 		if !ta.adopt(en, pr, now) {
-			en.forget[pr.Key] = true
+			en.toForget[pr.Key] = true
 			return
 		}
 		ir = en.items[pr.Key]
@@ -113,8 +113,8 @@
 			ta.requeue(ir, "no text", now)
 			return
 		}
-		ir.step.gauge.observeHint(ir.item.Hint, len(ir.events))
-		ir.step.gauge.observeLimit(ir.item.Tokens-ir.item.Prompt, len(ir.events))
+		ir.step.estimator.observeHint(ir.item.Hint, len(ir.events))
+		ir.step.estimator.observeLimit(ir.item.Tokens-ir.item.Prompt, len(ir.events))
 		ta.retainRun(ir)
 		ir.reward.score = pr.Score
 		ta.whole(ir, now)
@@ -124,10 +124,10 @@
 	case runner.Failed:
 		ta.fail(ir, pr.Detail, now)
 	case runner.NotRun:
-		en.failed = now
+		en.brokeRunAt = now
 		ta.requeue(ir, "not run: "+pr.Detail, now)
 	case runner.Broken:
-		en.failed = now
+		en.brokeRunAt = now
 		ta.recordEngineEnd(ir, pr, now)
 		ta.requeue(ir, "broken: "+pr.Detail, now)
 	case runner.Stopped:
@@ -149,13 +149,13 @@
 			return false
 		}
 		if !startsWith(pr.Events, ir.events) {
-			ir.saved = 0 // what is kept is another run's text
+			ir.savedEvents = 0 // what is kept is another run's text
 		}
 		ir.events = nil
 		ta.dropTargetMemo(ir)
 		ta.setState(ir, running)
-		ir.since = now
-		ir.run = run{at: en, confirmed: true, engine: en.id, eventAt: now, key: pr.Key}
+		ir.stateSince = now
+		ir.run = run{engine: en, confirmed: true, engineID: en.id, eventAt: now, key: pr.Key}
 		en.items[pr.Key] = ir
 		en.dropMemo()
 		ta.log("run taken over", map[string]any{
@@ -185,14 +185,14 @@
 	}
 	ir.run.eventAt = now
 	defer ta.dropTargetMemo(ir)
-	ir.run.at.recount(ir, -1)
+	ir.run.engine.recount(ir, -1)
 	ir.events = append(ir.events[:len(ir.events):len(ir.events)], fresh...)
-	ir.run.at.recount(ir, 1)
+	ir.run.engine.recount(ir, 1)
 	if ir.step.step.allows(ir.events) {
 		return true
 	}
 	ta.requeue(ir, "made by a version that the step may not have", now)
-	ir.events, ir.saved = nil, 0
+	ir.events, ir.savedEvents = nil, 0
 	return false
 }
 
--- a/step/held.go
+++ b/step/held.go
@@ -15,7 +15,7 @@
 	}
 	before := ta.holds
 	ta.holds = sh
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		_, was := before.Step(sr.step.ID, sr.step.Customer)
 		re, is := sh.Step(sr.step.ID, sr.step.Customer)
 		if was == is {
@@ -43,7 +43,7 @@
 // What has begun goes on, also elsewhere: an item that moves to another engine stops
 // first, and would lose the work that is in it.
 func (ta *Table) held(ir *itemRow) bool {
-	if len(ir.events) > 0 || ir.target != "" {
+	if len(ir.events) > 0 || ir.moveTarget != "" {
 		return false
 	}
 	_, held := ta.holds.Step(ir.step.step.ID, ir.step.step.Customer)
@@ -62,7 +62,7 @@
 // heldItems returns how many items wait that an operator keeps from beginning.
 func (ta *Table) heldItems() int {
 	count := 0
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); !held {
 			continue
 		}
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -73,8 +73,8 @@
 	addEngines(ta, begin, "b")
 	hear(ta, "b", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
-	assert.Equal(t, ta.steps["s"].items[0].run.engine, "b")
-	assert.Equal(t, ta.steps["s"].items[0].run.prior, 5)
+	assert.Equal(t, ta.steps["s"].items[0].run.engineID, "b")
+	assert.Equal(t, ta.steps["s"].items[0].run.priorEvents, 5)
 	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "it had made nothing yet")
 	assert.Equal(t, ta.steps["s"].items[2].state, waiting, "it never began")
 }
@@ -116,9 +116,9 @@
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
 	hear(ta, "b", runner.ExchangeResponse{}, late)
 	ta.MoveStragglers(late)
-	assert.Equal(t, ir.target, "b")
+	assert.Equal(t, ir.moveTarget, "b")
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
 	ta.Place(late)
-	assert.Equal(t, ir.run.engine, "b")
+	assert.Equal(t, ir.run.engineID, "b")
 }
--- a/step/incarnation.go
+++ b/step/incarnation.go
@@ -11,12 +11,12 @@
 // What the engine itself reports is newer, unless the entry is of a later start.
 func (ta *Table) takeEntry(en *engineRow, in EngineInfo) {
 	switch {
-	case in.Incarnation.Supersedes(en.born):
+	case in.Incarnation.Supersedes(en.incarnation):
 		ta.reborn(en, in.Incarnation)
-	case en.born.Supersedes(in.Incarnation), !en.heardAt.IsZero():
+	case en.incarnation.Supersedes(in.Incarnation), !en.respondedAt.IsZero():
 		return
 	}
-	en.born = max(en.born, in.Incarnation)
+	en.incarnation = max(en.incarnation, in.Incarnation)
 	for model, version := range in.Versions {
 		en.versions[model] = max(en.versions[model], version)
 	}
@@ -29,25 +29,25 @@
 // neither, and stays without work for seconds or for good.
 func (ta *Table) reborn(en *engineRow, born incarnation.Number) {
 	ta.log("engine started again", map[string]any{
-		"born": int64(born), engineField: en.id, "former": int64(en.born), "items": len(en.items), "was-slow": !en.slowAt.IsZero(),
+		"born": int64(born), engineField: en.id, "former": int64(en.incarnation), "items": len(en.items), "was-slow": !en.slowAt.IsZero(),
 	})
-	en.born, en.gone, en.base, en.foreign = born, false, 0, 0
-	en.failed, en.slowAt, en.slowerAt = time.Time{}, time.Time{}, time.Time{}
+	en.incarnation, en.replaced, en.basePace, en.foreignRequests = born, false, 0, 0
+	en.brokeRunAt, en.slowAt, en.slowerSince = time.Time{}, time.Time{}, time.Time{}
 	en.report, en.versions = runner.Report{}, map[string]uint64{}
 }
 
 // takeReport takes in what an engine said to its attendant. A report of a former
 // start says nothing of the engine that is there now.
 func (ta *Table) takeReport(en *engineRow, re runner.ExchangeResponse, now time.Time) {
-	en.heardAt = now
-	if en.born.Supersedes(re.Report.Incarnation) {
+	en.respondedAt = now
+	if en.incarnation.Supersedes(re.Report.Incarnation) {
 		return
 	}
-	if re.Report.Incarnation.Supersedes(en.born) {
+	if re.Report.Incarnation.Supersedes(en.incarnation) {
 		ta.reborn(en, re.Report.Incarnation)
 	}
-	en.born = max(en.born, re.Report.Incarnation)
-	en.report, en.sick = re.Report, !re.Reachable
+	en.incarnation = max(en.incarnation, re.Report.Incarnation)
+	en.report, en.unreachable = re.Report, !re.Reachable
 	for model, version := range re.Report.Versions {
 		en.versions[model] = version
 	}
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -283,7 +283,7 @@
 		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, checkpointEvents, 1), Key: key}}}, begin)
 	}
 	for i := range 20 {
-		ta.garbage = append(ta.garbage, checkpointKey("old", i))
+		ta.garbageKeys = append(ta.garbageKeys, checkpointKey("old", i))
 	}
 	ke := &Store{Client: me.Client()}
 	now, listed, saved := begin.Add(time.Minute), 0, map[string]bool{}
@@ -306,7 +306,7 @@
 	}
 	assert.Equal(t, listed, 10)
 	assert.Equal(t, len(saved), 10)
-	assert.Assert(t, len(ta.garbage) < 20, "some keys are removed beside what is written")
+	assert.Assert(t, len(ta.garbageKeys) < 20, "some keys are removed beside what is written")
 }
 
 func TestTransactionThatIsTooLarge(t *testing.T) {
--- a/step/listing.go
+++ b/step/listing.go
@@ -19,7 +19,7 @@
 func (ta *Table) Due(now time.Time) []Chunk {
 	whys := map[*stepRow]listing.Reason{}
 	finals := false
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		st := sr.listState(now)
 		st.EndsIn = ta.endsIn(sr, now)
 		sr.ending = st.EndsIn < endingTime && !sr.served
@@ -27,9 +27,9 @@
 		finals = finals || whys[sr] == listing.Final
 	}
 	var chunks []Chunk
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if why := whys[sr]; why != listing.Wait && (why != listing.Full || !finals) {
-			sr.why, sr.writtenAt = why, now
+			sr.listingReason, sr.writtenAt = why, now
 			chunks = append(chunks, sr.pending(why, maxChunks-len(chunks))...)
 		}
 	}
@@ -57,7 +57,7 @@
 		st.Results++
 		st.Size += ir.size
 		st.PendingAge = max(st.PendingAge, now.Sub(ir.doneAt))
-		if gr := sr.groups[ir.item.Group]; gr.left == 0 {
+		if gr := sr.groups[ir.item.Group]; gr.openItems == 0 {
 			groups[gr] = true
 		}
 	}
@@ -72,13 +72,13 @@
 	ta.paceRound++
 	var must time.Duration // for groups that were asked for before
 	var others []time.Duration
-	missing := min(sr.step.Groups, len(sr.list)) - len(sr.list)
-	for _, gr := range sr.list {
-		if gr.left == 0 {
+	missing := min(sr.step.Groups, len(sr.groupList)) - len(sr.groupList)
+	for _, gr := range sr.groupList {
+		if gr.openItems == 0 {
 			continue
 		}
 		missing++
-		if took := ta.longest(gr, now); gr.again {
+		if took := ta.longest(gr, now); gr.recurring {
 			must = max(must, took)
 			missing--
 		} else {
@@ -94,9 +94,9 @@
 
 // longest returns how long the longest of a group's open items is expected to take still.
 func (ta *Table) longest(gr *groupRow, now time.Time) time.Duration {
-	gw := &gr.wait
+	gw := &gr.summary
 	longest := gw.longest
-	if gw.scoring > 0 {
+	if gw.scoringCount > 0 {
 		longest = max(longest, gr.step.rewards.usual())
 	}
 	for _, ir := range gw.running {
@@ -110,8 +110,8 @@
 	if ir.state == scoring {
 		return ir.step.rewards.usual()
 	}
-	en := ir.run.at
-	if ir.state != running || en == nil || en.base == 0 {
+	en := ir.run.engine
+	if ir.state != running || en == nil || en.basePace == 0 {
 		return ir.expectedTime()
 	}
 	return ir.runsAt(ta.expectedPace(en, nil), now)
@@ -119,7 +119,7 @@
 
 // runsAt returns how long a run is expected to take still at a pace.
 func (ir *itemRow) runsAt(pace time.Duration, now time.Time) time.Duration {
-	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.estimator.eventTokens())
 	return time.Duration(events*float64(pace)) - now.Sub(ir.run.eventAt)
 }
 
@@ -128,9 +128,9 @@
 func (sr *stepRow) sated() bool {
 	whole := 0
 	for _, gr := range sr.groups {
-		if gr.left == 0 {
+		if gr.openItems == 0 {
 			whole++
-		} else if gr.again {
+		} else if gr.recurring {
 			return false
 		}
 	}
@@ -181,7 +181,7 @@
 	for _, ir := range sr.items {
 		switch {
 		case ir.listed || ir.open():
-		case sr.groups[ir.item.Group].left == 0:
+		case sr.groups[ir.item.Group].openItems == 0:
 			whole = append(whole, ir)
 		default:
 			rest = append(rest, ir)
@@ -254,9 +254,9 @@
 func (ta *Table) listed(sr *stepRow, ch Chunk, now time.Time) {
 	sr.results = append(sr.results, ch.Results...)
 	sr.chunks = ch.Number + 1
-	sr.counts = append(sr.counts, len(ch.Results))
+	sr.chunkSizes = append(sr.chunkSizes, len(ch.Results))
 	sr.listedAt, sr.writtenAt = now, time.Time{}
-	sr.served = sr.served || sr.why == listing.Final
+	sr.served = sr.served || sr.listingReason == listing.Final
 	positions := map[string]bool{}
 	for _, re := range ch.Results {
 		positions[re.Item] = true
@@ -267,7 +267,7 @@
 			ir.listed = true
 			ta.forgetRun(ir)
 		}
-		if ir.listed && sr.groups[ir.item.Group].left == 0 {
+		if ir.listed && sr.groups[ir.item.Group].openItems == 0 {
 			ir.events = nil // the text stands in the results
 		}
 		all = all && ir.listed
@@ -277,6 +277,6 @@
 	sr.notifyReaders()
 	ta.log("results listed", map[string]any{
 		"chunk": ch.Number, "listed": sr.listedCount(), "reads": reads, stepField: ch.Step, "total": sr.step.Total(),
-		whyField: string(sr.why),
+		whyField: string(sr.listingReason),
 	})
 }
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -41,10 +41,10 @@
 				sr.listedAt = time.Time{}
 			}
 			for i := range 3 {
-				gr := &groupRow{again: i >= 3-tc.again, left: 1}
+				gr := &groupRow{recurring: i >= 3-tc.again, openItems: 1}
 				ir := &itemRow{item: &Item{Group: fmt.Sprint(i)}, state: running}
 				if i < tc.whole {
-					gr.left, ir.state, ir.doneAt = 0, complete, now.Add(-tc.since)
+					gr.openItems, ir.state, ir.doneAt = 0, complete, now.Add(-tc.since)
 				}
 				sr.groups[fmt.Sprint(i)] = gr
 				sr.items = append(sr.items, ir)
@@ -74,7 +74,7 @@
 	late := begin.Add(950 * time.Millisecond)
 	chunks := ta.Due(late)
 	assert.Equal(t, len(chunks), 1)
-	assert.Equal(t, sr.why, listing.ReadEnds)
+	assert.Equal(t, sr.listingReason, listing.ReadEnds)
 	ta.Listed(chunks, late)
 	assert.Equal(t, len(sr.reads), 0)
 	assert.Equal(t, sr.listState(late).ReadAge, time.Duration(0))
@@ -103,7 +103,7 @@
 				ta.Listed(ta.Due(time.Now()), time.Now())
 				end(ta, t, "s", 1, runner.Complete, events(1, 1, 1), time.Now())
 				chunks := ta.Due(time.Now())
-				assert.Equal(t, sr.why, listing.Final)
+				assert.Equal(t, sr.listingReason, listing.Final)
 				go func() {
 					time.Sleep(tc.takes)
 					sc.mu.Lock()
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -164,7 +164,7 @@
 	}
 	if po == baseline {
 		re.baseline = true
-		re.table.rank = func(en *engineRow, _ *itemRow, _ time.Time) float64 { return float64(en.freeSlots()) }
+		re.table.scoreFunc = func(en *engineRow, _ *itemRow, _ time.Time) float64 { return float64(en.freeSlots()) }
 	}
 	re.play(dayLength, func(at time.Duration) {
 		if pa.each != nil {
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -30,7 +30,7 @@
 		return
 	}
 	places, troubled := 0, 0
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		places += en.slots
 		if st := ta.engineState(en, now); st != overview.Serving && st != overview.Loading {
 			troubled++
@@ -40,7 +40,7 @@
 		return cmp.Or(cmp.Compare(loads[b].items.Waiting, loads[a].items.Waiting), cmp.Compare(a, b))
 	})
 	ta.log("load", map[string]any{
-		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItems(), "open": len(ta.order), "places": places,
+		"customers": len(names), "engines": len(ta.sortedEngines), "held": ta.heldItems(), "open": len(ta.openSteps), "places": places,
 		"running": total.Running, "store-heard-ms": storeHeard.Milliseconds(), "troubled": troubled, "waiting": total.Waiting,
 	})
 	for _, name := range names[:min(len(names), loadLines)] {
@@ -70,7 +70,7 @@
 // customerLoads counts the items of open steps by customer, and in all.
 func (ta *Table) customerLoads() (loads map[string]*customerLoad, total overview.Items) {
 	loads = map[string]*customerLoad{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		cu := loads[sr.step.Customer]
 		if cu == nil {
 			cu = &customerLoad{}
--- a/step/mark.go
+++ b/step/mark.go
@@ -125,7 +125,7 @@
 // the stored chunks from there on.
 func (sc *Scheduler) readStoredResults(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
-	counts, unread, later, total := sr.counts, sr.unread, sr.results, sr.step.Total()
+	counts, unread, later, total := sr.chunkSizes, sr.unread, sr.results, sr.step.Total()
 	sc.mu.Unlock()
 	var results []Result
 	size := 0
@@ -157,7 +157,7 @@
 	te := sc.term
 	var srs []*stepRow
 	if te != nil && te.ready {
-		for _, sr := range te.table.order {
+		for _, sr := range te.table.openSteps {
 			if sr.unread > 0 {
 				srs = append(srs, sr)
 			}
--- a/step/memory.go
+++ b/step/memory.go
@@ -19,7 +19,9 @@
 }
 
 // holdsNow returns how many tokens an item holds now.
-func (ir *itemRow) holdsNow() int { return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens() }
+func (ir *itemRow) holdsNow() int {
+	return ir.item.Prompt + len(ir.events)*ir.step.estimator.eventTokens()
+}
 
 // memory returns how many tokens an engine holds now, and would hold if all of
 // its runs came to their expected ends. Runs that move here count, or several
@@ -31,7 +33,7 @@
 
 // refreshMemo makes the memo anew from the engine's runs, unless it is still valid.
 func (en *engineRow) refreshMemo() {
-	changes := en.gauges.count()
+	changes := en.estimateChanges.count()
 	if en.memo.valid && en.memo.gauges == changes {
 		return
 	}
@@ -39,7 +41,7 @@
 	for _, ir := range en.items {
 		me.add(ir, 1)
 	}
-	for ir := range en.coming {
+	for ir := range en.incoming {
 		now, end := ir.holds()
 		me.coming, me.comingEnd = me.coming+now, me.comingEnd+end
 	}
@@ -56,7 +58,7 @@
 
 // recount adds one of the engine's runs to the memo so many times, if the memo is valid.
 func (en *engineRow) recount(ir *itemRow, times int) {
-	if en.memo.valid && en.memo.gauges == en.gauges.count() {
+	if en.memo.valid && en.memo.gauges == en.estimateChanges.count() {
 		en.memo.add(ir, times)
 	}
 }
@@ -67,8 +69,8 @@
 // dropTargetMemo notes that what an item holds has changed, for the engine that keeps a place
 // for it.
 func (ta *Table) dropTargetMemo(ir *itemRow) {
-	if ir.target != "" {
-		if en, ok := ta.engines[ir.target]; ok {
+	if ir.moveTarget != "" {
+		if en, ok := ta.engines[ir.moveTarget]; ok {
 			en.dropMemo()
 		}
 	}
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -10,13 +10,13 @@
 		sc.Metrics.GetOrCreateGauge(roomGauge(loadGauge, service), nil).Set(rl.Load)
 		sc.Metrics.GetOrCreateGauge(roomGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
 	}
-	for service := range sc.measured {
+	for service := range sc.measuredServices {
 		if _, ok := rooms[service]; !ok {
 			sc.Metrics.UnregisterMetric(roomGauge(loadGauge, service))
 			sc.Metrics.UnregisterMetric(roomGauge(crowdedGauge, service))
 		}
 	}
-	sc.measured = rooms
+	sc.measuredServices = rooms
 }
 
 // The gauges of services' rooms.
@@ -29,7 +29,7 @@
 
 // measureCustomers tells how many customers compete, and how far one is ahead at most.
 func (sc *Scheduler) measureCustomers(ta *Table) {
-	count, most := ta.share.account.Spread()
+	count, most := ta.usage.account.Spread()
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customers_competing`, nil).Set(float64(count))
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customer_ahead_seconds`, nil).Set(most)
 }
--- a/step/modelshare.go
+++ b/step/modelshare.go
@@ -17,14 +17,14 @@
 func (ta *Table) modelClaims(ens []*engineRow) map[string]modelClaim {
 	items, customers := map[string]int{}, map[string]string{}
 	models := map[string]int{} // by customer
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		st := sr.step
 		if items[st.Model] == 0 {
 			models[st.Customer]++
 		}
 		items[st.Model], customers[st.Model] = max(items[st.Model], len(st.Items)), st.Customer
 	}
-	if len(models) < 2 || ta.anyShare || !ta.share.scarce[ens[0].service] {
+	if len(models) < 2 || ta.ignoreShares || !ta.usage.scarce[ens[0].service] {
 		return nil
 	}
 	slots, total := 0, 0.0
@@ -32,13 +32,13 @@
 		slots += en.slots
 	}
 	for customer := range models {
-		total += ta.share.account.Weight(customer)
+		total += ta.usage.account.Weight(customer)
 	}
 	parts := map[string]modelClaim{}
 	for model, customer := range customers {
-		due := float64(len(ens)) * ta.share.account.Weight(customer) / total / float64(models[customer])
+		due := float64(len(ens)) * ta.usage.account.Weight(customer) / total / float64(models[customer])
 		need := math.Ceil(float64(items[model]) * float64(len(ens)) / float64(max(slots, 1)))
-		parts[model] = modelClaim{engines: min(need, due), rank: ta.share.account.Rank(customer)}
+		parts[model] = modelClaim{engines: min(need, due), rank: ta.usage.account.Rank(customer)}
 	}
 	return parts
 }
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -115,8 +115,8 @@
 				return forward.Response{Err: ctx.Err()}
 			}
 			te := &term{
-				begin: func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
-				calls: map[*itemRow]context.CancelFunc{}, table: tableOf(t, 1, "a"),
+				newContext:  func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
+				rewardCalls: map[*itemRow]context.CancelFunc{}, table: tableOf(t, 1, "a"),
 			}
 			sc.term = te
 			te.table.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
@@ -134,7 +134,7 @@
 			}
 			synctest.Wait()
 			assert.Equal(t, ended, 1)
-			assert.Equal(t, len(te.calls), 0)
+			assert.Equal(t, len(te.rewardCalls), 0)
 		})
 	}
 }
--- a/step/overview.go
+++ b/step/overview.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return overview.Snapshot{}, err
 	}
-	return te.table.Situation(now.Sub(te.freshAt), now), nil
+	return te.table.Situation(now.Sub(te.polledAt), now), nil
 }
 
 // Situation returns what an overview of the load is made of. The key-value service last
@@ -48,12 +48,12 @@
 func (ta *Table) Situation(storeHeard time.Duration, now time.Time) overview.Snapshot {
 	si := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
 	paces := map[string]time.Duration{} // of an event beside what the engine runs
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
 		paces[en.id] = ta.expectedPace(en, nil)
 	}
 	away := storeHeard >= intakeWait+intakeSlack
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		si.Steps = append(si.Steps, ta.stepLoad(sr, paces, away, now))
 	}
 	return si
@@ -77,11 +77,11 @@
 func (ta *Table) engineLoad(en *engineRow, now time.Time) overview.Engine {
 	held, _ := en.memory()
 	le := overview.Engine{
-		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.paces[en.service], Memory: en.tokens, Others: en.foreign,
-		Places: en.slots, Runs: len(en.items) + len(en.coming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
+		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.medianPaces[en.service], Memory: en.tokens, Others: en.foreignRequests,
+		Places: en.slots, Runs: len(en.items) + len(en.incoming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
 	}
-	if !en.heardAt.IsZero() {
-		le.Heard = now.Sub(en.heardAt)
+	if !en.respondedAt.IsZero() {
+		le.Heard = now.Sub(en.respondedAt)
 	}
 	if en.report.PaceGaps >= paceGaps {
 		le.Pace = en.report.Pace
@@ -93,11 +93,11 @@
 func (ta *Table) engineState(en *engineRow, now time.Time) overview.State {
 	_, drained := ta.holds.Endpoint(en.id, en.endpoint)
 	switch {
-	case en.gone:
+	case en.replaced:
 		return overview.Gone
-	case en.heardAt.IsZero(), now.Sub(en.heardAt) > responseTimeout:
+	case en.respondedAt.IsZero(), now.Sub(en.respondedAt) > responseTimeout:
 		return overview.Silent
-	case en.sick:
+	case en.unreachable:
 		return overview.Sick
 	case drained:
 		return overview.Drained
@@ -124,7 +124,7 @@
 		broken[ir.item.Group] = broken[ir.item.Group] || ir.state == lost
 	}
 	for group, gr := range sr.groups {
-		if gr.left == 0 && !broken[group] {
+		if gr.openItems == 0 && !broken[group] {
 			lo.Whole++
 		}
 	}
@@ -172,8 +172,8 @@
 	lo := overview.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.turn(ir, now)}
 	switch ir.state {
 	case running:
-		lo.Engine, lo.Stand = ir.run.engine, overview.ItemRunning
-		if pace := paces[ir.run.engine]; pace > 0 {
+		lo.Engine, lo.Stand = ir.run.engineID, overview.ItemRunning
+		if pace := paces[ir.run.engineID]; pace > 0 {
 			lo.Left = max(ir.runsAt(pace, now), 0)
 		}
 	case scoring:
@@ -204,7 +204,7 @@
 		return overview.HeldByOperator
 	case ta.quarantined(ir, now):
 		return overview.Quarantined
-	case wait == overview.ToBePlaced && now.Sub(ir.since) > placeSoon:
+	case wait == overview.ToBePlaced && now.Sub(ir.stateSince) > placeSoon:
 		return overview.HeldBack
 	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.overloaded(ir.step.step.Service) && !ir.group.plan.InTime():
 		return overview.HeldBack
@@ -230,7 +230,7 @@
 		}
 	}
 	st := ir.step.step
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		version := en.versions[st.Model]
 		switch {
 		case en.service != st.Service:
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -28,7 +28,7 @@
 		"loading": {func(ta *Table, _ *Step) {
 			ta.engines["a"].order = &runner.Order{Model: "model", Version: 2}
 		}, 0, overview.WeightsLoad},
-		"places": {func(ta *Table, _ *Step) { ta.engines["a"].foreign = 2 }, 0, overview.NoPlace},
+		"places": {func(ta *Table, _ *Step) { ta.engines["a"].foreignRequests = 2 }, 0, overview.NoPlace},
 		"memory": {func(ta *Table, _ *Step) {
 			ta.Accept(stepOf("u", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
--- a/step/pace.go
+++ b/step/pace.go
@@ -50,27 +50,27 @@
 // per token.
 func (ta *Table) MeasurePace(now time.Time) {
 	byService := map[string][]time.Duration{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.report.PaceGaps >= paceGaps {
 			byService[en.service] = append(byService[en.service], en.report.Pace)
 		}
 	}
 	for service, paces := range byService {
-		ta.paces[service] = median(paces)
+		ta.medianPaces[service] = median(paces)
 	}
 	bases := map[string][]time.Duration{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		ta.ratePace(en, now)
-		if en.base > 0 {
-			bases[en.service] = append(bases[en.service], en.base)
+		if en.basePace > 0 {
+			bases[en.service] = append(bases[en.service], en.basePace)
 		}
 	}
-	clear(ta.bests)
+	clear(ta.bestBases)
 	for service, all := range bases {
-		ta.bases[service], ta.bests[service] = median(all), slices.Min(all)
+		ta.medianBases[service], ta.bestBases[service] = median(all), slices.Min(all)
 	}
-	for _, sr := range ta.order {
-		ta.setTokenTime(sr, sr.gauge.tokenTime(ta.bases[sr.step.Service], ta.bests[sr.step.Service]))
+	for _, sr := range ta.openSteps {
+		ta.setTokenTime(sr, sr.estimator.tokenTime(ta.medianBases[sr.step.Service], ta.bestBases[sr.step.Service]))
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	if each != sr.tokenTime {
 		sr.tokenTime = each
-		ta.gaugeChanges.counted++
+		ta.estimateChanges.counted++
 	}
 }
 
@@ -100,27 +100,27 @@
 func (ta *Table) ratePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
 		held, _ := en.memory()
-		en.base = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
+		en.basePace = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
 	}
-	median := ta.paces[en.service]
+	median := ta.medianPaces[en.service]
 	if median == 0 || en.report.PaceGaps < paceGaps || float64(en.report.Pace) <= slowFactor*float64(median) {
-		en.slowerAt = time.Time{}
+		en.slowerSince = time.Time{}
 		return
 	}
-	if en.slowerAt.IsZero() {
-		en.slowerAt = now
+	if en.slowerSince.IsZero() {
+		en.slowerSince = now
 	}
 	since := slowDelay
 	if float64(en.report.Pace) > verySlowFactor*float64(median) {
 		since = verySlowDelay
 	}
-	if now.Sub(en.slowerAt) < since {
+	if now.Sub(en.slowerSince) < since {
 		return
 	}
 	if !en.slow(now) {
 		ta.log("engine is slow", map[string]any{
 			engineField: en.id, "gaps": en.report.PaceGaps, "median-ms": median.Milliseconds(),
-			"pace-ms": en.report.Pace.Milliseconds(), "report-ms": now.Sub(en.heardAt).Milliseconds(),
+			"pace-ms": en.report.Pace.Milliseconds(), "report-ms": now.Sub(en.respondedAt).Milliseconds(),
 		})
 	}
 	en.slowAt = now
@@ -138,9 +138,9 @@
 // would end up on another slow engine.
 func (ta *Table) MoveStragglers(now time.Time) {
 	ta.updateSummaries()
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		for _, le := range ta.runsToMove(sr, now) {
-			ta.moveRun(le.item, le.item.run.at, le.why, now)
+			ta.moveRun(le.item, le.item.run.engine, le.why, now)
 		}
 	}
 }
@@ -154,13 +154,13 @@
 // runsToMove returns the runs of a step to move, in the order of the items.
 func (ta *Table) runsToMove(sr *stepRow, now time.Time) []moveCandidate {
 	var les []moveCandidate
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.running {
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.running {
 			if ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 				continue
 			}
-			why := ir.run.at.reasonToMove(ir, now)
-			if why == "" && ta.isLongRun(ir.run.at, ir) {
+			why := ir.run.engine.reasonToMove(ir, now)
+			if why == "" && ta.isLongRun(ir.run.engine, ir) {
 				why = "faster engine"
 			}
 			if why != "" {
@@ -181,7 +181,7 @@
 // for a second or more. The run with the most slack is moved: the largest one is often the one
 // that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if held, _ := en.memory(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
 			continue
 		}
@@ -220,8 +220,8 @@
 	}
 	ir.moves++
 	ir.run.stopping = true
-	ir.target = to.id
-	to.coming[ir] = true
+	ir.moveTarget = to.id
+	to.incoming[ir] = true
 	to.dropMemo()
 	ta.log("run moved", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: from.id, "events": len(ir.events), itemField: ir.item.ID,
@@ -233,13 +233,13 @@
 // bestMoveTarget returns the best engine to move a run to, or nil.
 func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
 	var best *engineRow
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en == from || ta.trials.runsTrial(en.id, now) || en.freeSlots() <= slotsLeftFree || en.slow(now) || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) {
 			continue
 		}
 		switch {
 		case why == memoryReason:
-			if !en.hasSpareMemory(ir) || float64(en.base) > (1+paceTolerance)*float64(from.base) {
+			if !en.hasSpareMemory(ir) || float64(en.basePace) > (1+paceTolerance)*float64(from.basePace) {
 				continue
 			}
 		case from.stalled(ir, now):
@@ -262,32 +262,32 @@
 
 // timeSaved returns the expected time that a move saves.
 func (ta *Table) timeSaved(ir *itemRow, from, to *engineRow) time.Duration {
-	if from.base == 0 {
+	if from.basePace == 0 {
 		return 0
 	}
-	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.estimator.eventTokens())
 	return time.Duration(events * float64(ta.expectedPace(from, nil)-ta.expectedPace(to, ir)))
 }
 
 // releaseReserved releases the reserved slot of an item, if any.
 func (ta *Table) releaseReserved(ir *itemRow) {
-	if en, ok := ta.engines[ir.target]; ok && ir.target != "" {
-		delete(en.coming, ir)
+	if en, ok := ta.engines[ir.moveTarget]; ok && ir.moveTarget != "" {
+		delete(en.incoming, ir)
 		en.dropMemo()
 	}
-	if ir.target != "" {
+	if ir.moveTarget != "" {
 		ir.group.markStale(ta)
 	}
-	ir.target = ""
+	ir.moveTarget = ""
 }
 
 // reasonToMove returns the reason to move a run away, or "".
 func (en *engineRow) reasonToMove(ir *itemRow, now time.Time) string {
 	quiet := now.Sub(ir.run.eventAt)
 	switch {
-	case en.sick && quiet > stallTimeout/2:
+	case en.unreachable && quiet > stallTimeout/2:
 		return "engine does not answer"
-	case quiet > firstEventTimeout, quiet > stallTimeout && len(ir.events) > ir.run.prior:
+	case quiet > firstEventTimeout, quiet > stallTimeout && len(ir.events) > ir.run.priorEvents:
 		return "no event"
 	case en.slow(now):
 		return "slow engine"
@@ -304,5 +304,5 @@
 // isLongRun reports whether a run is isLongRun and its engine slower than the best one at equal load.
 // The current load isn't considered, as it changes quickly.
 func (ta *Table) isLongRun(en *engineRow, ir *itemRow) bool {
-	return len(ir.events)-ir.run.prior >= minMoveEvents && float64(ta.bests[en.service]) < (1-paceTolerance)*float64(en.base)
+	return len(ir.events)-ir.run.priorEvents >= minMoveEvents && float64(ta.bestBases[en.service]) < (1-paceTolerance)*float64(en.basePace)
 }
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -61,7 +61,7 @@
 	// Incoming runs count as load of the target engine, so that it isn't overfilled.
 	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
 	ta.moveRun(irs[0], ta.engines["a"], memoryReason, begin)
-	assert.Equal(t, irs[0].target, "b")
+	assert.Equal(t, irs[0].moveTarget, "b")
 	now, _ := ta.engines["b"].memory()
 	assert.Assert(t, now >= 4000, "%d", now)
 	assert.Assert(t, !ta.engines["b"].hasSpareMemory(irs[1]))
@@ -77,9 +77,9 @@
 		assert.Assert(t, !ta.isLongRun(ta.engines["a"], ir), "item %d", i)
 	}
 	full, empty := ta.engines["a"], ta.engines["b"]
-	full.base, empty.base = 40*time.Millisecond, 40*time.Millisecond
+	full.basePace, empty.basePace = 40*time.Millisecond, 40*time.Millisecond
 	assert.Assert(t, ta.expectedPace(full, nil) > ta.expectedPace(empty, nil))
-	full.base = 60 * time.Millisecond
+	full.basePace = 60 * time.Millisecond
 	assert.Assert(t, ta.isLongRun(full, irs[0]), "it is slower all day")
 }
 
@@ -101,13 +101,13 @@
 	rq, _ := ta.Request(engine)
 	assert.Equal(t, rq.Await, time.Duration(0))
 	ir := ta.steps["s"].items[0]
-	ir.run.stopping, ir.target = true, map[string]string{"a": "b", "b": "a"}[engine]
+	ir.run.stopping, ir.moveTarget = true, map[string]string{"a": "b", "b": "a"}[engine]
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, rq.Await, maxAwait)
 	assert.Equal(t, len(ta.restartStopped(begin)), 0)
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 3, Key: key, State: runner.Stopped}}}, begin)
 	engines := ta.restartStopped(begin)
-	assert.DeepEqual(t, engines, []string{ir.run.engine})
+	assert.DeepEqual(t, engines, []string{ir.run.engineID})
 	assert.Equal(t, ir.state, running)
-	assert.Assert(t, ir.run.engine != engine)
+	assert.Assert(t, ir.run.engineID != engine)
 }
--- a/step/place.go
+++ b/step/place.go
@@ -31,7 +31,9 @@
 }
 
 // freeSlots returns the number of freeSlots slots. It is negative if more runs than slots are known.
-func (en *engineRow) freeSlots() int { return en.slots - len(en.items) - en.foreign - len(en.coming) }
+func (en *engineRow) freeSlots() int {
+	return en.slots - len(en.items) - en.foreignRequests - len(en.incoming)
+}
 
 // canRunItem reports whether an engine can run an item.
 func (ta *Table) canRunItem(en *engineRow, ir *itemRow) bool {
@@ -42,7 +44,7 @@
 // reachable reports whether an engine can be assigned work: it isn't leaving, and its
 // attendant has responded and reaches it.
 func (en *engineRow) reachable() bool {
-	return !en.leaving && !en.gone && !en.sick && !en.heardAt.IsZero()
+	return !en.leaving && !en.replaced && !en.unreachable && !en.respondedAt.IsZero()
 }
 
 // canRunStep reports whether an engine can run items of a step.
@@ -108,12 +110,12 @@
 	}
 	ta.updateSummaries()
 	ta.planCapacity(now)
-	if len(ta.order) == 0 {
+	if len(ta.openSteps) == 0 {
 		return
 	}
 	pl := ta.newPlacement(now)
 	defer ta.clearPlacement()
-	if pl.live == 0 {
+	if pl.openCount == 0 {
 		return
 	}
 	ranks := ta.customerRanks(ta.waitingCustomers(now))
@@ -123,7 +125,7 @@
 		if pl.exhausted() {
 			continue
 		}
-		rm := ta.rooms[steps[0].step.Service]
+		rm := ta.servicePlans[steps[0].step.Service]
 		if rm != nil && rm.planner.Overloaded() {
 			pl.dropQueues()
 			pl.placeByPlan(rm, rm.adaptRanks(ranks))
@@ -137,7 +139,7 @@
 func (ta *Table) stepsByService() [][]*stepRow {
 	var all [][]*stepRow
 	at := map[string]int{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		i, known := at[sr.step.Service]
 		if !known {
 			i = len(all)
@@ -151,8 +153,8 @@
 
 // clearPlacement clears references to the round of placement.
 func (ta *Table) clearPlacement() {
-	for _, sr := range ta.order {
-		sr.round, sr.seats = nil, nil
+	for _, sr := range ta.openSteps {
+		sr.placement, sr.candidates = nil, nil
 	}
 }
 
@@ -168,13 +170,13 @@
 // Until then, items that run or have ended on engines appear to be waiting. Placement would
 // run them a second time and discard their texts.
 func (ta *Table) awaitingEngines(now time.Time) bool {
-	if ta.begun.IsZero() {
-		ta.begun, ta.savedAt = now, now
+	if ta.placingSince.IsZero() {
+		ta.placingSince, ta.savedAt = now, now
 	}
-	if now.Sub(ta.begun) > maxEngineWait {
+	if now.Sub(ta.placingSince) > maxEngineWait {
 		return false
 	}
-	return slices.ContainsFunc(ta.sorted, func(en *engineRow) bool { return en.heardAt.IsZero() && !en.gone })
+	return slices.ContainsFunc(ta.sortedEngines, func(en *engineRow) bool { return en.respondedAt.IsZero() && !en.replaced })
 }
 
 // maxEngineWait is the longest wait for first responses of attendants.
@@ -205,9 +207,9 @@
 // remainingTokens returns the expected number of tokens still to generate. Hints are only right at the
 // median: an item that has exceeded its hint is expected to double its length.
 func (ir *itemRow) remainingTokens() int {
-	eventTokens := ir.step.gauge.eventTokens()
+	eventTokens := ir.step.estimator.eventTokens()
 	made := len(ir.events) * eventTokens
-	left := max(ir.item.expectedTokens(), ir.known*eventTokens) - made
+	left := max(ir.item.expectedTokens(), ir.knownEvents*eventTokens) - made
 	if left <= 0 {
 		left = made
 	}
@@ -220,26 +222,26 @@
 // startRun starts a run of an item on an engine.
 func (ta *Table) startRun(ir *itemRow, en *engineRow, now time.Time) {
 	ta.attempt++
-	version, waited := en.versions[ir.step.step.Model], now.Sub(ir.since)
+	version, waited := en.versions[ir.step.step.Model], now.Sub(ir.stateSince)
 	ta.setState(ir, running)
-	ir.since, ir.unwanted = now, ""
+	ir.stateSince, ir.avoidedEngine = now, ""
 	ir.run = run{
-		at: en, engine: en.id, eventAt: now, prior: len(ir.events), version: version,
+		engine: en, engineID: en.id, eventAt: now, priorEvents: len(ir.events), version: version,
 		key: runner.Key{Attempt: ta.attempt, Item: ir.item.ID, Step: ir.step.step.ID},
 	}
 	en.items[ir.run.key] = ir
 	en.recount(ir, 1)
 	ta.log("item placed", map[string]any{
 		"after": len(ir.events), attemptField: ta.attempt, "bound": ir.item.Tokens - ir.item.Prompt, engineField: en.id,
-		"free": en.freeSlots(), "hint": ir.item.Hint, itemField: ir.item.ID, "known": ir.known,
-		"report-ms": now.Sub(en.heardAt).Milliseconds(), stepField: ir.step.step.ID, "version": version,
+		"free": en.freeSlots(), "hint": ir.item.Hint, itemField: ir.item.ID, "known": ir.knownEvents,
+		"report-ms": now.Sub(en.respondedAt).Milliseconds(), stepField: ir.step.step.ID, "version": version,
 		"waited-ms": waited.Milliseconds(),
 	})
 }
 
 // DropExpired abandons items that have exceeded their step's MaxWait.
 func (ta *Table) DropExpired(now time.Time) {
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if sr.step.MaxWait <= 0 || sr.age(now) < sr.step.MaxWait+expirySlack {
 			continue
 		}
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -94,7 +94,7 @@
 
 // drawAnswers delivers exchange responses of most attendants.
 func (tw *twinTable) drawAnswers(t *rapid.T) {
-	for _, en := range tw.tables[0].sorted {
+	for _, en := range tw.tables[0].sortedEngines {
 		if rapid.IntRange(0, 3).Draw(t, "answers") > 0 {
 			tw.drawAnswer(t, en)
 		}
@@ -149,7 +149,7 @@
 	model, tokens := rapid.SampledFrom(twinModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
 	tw.both(func(ta *Table) {
 		for range estimatorMaxRatios {
-			if gauge := ta.gauges[model]; gauge != nil {
+			if gauge := ta.estimators[model]; gauge != nil {
 				gauge.observeHint(tokens*estimatorMinEvents, estimatorMinEvents)
 			}
 		}
@@ -187,7 +187,7 @@
 }
 
 func (tw *twinTable) drawEnd(t *rapid.T) {
-	if open := tw.tables[0].order; len(open) > 0 {
+	if open := tw.tables[0].openSteps; len(open) > 0 {
 		id := open[rapid.IntRange(0, len(open)-1).Draw(t, "step")].step.ID
 		tw.both(func(ta *Table) { ta.End(id) })
 	}
@@ -223,15 +223,15 @@
 	lines := [2][]string{}
 	for i, ta := range tw.tables {
 		lines[i] = append(lines[i], fmt.Sprint("rooms ", ta.ServiceLoads(), " ahead ", ta.prequeues("service")))
-		for _, sr := range ta.order {
+		for _, sr := range ta.openSteps {
 			for _, ir := range sr.items {
 				lines[i] = append(lines[i], fmt.Sprint(
-					sr.step.ID, " ", ir.item.ID, " state ", ir.state, " at ", ir.run.engine, " run ", ir.run.key.Attempt, " to ", ir.target,
+					sr.step.ID, " ", ir.item.ID, " state ", ir.state, " at ", ir.run.engineID, " run ", ir.run.key.Attempt, " to ", ir.moveTarget,
 					" room ", ir.group.plan.InTime(), " ", ir.group.plan.Position(),
 				))
 			}
 		}
-		for _, en := range ta.sorted {
+		for _, en := range ta.sortedEngines {
 			now, end := en.memory()
 			plainNow, plainEnd := plainMemory(en)
 			assert.Equal(t, fmt.Sprint(now, end), fmt.Sprint(plainNow, plainEnd), "memory of %s", en.id)
@@ -240,7 +240,7 @@
 	assert.DeepEqual(t, lines[0], lines[1])
 	ta := tw.tables[0]
 	assert.Equal(t, fmt.Sprint(ta.customerCounts(tw.now)), fmt.Sprint(plainCounts(ta, tw.now)))
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		assert.Equal(t, ta.endsIn(sr, tw.now), plainEndsIn(ta, sr, tw.now), "end of %s", sr.step.ID)
 		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tw.now), plainLeaving(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
 	}
--- a/step/placing.go
+++ b/step/placing.go
@@ -10,35 +10,35 @@
 // It evaluates each engine once, and again when a slot of it is taken or released. The order of
 // items is that of bySpare or, under overload, of byRoom.
 type placement struct {
-	summaries []candidateSummary // of seats
-	live      int                // number of seats that aren't full
-	lists     map[candidateKey]*candidateList
-	now       time.Time
-	seats     []candidate
-	steps     []*stepRow // open steps of the current service
-	table     *Table
+	summaries      []candidateSummary // of seats
+	openCount      int                // number of seats that aren't full
+	candidateLists map[candidateKey]*candidateList
+	now            time.Time
+	candidates     []candidate
+	steps          []*stepRow // open steps of the current service
+	table          *Table
 }
 
 // newPlacement returns a round with the engines that have a free slot or one that is reserved
 // for a moving item.
 func (ta *Table) newPlacement(now time.Time) *placement {
-	pl := &placement{lists: map[candidateKey]*candidateList{}, now: now, table: ta}
-	for _, en := range ta.sorted {
-		en.seat = -1
+	pl := &placement{candidateLists: map[candidateKey]*candidateList{}, now: now, table: ta}
+	for _, en := range ta.sortedEngines {
+		en.candidateIndex = -1
 		free := en.freeSlots()
-		if len(en.coming) == 0 && (free < 0 || free == 0 && !ta.prequeues(en.service)) {
+		if len(en.incoming) == 0 && (free < 0 || free == 0 && !ta.prequeues(en.service)) {
 			continue
 		}
 		en.refreshMemo()
 		se := candidate{endsSoon: en.memo.endsSoon, engine: en}
-		if pl.countOpenSlots(&se) <= 0 && len(en.coming) == 0 {
+		if pl.countOpenSlots(&se) <= 0 && len(en.incoming) == 0 {
 			continue
 		}
-		en.seat = len(pl.seats)
-		pl.seats = append(pl.seats, se)
+		en.candidateIndex = len(pl.candidates)
+		pl.candidates = append(pl.candidates, se)
 		pl.summaries = append(pl.summaries, candidateSummary{})
-		pl.live++
-		pl.refresh(en.seat)
+		pl.openCount++
+		pl.refresh(en.candidateIndex)
 	}
 	return pl
 }
@@ -50,7 +50,7 @@
 	if ta.held(ir) || ta.quarantined(ir, pl.now) {
 		return
 	}
-	kept := ta.engines[ir.target]
+	kept := ta.engines[ir.moveTarget]
 	pl.releaseReserved(ir)
 	if ta.needsTrial(ir, pl.now) {
 		if en := ta.trialEngine(ir, pl.now); en != nil {
@@ -60,7 +60,7 @@
 		return
 	}
 	i := pl.indexOf(kept)
-	if i < 0 || pl.seats[i].open <= 0 || !ta.canRunItem(kept, ir) || pl.seats[i].trying {
+	if i < 0 || pl.candidates[i].openSlots <= 0 || !ta.canRunItem(kept, ir) || pl.candidates[i].runsTrial {
 		i = pl.choose(ir)
 	}
 	if i >= 0 {
@@ -70,13 +70,13 @@
 
 // releaseReserved releases the reserved slot of an item, if any.
 func (pl *placement) releaseReserved(ir *itemRow) {
-	if ir.target == "" {
+	if ir.moveTarget == "" {
 		return
 	}
-	i := pl.indexOf(pl.table.engines[ir.target])
+	i := pl.indexOf(pl.table.engines[ir.moveTarget])
 	pl.table.releaseReserved(ir)
 	if i >= 0 {
-		pl.seats[i].released = true
+		pl.candidates[i].released = true
 		pl.refresh(i)
 		pl.resetBounds()
 	}
@@ -85,7 +85,7 @@
 // startRun starts an item on the engine of a seat. It doesn't update endsSoon of an engine that
 // released a reserved slot in this round.
 func (pl *placement) startRun(ir *itemRow, i int) {
-	se := &pl.seats[i]
+	se := &pl.candidates[i]
 	pl.table.startRun(ir, se.engine, pl.now)
 	if se.engine.refreshMemo(); !se.released {
 		se.endsSoon = se.engine.memo.endsSoon
@@ -96,13 +96,13 @@
 // mayFit reports whether an item of a step may get a slot: one with held tokens may fit some
 // engine, or moving items may release reserved slots.
 func (pl *placement) mayFit(sr *stepRow, held, moving int) bool {
-	return moving > 0 || pl.listOf(sr).most >= held
+	return moving > 0 || pl.listOf(sr).maxTokens >= held
 }
 
 // exhausted reports whether no item of any step can get or release a slot.
 func (pl *placement) exhausted() bool {
 	return !slices.ContainsFunc(pl.steps, func(sr *stepRow) bool {
-		return sr.waits > 0 && pl.mayFit(sr, sr.least, sr.moving)
+		return sr.waitingCount > 0 && pl.mayFit(sr, sr.leastTokens, sr.movingCount)
 	})
 }
 
@@ -111,9 +111,9 @@
 func (pl *placement) rankSteps(ranks map[string]int) []int {
 	var all []int
 	for i, sr := range pl.steps {
-		sr.place, sr.rank = i, ranks[sr.step.Customer]
-		if sr.waits > 0 {
-			all = append(all, sr.rank)
+		sr.orderIndex, sr.customerRank = i, ranks[sr.step.Customer]
+		if sr.waitingCount > 0 {
+			all = append(all, sr.customerRank)
 		}
 	}
 	slices.Sort(all)
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -8,18 +8,18 @@
 // plainCounts counts customers' items without cached summaries.
 func plainCounts(ta *Table, now time.Time) map[usageKey]itemCounts {
 	counts := map[usageKey]itemCounts{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		key := usageKey{sr.step.Customer, sr.step.Service}
 		co := counts[key]
 		for _, ir := range sr.items {
 			switch {
 			case ir.state == waiting && !ta.held(ir):
-				co.waits++
-				co.ready = co.ready || !ta.quarantined(ir, now)
+				co.waiting++
+				co.canStart = co.canStart || !ta.quarantined(ir, now)
 			case ir.state == running:
 				held, _ := ir.holds()
 				co.tokens += held
-				co.held++
+				co.running++
 			}
 		}
 		counts[key] = co
@@ -39,7 +39,7 @@
 	var others []time.Duration
 	missing := min(sr.step.Groups, len(sr.groups)) - (len(sr.groups) - len(groups))
 	for name, took := range groups {
-		if sr.groups[name].again {
+		if sr.groups[name].recurring {
 			must = max(must, took)
 			missing--
 		} else {
@@ -57,7 +57,7 @@
 func plainLeaving(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
 	var les []moveCandidate
 	for _, ir := range sr.items {
-		en := ta.engines[ir.run.engine]
+		en := ta.engines[ir.run.engineID]
 		if en == nil || ir.state != running || ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 			continue
 		}
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -17,15 +17,15 @@
 	if now.Sub(ta.plannedAt) >= planInterval {
 		planPlainly(ta, now)
 	}
-	if len(ta.order) == 0 {
+	if len(ta.openSteps) == 0 {
 		return
 	}
 	pp := &plainPlacing{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		pp.soon[en] = plainEnd(en) <= aheadTime
 	}
-	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.coming) == 0 }
-	open := slices.DeleteFunc(slices.Clone(ta.sorted), full)
+	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.incoming) == 0 }
+	open := slices.DeleteFunc(slices.Clone(ta.sortedEngines), full)
 	for _, ir := range plainWaiting(ta, now) {
 		if open = slices.DeleteFunc(open, full); len(open) == 0 {
 			return
@@ -38,7 +38,7 @@
 			}
 			continue
 		}
-		kept := ta.engines[ir.target]
+		kept := ta.engines[ir.moveTarget]
 		pp.release(ta, ir)
 		en := kept
 		if en == nil || pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
@@ -55,7 +55,7 @@
 type plainPlacing struct{ released, soon map[*engineRow]bool }
 
 func (pp *plainPlacing) release(ta *Table, ir *itemRow) {
-	if en := ta.engines[ir.target]; en != nil {
+	if en := ta.engines[ir.moveTarget]; en != nil {
 		pp.released[en] = true
 	}
 	ta.releaseReserved(ir)
@@ -78,16 +78,16 @@
 func planPlainly(ta *Table, now time.Time) {
 	ta.plannedAt = now
 	waiting := plainRanks(ta, plainWaits(ta, now))
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if sr.step.Due > 0 && !ta.idleByHold(sr) {
 			ta.servicePlan(sr.step.Service)
 		}
 	}
-	for service, rm := range ta.rooms {
+	for service, rm := range ta.servicePlans {
 		ranks := rm.adaptRanks(waiting)
 		var steps []*overload.Step
 		var rows []*stepRow
-		for _, sr := range ta.order {
+		for _, sr := range ta.openSteps {
 			if sr.step.Service != service || sr.step.Due <= 0 || ta.idleByHold(sr) {
 				continue
 			}
@@ -98,10 +98,10 @@
 		places := ta.usableSlots(service, now)
 		rm.planner.Lingers = !ta.competesWithinPart(rm)
 		rm.planner.Plan(steps, places, now)
-		rm.withinPart = ta.customersWithinShare(steps, rows, places)
-		rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+		rm.withinShare = ta.customersWithinShare(steps, rows, places)
+		rm.prequeues = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
 		if len(rows) == 0 && rm.planner.Idle() {
-			delete(ta.rooms, service)
+			delete(ta.servicePlans, service)
 		}
 	}
 }
@@ -111,12 +111,12 @@
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
-	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
+	if gaveUp := ta.abandonAges[st.Trainer]; gaveUp > 0 {
 		st.GivesUp = max(gaveUp-sr.age(now), 1)
 	}
 	for _, gr := range sr.groups {
-		gr.plan = overload.Group{Again: gr.again}
-		if gr.left == 0 {
+		gr.plan = overload.Group{Again: gr.recurring}
+		if gr.openItems == 0 {
 			st.Wanted--
 		}
 	}
@@ -137,7 +137,7 @@
 
 func plainWaits(ta *Table, now time.Time) []*itemRow {
 	var irs []*itemRow
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		for _, ir := range sr.items {
 			if ir.state == waiting && !ta.quarantined(ir, now) && !ta.held(ir) {
 				irs = append(irs, ir)
@@ -149,11 +149,11 @@
 
 func plainRanks(ta *Table, waits []*itemRow) map[string]int {
 	ranks := map[string]int{}
-	if ta.anyShare {
+	if ta.ignoreShares {
 		return ranks
 	}
 	for _, ir := range waits {
-		ranks[ir.step.step.Customer] = ta.share.account.Rank(ir.step.step.Customer)
+		ranks[ir.step.step.Customer] = ta.usage.account.Rank(ir.step.step.Customer)
 	}
 	if len(ranks) < 2 {
 		return nil
@@ -179,7 +179,7 @@
 		if order := cmp.Compare(service, b.step.step.Service); order != 0 {
 			return order // services don't compete for slots
 		}
-		ranks := ta.rooms[service].adaptRanks(waiting)
+		ranks := ta.servicePlans[service].adaptRanks(waiting)
 		order := cmp.Compare(ranks[a.step.step.Customer], ranks[b.step.step.Customer])
 		if order == 0 && ta.overloaded(service) {
 			order = cmp.Or(cmp.Compare(turn(a), turn(b)), cmp.Compare(a.group.plan.Position(), b.group.plan.Position()))
@@ -195,7 +195,7 @@
 		now, end = now+itNow, end+itEnd
 	}
 	now = max(now, en.report.Tokens)
-	for ir := range en.coming {
+	for ir := range en.incoming {
 		itNow, itEnd := ir.holds()
 		now, end = now+itNow, end+itEnd
 	}
@@ -217,15 +217,15 @@
 }
 
 func plainTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
-	if ta.trials.count(now) >= max(1, len(ta.sorted)/enginesPerTrial) {
+	if ta.trials.count(now) >= max(1, len(ta.sortedEngines)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if best == nil || len(en.items)+len(en.coming) < len(best.items)+len(best.coming) {
+		if best == nil || len(en.items)+len(en.incoming) < len(best.items)+len(best.incoming) {
 			best = en
 		}
 	}
@@ -239,7 +239,7 @@
 		if pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if en.id == ir.unwanted && now.Sub(ir.since) < avoidEngineFor {
+		if en.id == ir.avoidedEngine && now.Sub(ir.stateSince) < avoidEngineFor {
 			continue
 		}
 		score := plainScore(ta, en, ir, now)
@@ -258,7 +258,7 @@
 			break
 		}
 	}
-	if now.Sub(en.failed) < brokenRunPenalty {
+	if now.Sub(en.brokeRunAt) < brokenRunPenalty {
 		score -= float64(en.slots)
 	}
 	if en.slow(now) {
@@ -267,8 +267,8 @@
 	held, end := plainMemory(en)
 	took := ir.expectedTime().Seconds()
 	cost := took * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
-	if best := ta.bests[en.service]; best > 0 && en.base > 0 {
-		if behind := float64(en.base)/float64(best) - 1; behind >= paceTolerance {
+	if best := ta.bestBases[en.service]; best > 0 && en.basePace > 0 {
+		if behind := float64(en.basePace)/float64(best) - 1; behind >= paceTolerance {
 			cost += behind * took * slotsPerSecond
 		}
 	}
--- a/step/queue.go
+++ b/step/queue.go
@@ -8,14 +8,14 @@
 
 // A waitEntry is a waiting item with its properties when it was enqueued.
 type waitEntry struct {
-	held   int // tokens
-	item   *itemRow
-	need   time.Duration // expected time to complete
-	ticket int           // the entry is valid while the item has the same ticket
+	tokens   int // tokens
+	item     *itemRow
+	duration time.Duration // expected time to complete
+	ticket   int           // the entry is valid while the item has the same ticket
 }
 
 func compareEntries(a, b waitEntry) int {
-	return cmp.Or(cmp.Compare(b.need, a.need), cmp.Compare(a.item.index, b.item.index))
+	return cmp.Or(cmp.Compare(b.duration, a.duration), cmp.Compare(a.item.index, b.item.index))
 }
 
 // A waitQueue holds waiting items of a step by descending expected time, that is, by ascending
@@ -31,7 +31,7 @@
 // under overload.
 type stepQueue struct {
 	built  bool
-	fresh  []*itemRow   // items that started to wait after the last refresh
+	added  []*itemRow   // items that started to wait after the last refresh
 	queues [4]waitQueue // indexed by itemRow.queue
 }
 
@@ -39,7 +39,7 @@
 func (sq *stepQueue) add(ir *itemRow) {
 	ir.ticket++
 	if sq.built {
-		sq.fresh = append(sq.fresh, ir)
+		sq.added = append(sq.added, ir)
 	}
 }
 
@@ -50,18 +50,18 @@
 func (sq *stepQueue) refresh(sr *stepRow) {
 	if !sq.built {
 		sq.built = true
-		for _, gr := range sr.list {
-			sq.fresh = append(sq.fresh, gr.wait.waiting...)
+		for _, gr := range sr.groupList {
+			sq.added = append(sq.added, gr.summary.waiting...)
 		}
 	}
 	var fresh [4][]waitEntry
-	for _, ir := range sq.fresh {
+	for _, ir := range sq.added {
 		if ir.state == waiting {
 			fresh[ir.queueIndex()] = append(fresh[ir.queueIndex()], ir.entry())
 		}
 	}
-	sq.fresh = sq.fresh[:0]
-	tokens := sr.gauge.eventTokens()
+	sq.added = sq.added[:0]
+	tokens := sr.estimator.eventTokens()
 	for i := range sq.queues {
 		wq := &sq.queues[i]
 		if i&queueWithEvents != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
@@ -92,7 +92,7 @@
 
 // entry returns a new entry for the item.
 func (ir *itemRow) entry() waitEntry {
-	return waitEntry{held: ir.holdsNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
+	return waitEntry{tokens: ir.holdsNow(), item: ir, duration: ir.expectedTime(), ticket: ir.ticket}
 }
 
 // valid reports whether the item has been waiting ever since the entry was made.
--- a/step/read.go
+++ b/step/read.go
@@ -47,7 +47,7 @@
 			}).Info("results read")
 			return li, nil
 		}
-		changed, release := sr.changed, sr.hold(begun, rq.Wait)
+		changed, release := sr.listedSignal, sr.hold(begun, rq.Wait)
 		sc.mu.Unlock()
 		err = await(ctx, changed, wait)
 		sc.mu.Lock()
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -149,11 +149,11 @@
 	bases := map[string][]time.Duration{}
 	for _, se := range re.engines {
 		en := re.table.engines[se.id]
-		en.base = time.Duration(0.592 * float64(re.sheet.eventTokens) * se.factor * float64(time.Millisecond))
-		bases[en.service] = append(bases[en.service], en.base)
+		en.basePace = time.Duration(0.592 * float64(re.sheet.eventTokens) * se.factor * float64(time.Millisecond))
+		bases[en.service] = append(bases[en.service], en.basePace)
 	}
 	for service, all := range bases {
-		re.table.bases[service], re.table.bests[service] = median(all), all[0]
+		re.table.medianBases[service], re.table.bestBases[service] = median(all), all[0]
 	}
 }
 
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -45,10 +45,10 @@
 			enter(ta, 10, 5)
 			hear(ta, "a", reportOf(10, 5), begin)
 			en := ta.engines["a"]
-			en.gone, en.failed, en.slowAt, en.base = true, begin, begin, time.Second
+			en.replaced, en.brokeRunAt, en.slowAt, en.basePace = true, begin, begin, time.Second
 			tc.tell(ta)
-			assert.Equal(t, en.born, incarnation.Number(20))
-			assert.Assert(t, !en.gone && !en.slow(begin) && en.failed.IsZero() && en.base == 0)
+			assert.Equal(t, en.incarnation, incarnation.Number(20))
+			assert.Assert(t, !en.replaced && !en.slow(begin) && en.brokeRunAt.IsZero() && en.basePace == 0)
 			assert.Equal(t, en.versions["model"], uint64(2))
 		})
 	}
@@ -64,7 +64,7 @@
 	hear(ta, "a", reportOf(0, 6), begin)
 	enter(ta, 0, 5)
 	assert.Assert(t, en.slow(begin))
-	assert.Equal(t, en.born, incarnation.Number(10))
+	assert.Equal(t, en.incarnation, incarnation.Number(10))
 	assert.Equal(t, en.versions["model"], uint64(6), "what the engine says counts, not its entry")
 }
 
--- a/step/reward.go
+++ b/step/reward.go
@@ -44,7 +44,7 @@
 // whole takes in that an item's text is whole. It is complete once it has its
 // score, if it is to have one.
 func (ta *Table) whole(ir *itemRow, now time.Time) {
-	ir.known = max(ir.known, len(ir.events))
+	ir.knownEvents = max(ir.knownEvents, len(ir.events))
 	if ir.item.Reward == nil || ir.reward.score != "" {
 		ta.finish(ir, complete, now)
 		return
@@ -109,7 +109,7 @@
 	slices.SortFunc(due, func(a, b *itemRow) int {
 		return cmp.Or(
 			cmp.Compare(a.step.step.Due-a.step.age(now), b.step.step.Due-b.step.age(now)),
-			cmp.Compare(a.step.groups[a.item.Group].left, b.step.groups[b.item.Group].left),
+			cmp.Compare(a.step.groups[a.item.Group].openItems, b.step.groups[b.item.Group].openItems),
 			a.reward.since.Compare(b.reward.since),
 			cmp.Compare(a.item.ID, b.item.ID),
 		)
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -121,7 +121,7 @@
 		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		for i := range sr.items {
 			end(ta, t, sr.step.ID, i, runner.Complete, events(1, 3, 1), begin)
 		}
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -15,7 +15,7 @@
 // step can end meanwhile, and a text that has its score is listed at once when
 // the service is back.
 func (sc *Scheduler) startRewards(te *term, now time.Time) {
-	for ir, cancel := range te.calls {
+	for ir, cancel := range te.rewardCalls {
 		if ir.step.ended {
 			cancel()
 		}
@@ -27,8 +27,8 @@
 	places := map[string]int{}
 	locate := func(ca *forward.Call) plainService { return sc.locate(co, places, ca) }
 	for _, ir := range te.table.startRewards(locate, now) {
-		ctx, cancel := te.begin()
-		te.calls[ir] = cancel
+		ctx, cancel := te.newContext()
+		te.rewardCalls[ir] = cancel
 		go sc.reward(ctx, te, ir)
 	}
 }
@@ -65,8 +65,8 @@
 	sc.Metrics.GetOrCreateCounter(`wisteriacroft_reward_calls_total{outcome="` + re.Outcome() + `"}`).Inc()
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.calls[ir]()
-	delete(te.calls, ir)
+	te.rewardCalls[ir]()
+	delete(te.rewardCalls, ir)
 	if sc.term != te {
 		return // the next scheduler makes the call again
 	}
--- a/step/room.go
+++ b/step/room.go
@@ -7,23 +7,23 @@
 // Services are planned separately, since steps can't use the capacity of another service.
 type servicePlan struct {
 	planner overload.Planner
-	// withRoom and without are the groups of open steps with and without reserved capacity, by
+	// reserved and unreserved are the groups of open steps with and unreserved reserved capacity, by
 	// position. If stale is set, they are out of date.
-	withRoom, without []*groupRow
-	stale             bool
-	// sendsAhead is set if full engines with a run about to end get one item in advance.
-	sendsAhead bool
-	// withinPart holds, for each customer with open steps, whether it asks for no more than
+	reserved, unreserved []*groupRow
+	stale                bool
+	// prequeues is set if full engines with a run about to end get one item in advance.
+	prequeues bool
+	// withinShare holds, for each customer with open steps, whether it asks for no more than
 	// its share of the slots, as of the last plan.
-	withinPart map[string]bool
+	withinShare map[string]bool
 }
 
 // servicePlan returns the capacity plan of a service, and creates it if necessary.
 func (ta *Table) servicePlan(service string) *servicePlan {
-	rm := ta.rooms[service]
+	rm := ta.servicePlans[service]
 	if rm == nil {
-		rm = &servicePlan{planner: overload.Planner{Way: ta.way}}
-		ta.rooms[service] = rm
+		rm = &servicePlan{planner: overload.Planner{Way: ta.policy}}
+		ta.servicePlans[service] = rm
 	}
 	return rm
 }
@@ -31,22 +31,22 @@
 // markPlanStale drops the order of a service's groups after its open steps have changed. This
 // also frees the memory of ended steps.
 func (ta *Table) markPlanStale(service string) {
-	if rm := ta.rooms[service]; rm != nil {
-		rm.withRoom, rm.without, rm.stale = nil, nil, true
+	if rm := ta.servicePlans[service]; rm != nil {
+		rm.reserved, rm.unreserved, rm.stale = nil, nil, true
 	}
 }
 
 // overloaded reports whether a service is overloaded.
 func (ta *Table) overloaded(service string) bool {
-	rm := ta.rooms[service]
+	rm := ta.servicePlans[service]
 	return rm != nil && rm.planner.Overloaded()
 }
 
 // prequeues reports whether full engines of a service with a run about to end get one item in
 // advance.
 func (ta *Table) prequeues(service string) bool {
-	rm := ta.rooms[service]
-	return rm != nil && rm.sendsAhead
+	rm := ta.servicePlans[service]
+	return rm != nil && rm.prequeues
 }
 
 // A ServiceLoad is the load of a service.
@@ -57,8 +57,8 @@
 
 // ServiceLoads returns the load of each service with a capacity plan.
 func (ta *Table) ServiceLoads() map[string]ServiceLoad {
-	rooms := make(map[string]ServiceLoad, len(ta.rooms))
-	for service, rm := range ta.rooms {
+	rooms := make(map[string]ServiceLoad, len(ta.servicePlans))
+	for service, rm := range ta.servicePlans {
 		rooms[service] = ServiceLoad{Crowded: rm.planner.Overloaded(), Load: rm.planner.Load()}
 	}
 	return rooms
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -24,7 +24,7 @@
 		infos = append(infos, EngineInfo{ID: string(rune('a' + i)), Service: service, Slots: 2, Tokens: 10000})
 	}
 	ta.SetEngines(infos, begin)
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		hear(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
 	}
 	sizes := make([]int, items)
@@ -72,12 +72,12 @@
 	ta.SetVersion("second", 2)
 	ta.planCapacity(begin)
 	total := 0.0
-	for _, part := range ta.engineShares(ta.sorted[1:]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[1:]) {
 		total += part
 	}
 	assert.Assert(t, total < 4.01, "each model of the service with room has its share alone: %v", total)
 	total = 0
-	for _, part := range ta.engineShares(ta.sorted[:1]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[:1]) {
 		total += part
 	}
 	assert.Equal(t, total, 2.0, "each model of the crowded one has all")
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -7,12 +7,12 @@
 		return
 	}
 	rm.stale = false
-	rm.withRoom, rm.without = rm.withRoom[:0], rm.without[:0]
+	rm.reserved, rm.unreserved = rm.reserved[:0], rm.unreserved[:0]
 	for _, gr := range byPosition(steps) {
 		if gr.plan.InTime() {
-			rm.withRoom = append(rm.withRoom, gr)
+			rm.reserved = append(rm.reserved, gr)
 		} else {
-			rm.without = append(rm.without, gr)
+			rm.unreserved = append(rm.unreserved, gr)
 		}
 	}
 }
@@ -22,14 +22,14 @@
 func byPosition(steps []*stepRow) []*groupRow {
 	most := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			most = max(most, gr.plan.Position())
 		}
 	}
 	counts := make([]int, most+2) // groups before each position
 	total := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			counts[gr.plan.Position()+1]++
 			total++
 		}
@@ -39,7 +39,7 @@
 	}
 	all := make([]*groupRow, total)
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			at := &counts[gr.plan.Position()]
 			all[*at] = gr
 			*at++
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -13,7 +13,7 @@
 	}
 	room := make(map[string]int, len(ranks))
 	for customer, rank := range ranks {
-		if !rm.withinPart[customer] {
+		if !rm.withinShare[customer] {
 			room[customer] = 1 + rank/ranksPerStep
 		}
 	}
@@ -30,13 +30,13 @@
 	for i, st := range steps {
 		customer := rows[i].step.Customer
 		if _, ok := asked[customer]; !ok {
-			total += ta.share.account.Weight(customer)
+			total += ta.usage.account.Weight(customer)
 		}
 		asked[customer] += st.Demand()
 	}
 	within := map[string]bool{}
 	for customer, count := range asked {
-		within[customer] = count <= places*ta.share.account.Weight(customer)/total
+		within[customer] = count <= places*ta.usage.account.Weight(customer)/total
 	}
 	return within
 }
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -91,29 +91,29 @@
 	// WallFunc receives the wall clock of attendants' instances, in Unix microseconds. May be nil.
 	WallFunc func(instance string, wall int64)
 
-	archive      archive
-	cancelHolder context.CancelFunc
-	accepted     chan struct{} // wakes the systems after a step was accepted
-	measured     map[string]ServiceLoad
-	mu           sync.Mutex
-	replacedAt   time.Time // when the last term ended
-	term         *term     // nil without the lease
+	archive          archive
+	cancelHolder     context.CancelFunc
+	stepAccepted     chan struct{} // wakes the systems after a step was accepted
+	measuredServices map[string]ServiceLoad
+	mu               sync.Mutex
+	termEndedAt      time.Time // when the last term ended
+	term             *term     // nil without the lease
 }
 
 // A term is a period in which a scheduler holds the lease without another holder in between.
 // If the lease expires in an outage and nobody else acquires it, the term continues under a
 // new epoch.
 type term struct {
-	begin    func() (context.Context, context.CancelFunc) // returns a context that is canceled with the term
-	calls    map[*itemRow]context.CancelFunc              // reward calls in flight
-	cancel   context.CancelFunc
-	epoch    uint64
-	exchange map[string]chan struct{} // wake the exchange loops, by engine
-	freshAt  time.Time                // last response to the intake poll
-	revival  revival
-	ready    bool // the state of earlier schedulers is loaded
-	table    *Table
-	writes   chan struct{} // wakes the writer
+	newContext    func() (context.Context, context.CancelFunc) // returns a context that is canceled with the term
+	rewardCalls   map[*itemRow]context.CancelFunc              // reward calls in flight
+	cancel        context.CancelFunc
+	epoch         uint64
+	exchangeKicks map[string]chan struct{} // wake the exchange loops, by engine
+	polledAt      time.Time                // last response to the intake poll
+	revival       revival
+	ready         bool // the state of earlier schedulers is loaded
+	table         *Table
+	writeKick     chan struct{} // wakes the writer
 
 	// configuration and endpoints are the ones that the table's engines were set from.
 	configuration *directory.Configuration
@@ -162,8 +162,8 @@
 	defer cancel()
 	sc.mu.Lock()
 	sc.cancelHolder = cancel
-	sc.accepted = make(chan struct{}, 1)
-	accepted := sc.accepted
+	sc.stepAccepted = make(chan struct{}, 1)
+	accepted := sc.stepAccepted
 	sc.mu.Unlock()
 	resumed := make(chan struct{}, 1)
 	sc.Holder.HeldFunc = func() { notify(resumed) }
@@ -215,16 +215,16 @@
 		sc.Log.WithField("epoch", sc.term.epoch).Warn("no longer the scheduler")
 		sc.term.cancel()
 		sc.term = nil
-		sc.replacedAt = time.Now()
+		sc.termEndedAt = time.Now()
 	}
 	if sc.term != nil || epoch == 0 {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	te := &term{
-		begin: func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
-		calls: map[*itemRow]context.CancelFunc{}, cancel: cancel, epoch: epoch, exchange: map[string]chan struct{}{},
-		writes: make(chan struct{}, 1),
+		newContext:  func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
+		rewardCalls: map[*itemRow]context.CancelFunc{}, cancel: cancel, epoch: epoch, exchangeKicks: map[string]chan struct{}{},
+		writeKick: make(chan struct{}, 1),
 	}
 	te.table = NewTable(epoch, func(event string, fields map[string]any) {
 		sc.Log.WithFields(fields).WithField("epoch", te.epoch).Info(event)
@@ -246,7 +246,7 @@
 func (te *term) renew(epoch uint64) {
 	te.epoch = epoch
 	te.table.SetEpoch(epoch)
-	notify(te.writes)
+	notify(te.writeKick)
 }
 
 // resume handles a newly acquired lease or the recovery of the key-value service.
@@ -256,7 +256,7 @@
 	defer sc.mu.Unlock()
 	if sc.term != nil {
 		sc.term.revival.tell()
-		notify(sc.term.writes)
+		notify(sc.term.writeKick)
 	}
 }
 
@@ -286,7 +286,7 @@
 	}
 	sc.measureCustomers(ta)
 	sc.startRewards(te, now)
-	for id, kick := range te.exchange {
+	for id, kick := range te.exchangeKicks {
 		if ta.exchangeUrgent(id) {
 			notify(kick)
 		}
@@ -296,7 +296,7 @@
 // mayStartRuns reports whether runs may start: the lease is held, and the intake is up to date.
 func (sc *Scheduler) mayStartRuns(te *term, now time.Time) bool {
 	_, held := sc.Holder.Held(now)
-	return held && now.Sub(te.freshAt) < intakeWait+intakeSlack
+	return held && now.Sub(te.polledAt) < intakeWait+intakeSlack
 }
 
 // refresh updates the table from the directory.
@@ -329,9 +329,9 @@
 	}
 	te.table.SetEngines(infos, now)
 	for _, in := range infos {
-		if _, ok := te.exchange[in.ID]; !ok {
-			te.exchange[in.ID] = make(chan struct{}, 1)
-			go sc.exchangeLoop(te, in.ID, te.exchange[in.ID])
+		if _, ok := te.exchangeKicks[in.ID]; !ok {
+			te.exchangeKicks[in.ID] = make(chan struct{}, 1)
+			go sc.exchangeLoop(te, in.ID, te.exchangeKicks[in.ID])
 		}
 	}
 }
@@ -365,7 +365,7 @@
 	var ids []string
 	if sc.term != nil && sc.term.ready {
 		ids = sc.term.table.Forget(sc.Keep, now)
-		sc.term.table.LogLoad(now.Sub(sc.term.freshAt), now)
+		sc.term.table.LogLoad(now.Sub(sc.term.polledAt), now)
 		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItems()))
 	}
 	sc.mu.Unlock()
--- a/step/seat.go
+++ b/step/seat.go
@@ -10,21 +10,21 @@
 // The values that exclude most candidates are kept in a compact seatSummary, since every
 // candidate is checked for every waiting item.
 type candidate struct {
-	behind   float64 // see Table.behind
-	context  float64 // see engineRow.context
-	end      int     // total tokens at the ends of its runs
-	endsSoon bool    // a run was about to end when an item was last started
-	engine   *engineRow
-	full     bool // takes no more items in this round
-	open     int  // number of items that it may still get
-	released bool // a reserved slot was released in this round
-	trying   bool // runs an isolated trial of an item
+	lagBehindBest float64 // see Table.behind
+	contextTokens float64 // see engineRow.context
+	endTokens     int     // total tokens at the ends of its runs
+	endsSoon      bool    // a run was about to end when an item was last started
+	engine        *engineRow
+	full          bool // takes no more items in this round
+	openSlots     int  // number of items that it may still get
+	released      bool // a reserved slot was released in this round
+	runsTrial     bool // runs an isolated trial of an item
 }
 
 // A candidateSummary holds the values that exclude a seat for most items.
 type candidateSummary struct {
-	room  int     // maximum tokens of an item that fits; fullRoom if none does
-	score float64 // upper bound of the score: the part that depends on the item is only subtracted
+	freeTokens int     // maximum tokens of an item that fits; fullRoom if none does
+	score      float64 // upper bound of the score: the part that depends on the item is only subtracted
 }
 
 // noFreeTokens is the room of an engine that takes no items.
@@ -38,9 +38,9 @@
 
 // A candidateList holds the seats that can run the items of some steps.
 type candidateList struct {
-	last  int   // last chosen index, or -1
-	most  int   // upper bound of the tokens of an item that fits
-	seats []int // indexes
+	lastChosen int   // last chosen index, or -1
+	maxTokens  int   // upper bound of the tokens of an item that fits
+	indexes    []int // indexes
 }
 
 // countOpenSlots returns how many items an engine may get now.
@@ -58,16 +58,16 @@
 
 // refresh recomputes a seat from the current state of its engine.
 func (pl *placement) refresh(i int) {
-	se, ta := &pl.seats[i], pl.table
+	se, ta := &pl.candidates[i], pl.table
 	en := se.engine
 	now, end := en.memory()
-	se.open, se.end, se.context = pl.countOpenSlots(se), end, float64((now+end)/2)
-	se.trying = ta.trials.runsTrial(en.id, pl.now)
+	se.openSlots, se.endTokens, se.contextTokens = pl.countOpenSlots(se), end, float64((now+end)/2)
+	se.runsTrial = ta.trials.runsTrial(en.id, pl.now)
 	pl.summaries[i] = pl.summaryOf(se, now)
-	se.behind = ta.lagBehindBest(en)
-	if !se.full && se.open <= 0 && len(en.coming) == 0 {
+	se.lagBehindBest = ta.lagBehindBest(en)
+	if !se.full && se.openSlots <= 0 && len(en.incoming) == 0 {
 		se.full = true
-		if pl.live--; pl.live < len(pl.summaries)/2 && pl.live%compactEvery == 0 {
+		if pl.openCount--; pl.openCount < len(pl.summaries)/2 && pl.openCount%compactEvery == 0 {
 			pl.compactLists()
 		}
 	}
@@ -79,12 +79,12 @@
 // summaryOf returns the summary of a seat whose engine holds now tokens.
 func (pl *placement) summaryOf(se *candidate, now int) candidateSummary {
 	en := se.engine
-	su := candidateSummary{room: math.MaxInt, score: en.baseScore(pl.now)}
+	su := candidateSummary{freeTokens: math.MaxInt, score: en.baseScore(pl.now)}
 	switch {
-	case se.open <= 0 || se.trying:
-		su.room = noFreeTokens
+	case se.openSlots <= 0 || se.runsTrial:
+		su.freeTokens = noFreeTokens
 	case en.tokens > 0 && len(en.items) > 0:
-		su.room = int(math.Floor(maxMemoryFraction*float64(en.tokens))) - now
+		su.freeTokens = int(math.Floor(maxMemoryFraction*float64(en.tokens))) - now
 	}
 	return su
 }
@@ -92,70 +92,70 @@
 // indexOf returns the index of an engine's seat, or -1. The index stored in the engine may be of
 // an earlier round.
 func (pl *placement) indexOf(en *engineRow) int {
-	if en != nil && en.seat >= 0 && en.seat < len(pl.seats) && pl.seats[en.seat].engine == en {
-		return en.seat
+	if en != nil && en.candidateIndex >= 0 && en.candidateIndex < len(pl.candidates) && pl.candidates[en.candidateIndex].engine == en {
+		return en.candidateIndex
 	}
 	return -1
 }
 
 // listOf returns the seats that can run a step's items, cached for this round.
 func (pl *placement) listOf(sr *stepRow) *candidateList {
-	if sr.round == pl {
-		return sr.seats
+	if sr.placement == pl {
+		return sr.candidates
 	}
 	key := candidateKey{minVersion: sr.step.MinVersion, model: sr.step.Model, service: sr.step.Service}
-	sl := pl.lists[key]
+	sl := pl.candidateLists[key]
 	if sl == nil {
-		sl = &candidateList{last: -1, most: noFreeTokens}
-		for i := range pl.seats {
-			se := &pl.seats[i]
+		sl = &candidateList{lastChosen: -1, maxTokens: noFreeTokens}
+		for i := range pl.candidates {
+			se := &pl.candidates[i]
 			if se.full || !pl.table.canRunStep(se.engine, sr.step) {
 				continue
 			}
-			sl.seats = append(sl.seats, i)
-			sl.most = max(sl.most, pl.summaries[i].room)
+			sl.indexes = append(sl.indexes, i)
+			sl.maxTokens = max(sl.maxTokens, pl.summaries[i].freeTokens)
 		}
-		pl.lists[key] = sl
+		pl.candidateLists[key] = sl
 	}
-	sr.round, sr.seats = pl, sl
+	sr.placement, sr.candidates = pl, sl
 	return sl
 }
 
 // resetBounds resets the bounds of all lists after memory of an engine was released. The next
 // choice from a list computes its bound again.
 func (pl *placement) resetBounds() {
-	for _, sl := range pl.lists {
-		if len(sl.seats) > 0 {
-			sl.most = math.MaxInt
+	for _, sl := range pl.candidateLists {
+		if len(sl.indexes) > 0 {
+			sl.maxTokens = math.MaxInt
 		}
 	}
 }
 
 // An itemDemand holds precomputed properties of an item for the choice of an engine.
 type itemDemand struct {
-	item     *itemRow
-	now, end int     // tokens now and at the expected end
-	took     float64 // expected seconds to complete
-	unwanted string  // engine to avoid, or empty
+	item              *itemRow
+	tokens, endTokens int     // tokens now and at the expected end
+	seconds           float64 // expected seconds to complete
+	avoidedEngine     string  // engine to avoid, or empty
 }
 
 func (pl *placement) demandOf(ir *itemRow) itemDemand {
-	ne := itemDemand{item: ir, took: ir.expectedTime().Seconds()}
-	ne.now, ne.end = ir.holds()
-	if pl.now.Sub(ir.since) < avoidEngineFor {
-		ne.unwanted = ir.unwanted
+	ne := itemDemand{item: ir, seconds: ir.expectedTime().Seconds()}
+	ne.tokens, ne.endTokens = ir.holds()
+	if pl.now.Sub(ir.stateSince) < avoidEngineFor {
+		ne.avoidedEngine = ir.avoidedEngine
 	}
 	return ne
 }
 
 // accepts reports whether an engine with enough free memory for an item can run it.
 func (se *candidate) accepts(ne *itemDemand) bool {
-	return (ne.unwanted == "" || se.engine.id != ne.unwanted) && se.engine.canContinue(ne.item)
+	return (ne.avoidedEngine == "" || se.engine.id != ne.avoidedEngine) && se.engine.canContinue(ne.item)
 }
 
 // score returns the score of a seat for an item, given the part that doesn't depend on it.
 func (se *candidate) score(ne *itemDemand, score float64) float64 {
-	return score - paceCost(ne.took, se.context, se.behind) - se.engine.overfillCost(se.end+ne.end)
+	return score - paceCost(ne.seconds, se.contextTokens, se.lagBehindBest) - se.engine.overfillCost(se.endTokens+ne.endTokens)
 }
 
 // choose returns the index of the best seat for an item, or -1, and updates the bound of the
@@ -169,12 +169,12 @@
 	ne := pl.demandOf(ir)
 	best, bestScore, most := -1, 0.0, noFreeTokens
 	consider := func(i int, score float64) {
-		se := &pl.seats[i]
+		se := &pl.candidates[i]
 		if !se.accepts(&ne) {
 			return
 		}
 		score = pl.score(se, &ne, score)
-		if best < 0 || score > bestScore || score == bestScore && se.engine.id < pl.seats[best].engine.id {
+		if best < 0 || score > bestScore || score == bestScore && se.engine.id < pl.candidates[best].engine.id {
 			best, bestScore = i, score
 		}
 	}
@@ -183,37 +183,37 @@
 		if mate.state != running {
 			continue
 		}
-		if i := pl.indexOf(mate.run.at); i >= 0 && ne.now <= pl.summaries[i].room && pl.table.canRunStep(mate.run.at, ir.step.step) {
+		if i := pl.indexOf(mate.run.engine); i >= 0 && ne.tokens <= pl.summaries[i].freeTokens && pl.table.canRunStep(mate.run.engine, ir.step.step) {
 			consider(i, pl.summaries[i].score+sameGroupBonus)
 		}
 	}
-	if i := sl.last; i >= 0 && ne.now <= pl.summaries[i].room {
+	if i := sl.lastChosen; i >= 0 && ne.tokens <= pl.summaries[i].freeTokens {
 		consider(i, pl.summaries[i].score)
 	}
-	for _, i := range sl.seats {
+	for _, i := range sl.indexes {
 		su := &pl.summaries[i]
-		most = max(most, su.room)
-		if ne.now <= su.room && (best < 0 || su.score >= bestScore || pl.table.rank != nil) {
+		most = max(most, su.freeTokens)
+		if ne.tokens <= su.freeTokens && (best < 0 || su.score >= bestScore || pl.table.scoreFunc != nil) {
 			consider(i, su.score)
 		}
 	}
-	sl.most = most
+	sl.maxTokens = most
 	if best >= 0 {
-		sl.last = best
+		sl.lastChosen = best
 	}
 	return best
 }
 
 // compactLists removes full seats from all lists.
 func (pl *placement) compactLists() {
-	for _, sl := range pl.lists {
-		sl.seats = slices.DeleteFunc(sl.seats, func(i int) bool { return pl.seats[i].full })
+	for _, sl := range pl.candidateLists {
+		sl.indexes = slices.DeleteFunc(sl.indexes, func(i int) bool { return pl.candidates[i].full })
 	}
 }
 
 // score returns the score of a seat for an item, by the table's custom score if it has one.
 func (pl *placement) score(se *candidate, ne *itemDemand, score float64) float64 {
-	if rank := pl.table.rank; rank != nil {
+	if rank := pl.table.scoreFunc; rank != nil {
 		return rank(se.engine, ne.item, pl.now)
 	}
 	return se.score(ne, score)
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -23,18 +23,18 @@
 // than its part of a room has steps open there, or may soon have some. A customer that has
 // steps open at other services only doesn't count.
 func (ta *Table) competesWithinPart(rm *servicePlan) bool {
-	customers := ta.share.account.Balances()
+	customers := ta.usage.account.Balances()
 	if len(customers) < 2 {
 		return false
 	}
 	elsewhere := map[string]bool{}
-	for _, other := range ta.rooms {
-		for customer := range other.withinPart {
+	for _, other := range ta.servicePlans {
+		for customer := range other.withinShare {
 			elsewhere[customer] = elsewhere[customer] || other != rm
 		}
 	}
 	for customer := range customers {
-		if within, open := rm.withinPart[customer]; within || !open && !elsewhere[customer] {
+		if within, open := rm.withinShare[customer]; within || !open && !elsewhere[customer] {
 			return true
 		}
 	}
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -67,7 +67,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ta, irs := crowded(t, 40*time.Millisecond, 100)
 			from, to := ta.engines["a"], ta.engines["b"]
-			from.base, to.base = 100*time.Millisecond, 40*time.Millisecond
+			from.basePace, to.basePace = 100*time.Millisecond, 40*time.Millisecond
 			now := begin.Add(tc.age)
 			irs[0].item.Hint, irs[0].run.eventAt = 1000, now // 16 events left
 			assert.Equal(t, ta.makesInTime(irs[0], from, to, now), tc.want)
@@ -80,16 +80,16 @@
 func TestAllEnginesTakeAllModelsWhileCrowded(t *testing.T) {
 	ta := overloaded(t, 900)
 	addEngines(ta, begin, "a", "b", "c", "d")
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		en.versions = map[string]uint64{"model": 1, "other": 1}
 	}
 	ta.SetVersion("model", 2)
 	ta.SetVersion("other", 2)
-	before := ta.engineShares(ta.sorted)
+	before := ta.engineShares(ta.sortedEngines)
 	assert.Assert(t, before["model"]+before["other"] < 4.01, "with room, each has its share: %v", before)
 	assert.Equal(t, ta.toleratedLag("service"), uint64(0))
 	ta.planCapacity(begin)
 	assert.Assert(t, ta.overloaded("service"))
-	assert.DeepEqual(t, ta.engineShares(ta.sorted), map[string]float64{"model": 4, "other": 4})
+	assert.DeepEqual(t, ta.engineShares(ta.sortedEngines), map[string]float64{"model": 4, "other": 4})
 	assert.Equal(t, ta.toleratedLag("service"), uint64(unusableLag-1), "what steps take can wait for what they don't")
 }
--- a/step/share.go
+++ b/step/share.go
@@ -22,15 +22,15 @@
 
 // A customerUsage holds the usage accounts of customers.
 type customerUsage struct {
-	account   fairshare.Account
-	countedAt time.Time
-	live      map[string]float64 // fractions of plain services' slots in use by live requests, by customer
-	logged    map[string]int     // last logged ranks
-	loggedAt  time.Time
-	recent    fairshare.RecentUsage // slots in use
-	saved     []byte                // the encoded account as last written
-	savedAt   time.Time
-	scarce    map[string]bool // services with waiting items and few free slots
+	account     fairshare.Account
+	chargedAt   time.Time
+	liveSlots   map[string]float64 // fractions of plain services' slots in use by live requests, by customer
+	logged      map[string]int     // last logged ranks
+	loggedAt    time.Time
+	recentSlots fairshare.RecentUsage // slots in use
+	saved       []byte                // the encoded account as last written
+	savedAt     time.Time
+	scarce      map[string]bool // services with waiting items and few free slots
 }
 
 // ChargeUsage accounts for customers' use of the engines since the last call.
@@ -39,15 +39,15 @@
 // and make the others late. The slots in use at one moment don't show who has used most, as
 // steps come in bursts.
 func (ta *Table) ChargeUsage(now time.Time) {
-	fs := &ta.share
+	fs := &ta.usage
 	elapsed := time.Duration(0)
-	if !fs.countedAt.IsZero() {
-		elapsed = min(now.Sub(fs.countedAt), maxElapsed)
+	if !fs.chargedAt.IsZero() {
+		elapsed = min(now.Sub(fs.chargedAt), maxElapsed)
 	}
-	fs.countedAt = now
+	fs.chargedAt = now
 	counts := ta.customerCounts(now)
 	fs.account.Advance(ta.customerUses(counts), elapsed)
-	fs.recent.Add(slotsInUse(counts), elapsed, now)
+	fs.recentSlots.Add(slotsInUse(counts), elapsed, now)
 	if now.Sub(fs.loggedAt) >= rankLogInterval {
 		fs.loggedAt = now
 		ta.logRanks()
@@ -56,7 +56,7 @@
 
 // logRanks logs the customers whose rank has changed.
 func (ta *Table) logRanks() {
-	fs := &ta.share
+	fs := &ta.usage
 	sts := fs.account.Balances()
 	before := fs.logged
 	fs.logged = map[string]int{}
@@ -76,26 +76,26 @@
 }
 
 // Shares returns the balances of customers.
-func (ta *Table) Shares() map[string]fairshare.Balance { return ta.share.account.Balances() }
+func (ta *Table) Shares() map[string]fairshare.Balance { return ta.usage.account.Balances() }
 
 // Parts returns each customer's fraction of the slot time used within fairshare.RecentTime.
-func (ta *Table) Parts(now time.Time) map[string]float64 { return ta.share.recent.Parts(now) }
+func (ta *Table) Parts(now time.Time) map[string]float64 { return ta.usage.recentSlots.Parts(now) }
 
 // SetWeights sets the customers' weights. The default weight is 1.
-func (ta *Table) SetWeights(weights map[string]float64) { ta.share.account.SetWeights(weights) }
+func (ta *Table) SetWeights(weights map[string]float64) { ta.usage.account.SetWeights(weights) }
 
 // SetLiveUsage sets, by customer, the fractions of scarce slots of plain services that live requests
 // use.
-func (ta *Table) SetLiveUsage(parts map[string]float64) { ta.share.live = parts }
+func (ta *Table) SetLiveUsage(parts map[string]float64) { ta.usage.liveSlots = parts }
 
 type usageKey struct{ customer, service string }
 
 // A itemCounts counts a customer's items at a service.
 type itemCounts struct {
-	held   int  // running items
-	ready  bool // a waiting item can start
-	tokens int  // of running items
-	waits  int  // waiting items
+	running  int  // running items
+	canStart bool // a waiting item can start
+	tokens   int  // of running items
+	waiting  int  // waiting items
 }
 
 // scarceFraction is the fraction of a service's slots in use from which they count as scarce. With
@@ -107,21 +107,21 @@
 func (ta *Table) customerUses(counts map[usageKey]itemCounts) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
 	for key, co := range counts {
-		waits[key.service] = waits[key.service] || co.ready
-		held[key.service] += co.held
+		waits[key.service] = waits[key.service] || co.canStart
+		held[key.service] += co.running
 	}
 	uses := map[string]fairshare.Usage{}
-	ta.share.scarce = map[string]bool{}
+	ta.usage.scarce = map[string]bool{}
 	for service, some := range waits {
 		if !some {
 			continue
 		}
 		places, tokens := ta.serviceCapacity(service)
 		scarce := ratio(held[service], places) >= scarceFraction
-		ta.share.scarce[service] = scarce
+		ta.usage.scarce[service] = scarce
 		addUses(uses, service, counts, places, tokens, scarce)
 	}
-	for customer, part := range ta.share.live {
+	for customer, part := range ta.usage.liveSlots {
 		if us, ok := uses[customer]; ok {
 			us.Places = max(us.Places, part)
 			uses[customer] = us
@@ -134,19 +134,19 @@
 func (ta *Table) customerCounts(now time.Time) map[usageKey]itemCounts {
 	ta.updateSummaries()
 	counts := map[usageKey]itemCounts{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		key := usageKey{sr.step.Customer, sr.step.Service}
 		co := counts[key]
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); held {
 			ta.countUnheld(&co, sr)
 		} else {
-			co.waits += sr.waits
+			co.waiting += sr.waitingCount
 		}
-		co.ready = co.ready || sr.waits > 0 && ta.anyCanStart(sr, now)
-		eventTokens := sr.gauge.eventTokens()
-		for _, gr := range sr.list {
-			co.held += len(gr.wait.running)
-			for _, ir := range gr.wait.running {
+		co.canStart = co.canStart || sr.waitingCount > 0 && ta.anyCanStart(sr, now)
+		eventTokens := sr.estimator.eventTokens()
+		for _, gr := range sr.groupList {
+			co.running += len(gr.summary.running)
+			for _, ir := range gr.summary.running {
 				co.tokens += ir.item.Prompt + len(ir.events)*eventTokens
 			}
 		}
@@ -159,17 +159,17 @@
 func slotsInUse(counts map[usageKey]itemCounts) map[string]int {
 	places := map[string]int{}
 	for key, co := range counts {
-		places[key.customer] += co.held
+		places[key.customer] += co.running
 	}
 	return places
 }
 
 // countUnheld counts the waiting items of a held step that aren't held themselves.
 func (ta *Table) countUnheld(co *itemCounts, sr *stepRow) {
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.waiting {
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.waiting {
 			if !ta.held(ir) {
-				co.waits++
+				co.waiting++
 			}
 		}
 	}
@@ -177,8 +177,8 @@
 
 // serviceCapacity returns the slots and the memory of a service's engines.
 func (ta *Table) serviceCapacity(service string) (places, tokens int) {
-	for _, en := range ta.sorted {
-		if en.service == service && !en.gone {
+	for _, en := range ta.sortedEngines {
+		if en.service == service && !en.replaced {
 			places += en.slots
 			tokens += en.tokens
 		}
@@ -189,16 +189,16 @@
 // addUses adds what customers want of a service and, if its slots are scarce, what they use.
 func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, places, tokens int, scarce bool) {
 	for key, co := range counts {
-		if key.service != service || co.held+co.waits == 0 {
+		if key.service != service || co.running+co.waiting == 0 {
 			continue
 		}
 		us := uses[key.customer]
 		if scarce {
-			us.Places = max(us.Places, ratio(co.held, places))
+			us.Places = max(us.Places, ratio(co.running, places))
 			us.Memory = max(us.Memory, ratio(co.tokens, tokens))
 		}
-		us.Waits = us.Waits || co.ready
-		us.Wants = max(us.Wants, ratio(co.held+co.waits, places))
+		us.Waits = us.Waits || co.canStart
+		us.Wants = max(us.Wants, ratio(co.running+co.waiting, places))
 		uses[key.customer] = us
 	}
 }
@@ -209,11 +209,11 @@
 // customer has rank 0.
 func (ta *Table) customerRanks(customers map[string]bool) map[string]int {
 	ranks := map[string]int{}
-	if ta.anyShare {
+	if ta.ignoreShares {
 		return ranks
 	}
 	for customer := range customers {
-		ranks[customer] = ta.share.account.Rank(customer)
+		ranks[customer] = ta.usage.account.Rank(customer)
 	}
 	if len(ranks) < 2 {
 		return nil
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(5), trainers)
-	re.table.anyShare = anyShare
+	re.table.ignoreShares = anyShare
 	re.play(dayLength, nil)
 	inTime, owed := 0, 0
 	for _, tr := range trainers {
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -72,8 +72,8 @@
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.table.share.account.Restore(me)
-	te.table.share.saved = data
+	te.table.usage.account.Restore(me)
+	te.table.usage.saved = data
 	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' usage accounts restored")
 	return nil
 }
--- a/step/suspect.go
+++ b/step/suspect.go
@@ -58,7 +58,7 @@
 	if ir == nil {
 		return false
 	}
-	if ir.state == running && ir.run.engine == engine && ir.young(now) && len(ir.events) < ir.run.prior+trialEvents {
+	if ir.state == running && ir.run.engineID == engine && ir.young(now) && len(ir.events) < ir.run.priorEvents+trialEvents {
 		return true
 	}
 	delete(tr.byEngine, engine)
@@ -95,7 +95,7 @@
 }
 
 // young reports whether an item's run has started within trialTime.
-func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.since) < youngTime }
+func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.stateSince) < youngTime }
 
 // recordEngineEnd records that a run broke because its engine ended, which the item may have caused.
 //
@@ -106,21 +106,21 @@
 	if !pr.EngineEnded {
 		return
 	}
-	others := ta.trials.recordEnd(ir.run.engine, now)
-	weight, tried, young := 1, ta.trials.byEngine[ir.run.engine] == ir, ir.young(now)
+	others := ta.trials.recordEnd(ir.run.engineID, now)
+	weight, tried, young := 1, ta.trials.byEngine[ir.run.engineID] == ir, ir.young(now)
 	if young {
 		ta.trials.recordYoung(ir.digest)
 	}
-	if young && tried && others < max(minCrashWave, len(ta.sorted)/crashWaveDivisor) {
+	if young && tried && others < max(minCrashWave, len(ta.sortedEngines)/crashWaveDivisor) {
 		weight = trialStrikes
 	}
 	for i := range weight {
 		// Keyed by run, since the engine may have restarted already.
-		ta.quarantine.RecordCrash(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engine, ir.run.key.Attempt, i), now)
+		ta.quarantine.RecordCrash(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engineID, ir.run.key.Attempt, i), now)
 	}
 	ve := ta.quarantine.CheckItem(ir.digest, now)
 	ta.log("engine ended under an item", map[string]any{
-		attemptField: ir.run.key.Attempt, customerField: ir.step.step.Customer, "digest": ir.digest, engineField: ir.run.engine,
+		attemptField: ir.run.key.Attempt, customerField: ir.step.step.Customer, "digest": ir.digest, engineField: ir.run.engineID,
 		"held-ms": ve.HeldFor.Milliseconds(), itemField: ir.item.ID, "others": others, stepField: ir.step.step.ID,
 		"strikes": ve.Strikes, "tried": tried, "young": young,
 	})
@@ -133,20 +133,20 @@
 
 // needsTrial reports whether an item must be needsTrial alone.
 func (ta *Table) needsTrial(ir *itemRow, now time.Time) bool {
-	return ta.trials.young[ir.digest] >= minSuspectEnds && now.Sub(ir.since) < maxTrialWait
+	return ta.trials.young[ir.digest] >= minSuspectEnds && now.Sub(ir.stateSince) < maxTrialWait
 }
 
 // trialEngine returns the engine for a trial of an item, or nil: the one with the fewest runs.
 func (ta *Table) trialEngine(ir *itemRow, now time.Time) *engineRow {
-	if ta.trials.count(now) >= max(1, len(ta.sorted)/enginesPerTrial) {
+	if ta.trials.count(now) >= max(1, len(ta.sortedEngines)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if best == nil || len(en.items)+len(en.coming) < len(best.items)+len(best.coming) {
+		if best == nil || len(en.items)+len(en.incoming) < len(best.items)+len(best.incoming) {
 			best = en
 		}
 	}
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -31,7 +31,7 @@
 					continue
 				}
 				runs++
-				hear(ta, ir.run.engine, runner.ExchangeResponse{Runs: []runner.Progress{{
+				hear(ta, ir.run.engineID, runner.ExchangeResponse{Runs: []runner.Progress{{
 					EngineEnded: tc.ended, Key: ir.run.key, State: runner.Broken,
 				}}}, at)
 			}
@@ -99,7 +99,7 @@
 		hearAll(ta, ids, at, 15, func(en *engineRow) bool {
 			ends := false
 			for ir := range deadly {
-				if ir.run.engine == en.id && ir.state == running {
+				if ir.run.engineID == en.id && ir.state == running {
 					ends = true
 					deadly[ir]++
 				}
--- a/step/table.go
+++ b/step/table.go
@@ -13,51 +13,51 @@
 // A Table holds the open steps and the engines, and makes all scheduling decisions. It is not
 // safe for concurrent use. Create one with NewTable.
 type Table struct {
-	attempt   uint64    // of the newest run
-	begun     time.Time // start of placement
-	engines   map[string]*engineRow
-	former    map[string]time.Time     // when engines left, by ID
-	sorted    []*engineRow             // engines by ID, for deterministic decisions
-	gaveUp    map[string]time.Duration // age at which a trainer ended an incomplete step
-	plannedAt time.Time
-	rooms     map[string]*servicePlan // by service
-	way       overload.Discipline     // of all services
-	// rank returns the score of an engine for an item; nil means the default score.
-	rank      func(en *engineRow, ir *itemRow, now time.Time) float64
-	paceRound int         // incremented when cached paces of engines expire
-	stale     []*groupRow // groups with outdated summaries
-	epoch     uint64
-	holds     *hold.Set // of operators; may be nil
-	anyShare  bool      // disables ranks of customers, for comparison in tests
-	// lengths are lower bounds of the events of items of ended steps, whose groups may be
+	attempt       uint64    // of the newest run
+	placingSince  time.Time // start of placement
+	engines       map[string]*engineRow
+	formerEngines map[string]time.Time     // when engines left, by ID
+	sortedEngines []*engineRow             // engines by ID, for deterministic decisions
+	abandonAges   map[string]time.Duration // age at which a trainer ended an incomplete step
+	plannedAt     time.Time
+	servicePlans  map[string]*servicePlan // by service
+	policy        overload.Discipline     // of all services
+	// scoreFunc returns the score of an engine for an item; nil means the default score.
+	scoreFunc    func(en *engineRow, ir *itemRow, now time.Time) float64
+	paceRound    int         // incremented when cached paces of engines expire
+	staleGroups  []*groupRow // groups with outdated summaries
+	epoch        uint64
+	holds        *hold.Set // of operators; may be nil
+	ignoreShares bool      // disables ranks of customers, for comparison in tests
+	// knownLengths are lower bounds of the events of items of ended steps, whose groups may be
 	// requested again.
-	lengths map[itemKey]length
-	// reuse holds items of ended steps, whose texts are reused if their groups are requested
+	knownLengths map[itemKey]length
+	// reusableItems holds items of ended steps, whose texts are reused if their groups are requested
 	// again.
-	reuse      map[itemKey]*itemRow
-	quarantine *quarantine.Table // of items that crash engines
-	requests   uint64            // number of requests to attendants
-	rewards    *rewardGauge
-	share      customerUsage
-	steps      map[string]*stepRow
-	trials     trials // of items suspected to crash engines
+	reusableItems map[itemKey]*itemRow
+	quarantine    *quarantine.Table // of items that crash engines
+	requests      uint64            // number of requests to attendants
+	rewards       *rewardGauge
+	usage         customerUsage
+	steps         map[string]*stepRow
+	trials        trials // of items suspected to crash engines
 	// unscored are the items in state scoring.
-	unscored map[*itemRow]bool
-	stopped  []*itemRow        // moving items whose runs have stopped
-	urgent   bool              // everything that some trainer waits for is complete
-	order    []*stepRow        // open steps by acceptance
-	named    map[string]uint64 // newest version of each model
-	log      func(event string, fields map[string]any)
-	demand   map[string]float64         // tokens of a step, by model
-	garbage  []string                   // keys to delete
-	cuts     []*Step                    // ended steps, to be stored without their items
-	gauges   map[string]*tokenEstimator // by model
-	// gaugeChanges counts changes of the estimates of all gauges.
-	gaugeChanges estimateChanges
-	savedAt      time.Time                // when checkpoints were last made
-	bases        map[string]time.Duration // median base, by service
-	bests        map[string]time.Duration // base of the fastest engine, by service
-	paces        map[string]time.Duration // median pace, by service
+	unscored       map[*itemRow]bool
+	stoppedItems   []*itemRow        // moving items whose runs have stopped
+	writeUrgent    bool              // everything that some trainer waits for is complete
+	openSteps      []*stepRow        // open steps by acceptance
+	newestVersions map[string]uint64 // newest version of each model
+	log            func(event string, fields map[string]any)
+	demand         map[string]float64         // tokens of a step, by model
+	garbageKeys    []string                   // keys to delete
+	endedSteps     []*Step                    // ended steps, to be stored without their items
+	estimators     map[string]*tokenEstimator // by model
+	// estimateChanges counts changes of the estimates of all gauges.
+	estimateChanges estimateChanges
+	savedAt         time.Time                // when checkpoints were last made
+	medianBases     map[string]time.Duration // median base, by service
+	bestBases       map[string]time.Duration // base of the fastest engine, by service
+	medianPaces     map[string]time.Duration // median pace, by service
 }
 
 // attemptBits is the number of low bits of an attempt that are counted within an epoch.
@@ -70,10 +70,10 @@
 	}
 	ta := &Table{
 		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardGauge{},
-		bases: map[string]time.Duration{}, bests: map[string]time.Duration{}, demand: map[string]float64{},
-		engines: map[string]*engineRow{}, former: map[string]time.Time{}, gauges: map[string]*tokenEstimator{},
-		lengths: map[itemKey]length{}, named: map[string]uint64{}, paces: map[string]time.Duration{},
-		gaveUp: map[string]time.Duration{}, reuse: map[itemKey]*itemRow{}, rooms: map[string]*servicePlan{},
+		medianBases: map[string]time.Duration{}, bestBases: map[string]time.Duration{}, demand: map[string]float64{},
+		engines: map[string]*engineRow{}, formerEngines: map[string]time.Time{}, estimators: map[string]*tokenEstimator{},
+		knownLengths: map[itemKey]length{}, newestVersions: map[string]uint64{}, medianPaces: map[string]time.Duration{},
+		abandonAges: map[string]time.Duration{}, reusableItems: map[itemKey]*itemRow{}, servicePlans: map[string]*servicePlan{},
 		steps: map[string]*stepRow{}, unscored: map[*itemRow]bool{},
 	}
 	return ta
@@ -85,15 +85,15 @@
 	ta.epoch, ta.attempt = epoch, epoch<<attemptBits
 	for _, en := range ta.engines {
 		for _, ir := range en.items {
-			ir.run.said = 0
+			ir.run.acked = 0
 		}
-		for _, ir := range en.kept {
-			ir.run.saidEnd, ir.run.saidScore = false, ""
+		for _, ir := range en.retained {
+			ir.run.ackedEnd, ir.run.storedScore = false, ""
 		}
 		if en.order != nil {
 			or := *en.order
 			or.Fence = epoch
-			en.order, en.ordered = &or, false
+			en.order, en.orderAcked = &or, false
 		}
 	}
 }
@@ -116,13 +116,13 @@
 	if _, ok := ta.steps[st.ID]; ok {
 		return
 	}
-	gauge := ta.gauges[st.Model]
+	gauge := ta.estimators[st.Model]
 	if gauge == nil {
-		gauge = &tokenEstimator{changes: &ta.gaugeChanges}
-		ta.gauges[st.Model] = gauge
+		gauge = &tokenEstimator{changes: &ta.estimateChanges}
+		ta.estimators[st.Model] = gauge
 	}
 	sr := &stepRow{
-		changed: make(chan struct{}), ended: ended, gauge: gauge, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
+		listedSignal: make(chan struct{}), ended: ended, estimator: gauge, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
 		seenAt: now, step: st,
 	}
 	ta.steps[st.ID] = sr
@@ -135,22 +135,22 @@
 		it := &st.Items[i]
 		ir := &itemRow{
 			digest: quarantine.DigestOfItem(st.Customer, st.Host, it.ID, it.Path, it.Body), index: i, item: it,
-			known: ta.lengths[st.itemKey(it)].events, since: now, step: sr,
+			knownEvents: ta.knownLengths[st.itemKey(it)].events, stateSince: now, step: sr,
 		}
 		sr.items = append(sr.items, ir)
 		gr := sr.groups[it.Group]
 		if gr == nil {
 			gr = &groupRow{step: sr}
 			sr.groups[it.Group] = gr
-			sr.list = append(sr.list, gr)
+			sr.groupList = append(sr.groupList, gr)
 		}
-		sr.interleaved = sr.interleaved || gr != sr.list[len(sr.list)-1]
-		sr.waits++
+		sr.interleaved = sr.interleaved || gr != sr.groupList[len(sr.groupList)-1]
+		sr.waitingCount++
 		ir.group = gr
 		gr.items = append(gr.items, ir)
 		gr.markStale(ta)
-		gr.left++
-		gr.again = gr.again || ir.known > 0
+		gr.openItems++
+		gr.recurring = gr.recurring || ir.knownEvents > 0
 		if listed[it.ID] {
 			ir.listed = true
 			ta.finish(ir, complete, now)
@@ -160,9 +160,9 @@
 	}
 	sr.restore(ke.Checkpoints)
 	ta.observeDemand(st)
-	ta.order = append(ta.order, sr)
+	ta.openSteps = append(ta.openSteps, sr)
 	ta.markPlanStale(st.Service)
-	slices.SortStableFunc(ta.order, func(a, b *stepRow) int { return a.step.Accepted.Compare(b.step.Accepted) })
+	slices.SortStableFunc(ta.openSteps, func(a, b *stepRow) int { return a.step.Accepted.Compare(b.step.Accepted) })
 	ta.log("step accepted", map[string]any{
 		customerField: st.Customer, "due-ms": st.Due.Milliseconds(), "groups": len(sr.groups), "items": len(st.Items), "listed": sr.listedCount(),
 		"min-version": st.MinVersion, "model": st.Model,
@@ -188,12 +188,12 @@
 	ir.doneAt = now
 	ir.measure()
 	gr := ir.step.groups[ir.item.Group]
-	gr.left--
-	if gr.left == 0 {
+	gr.openItems--
+	if gr.openItems == 0 {
 		if ir.step.age(now) <= ir.step.step.Due {
 			ir.step.servedAt = now
 		}
-		ta.urgent = ta.urgent || ir.step.sated()
+		ta.writeUrgent = ta.writeUrgent || ir.step.sated()
 	}
 }
 
@@ -216,19 +216,19 @@
 				callField: ir.item.Reward.ID, itemField: ir.item.ID, "sent": ir.reward.calls, stepField: id, whyField: "step ended",
 			})
 		}
-		if len(ir.events) > 0 && ir.state != lost && sr.groups[ir.item.Group].left > 0 {
-			ta.reuse[ir.key()] = ir
+		if len(ir.events) > 0 && ir.state != lost && sr.groups[ir.item.Group].openItems > 0 {
+			ta.reusableItems[ir.key()] = ir
 		}
 	}
 	for number := range sr.checkpoints {
-		ta.garbage = append(ta.garbage, checkpointKey(id, number))
+		ta.garbageKeys = append(ta.garbageKeys, checkpointKey(id, number))
 	}
 	sr.notifyReaders()
-	sr.items, sr.groups, sr.list = nil, nil, nil
+	sr.items, sr.groups, sr.groupList = nil, nil, nil
 	sr.queue.drop()
 	ta.markPlanStale(sr.step.Service)
 	ta.dropItems(sr)
-	ta.order = slices.DeleteFunc(ta.order, func(other *stepRow) bool { return other == sr })
+	ta.openSteps = slices.DeleteFunc(ta.openSteps, func(other *stepRow) bool { return other == sr })
 }
 
 // dropItems drops the items of a step that has ended, in memory and, with the next write, in the
@@ -236,26 +236,26 @@
 func (ta *Table) dropItems(sr *stepRow) {
 	if !sr.step.Cut {
 		sr.step = sr.step.withoutItems()
-		ta.cuts = append(ta.cuts, sr.step)
+		ta.endedSteps = append(ta.endedSteps, sr.step)
 	}
 }
 
 // notifyReaders notifies readers that wait for results.
 func (sr *stepRow) notifyReaders() {
-	close(sr.changed)
-	sr.changed = make(chan struct{})
+	close(sr.listedSignal)
+	sr.listedSignal = make(chan struct{})
 }
 
 // releaseRun removes an item's run from its engine, and makes the attendant forget it.
 func (ta *Table) releaseRun(ir *itemRow) {
-	if ir.run.engine == "" {
+	if ir.run.engineID == "" {
 		return
 	}
-	if en, ok := ta.engines[ir.run.engine]; ok {
+	if en, ok := ta.engines[ir.run.engineID]; ok {
 		delete(en.items, ir.run.key)
-		delete(en.kept, ir.run.key)
+		delete(en.retained, ir.run.key)
 		en.dropMemo()
-		en.forget[ir.run.key] = true
+		en.toForget[ir.run.key] = true
 	}
 	ir.run = run{}
 }
@@ -266,20 +266,20 @@
 // Otherwise, in an outage of the key-value service, the only copy would be in this scheduler's
 // memory, and the next scheduler would have to generate it again.
 func (ta *Table) retainRun(ir *itemRow) {
-	en := ta.engines[ir.run.engine]
+	en := ta.engines[ir.run.engineID]
 	if en == nil {
 		return
 	}
 	delete(en.items, ir.run.key)
 	en.dropMemo()
-	en.kept[ir.run.key] = ir
+	en.retained[ir.run.key] = ir
 }
 
 // forgetRun lets the attendant forget the retained run of an item, if any.
 func (ta *Table) forgetRun(ir *itemRow) {
-	if en := ta.engines[ir.run.engine]; en != nil && en.kept[ir.run.key] == ir {
-		delete(en.kept, ir.run.key)
-		en.forget[ir.run.key] = true
+	if en := ta.engines[ir.run.engineID]; en != nil && en.retained[ir.run.key] == ir {
+		delete(en.retained, ir.run.key)
+		en.toForget[ir.run.key] = true
 	}
 	ir.run = run{}
 }
@@ -287,16 +287,16 @@
 // requeue releases an item's run and lets the item wait again.
 func (ta *Table) requeue(ir *itemRow, why string, now time.Time) {
 	ta.log("run given up", map[string]any{
-		attemptField: ir.run.key.Attempt, engineField: ir.run.engine, "events": len(ir.events), itemField: ir.item.ID,
+		attemptField: ir.run.key.Attempt, engineField: ir.run.engineID, "events": len(ir.events), itemField: ir.item.ID,
 		stepField: ir.step.step.ID, whyField: why,
 	})
-	ir.unwanted = ir.run.engine
-	if ir.target != "" {
-		ta.stopped = append(ta.stopped, ir)
+	ir.avoidedEngine = ir.run.engineID
+	if ir.moveTarget != "" {
+		ta.stoppedItems = append(ta.stoppedItems, ir)
 	}
 	ta.releaseRun(ir)
 	ta.setState(ir, waiting)
-	ir.since = now
+	ir.stateSince = now
 }
 
 // restartStopped starts moved items whose runs have stopped on the engines with their reserved
@@ -304,8 +304,8 @@
 // so that they don't return at once to an engine that has just refused them.
 func (ta *Table) restartStopped(now time.Time) []string {
 	var engines []string
-	for _, ir := range ta.stopped {
-		en := ta.engines[ir.target]
+	for _, ir := range ta.stoppedItems {
+		en := ta.engines[ir.moveTarget]
 		if ir.state != waiting || en == nil || ta.awaitingEngines(now) || ta.needsTrial(ir, now) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
@@ -314,17 +314,17 @@
 			engines = append(engines, en.id)
 		}
 	}
-	ta.stopped = nil
+	ta.stoppedItems = nil
 	return engines
 }
 
 // takeUrgent reports whether everything that some trainer waits for has become complete since
 // the last call, so that results should be listed at once.
 func (ta *Table) takeUrgent() bool {
-	urgent := ta.urgent
-	ta.urgent = false
+	urgent := ta.writeUrgent
+	ta.writeUrgent = false
 	return urgent
 }
 
 // HasOpenWork reports whether any step is open.
-func (ta *Table) HasOpenWork() bool { return len(ta.order) > 0 }
+func (ta *Table) HasOpenWork() bool { return len(ta.openSteps) > 0 }
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -149,9 +149,9 @@
 		ta.End("s")
 		ta.Place(begin.Add(tickInterval))
 		sr := ta.steps["s"]
-		assert.Equal(t, len(sr.items)+len(sr.list)+len(ta.stale), 0)
-		if rm := ta.rooms[st.Service]; rm != nil {
-			assert.Equal(t, len(rm.withRoom)+len(rm.without), 0)
+		assert.Equal(t, len(sr.items)+len(sr.groupList)+len(ta.staleGroups), 0)
+		if rm := ta.servicePlans[st.Service]; rm != nil {
+			assert.Equal(t, len(rm.reserved)+len(rm.unreserved), 0)
 		}
 		assert.DeepEqual(t, sr.queue.built, false)
 		for _, wq := range sr.queue.queues {
@@ -185,14 +185,14 @@
 	}
 	ir := ta.steps["s"].items[0]
 	assert.Assert(t, ir.run.stopping)
-	to := ir.target
+	to := ir.moveTarget
 	ta.Accept(stepOf("t", 9), StoredStep{}, false, begin)
 	ta.Place(now)
 	hear(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
 	ta.Place(now)
-	assert.Equal(t, ir.run.engine, to)
+	assert.Equal(t, ir.run.engineID, to)
 	for _, en := range ta.engines {
-		assert.Equal(t, len(en.coming), 0, en.id)
+		assert.Equal(t, len(en.incoming), 0, en.id)
 	}
 }
 
@@ -217,7 +217,7 @@
 	have := map[string]int{}
 	for range len(ids) {
 		ta.OrderLoads(begin)
-		for _, en := range ta.sorted {
+		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				have[en.order.Model]++
 				hear(ta, en.id, runner.ExchangeResponse{
@@ -270,7 +270,7 @@
 			}
 		}
 		ta.OrderLoads(begin)
-		for _, en := range ta.sorted {
+		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				loads[en.order.Model]++
 				hear(ta, en.id, runner.ExchangeResponse{
@@ -313,9 +313,9 @@
 		again := stepOf("s", 1)
 		again.ID, again.MinVersion = "again", 2
 		ta.Accept(again, StoredStep{}, false, begin)
-		assert.Equal(t, ta.steps["again"].items[0].known, 40)
+		assert.Equal(t, ta.steps["again"].items[0].knownEvents, 40)
 		ta.End("again")
 		ta.Forget(time.Hour, begin.Add(reuseTime+1))
-		assert.Equal(t, len(ta.lengths), 0)
+		assert.Equal(t, len(ta.knownLengths), 0)
 	}
 }
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -118,7 +118,7 @@
 			ta.Accept(again, StoredStep{}, false, begin)
 			ir := ta.steps["t"].items[0]
 			assert.Equal(t, len(ir.events), tc.prior)
-			assert.Equal(t, ir.known, 3)
+			assert.Equal(t, ir.knownEvents, 3)
 		})
 	}
 }
@@ -212,7 +212,7 @@
 			ir := ta.steps["s"].items[0]
 			assert.Equal(t, ir.state, running)
 			assert.Equal(t, len(ir.events), checkpointEvents+5)
-			assert.Equal(t, ir.saved, tc.kept)
+			assert.Equal(t, ir.savedEvents, tc.kept)
 		})
 	}
 }
--- a/step/update.go
+++ b/step/update.go
@@ -26,11 +26,11 @@
 	if up.empty() {
 		return up
 	}
-	up.Account = ta.share.dueAccount(now)
+	up.Account = ta.usage.dueAccount(now)
 	garbage := ta.Garbage()
 	up.Deletes = garbage[:min(len(garbage), room)]
 	room -= len(up.Deletes)
-	for _, st := range ta.cuts {
+	for _, st := range ta.endedSteps {
 		if room -= max(st.Parts, 1); room < 0 {
 			break
 		}
@@ -47,7 +47,7 @@
 func (ta *Table) final(chunks []Chunk) bool {
 	return slices.ContainsFunc(chunks, func(ch Chunk) bool {
 		sr, ok := ta.steps[ch.Step]
-		return ok && sr.why == listing.Final
+		return ok && sr.listingReason == listing.Final
 	})
 }
 
@@ -63,9 +63,9 @@
 func (ta *Table) Written(up WriteSet, now time.Time) {
 	ta.Listed(up.Chunks, now)
 	ta.CheckpointsSaved(up.Checkpoints)
-	ta.share.accountWritten(up.Account, now)
+	ta.usage.accountWritten(up.Account, now)
 	ta.Removed(len(up.Deletes))
-	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
+	ta.endedSteps = slices.DeleteFunc(ta.endedSteps, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
 }
 
 func (up WriteSet) empty() bool {
--- a/step/weights.go
+++ b/step/weights.go
@@ -28,7 +28,7 @@
 // models.
 func (ta *Table) OrderLoads(now time.Time) {
 	byService := map[string][]*engineRow{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.order != nil && now.Sub(en.orderAt) > orderTimeout {
 			en.order = nil
 		}
@@ -91,7 +91,7 @@
 ) (en *engineRow, model string) {
 	least := 1.0
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
-		version := ta.named[name] - min(lag, ta.named[name])
+		version := ta.newestVersions[name] - min(lag, ta.newestVersions[name])
 		fresh := 0
 		for _, other := range ens {
 			if other.hasOrLoads(name, version) {
@@ -149,7 +149,7 @@
 // negativeLag returns the negative number of versions that an engine lags behind, at least -uselessLag.
 // Steps accept only the newest version and the one before it.
 func (ta *Table) negativeLag(en *engineRow, model string) int {
-	return -int(min(ta.named[model]-en.versions[model], unusableLag))
+	return -int(min(ta.newestVersions[model]-en.versions[model], unusableLag))
 }
 
 // unusableLag is the lag from which on a version is useless to all steps.
@@ -159,7 +159,7 @@
 func (ta *Table) countUsableModels(en *engineRow, except string) int {
 	count := 0
 	for model, version := range en.versions {
-		if model != except && version+unusableLag > ta.named[model] {
+		if model != except && version+unusableLag > ta.newestVersions[model] {
 			count++
 		}
 	}
@@ -168,9 +168,9 @@
 
 // orderLoad orders an engine to orderLoad a model's newest version.
 func (ta *Table) orderLoad(en *engineRow, model string, now time.Time) {
-	version := ta.named[model]
+	version := ta.newestVersions[model]
 	en.order = &runner.Order{Endpoint: en.id, Fence: ta.epoch, Keep: !ta.needsSingleVersion(model), Model: model, Version: version}
-	en.orderAt, en.ordered = now, false
+	en.orderAt, en.orderAcked = now, false
 	ta.log("weights ordered", map[string]any{
 		engineField: en.id, "from": en.versions[model], "items": len(en.items), "model": model, "version": version,
 	})
@@ -184,7 +184,7 @@
 // models are waiting.
 func (ta *Table) engineShares(ens []*engineRow) map[string]float64 {
 	demand, total := map[string]float64{}, 0.0
-	for model := range ta.named {
+	for model := range ta.newestVersions {
 		if slices.ContainsFunc(ens, func(en *engineRow) bool { return en.versions[model] > 0 }) {
 			demand[model] = max(ta.demand[model], minDemand)
 			total += demand[model]
@@ -221,7 +221,7 @@
 
 // needsSingleVersion reports whether an open step of a model needs samples of a single version.
 func (ta *Table) needsSingleVersion(model string) bool {
-	return slices.ContainsFunc(ta.order, func(sr *stepRow) bool {
+	return slices.ContainsFunc(ta.openSteps, func(sr *stepRow) bool {
 		return sr.step.Model == model && sr.step.SingleVersion
 	})
 }
--- a/step/witness.go
+++ b/step/witness.go
@@ -39,7 +39,7 @@
 // without asking them, two schedulers would replace each other in turns.
 func (sc *Scheduler) IsDead(owner string) bool {
 	sc.mu.Lock()
-	paused := time.Since(sc.replacedAt) < usurpPause && !sc.replacedAt.IsZero()
+	paused := time.Since(sc.termEndedAt) < usurpPause && !sc.termEndedAt.IsZero()
 	sc.mu.Unlock()
 	if paused || call[Empty](sc, owner, pingMethod) == nil {
 		return false
--- a/step/work.go
+++ b/step/work.go
@@ -12,7 +12,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te, err := sc.current()
-	if err != nil || te.table.begun.IsZero() || te.table.awaitingEngines(now) {
+	if err != nil || te.table.placingSince.IsZero() || te.table.awaitingEngines(now) {
 		return nil, false
 	}
 	return te.table.openWork(now), true
@@ -23,7 +23,7 @@
 // out: endpoints added for them would be idle.
 func (ta *Table) openWork(now time.Time) map[string]scale.Work {
 	works := map[string]scale.Work{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		work := time.Duration(0)
 		for _, ir := range sr.items {
 			if ir.state == running || ir.state == waiting && !ta.held(ir) && !ta.quarantined(ir, now) {
--- a/step/write.go
+++ b/step/write.go
@@ -56,7 +56,7 @@
 func (te *term) awaitWrites(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-te.writes:
+	case <-te.writeKick:
 	case <-time.After(tickInterval):
 	}
 }
