--- a/listing/listing.go
+++ b/listing/listing.go
@@ -1,13 +1,11 @@
-// Package listing decides when the results of a step are listed for its trainer.
-// It knows nothing of how they are kept or read.
+// Package listing decides when the results of a step are listed, that is, made visible to its trainer. It does no
+// I/O.
 //
-// Load pattern: a step's results are some megabytes, of which one answer holds
-// 0.8. Its trainer reads on half a second after it began to read, or when the
-// answer has come if that is later; a read that finds nothing waits for a second.
-// What is listed while no read waits, or by which a read is answered that is just
-// half a second old, costs the step's end up to 0.7 s. So what is whole before the
-// end goes out when a read would end empty anyway, and the end finds a read that
-// waits and little to carry.
+// A step's results may have some megabytes, and one answer holds 0.8 MB. A trainer starts a read half a second after
+// the start of the previous one, or when that is answered, if later; a read without results waits for up to a second.
+// If results are listed while no read waits, or answer a read that has just started, the end of the step may be
+// delayed by up to 0.7 s. So results before the end are listed when a read would otherwise end empty. At the end, a
+// read is then waiting and little is left to transfer.
 package listing
 
 import "time"
@@ -15,7 +13,7 @@
 // A Reason is why results are listed now.
 type Reason string
 
-// The reasons. Wait is that they are not.
+// Reasons for listing; Wait means that results are not listed yet.
 const (
 	Wait     Reason = ""
 	Final    Reason = "the trainer waits for no more"
@@ -26,75 +24,64 @@
 	Unread   Reason = "no one reads"
 )
 
-// Bounds of listing.
+// Limits of listing.
 const (
-	// readSize is the text that one answer holds, in bytes. What is beyond it
-	// takes a read more, half a second.
+	// readSize is the text that one answer holds, in bytes. More text needs another read.
 	readSize = 800 << 10
-	// worthwhile is the text for which a read that ends is answered, in bytes: a
-	// third of what an answer holds. Each listing is a call that is paid for.
+	// minReadSize is the text from which on results are listed for a read that is about to end, in bytes.
 	worthwhile = 256 << 10
-	// readLead is how long before a read's end results are listed for it: what the
-	// write takes, and twice the time after which it is looked for.
+	// readLead is how long before a read's end results are listed for it, to leave time for the write.
 	readLead = 100 * time.Millisecond
-	// unreadAge and unreadEvery are how long results wait for others, and the least
-	// time between two listings, while no one reads. They bound what is made again
-	// if the instances that hold it are lost.
+	// unreadAge and unreadInterval are the minimum age of the oldest result and the minimum time between two listings
+	// while no read waits. They bound what is lost if the instances that hold it fail.
 	unreadAge   = 150 * time.Millisecond
 	unreadEvery = 2 * time.Second
-	// betweenReads is for how long a trainer that has waited for results is expected
-	// back: half a second after it began to read, or after an answer's time. What is
-	// listed meanwhile answers its next read, which may miss the last results.
+	// maxReadGap is how long after a read a trainer is expected to read again. Results that are listed meanwhile
+	// answer that read, which may then miss the last results.
 	betweenReads = 1200 * time.Millisecond
-	// dueSlack is how long after a step's due time its groups still count as in
-	// time for its trainer.
+	// dueTolerance is how long after a step's due time its groups still count as in time.
 	dueSlack = 700 * time.Millisecond
-	// lookEvery is how long after it began to read a trainer looks at what it has, and
-	// reads on: a read that is younger when the step ends costs the rest of it.
+	// pollInterval is the minimum time between the starts of a trainer's reads. A read that is younger when the step
+	// ends delays the trainer by the rest of it.
 	lookEvery = 500 * time.Millisecond
-	// renewTime is what passes until a trainer that is answered reads on. renewSpan is
-	// how much older than lookEvery its next read may be at the end: beyond it, it would
-	// be renewed in turn.
+	// renewDelay is the time from an answer to the trainer's next read. renewWindow is how much older than
+	// pollInterval that read may be at the end of the step; beyond it, it would be renewed in turn.
 	renewTime = 150 * time.Millisecond
 	renewSpan = 200 * time.Millisecond
-	// endsSoon is when the end is expected of a step whose reads are no longer
-	// answered with less than all: within an answer's time, and what the expected
-	// length of an item is off by in its last second.
+	// endMargin is the expected time to the end of a step below which its reads are no longer answered with only some
+	// of the results. It covers the time of an answer and the error of the expected end.
 	endsSoon = 400 * time.Millisecond
-	// nearDue is how long before its groups are late a step's reads are answered
-	// with any group that is whole: what waits for others then comes too late.
+	// dueWindow is how long before its groups are late a step's reads are answered with any complete group.
 	nearDue = 2 * time.Second
-	// lastCallPart is the part of the groups that the trainer waits for that must be
-	// whole, and not listed, to be listed though no read ends. Fewer are not worth
-	// the half second that the step's end may lose.
+	// minLastCallShare is the share of the wanted groups that must be complete and unlisted to be listed shortly
+	// before they are late, although no read is about to end. Fewer are not worth a delay of the step's end.
 	lastCallPart = 0.2
-	// carryTime is what it takes from the decision until a trainer has the
-	// results: a write of 50 ms, and an answer of 0.25 s through the slowest
-	// instance. Learning of a step took some 0.1 s before its age counts.
+	// deliveryTime is the time from a listing decision until the trainer has the results, with a margin for the time
+	// until the scheduler learned of the step.
 	carryTime = 400 * time.Millisecond
 )
 
-// A Read is one that waits for results of a step.
+// A Read is a waiting read of a step's results.
 type Read struct {
 	Begun time.Time
-	Wait  time.Duration // it ends empty after it
+	Wait  time.Duration // after Begun; then the read ends without results
 }
 
-// A State is where a step stands.
+// A State is the state of a step as far as it matters for listing.
 type State struct {
-	Age        time.Duration // of the step
-	Due        time.Duration // its results are due at this age; 0 for never
-	ListedAge  time.Duration // since the last listing
-	PendingAge time.Duration // since the oldest result that is not listed
-	EndsIn     time.Duration // until the trainer is expected to wait for no more
-	Groups     int           // that are whole, and not wholly listed
-	Satisfied  bool          // the trainer waits for no more than is whole
-	Served     bool          // it was listed as much
+	Age        time.Duration // age of the step
+	Due        time.Duration // age at which the step's groups are due; 0 for never
+	ListedAge  time.Duration // time since the last listing
+	PendingAge time.Duration // age of the oldest unlisted result
+	EndsIn     time.Duration // expected time until the trainer's target is complete
+	Groups     int           // complete groups with unlisted results
+	Satisfied  bool          // the trainer's target is complete
+	Served     bool          // the trainer's target is listed
 	Target     int           // groups that the trainer waits for
-	Size       int           // text of the results that are not listed, in bytes
-	Results    int           // that are not listed
-	ReadAge    time.Duration // since a read last waited
-	Reads      []Read        // that wait
+	Size       int           // text of unlisted results, in bytes
+	Results    int           // unlisted results
+	ReadAge    time.Duration // time since the last waiting read
+	Reads      []Read        // waiting reads
 }
 
 // Decide returns why the results of a step are to be listed now, or Wait.
@@ -119,21 +106,19 @@
 	}
 }
 
-// dueWithin reports whether groups are whole that are late after a time, and not
-// yet.
+// dueWithin reports whether complete groups will be late after at most bound, but are not yet.
 func (st *State) dueWithin(bound time.Duration) bool {
 	left := st.Due + dueSlack - st.Age
 	return st.Due > 0 && st.Groups > 0 && left > 0 && left <= bound
 }
 
-// lastCall reports whether many groups are whole that come too late if they wait,
-// and in time if they don't.
+// lastCall reports whether enough groups are complete that are in time only if they are listed now.
 func (st *State) lastCall() bool {
 	return st.dueWithin(carryTime) && st.EndsIn >= endsSoon && float64(st.Groups) >= lastCallPart*float64(st.Target)
 }
 
-// readEnds reports whether a read would end empty for which there is enough: as
-// much as is worthwhile, groups that are due soon, or whatever has waited for long.
+// readEnds reports whether a read is about to end empty and there is enough to list: enough text, groups that are due
+// soon, or results that have waited for long.
 func (st *State) readEnds(now time.Time) bool {
 	if st.Size < worthwhile && st.PendingAge < unreadEvery && !st.dueWithin(nearDue) && !st.Served {
 		return false
@@ -149,12 +134,11 @@
 	return false
 }
 
-// youngAtEnd reports whether a read would end just before the step, and the next one
-// be young then, but would be old enough if this one were answered now.
+// youngAtEnd reports whether a read would end just before the step, so that the next one would be younger than
+// pollInterval at the end, while it would be old enough if this one were answered now.
 //
-// Reads are renewed each second from the step's acceptance on, and items of the
-// greatest length end some eight seconds after it: four of twelve steps ended just
-// after a read was renewed, half a second late.
+// Reads restart every second from the acceptance of a step. Without this check, a step that ends just after a restart
+// ends half a second late for its trainer.
 func (st *State) youngAtEnd(now time.Time) bool {
 	for _, rd := range st.Reads {
 		age := now.Sub(rd.Begun)
@@ -170,8 +154,7 @@
 	return false
 }
 
-// unread decides while no read waits: of a trainer that only looks now and then, or
-// is cut off, or has waited for results and comes back.
+// unread decides while no read waits: the trainer reads only occasionally, is cut off, or is between two reads.
 func (st *State) unread() Reason {
 	if st.ReadAge >= betweenReads && st.PendingAge >= unreadAge && st.ListedAge >= unreadEvery {
 		return Unread
--- a/overview/foresee.go
+++ b/overview/foresee.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An ending is when an item is expected to be whole, counted from now.
+// An ending is the predicted end of an open item, relative to now. known is false if it can't be predicted.
 type ending struct {
 	after   time.Duration
 	known   bool
@@ -15,8 +15,7 @@
 	waiting bool
 }
 
-// later reports whether an ending comes after another. One that can't be foreseen comes
-// after all.
+// later reports whether an ending comes after another. An unknown end is later than any known one.
 func (en ending) later(other ending) bool {
 	if en.known != other.known {
 		return !en.known
@@ -24,7 +23,7 @@
 	return en.after > other.after
 }
 
-// places are the moments at which places become free, the first on top.
+// slotTimes is a min-heap of the times at which slots become free.
 type places []time.Duration
 
 func (pl places) Len() int           { return len(pl) }
@@ -41,15 +40,14 @@
 	return last
 }
 
-// A queued is an item that waits, and the ending that serveQueue sets for it.
+// A queued is a waiting item, and the ending that assignSlots sets for it.
 type queued struct {
 	item ItemRow
 	at   *ending
 }
 
-// foresee returns for each step when its open items are expected to be whole. An item that
-// runs ends after what is left of it. Items that wait get places in their turn, as these
-// become free. Only places are looked at: for want of memory, items may end later.
+// predict returns the predicted endings of the open items of each step. Waiting items get slots in the order of their
+// turns, as slots become free. Memory is not considered; if it is scarce, items end later.
 func foresee(si Snapshot) [][]ending {
 	free := freePlaces(si.Engines)
 	all := make([][]ending, len(si.Steps))
@@ -72,7 +70,7 @@
 	return all
 }
 
-// freePlaces returns the places of engines that are free now, by service.
+// freeSlots returns the free slots of the engines, by service.
 func freePlaces(engines []Engine) map[string]*places {
 	free := map[string]*places{}
 	for _, en := range engines {
@@ -90,7 +88,7 @@
 	return free
 }
 
-// serveQueue gives items that wait the places that become free.
+// assignSlots assigns slots to waiting items in the order of their turns.
 func serveQueue(queue []queued, pl *places) {
 	if pl == nil || pl.Len() == 0 {
 		return
@@ -104,9 +102,8 @@
 	}
 }
 
-// decisive returns the ending that a step waits for: that of the last item of the group
-// that makes as many groups whole as wanted. Open is false if it has them already, or
-// never will.
+// decisive returns the ending of the group that completes the wanted number of groups. open is false if enough groups
+// are complete, or can't be.
 func (sr *StepRow) decisive(ens []ending) (en ending, open bool) {
 	last := map[string]ending{}
 	for _, e := range ens {
--- a/overview/overview.go
+++ b/overview/overview.go
@@ -1,8 +1,8 @@
-// Package overview tells an operator how a scheduler's load stands: which steps will be late
-// and why, who has which part of the engines, and which engine is the reason.
+// Package overview summarizes the load of a scheduler for operators: which steps will be late and why, which share of
+// the engines each customer uses, and which engines cause delays.
 //
-// It does no I/O: a scheduler fills a Situation from its table, and Summarize makes
-// an Overview of it, which is bounded in size.
+// It does no I/O: a scheduler fills a Snapshot from its table, and Summarize turns it into an Overview of bounded
+// size.
 package overview
 
 import (
@@ -11,10 +11,10 @@
 	"wisteriacroft/hold"
 )
 
-// A Reason says what keeps a step or an item from going on.
+// A Reason is why an item waits or a step is late.
 type Reason string
 
-// The reasons for which items wait and steps are late.
+// Reasons why items wait and steps are late.
 const (
 	AttendantSilent Reason = "attendant is silent"
 	EngineSlow      Reason = "engine is slow"
@@ -35,29 +35,30 @@
 	WeightsLoad     Reason = "engines load weights"
 )
 
-// An Overview is how the load stands at one moment.
+// An Overview is the load at one moment.
 type Overview struct {
-	At        time.Time     `json:"at"` // by the clock of the scheduler
+	At        time.Time     `json:"at"` // scheduler's clock
 	Customers []Customer    `json:"customers"`
 	Engines   []Engine      `json:"engines"`
-	Epoch     uint64        `json:"epoch"` // of the scheduler
+	Epoch     uint64        `json:"epoch"` // of the scheduler's lease
 	Holds     []hold.Record `json:"holds"`
 	Omitted   Omitted       `json:"omitted"`
 	Steps     []Step        `json:"steps"`
-	// StoreHeard is how long ago the key-value service answered the scheduler.
+	// StoreHeard is the time since the key-value service last answered the scheduler.
 	StoreHeard time.Duration `json:"store-heard"`
 }
 
-// Omitted counts what an overview leaves out for its bound.
+// Omitted counts the rows that an overview omits because of its size limit.
 type Omitted struct {
 	Customers int `json:"customers"`
 	Engines   int `json:"engines"`
 	Steps     int `json:"steps"`
 }
 
-// Items counts the items of a step, or a customer's, by where they stand.
+// Items counts items by state. Items with results are counted as Whole or Lost, and also as Listed once they are
+// listed.
 type Items struct {
-	Listed  int `json:"listed"` // of those that are whole or lost
+	Listed  int `json:"listed"` // included in Whole or Lost
 	Lost    int `json:"lost"`
 	Running int `json:"running"`
 	Scoring int `json:"scoring"`
@@ -65,49 +66,49 @@
 	Whole   int `json:"whole"`
 }
 
-// A Step is how an open step stands.
+// A Step is the load of an open step.
 type Step struct {
 	Age      time.Duration `json:"age"`
 	Customer string        `json:"customer"`
 	Due      time.Duration `json:"due"` // age at which it is due
-	// End is the age at which as many groups as wanted are expected to be whole; 0 if
-	// that can't be foreseen, as some can't begin.
+	// End is the age at which the wanted number of groups is expected to be complete; 0 if that can't be predicted
+	// because items can't start.
 	End    time.Duration `json:"end"`
 	Held   bool          `json:"held"` // by an operator
 	ID     string        `json:"id"`
 	Items  Items         `json:"items"`
 	Late   bool          `json:"late"` // or will be
 	Model  string        `json:"model"`
-	Reason Reason        `json:"reason"` // why it is late, or what its items wait for
-	Via    string        `json:"via"`    // the engine that is the reason, if one is
+	Reason Reason        `json:"reason"` // cause of its lateness, or else what its items wait for
+	Via    string        `json:"via"`    // engine that causes the delay, if any
 	Wanted int           `json:"wanted"` // groups
-	Whole  int           `json:"whole"`  // groups
+	Whole  int           `json:"whole"`  // complete groups
 }
 
-// A Customer is what a customer has of the engines, had in the last minute and waits for.
+// A Customer is the load of a customer: its recent share and its open steps.
 type Customer struct {
 	Share
 	Held   bool    `json:"held"` // by an operator
 	Items  Items   `json:"items"`
-	Late   int     `json:"late"` // steps
+	Late   int     `json:"late"` // steps that are or will be late
 	Name   string  `json:"name"`
 	Oldest Waiting `json:"oldest"`
-	Part   float64 `json:"part"`   // of all places that are taken
-	Steps  int     `json:"steps"`  // open
-	Tokens int     `json:"tokens"` // of engines' memory
+	Part   float64 `json:"part"`   // share of all running items
+	Steps  int     `json:"steps"`  // open steps
+	Tokens int     `json:"tokens"` // tokens held on engines
 }
 
-// Waiting names the oldest step of a customer that has items that wait.
+// Waiting describes the oldest step of a customer that has waiting items.
 type Waiting struct {
 	Age    time.Duration `json:"age"`
 	Reason Reason        `json:"reason"`
 	Step   string        `json:"step"`
 }
 
-// A State says what is the matter with an engine.
+// A State is the condition of an engine.
 type State string
 
-// The states of engines, the most troubled first.
+// Conditions of engines, most serious first.
 const (
 	Gone    State = "gone"
 	Silent  State = "silent"
@@ -119,18 +120,18 @@
 	Serving State = "serving"
 )
 
-// An Engine is how an engine stands.
+// An Engine is the load of an engine.
 type Engine struct {
 	Address string        `json:"address"`
-	Heard   time.Duration `json:"heard"` // how long ago; negative if never
+	Heard   time.Duration `json:"heard"` // time since its attendant last answered; negative if never
 	ID      string        `json:"id"`
-	Median  time.Duration `json:"median"` // of the paces of its service's engines
-	Memory  int           `json:"memory"` // tokens; 0 means unknown
-	Others  int           `json:"others"` // requests that it runs for others
-	Pace    time.Duration `json:"pace"`   // of an event; 0 means unknown
+	Median  time.Duration `json:"median"` // median Pace of its service's engines
+	Memory  int           `json:"memory"` // capacity in tokens; 0 means unknown
+	Others  int           `json:"others"` // requests of other callers
+	Pace    time.Duration `json:"pace"`   // time per event; 0 means unknown
 	Places  int           `json:"places"`
 	Runs    int           `json:"runs"`
 	Service string        `json:"service"`
 	State   State         `json:"state"`
-	Tokens  int           `json:"tokens"` // held
+	Tokens  int           `json:"tokens"` // tokens held
 }
--- a/overview/situation.go
+++ b/overview/situation.go
@@ -6,7 +6,7 @@
 	"wisteriacroft/hold"
 )
 
-// A Snapshot is what a scheduler's table holds at one moment.
+// A Snapshot is a copy of a scheduler's table at one moment.
 type Snapshot struct {
 	Engines    []Engine
 	Epoch      uint64
@@ -17,45 +17,45 @@
 	StoreHeard time.Duration
 }
 
-// A Share is what a customer had, and how it ranks.
+// A Share is a customer's recent share of the engines and its rank.
 type Share struct {
-	Ahead float64 `json:"ahead"` // seconds of its part that it had before the others
-	Had   float64 `json:"had"`   // part of the places that were taken in the last minute
-	Rank  int     `json:"rank"`  // the lowest goes first
+	Ahead float64 `json:"ahead"` // seconds of its share that it used before others
+	Had   float64 `json:"had"`   // share of the slots in use during the last minute
+	Rank  int     `json:"rank"`  // lowest first
 }
 
-// A StepRow is an open step with those of its items that are not whole.
+// A StepRow is an open step with its open items.
 type StepRow struct {
 	Step
 	Open    []ItemRow
-	Groups  int // that can still be whole, or are
+	Groups  int // groups that are or can still be complete
 	Service string
-	Tokens  int // of engines' memory
+	Tokens  int // held on engines
 
-	wait Reason // of most of the items that wait
+	wait Reason // most frequent reason of the waiting items
 }
 
-// An ItemState is where an open item stands.
+// An ItemState is the state of an open item.
 type ItemState int
 
-// The stands of open items.
+// States of open items.
 const (
 	ItemWaiting ItemState = iota
 	ItemRunning
 	ItemScoring
 )
 
-// An ItemRow is an item that is not whole.
+// An ItemRow is an open item.
 type ItemRow struct {
-	Engine string // that runs it
+	Engine string // engine that runs it
 	Group  string
-	Left   time.Duration // that it runs still, once it has a place
+	Left   time.Duration // expected remaining run time, from when it has a slot
 	Stand  ItemState
-	Turn   time.Duration // the one with the least goes first
+	Turn   time.Duration // order of placement, lowest first
 	Wait   Reason        // if it waits
 }
 
-// blocked reports whether an item waits for something other than a place.
+// blocked reports whether an item waits for something other than a slot.
 func (ir ItemRow) blocked() bool {
 	switch ir.Wait {
 	case HeldByOperator, NoEngine, NoneServes, NoVersion, Quarantined, StoreAway:
--- a/overview/summarize.go
+++ b/overview/summarize.go
@@ -7,17 +7,17 @@
 	"wisteriacroft/hold"
 )
 
-// Bounds of an overview.
+// Limits of an overview.
 const (
-	// DefaultRows is how many rows each of its lists has if not asked otherwise.
+	// DefaultRows is the default maximum length of each list.
 	DefaultRows = 100
-	// MaxRows is how many it may have: with the names that steps may have, an overview
+	// MaxRows is the largest maximum that may be requested. With the longest names of steps, such an overview still
 	// fits a message between processes.
 	MaxRows = 1500
 )
 
-// Summarize returns the overview of a situation, with at most so many rows in each list:
-// the most troubled steps and engines, and the customers that wait for most.
+// Summarize returns the overview of a snapshot, with at most rows entries in each list: the most troubled steps and
+// engines, and the customers with the most waiting items.
 func Summarize(si Snapshot, rows int) Overview {
 	if rows <= 0 {
 		rows = DefaultRows
@@ -47,7 +47,7 @@
 	return ov
 }
 
-// bound returns the first rows, and how many others there are.
+// bound returns the first rows entries, and how many others there are.
 func bound[Row any](all []Row, rows int) ([]Row, int) {
 	if len(all) <= rows {
 		return append([]Row{}, all...), 0
@@ -55,8 +55,8 @@
 	return all[:rows], len(all) - rows
 }
 
-// judge says when a step is expected to end, whether that is late, and why. One whose end
-// can't be foreseen is late once its time is over.
+// assess sets a step's expected end, whether it is late, and why. A step whose end can't be predicted is late once it
+// is overdue.
 func (sr *StepRow) judge(ens []ending, engines map[string]State) {
 	sr.Reason, sr.Via, sr.wait = "", "", mostWait(ens)
 	en, open := sr.decisive(ens)
@@ -81,7 +81,7 @@
 	}
 }
 
-// reasonOf says what the last item of a step waits for.
+// reasonOf returns why the deciding item of a step ends when it does, and the engine that is the cause, if any.
 func reasonOf(en ending, engines map[string]State) (Reason, string) {
 	switch {
 	case en.waiting:
@@ -99,7 +99,7 @@
 	}
 }
 
-// mostWait returns what most of a step's waiting items wait for, or "".
+// commonWait returns the most frequent reason of a step's waiting items, or "".
 func mostWait(ens []ending) Reason {
 	counts, most := map[Reason]int{}, Reason("")
 	for _, en := range ens {
@@ -115,7 +115,7 @@
 	return most
 }
 
-// Add adds counts up.
+// Add returns the sum of two counts.
 func (it Items) Add(other Items) Items {
 	return Items{
 		Listed: it.Listed + other.Listed, Lost: it.Lost + other.Lost, Running: it.Running + other.Running,
@@ -123,8 +123,8 @@
 	}
 }
 
-// customers returns what each customer has, had and waits for. One whose steps have ended
-// is among them while its part of the last minute may be why others are late.
+// customers returns the load of each customer. It includes customers without open steps that had a share in the last
+// minute, as they may be why others are late.
 func customers(si Snapshot) []Customer {
 	byName, taken := map[string]*Customer{}, 0
 	row := func(name string) *Customer {
@@ -182,7 +182,7 @@
 	)
 }
 
-// compareTrue puts what is true first.
+// compareTrue orders true before false.
 func compareTrue(a, b bool) int {
 	switch {
 	case a == b:
@@ -194,7 +194,7 @@
 	}
 }
 
-// troubles are the states of engines, the most troubled first.
+// stateOrder lists the conditions of engines, most serious first.
 var troubles = []State{Gone, Silent, Sick, Drained, Leaving, Slow, Loading, Serving}
 
 func compareEngines(a, b Engine) int {
@@ -205,7 +205,7 @@
 	)
 }
 
-// behind returns how much slower than the median an engine is, as a factor.
+// slowdown returns the ratio of an engine's pace to the median, or 0 if unknown.
 func (en Engine) behind() float64 {
 	if en.Median == 0 || en.Pace == 0 {
 		return 0
--- a/step/archive.go
+++ b/step/archive.go
@@ -10,38 +10,33 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// recentChunks is how many chunks of steps that have ended are held for their
-// next reader, beside cachedResults: a chunk has 700 KB of text at most, and a
-// reader takes one chunk in one or two answers.
-const recentChunks = 8
+// maxCachedChunks bounds the cache of chunks of ended steps, in addition to maxCachedResults. A chunk has at most 700
+// KB of text, and a reader takes one or two answers per chunk.
+const maxCachedChunks = 8
 
-// An archive reads results that a scheduler does not hold in memory. The zero
-// archive is ready to use.
+// An archive reads results that a scheduler does not hold in memory. The zero value is ready to use.
 //
-// Load pattern: trainers read several steps from the start at once, each through
-// another entry, after they were dropped from memory. If each read fetched a step's whole
-// listing, the process would be busy collecting garbage: reads would time out and be
-// repeated, and none would be answered. An answer needs one chunk, and reads of the same
-// chunk share its fetching.
+// An answer needs one chunk, and concurrent reads of a chunk share one fetch. If each read fetched all results of its
+// step, garbage collection would slow the scheduler until reads time out and are repeated.
 type archive struct {
 	fetches singleflight.Group
 	mu      sync.Mutex
 	recent  *simplelru.LRU[string, []Result]
 }
 
-// chunk returns one chunk of a step.
+// chunk returns one chunk of a step's results.
 func (ar *archive) chunk(ctx context.Context, ke *Store, id string, number int) ([]Result, error) {
 	key := listedKey(id, number)
 	ar.mu.Lock()
 	if ar.recent == nil {
-		ar.recent, _ = simplelru.NewLRU[string, []Result](recentChunks, nil) // fails for no size only
+		ar.recent, _ = simplelru.NewLRU[string, []Result](maxCachedChunks, nil) // fails only if the size is not positive
 	}
 	results, ok := ar.recent.Get(key)
 	ar.mu.Unlock()
 	if ok {
 		return results, nil
 	}
-	return share(ctx, &ar.fetches, key, func(ctx context.Context) ([]Result, error) {
+	return fetchShared(ctx, &ar.fetches, key, func(ctx context.Context) ([]Result, error) {
 		results, err := ke.Chunk(ctx, id, number)
 		if err == nil {
 			ar.mu.Lock()
@@ -52,14 +47,14 @@
 	})
 }
 
-// whole returns all chunks of a step.
-func (ar *archive) whole(ctx context.Context, ke *Store, id string) ([][]Result, error) {
-	return share(ctx, &ar.fetches, id, func(ctx context.Context) ([][]Result, error) { return ke.Listed(ctx, id) })
+// all returns all chunks of a step's results.
+func (ar *archive) all(ctx context.Context, ke *Store, id string) ([][]Result, error) {
+	return fetchShared(ctx, &ar.fetches, id, func(ctx context.Context) ([][]Result, error) { return ke.Chunks(ctx, id) })
 }
 
-// share waits for what fetch returns, or for what a fetch of the same key returns
-// that is under way. Fetch goes on when ctx ends, since others may wait for it.
-func share[Out any](ctx context.Context, gr *singleflight.Group, key string, fetch func(context.Context) (Out, error)) (Out, error) {
+// fetchShared calls fetch, or waits for a call for the same key that is in flight. The call outlives ctx, since other
+// readers may wait for it.
+func fetchShared[Out any](ctx context.Context, gr *singleflight.Group, key string, fetch func(context.Context) (Out, error)) (Out, error) {
 	result := gr.DoChan(key, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loadTimeout)
 		defer cancel()
@@ -77,14 +72,15 @@
 	}
 }
 
-// archived reports whether a step's results are to be read from what is kept: it
-// ended before the scheduler's term, or they were dropped from memory.
+// archived reports whether a step's results must be read from the key-value service: the step ended before the
+// scheduler's term, or its results were evicted from memory.
 func (sr *stepRow) archived() bool {
 	return sr.ended && len(sr.results) == 0 && !sr.loaded && (!sr.counted || len(sr.counts) > 0)
 }
 
-// locate returns the chunk that holds a position, and the chunk's own position.
-func locate(counts []int, position int) (number, first int, ok bool) {
+// findChunk returns the chunk that holds a position, and the position of the chunk's first result. counts holds the
+// number of results of each chunk.
+func findChunk(counts []int, position int) (number, first int, ok bool) {
 	for number, count := range counts {
 		if position < first+count {
 			return number, first, true
@@ -94,19 +90,18 @@
 	return 0, first, false
 }
 
-// readEnded reads the results of an archived step.
+// readArchived reads the results of an archived step.
 //
-// The answer is what was read, not what the table holds then: the term may have
-// ended meanwhile, and the table of a scheduler that retires takes nothing in. A
-// reader was told that there was nothing where it had read results before.
-func (sc *Scheduler) readEnded(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
+// It answers with what it has fetched, not from the table: if the term ends during the fetch, the table is not
+// updated, and a reader would get an empty answer for results that exist.
+func (sc *Scheduler) readArchived(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
 	counts, counted, total := sr.counts, sr.counted, sr.step.Total()
 	sc.mu.Unlock()
 	if !counted {
-		return sc.readWhole(ctx, te, sr, rq)
+		return sc.readAllChunks(ctx, te, sr, rq)
 	}
-	number, first, ok := locate(counts, max(rq.After, 0))
+	number, first, ok := findChunk(counts, max(rq.After, 0))
 	if !ok {
 		return Listing{Total: total}, nil
 	}
@@ -117,9 +112,9 @@
 	return page(results, rq.After-first, total), nil
 }
 
-// readWhole reads all results of a step, and notes how many each chunk holds.
-func (sc *Scheduler) readWhole(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
-	chunks, err := sc.archive.whole(ctx, sc.Keeper, rq.ID)
+// readAllChunks reads all results of a step and records how many each chunk holds.
+func (sc *Scheduler) readAllChunks(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
+	chunks, err := sc.archive.all(ctx, sc.Keeper, rq.ID)
 	if err != nil {
 		return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
 	}
@@ -131,13 +126,13 @@
 		for _, chunk := range chunks {
 			counts = append(counts, len(chunk))
 		}
-		sr.count(counts)
+		sr.setChunkSizes(counts)
 		sr.loaded, sr.results = true, results
 	}
 	return page(results, rq.After, sr.step.Total()), nil
 }
 
-// count notes how many results each chunk that is listed holds.
-func (sr *stepRow) count(counts []int) {
+// setChunkSizes records how many results each stored chunk holds.
+func (sr *stepRow) setChunkSizes(counts []int) {
 	sr.counted, sr.chunks, sr.counts = true, len(counts), counts
 }
--- a/step/byroom.go
+++ b/step/byroom.go
@@ -54,7 +54,7 @@
 			if pl.live == 0 {
 				return
 			}
-			if pi.item.target != "" || pi.item.holdsNow() <= pl.listOf(pi.item.step).most {
+			if pi.item.target != "" || pi.item.tokensNow() <= pl.listOf(pi.item.step).most {
 				pl.give(pi.item)
 			}
 		}
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -72,7 +72,7 @@
 		wq := &sr.queue.queues[number]
 		he := queueHead{list: pl.listOf(sr), queue: wq, spare: sr.step.Due - sr.age(pl.now), step: sr}
 		if number&queueRewarded != 0 {
-			he.spare -= sr.rewards.usual()
+			he.spare -= sr.rewards.expected()
 		}
 		if len(wq.entries) > 0 {
 			heads = append(heads, he)
--- a/step/checkpoint.go
+++ b/step/checkpoint.go
@@ -8,47 +8,44 @@
 	"wisteriacroft/runner"
 )
 
-// Bounds of checkpoints.
+// Limits of checkpoints.
 const (
-	// checkpointEvery is how often the text of runs that are under way is kept.
-	// Each costs a call; what runs make after it is lost if all instances are.
-	checkpointEvery = 500 * time.Millisecond
-	// checkpointEvents is how many events a run must have before its text is kept
-	// for the first time: most items end soon after so many, and to run these
-	// again costs little.
-	checkpointEvents = 20
-	// checkpointMore is how many new events it must have from then on: fewer than a run
-	// of the usual pace makes between two checkpoints, so that it is in each of them.
-	checkpointMore = 6
-	// maxDeletes bounds the keys that one write removes.
+	// checkpointInterval is the time between checkpoints of unfinished runs. Text that is newer than the last
+	// checkpoint is lost if all instances fail.
+	checkpointInterval = 500 * time.Millisecond
+	// minFirstEvents is the number of events that a run must have for its first checkpoint. Most items end soon
+	// after, and running those again is cheap.
+	minFirstEvents = 20
+	// minNewEvents is the number of new events that a run must have for each further checkpoint. It is less than a
+	// run of usual speed generates in checkpointInterval, so that no checkpoint skips it.
+	minNewEvents = 6
+	// maxDeletes bounds the keys that one write deletes.
 	maxDeletes = 8
 )
 
-// A Partial is text that a run has made of an item that is not whole.
+// A Partial is text of an unfinished item.
 type Partial struct {
 	Events []runner.Event
 	First  int // position of the first of Events in the item's text
 	Item   string
 }
 
-// A Checkpoint is the text of a step's runs since its last one.
+// A Checkpoint holds the text that a step's runs have generated since the previous checkpoint.
 type Checkpoint struct {
 	Number   int
 	Partials []Partial
 	Step     string
 }
 
-// Checkpoints returns the text that is to be kept now.
+// Checkpoints returns the checkpoints to be written now.
 //
-// All instances may lose power at the same moment. The text of runs is then in
-// no memory any more; begun again, a long item makes its step miss the time for
-// which its trainer waits.
+// If all instances lose power, the text of unfinished runs is in no memory. Without checkpoints, long items would
+// start again and make their steps late.
 //
-// A new scheduler makes none until checkpointEvery after it began to place: its first writes
-// list the results that were left without a scheduler, which would otherwise wait for the
-// text of all runs to be written.
+// The first checkpoints of a new scheduler are made checkpointInterval after it starts to place items: its first
+// writes list results that its predecessor left unlisted, and must not wait for the text of all runs.
 func (ta *Table) Checkpoints(now time.Time) []Checkpoint {
-	if now.Sub(ta.savedAt) < checkpointEvery {
+	if now.Sub(ta.savedAt) < checkpointInterval {
 		return nil
 	}
 	ta.savedAt = now
@@ -61,13 +58,13 @@
 	return cps
 }
 
-// checkpoint returns what a step's runs have made since its last checkpoint, as
-// far as one value holds it. Those with the most to lose go first: in the order
-// of the step, the last ones would never have their turn.
+// checkpoint returns the text that a step's runs have generated since its last checkpoint, up to the size of one
+// value. Items with the most unsaved text come first. In the order of the step, the last items might never be
+// included.
 func (sr *stepRow) checkpoint() Checkpoint {
 	var irs []*itemRow
 	for _, ir := range sr.items {
-		if ir.open() && ir.unsaved() >= ir.worthKeeping() {
+		if ir.open() && ir.unsaved() >= ir.minUnsaved() {
 			irs = append(irs, ir)
 		}
 	}
@@ -87,18 +84,18 @@
 	return cp
 }
 
-// worthKeeping returns how many new events an item must have to be in a checkpoint.
-func (ir *itemRow) worthKeeping() int {
+// minUnsaved returns how many unsaved events an item must have to be included in a checkpoint.
+func (ir *itemRow) minUnsaved() int {
 	if ir.saved == 0 {
-		return checkpointEvents
+		return minFirstEvents
 	}
-	return checkpointMore
+	return minNewEvents
 }
 
 // unsaved returns how many of an item's events are in no checkpoint.
 func (ir *itemRow) unsaved() int { return len(ir.events) - ir.saved }
 
-// CheckpointsSaved takes in that checkpoints are kept.
+// CheckpointsSaved records that checkpoints have been written.
 func (ta *Table) CheckpointsSaved(cps []Checkpoint) {
 	for _, cp := range cps {
 		sr, ok := ta.steps[cp.Step]
@@ -122,7 +119,7 @@
 	}
 }
 
-// restore gives items the text that an earlier scheduler kept.
+// restore sets the text of waiting items from the checkpoints of an earlier scheduler.
 func (sr *stepRow) restore(cps []Checkpoint) {
 	rows := map[string]*itemRow{}
 	for _, ir := range sr.items {
@@ -146,9 +143,8 @@
 	}
 }
 
-// Garbage returns keys that are no longer needed, to be removed with the next
-// write.
-func (ta *Table) Garbage() []string { return ta.garbage[:min(len(ta.garbage), maxDeletes)] }
+// ObsoleteKeys returns keys to be deleted with the next write.
+func (ta *Table) ObsoleteKeys() []string { return ta.garbage[:min(len(ta.garbage), maxDeletes)] }
 
-// Removed takes in that keys are removed.
-func (ta *Table) Removed(count int) { ta.garbage = ta.garbage[count:] }
+// KeysDeleted records that the first count obsolete keys have been deleted.
+func (ta *Table) KeysDeleted(count int) { ta.garbage = ta.garbage[count:] }
--- a/step/choose.go
+++ b/step/choose.go
@@ -19,8 +19,8 @@
 			break
 		}
 	}
-	_, end := en.memory()
-	_, added := ir.holds()
+	_, end := en.memoryUse()
+	_, added := ir.tokenUse()
 	return score - paceCost(ir.expectedTime().Seconds(), float64(en.context()), ta.behind(en)) - en.crowding(end+added)
 }
 
@@ -66,7 +66,7 @@
 
 // context returns how many tokens an engine's runs are expected to hold.
 func (en *engineRow) context() int {
-	now, end := en.memory()
+	now, end := en.memoryUse()
 	return (now + end) / 2
 }
 
@@ -104,7 +104,7 @@
 	}
 	runs, tokens := len(en.items)+len(en.coming), en.context()
 	if added != nil {
-		now, end := added.holds()
+		now, end := added.tokenUse()
 		runs, tokens = runs+1, tokens+(now+end)/2
 	}
 	return time.Duration(float64(base) * slowdown(runs, tokens))
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -195,18 +195,18 @@
 
 func TestAccountIsWrittenWithOtherWritesOnly(t *testing.T) {
 	ta, end := crowd(t)
-	assert.Assert(t, ta.Update(end).empty())
-	end = end.Add(2 * checkpointEvery)
+	assert.Assert(t, ta.NextWrites(end).empty())
+	end = end.Add(2 * checkpointInterval)
 	for item := range 2 {
 		engine, key := keyOf(t, ta, "large", item)
 		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 25, 1), Key: key}}}, end)
 	}
-	up := ta.Update(end)
+	up := ta.NextWrites(end)
 	assert.Assert(t, len(up.Checkpoints) > 0 && len(up.Account) > 0)
 	tx, err := up.transaction(keyvalue.Expectation{Key: "fence"})
 	assert.NilError(t, err)
 	assert.Equal(t, tx.Writes[len(tx.Writes)-1].Key, accountKey)
-	ta.Written(up, end)
+	ta.WritesApplied(up, end)
 	assert.Equal(t, len(ta.share.due(end.Add(accountEvery))), 0, "unchanged, it is not written again")
 }
 
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -34,7 +34,7 @@
 	rows := map[string][]*stepRow{} // by service
 	for _, sr := range ta.order {
 		// Without a due time no step is late, and no room is kept for it.
-		if sr.step.Due > 0 && !ta.idleByHold(sr) {
+		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
 			ta.room(sr.step.Service)
 		}
@@ -55,11 +55,11 @@
 	}
 	was, places := rm.planner.Overloaded(), ta.places(service, now)
 	// Who asks for no more than its part doesn't wait until the others have had their room.
-	rm.planner.Lingers = !ta.competesWithinPart(rm)
+	rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
 	rm.withinPart = ta.customersWithinPart(steps, rows, places)
-	rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+	rm.sendsAhead = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
 	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
 			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
@@ -132,7 +132,7 @@
 // and what can't be whole by then is of no use.
 func (ta *Table) noteGivenUp(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
-	case sr.sated():
+	case sr.satisfied():
 		delete(ta.gaveUp, sr.trainer())
 	case age > sr.step.Due:
 		ta.gaveUp[sr.trainer()] = age
@@ -166,6 +166,6 @@
 // gets the slow place that it left instead. Moves that save no item would only go on and on.
 func (ta *Table) saves(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
-	stays := ta.runsFor(ir, now)
+	stays := ta.remainingTime(ir, now)
 	return stays > left && stays-ta.gain(ir, from, to) <= left
 }
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -22,17 +22,17 @@
 	}
 	ta.Place(begin)
 	ta.End("ended")
-	assert.Assert(t, ta.Update(begin).empty(), "no call is made for it alone")
+	assert.Assert(t, ta.NextWrites(begin).empty(), "no call is made for it alone")
 	end(ta, t, "open", 0, runner.Complete, events(1, 1, 1), begin)
-	ta.savedAt = begin.Add(-checkpointEvery)
-	ta.steps["open"].items[1].events = events(1, checkpointEvents, 1)
-	up := ta.Update(begin)
+	ta.savedAt = begin.Add(-checkpointInterval)
+	ta.steps["open"].items[1].events = events(1, minFirstEvents, 1)
+	up := ta.NextWrites(begin)
 	assert.Equal(t, len(up.Cuts), 1)
 	for range 2 { // the write is idempotent
 		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, up)
 		assert.NilError(t, err)
 	}
-	ta.Written(up, begin)
+	ta.WritesApplied(up, begin)
 	assert.Equal(t, len(ta.cuts), 0)
 
 	ch, err := me.Client().Scan(t.Context(), intakePrefix)
@@ -50,7 +50,7 @@
 	next.Accept(in.steps["ended"], StoredStep{}, in.ended["ended"], begin)
 	assert.Assert(t, !next.HasOpenWork())
 	assert.Equal(t, len(next.cuts), 0)
-	assert.Equal(t, next.steps["ended"].listing(0).Total, 2)
+	assert.Equal(t, next.steps["ended"].listingFrom(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
 	assert.NilError(t, ke.Accept(t.Context(), stepOf("ended", 2)), "it is known as accepted")
 	li, err := ke.Read(t.Context(), ReadRequest{ID: "ended"})
@@ -80,6 +80,6 @@
 	ta := NewTable(1, nil)
 	ta.Accept(st, StoredStep{}, true, begin)
 	assert.Equal(t, len(ta.cuts), 1)
-	ta.Forget(0, begin.Add(1))
+	ta.DropOldSteps(0, begin.Add(1))
 	assert.Equal(t, len(ta.cuts), 0)
 }
--- a/step/door.go
+++ b/step/door.go
@@ -12,31 +12,28 @@
 	"wisteriacroft/peer"
 )
 
-// Bounds of an entry's part in steps.
+// Limits of an entry's step calls.
 const (
-	// writeTimeout bounds one write of a step or its end. The service answers
-	// within 4 ms as a rule, and some 60 times slower at times.
+	// writeTimeout bounds one write of a step or its end.
 	writeTimeout = 800 * time.Millisecond
-	// acceptTime is how long an entry tries to keep a step before it answers
-	// that it can't, or doesn't know. A trainer has nothing else to do meanwhile
-	// and comes again only once; outages of the service last 4 to 7 s, which two
-	// such times and the pause between them outlast.
-	acceptTime = 3500 * time.Millisecond
-	// cutOffTime is the same for an entry that is cut off. Trainers go to another
-	// entry after 1.1 s.
-	cutOffTime = 900 * time.Millisecond
-	// maxReadWait is the longest wait that a reader may ask for: readers wait 1 s
-	// and break off after 1.5 s more.
+	// acceptTimeout is how long an entry retries to store a step before it answers that it is unavailable or that the
+	// outcome is unknown. Trainers retry only once. Two attempts of this length and the pause between them outlast
+	// the usual outage of the key-value service, 4 to 7 s.
+	acceptTimeout = 3500 * time.Millisecond
+	// cutOffTimeout is acceptTimeout for an entry that is cut off. It is shorter than the 1.1 s after which trainers
+	// try another entry.
+	cutOffTimeout = 900 * time.Millisecond
+	// maxReadWait is the longest wait that a reader may request. Readers wait 1 s and time out after another 1.5 s.
 	maxReadWait = time.Second
-	// askTimeout bounds a question to the scheduler beyond the wait it asks for.
-	askTimeout = 1200 * time.Millisecond
+	// callTimeout bounds a call to the scheduler, in addition to the requested wait.
+	callTimeout = 1200 * time.Millisecond
 )
 
-// A Frontend is an entry's part in steps: it keeps what trainers hand in, and asks
-// the scheduler for what they read. Fill the exported fields before use.
+// A Frontend serves the step requests of an entry: it stores submitted steps and reads results from the scheduler.
+// Fill the exported fields before use.
 type Frontend struct {
-	// CutOffFunc reports whether neither the service nor the scheduler can be
-	// reached from here, of late. Nil means that it never is so.
+	// CutOffFunc reports whether neither the key-value service nor the scheduler has been reachable from this
+	// instance recently. Nil means that one of them always is.
 	CutOffFunc func() bool
 	Keeper     *Store
 	Log        *logrus.Entry
@@ -44,23 +41,20 @@
 	Scheduler  *lease.Resolver
 }
 
-// Accept keeps a step. ErrUnavailable means that it is not kept and won't be;
-// ErrOutcomeUnknown that this can't be told.
+// Accept stores a step. ErrUnavailable means that it is not stored and won't be, ErrOutcomeUnknown that it may be.
 //
-// A write that got no answer may take effect seconds later. To refuse the step
-// then would be untrue, so it is repeated until an answer tells: whichever of
-// the writes comes first counts, and the others find the step kept.
+// A write that got no answer may take effect seconds later, so refusing the step would be wrong. The write is retried
+// until the outcome is known: the first one that succeeds counts, and the others find the step stored.
 //
-// An entry that is cut off refuses soon what it has not sent: another one can
-// keep the step. It tries for as long as trainers wait, since an outage in which
-// the scheduler is lost too looks the same: refused at once by every entry, a
-// trainer had used up its tries before the service was back.
+// An entry that is cut off refuses a step soon, unless a write of it may have taken effect, so that the trainer can
+// try another entry. It still retries for cutOffTimeout: an outage in which the scheduler is lost too looks the same,
+// and if all entries refused at once, a trainer would use up its retries before the service is back.
 func (do *Frontend) Accept(ctx context.Context, st *Step) error {
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	begun, unsure := time.Now(), false
 	for try := 1; ; try++ {
-		err := do.write(ctx, acceptMethod, *st, func(ctx context.Context) error { return do.Keeper.Accept(ctx, st) })
+		err := do.writeOrForward(ctx, acceptMethod, *st, func(ctx context.Context) error { return do.Keeper.Accept(ctx, st) })
 		unsure = unsure || err != nil && !notWritten(err)
 		do.Log.WithFields(logrus.Fields{
 			"cut-off": do.cutOff(), "error": err, stepField: st.ID, "try": try, "unsure": unsure,
@@ -70,30 +64,30 @@
 			return nil
 		case errors.Is(err, ErrTooManyParts):
 			return err
-		case ctx.Err() == nil && (unsure || !do.cutOff() || time.Since(begun) < cutOffTime):
+		case ctx.Err() == nil && (unsure || !do.cutOff() || time.Since(begun) < cutOffTimeout):
 		case unsure:
 			return errors.Wrap(keyvalue.ErrOutcomeUnknown, err.Error())
 		default:
 			return errors.Wrap(keyvalue.ErrUnavailable, err.Error())
 		}
-		pause(ctx)
+		retryPause(ctx)
 	}
 }
 
-// errCutOff means that neither the service nor the scheduler can be reached.
+// errCutOff means that neither the key-value service nor the scheduler is reachable.
 var errCutOff = errors.Wrap(keyvalue.ErrUnavailable, "cut off")
 
-// cutOff reports whether nothing can be kept or read from here.
+// cutOff reports whether this entry is cut off, see CutOffFunc.
 func (do *Frontend) cutOff() bool { return do.CutOffFunc != nil && do.CutOffFunc() }
 
-// notWritten reports whether a failed write surely has no effect.
+// notWritten reports whether a failed write certainly had no effect.
 func notWritten(err error) bool {
 	return errors.IsAny(err, keyvalue.ErrUnavailable, keyvalue.ErrTooLarge, ErrTooManyParts)
 }
 
-// write makes a write, over the scheduler if the service is away from here: it
-// turns single instances away at times, and the scheduler holds a lease of it.
-func (do *Frontend) write(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
+// writeOrForward calls direct, which writes to the key-value service. If that fails, it forwards the request to the
+// scheduler, which holds a lease: the service sometimes refuses single instances.
+func (do *Frontend) writeOrForward(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
 	cx, cancel := context.WithTimeout(ctx, writeTimeout)
 	err := direct(cx)
 	cancel()
@@ -104,7 +98,7 @@
 	if address == "" {
 		return err
 	}
-	cx, cancel = context.WithTimeout(ctx, askTimeout)
+	cx, cancel = context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, errPeer := peer.Call[any, Empty](cx, do.Pool, address, method, rq)
 	switch {
@@ -119,40 +113,40 @@
 	}
 }
 
-// End keeps that a step has ended.
+// End records that a step has ended.
 func (do *Frontend) End(ctx context.Context, id string) error {
 	if do.cutOff() {
 		return errCutOff
 	}
-	return do.write(ctx, endMethod, EndRequest{ID: id}, func(ctx context.Context) error { return do.Keeper.End(ctx, id) })
+	return do.writeOrForward(ctx, endMethod, EndRequest{ID: id}, func(ctx context.Context) error { return do.Keeper.End(ctx, id) })
 }
 
-// Read returns a step's results from a position on. ErrUnknownStep means that
-// there is no such step, any other error that it can't be told now.
+// Read returns a step's results from a position on. ErrUnknownStep means that there is no such step; after any other
+// error it may exist.
 func (do *Frontend) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
 	if do.cutOff() {
 		return Listing{}, errCutOff
 	}
 	rq.Wait = min(max(rq.Wait, 0), maxReadWait)
-	li, err := ask[ReadRequest, Listing](ctx, do, readMethod, rq, rq.Wait+askTimeout)
+	li, err := callScheduler[ReadRequest, Listing](ctx, do, readMethod, rq, rq.Wait+callTimeout)
 	if err == nil || errors.Is(err, ErrUnknownStep) {
 		return li, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return do.Keeper.Read(ctx, rq)
 }
 
-// Body returns the body of a step's item.
+// Body returns the body of a step's item. Errors are as for Read.
 func (do *Frontend) Body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
 	if do.cutOff() {
 		return BodyResponse{}, errCutOff
 	}
-	re, err := ask[BodyRequest, BodyResponse](ctx, do, bodyMethod, rq, askTimeout)
+	re, err := callScheduler[BodyRequest, BodyResponse](ctx, do, bodyMethod, rq, callTimeout)
 	if err == nil || errors.Is(err, ErrUnknownStep) {
 		return re, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	st, err := do.Keeper.Load(ctx, rq.Step)
 	if err != nil {
@@ -161,8 +155,8 @@
 	return st.body(rq.Item), nil
 }
 
-// ask calls the scheduler, and once more the one that replaced it.
-func ask[Req, Resp any](ctx context.Context, do *Frontend, method string, rq Req, timeout time.Duration) (Resp, error) {
+// callScheduler calls the scheduler. If that fails, it looks the scheduler up again and retries once.
+func callScheduler[Req, Resp any](ctx context.Context, do *Frontend, method string, rq Req, timeout time.Duration) (Resp, error) {
 	var resp Resp
 	err := errNotScheduler
 	for range 2 {
--- a/step/earlier.go
+++ b/step/earlier.go
@@ -8,17 +8,17 @@
 	"wisteriacroft/runner"
 )
 
-// An itemKey names an item in all steps of its customer. Another customer's item may
-// have the same ID, and must not get its text.
+// An itemKey identifies an item across all steps of a customer. Items of other customers may have the same ID and
+// must not share text.
 type itemKey struct{ customer, item string }
 
 func (st *Step) itemKey(it *Item) itemKey { return itemKey{customer: st.Customer, item: it.ID} }
 
 func (ir *itemRow) key() itemKey { return ir.step.step.itemKey(ir.item) }
 
-// takeOver starts an item with the text that an earlier step made of it, if
-// this step may have it.
-func (ta *Table) takeOver(ir *itemRow, now time.Time) {
+// reuseText sets an item's text to what an earlier step generated for it, if the body is the same and the step allows
+// the versions.
+func (ta *Table) reuseText(ir *itemRow, now time.Time) {
 	old, ok := ta.reuse[ir.key()]
 	if !ok || !bytes.Equal(old.item.Body, ir.item.Body) || !ir.step.step.fits(old.events) {
 		return
@@ -30,27 +30,28 @@
 	if old.reward.score != "" && ir.item.Reward != nil && ir.item.Reward.Equal(old.item.Reward) {
 		ir.reward.score = old.reward.score
 	}
-	ta.whole(ir, now)
+	ta.completeText(ir, now)
 }
 
-// A length is how many events an item has at least.
-type length struct {
+// A minLength is the minimum number of events of an item, from earlier runs.
+type minLength struct {
 	events int
-	step   *stepRow // that showed it last
+	step   *stepRow // last step that had the item
 }
 
-// noteLength keeps how long an item of a step that ends is known to be.
+// recordLength records the known length of an item when its step ends.
 //
-// A trainer ends a step by what it has read. Groups that became whole just before
-// come again as well, and their longest items looked as short as their hints say.
-func (ta *Table) noteLength(ir *itemRow) {
+// A trainer ends a step based on what it has read, so groups that are complete but unread are requested again.
+// Without a record, their longest items would seem as short as their hints.
+func (ta *Table) recordLength(ir *itemRow) {
 	if events := max(ir.known, len(ir.events)); events > 0 {
-		ta.lengths[ir.key()] = length{events: events, step: ir.step}
+		ta.lengths[ir.key()] = minLength{events: events, step: ir.step}
 	}
 }
 
-// Forget drops steps that no one reads any longer, and returns their IDs.
-func (ta *Table) Forget(keep time.Duration, now time.Time) []string {
+// DropOldSteps drops ended steps older than keep, and returns their IDs. It also drops expired text, lengths and
+// results.
+func (ta *Table) DropOldSteps(keep time.Duration, now time.Time) []string {
 	var ids []string
 	for id, sr := range ta.steps {
 		if sr.ended && sr.age(now) > keep {
@@ -60,43 +61,41 @@
 		}
 	}
 	for id, ir := range ta.reuse {
-		if ir.step.age(now) > reuseTime || ta.outdated(ir) {
+		if ir.step.age(now) > reuseRetention || ta.outdated(ir) {
 			delete(ta.reuse, id)
 		}
 	}
 	for id, le := range ta.lengths {
-		if le.step.age(now) > reuseTime {
+		if le.step.age(now) > reuseRetention {
 			delete(ta.lengths, id)
 		}
 	}
 	ta.forgetFormer(now)
-	ta.evict()
+	ta.evictResults()
 	return ids
 }
 
 // outdated reports whether an item's text is too old for any later step.
 //
-// Load pattern: most groups of many steps are not whole in time. The text of these groups is
-// then most of what a scheduler holds. Kept for reuseTime, it would fill the memory, and
-// collecting garbage would delay the listing of results.
+// If most groups of many steps are late, their text is most of the scheduler's memory. Retaining all of it for
+// reuseRetention would exhaust the memory, and garbage collection would delay the listing of results.
 func (ta *Table) outdated(ir *itemRow) bool {
 	newest := ta.named[ir.step.step.Model]
 	return slices.ContainsFunc(ir.events, func(ev runner.Event) bool { return ev.Version+uselessLag <= newest })
 }
 
 const (
-	// reuseTime is for how long the text of groups that were not whole is held:
-	// they come again within two steps or not at all.
-	reuseTime = 45 * time.Second
-	// cachedResults is how much text of ended steps is held, in bytes. A third
-	// of the least memory of an instance that may run a scheduler is left for
-	// what is under way; older results are read when someone asks.
-	cachedResults = 16 << 20
+	// reuseRetention is how long the text of incomplete groups is retained. Trainers repeat such groups within two
+	// steps or not at all.
+	reuseRetention = 45 * time.Second
+	// maxCachedResults bounds the text of ended steps that is held in memory, in bytes. Other results are read from
+	// the key-value service on request.
+	maxCachedResults = 16 << 20
 )
 
-// evict drops the results of the oldest ended steps from memory, beyond what is
-// to be held. They are kept in the key-value service.
-func (ta *Table) evict() {
+// evictResults drops the results of the oldest ended steps from memory beyond maxCachedResults. They remain in the
+// key-value service.
+func (ta *Table) evictResults() {
 	var ended []*stepRow
 	for _, sr := range ta.steps {
 		if sr.ended && len(sr.results) > 0 {
@@ -109,7 +108,7 @@
 		for _, re := range sr.results {
 			held += len(re.Text)
 		}
-		if held > cachedResults {
+		if held > maxCachedResults {
 			sr.results, sr.loaded = nil, false
 		}
 	}
--- a/step/engines.go
+++ b/step/engines.go
@@ -57,7 +57,7 @@
 		en.address, en.endpoint, en.service = in.Address, in.Endpoint, in.Service
 		en.slots, en.tokens = in.Slots, in.Tokens
 		en.leaving = in.Leaving
-		ta.takeEntry(en, in)
+		ta.applyEntry(en, in)
 	}
 	for id, en := range ta.engines {
 		if !present[id] {
--- a/step/follow.go
+++ b/step/follow.go
@@ -13,14 +13,13 @@
 	"wisteriacroft/keyvalue"
 )
 
-// follow reads what earlier schedulers wrote and then follows the steps that
-// are accepted and ended.
+// follow loads the state that earlier schedulers stored, then follows accepted and ended steps until the term ends.
 func (sc *Scheduler) follow(ctx context.Context, te *term) {
 	var in intake
 	var after int64
 	scan, lost := true, false
 	for ctx.Err() == nil {
-		back := te.revival.next()
+		back := te.revival.recovered()
 		ch, err := sc.nextIntake(ctx, te, after, scan, lost)
 		switch {
 		case errors.Is(err, keyvalue.ErrHistoryGone):
@@ -33,33 +32,32 @@
 			continue
 		}
 		if lost {
-			te.revival.tell()
+			te.revival.notify()
 		}
 		lost = false
 		accepted, ended := in.apply(ch.Items, scan)
-		kept, err := sc.kept(ctx, te, &in, accepted)
+		kept, err := sc.loadKept(ctx, te, &in, accepted)
 		if err == nil {
 			err = sc.recall(ctx, te, accepted)
 		}
 		if err != nil {
 			sc.Log.WithError(err).Warn("what is kept of steps can't be read")
-			in = intake{} // read all again
+			in = intake{} // reload everything
 			after, scan = 0, true
-			pause(ctx)
+			retryPause(ctx)
 			continue
 		}
-		sc.takeIntake(te, &in, accepted, ended, kept)
+		sc.applyIntake(te, &in, accepted, ended, kept)
 		after, scan = max(after, ch.Version), false
 	}
 }
 
-// nextIntake returns what has been accepted and ended since a version, or all.
+// nextIntake returns the changes of accepted and ended steps since a version, or with scan all of them.
 //
-// A service that has fallen silent swallows calls, which get no answer after its
-// return either. While the last call was lost, the next one doesn't wait for
-// changes: waiting, it would hide steps that are accepted right after an outage.
+// Calls that the service received before it stopped responding get no answer after it recovers. After a lost call,
+// the next one doesn't wait for changes: its own loss would hide steps that are accepted right after an outage.
 func (sc *Scheduler) nextIntake(ctx context.Context, te *term, after int64, scan, lost bool) (keyvalue.Changes, error) {
-	ctx, cancel := te.revival.bound(ctx)
+	ctx, cancel := te.revival.callContext(ctx)
 	defer cancel()
 	if scan {
 		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
@@ -75,9 +73,9 @@
 	return sc.Keeper.Client.Follow(ctx, intakePrefix, after, wait)
 }
 
-// kept reads what earlier schedulers kept of steps that are open, and for a new term what
-// operators hold. The results of steps that have ended are read when someone asks.
-func (sc *Scheduler) kept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
+// loadKept loads what earlier schedulers stored of open steps, and for a new term the holds of operators. Results of
+// ended steps are loaded on request.
+func (sc *Scheduler) loadKept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	kept := map[string]StoredStep{}
@@ -88,7 +86,7 @@
 	}
 	for _, st := range accepted {
 		if in.ended[st.ID] || !in.scanned[st.ID] {
-			continue // a step that has just been accepted has nothing yet
+			continue // nothing is stored yet of a step that was just accepted
 		}
 		gr.Go(func() error {
 			ke, err := sc.Keeper.Stored(ctx, st.ID)
@@ -101,10 +99,10 @@
 	return kept, gr.Wait()
 }
 
-// readHolds takes in what operators hold, before a term places anything.
+// readHolds loads the holds of operators before a term places anything.
 //
-// A process that has just started may become the scheduler before its directory knows of
-// the holds. Without this reading, all that is held would begin at that moment.
+// The directory of a process that has just started may not have loaded the holds when it becomes the scheduler. Held
+// items would then start.
 func (sc *Scheduler) readHolds(ctx context.Context, te *term) error {
 	if sc.Holds == nil {
 		return nil
@@ -123,7 +121,7 @@
 	return nil
 }
 
-func (sc *Scheduler) takeIntake(
+func (sc *Scheduler) applyIntake(
 	te *term, in *intake, accepted []*Step, ended []string, kept map[string]StoredStep,
 ) {
 	sc.mu.Lock()
@@ -152,8 +150,8 @@
 	}
 }
 
-// pause waits after a call that failed.
-func pause(ctx context.Context) {
+// retryPause waits for the retryPause after a failed call.
+func retryPause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(retryAfter):
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -110,7 +110,7 @@
 	took := ir.expectedTime()
 	gw.waiting = append(gw.waiting, ir)
 	gw.begun = gw.begun || ir.begun()
-	gw.least = min(gw.least, ir.holdsNow())
+	gw.least = min(gw.least, ir.tokensNow())
 	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
 	gw.rewarded = gw.rewarded || ir.item.Reward != nil
 	gw.work += max(took, minWork)
@@ -155,7 +155,7 @@
 		plan.Longest = max(gw.longest, minWork)
 	}
 	if gw.scoring > 0 {
-		took := max(gr.step.rewards.usual(), minWork)
+		took := max(gr.step.rewards.expected(), minWork)
 		plan.Work += time.Duration(gw.scoring) * took
 		plan.Longest = max(plan.Longest, took)
 	}
@@ -186,5 +186,5 @@
 	if en.paceRound != ta.paceRound {
 		en.pace, en.paceRound = ta.paceWith(en, nil), ta.paceRound
 	}
-	return ir.runsAt(en.pace, now)
+	return ir.remainingAt(en.pace, now)
 }
--- a/step/heard.go
+++ b/step/heard.go
@@ -8,7 +8,7 @@
 	"wisteriacroft/runner"
 )
 
-// HandleResponse takes an attendant's answer to a request in.
+// HandleResponse updates the table with an attendant's response to a request.
 func (ta *Table) HandleResponse(id string, rq runner.ExchangeRequest, re runner.ExchangeResponse, now time.Time) {
 	en, ok := ta.engines[id]
 	if !ok {
@@ -18,23 +18,23 @@
 		ta.drop(en, "attendant has started again", now)
 	}
 	en.boot = re.Boot
-	ta.takeReport(en, re, now)
+	ta.applyReport(en, re, now)
 	for _, key := range rq.Forget {
 		delete(en.forget, key)
 	}
-	en.said(rq.Seen)
+	en.recordAcks(rq.Seen)
 	for _, pr := range re.Runs {
-		if ta.concerns(en, pr) {
-			ta.progress(en, pr, now)
+		if ta.ownsRun(en, pr) {
+			ta.applyProgress(en, pr, now)
 		}
 	}
-	ta.replace(en, re.Engine, now)
+	ta.checkReplaced(en, re.Engine, now)
 	en.foreign = max(0, re.Report.Active+re.Report.Queued-re.Running)
-	ta.heardOrder(en, rq, re)
+	ta.updateOrder(en, rq, re)
 }
 
-// said takes in what an attendant has been told of runs.
-func (en *engineRow) said(seen []runner.Ack) {
+// recordAcks records that the attendant has received the acknowledgements of runs in a request.
+func (en *engineRow) recordAcks(seen []runner.Ack) {
 	for _, se := range seen {
 		if ir, ok := en.items[se.Key]; ok {
 			ir.run.said = max(ir.run.said, se.Events+1)
@@ -45,13 +45,11 @@
 	}
 }
 
-// concerns reports whether a run belongs to an engine.
+// ownsRun reports whether a run belongs to an engine. A run of an unknown engine is to be discarded by the attendant.
 //
-// An engine that starts again has another ID at the same address, and for a
-// while both are known. Each is asked for its runs at the same attendant, and
-// would have those of the other forgotten: they would end there, and here wait
-// for an end that never comes.
-func (ta *Table) concerns(en *engineRow, pr runner.Progress) bool {
+// An engine that restarts gets another ID at the same address, and for a while both IDs are known and polled at the
+// same attendant. If the exchange of one discarded the runs of the other, their items would wait forever.
+func (ta *Table) ownsRun(en *engineRow, pr runner.Progress) bool {
 	if pr.Endpoint == en.id {
 		return true
 	}
@@ -61,24 +59,23 @@
 	return false
 }
 
-// replace takes in that another engine answers at an engine's address: this one
-// is gone for good, though its entry may stay for some seconds.
-func (ta *Table) replace(en *engineRow, actual string, now time.Time) {
+// checkReplaced marks an engine as gone if another one answers at its address. Its directory entry may remain for
+// some seconds.
+func (ta *Table) checkReplaced(en *engineRow, actual string, now time.Time) {
 	if actual == "" || actual == en.id || en.gone {
 		return
 	}
 	other, known := ta.engines[actual]
 	if known && other.joinedAt.Before(en.joinedAt) || !ta.former[actual].IsZero() {
-		return // it was the one before this
+		return // the former engine at this address
 	}
 	en.gone = true
 	ta.log("engine was replaced", map[string]any{"by": actual, engineField: en.id, "items": len(en.items)})
 	ta.drop(en, "engine was replaced", now)
 }
 
-// heardOrder ends an order that the engine holds, or that its attendant has
-// given up.
-func (ta *Table) heardOrder(en *engineRow, rq runner.ExchangeRequest, re runner.ExchangeResponse) {
+// updateOrder clears an engine's order once the engine holds the weights, or its attendant has abandoned the order.
+func (ta *Table) updateOrder(en *engineRow, rq runner.ExchangeRequest, re runner.ExchangeResponse) {
 	if en.order == nil {
 		return
 	}
@@ -89,8 +86,8 @@
 	}
 }
 
-// progress takes what an attendant says of a run in.
-func (ta *Table) progress(en *engineRow, pr runner.Progress, now time.Time) {
+// applyProgress updates an item with an attendant's report of its run.
+func (ta *Table) applyProgress(en *engineRow, pr runner.Progress, now time.Time) {
 	if en.kept[pr.Key] != nil {
 		return
 	}
@@ -103,7 +100,7 @@
 		ir = en.items[pr.Key]
 	}
 	ir.run.confirmed = true
-	if !ta.append(ir, pr, now) {
+	if !ta.appendEvents(ir, pr, now) {
 		return
 	}
 	switch pr.State {
@@ -117,12 +114,12 @@
 		ir.step.gauge.observeBound(ir.item.Tokens-ir.item.Prompt, len(ir.events))
 		ta.keep(ir)
 		ir.reward.score = pr.Score
-		ta.whole(ir, now)
+		ta.completeText(ir, now)
 	case runner.Impossible:
 		ta.release(ir)
-		ta.giveUp(ir, pr.Detail, now)
+		ta.markLost(ir, pr.Detail, now)
 	case runner.Failed:
-		ta.fail(ir, pr.Detail, now)
+		ta.countFailure(ir, pr.Detail, now)
 	case runner.NotRun:
 		en.failed = now
 		ta.requeue(ir, "not run: "+pr.Detail, now)
@@ -135,7 +132,7 @@
 	}
 }
 
-// adopt takes over a run that an earlier scheduler started.
+// adopt takes over a run that an earlier scheduler started. It returns false if the run is of no use.
 func (ta *Table) adopt(en *engineRow, pr runner.Progress, now time.Time) bool {
 	sr, ok := ta.steps[pr.Key.Step]
 	if !ok || sr.ended || pr.First != 0 {
@@ -149,15 +146,15 @@
 			return false
 		}
 		if !startsWith(pr.Events, ir.events) {
-			ir.saved = 0 // what is kept is another run's text
+			ir.saved = 0 // the checkpoints hold another run's text
 		}
 		ir.events = nil
-		ta.dropTargetMemo(ir)
+		ta.invalidateTargetMemo(ir)
 		ta.become(ir, running)
 		ir.since = now
 		ir.run = run{at: en, confirmed: true, engine: en.id, eventAt: now, key: pr.Key}
 		en.items[pr.Key] = ir
-		en.dropMemo()
+		en.invalidateMemo()
 		ta.log("run taken over", map[string]any{
 			attemptField: pr.Key.Attempt, engineField: en.id, "events": len(pr.Events), itemField: pr.Key.Item, stepField: pr.Key.Step,
 		})
@@ -166,28 +163,28 @@
 	return false
 }
 
-// startsWith reports whether a text begins with another one.
+// startsWith reports whether evs begins with prefix.
 func startsWith(evs, prefix []runner.Event) bool {
 	return len(evs) >= len(prefix) && slices.EqualFunc(evs[:len(prefix)], prefix, func(a, b runner.Event) bool {
 		return a.ID == b.ID && a.Version == b.Version && bytes.Equal(a.Data, b.Data)
 	})
 }
 
-// append adds a run's events to its item's text. It returns false if the text
-// can't be used, and the item has to start again.
-func (ta *Table) append(ir *itemRow, pr runner.Progress, now time.Time) bool {
+// appendEvents adds a run's new events to its item's text. It returns false if the step doesn't allow the text, and
+// the item has to start again.
+func (ta *Table) appendEvents(ir *itemRow, pr runner.Progress, now time.Time) bool {
 	if pr.First > len(ir.events) {
-		return true // an answer that was overtaken; the next has all
+		return true // an outdated response; the next one includes all events
 	}
 	fresh := pr.Events[min(len(ir.events)-pr.First, len(pr.Events)):]
 	if len(fresh) == 0 {
 		return true
 	}
 	ir.run.eventAt = now
-	defer ta.dropTargetMemo(ir)
-	ir.run.at.recount(ir, -1)
+	defer ta.invalidateTargetMemo(ir)
+	ir.run.at.adjustMemo(ir, -1)
 	ir.events = append(ir.events[:len(ir.events):len(ir.events)], fresh...)
-	ir.run.at.recount(ir, 1)
+	ir.run.at.adjustMemo(ir, 1)
 	if ir.step.step.fits(ir.events) {
 		return true
 	}
@@ -196,18 +193,19 @@
 	return false
 }
 
-// fail counts an answer that an item failed.
-func (ta *Table) fail(ir *itemRow, detail string, now time.Time) {
+// countFailure counts a failed run, and abandons the item after the step's MaxAttempts.
+func (ta *Table) countFailure(ir *itemRow, detail string, now time.Time) {
 	ir.failures++
 	if ir.failures >= max(ir.step.step.MaxAttempts, 1) {
 		ta.release(ir)
-		ta.giveUp(ir, "failed too often: "+detail, now)
+		ta.markLost(ir, "failed too often: "+detail, now)
 		return
 	}
 	ta.requeue(ir, "failed: "+detail, now)
 }
 
-func (ta *Table) giveUp(ir *itemRow, why string, now time.Time) {
+// markLost abandons an item.
+func (ta *Table) markLost(ir *itemRow, why string, now time.Time) {
 	ta.log("item given up", map[string]any{itemField: ir.item.ID, stepField: ir.step.step.ID, whyField: why})
 	ta.finish(ir, lost, now)
 }
--- a/step/held.go
+++ b/step/held.go
@@ -7,8 +7,8 @@
 	"wisteriacroft/hold"
 )
 
-// SetHolds takes in what operators hold back, unless what is known is as new, and logs
-// the steps that this changes.
+// SetHolds sets the holds of operators, unless sh is not newer than the current sheet. It logs the steps whose hold
+// changes.
 func (ta *Table) SetHolds(sh *hold.Set, now time.Time) {
 	if !sh.Newer(ta.holds) {
 		return
@@ -38,10 +38,9 @@
 	}
 }
 
-// held reports whether an operator keeps an item from beginning.
+// held reports whether an operator's hold prevents an item from starting.
 //
-// What has begun goes on, also elsewhere: an item that moves to another engine stops
-// first, and would lose the work that is in it.
+// Items that have started continue, also on another engine: an item that moves stops first and would lose its text.
 func (ta *Table) held(ir *itemRow) bool {
 	if len(ir.events) > 0 || ir.target != "" {
 		return false
@@ -50,17 +49,17 @@
 	return held
 }
 
-// idleByHold reports whether an operator keeps all that is open of a step from beginning:
-// no room is to be kept for it.
-func (ta *Table) idleByHold(sr *stepRow) bool {
+// fullyHeld reports whether a hold prevents all open items of a step from starting, so that the step needs no
+// capacity.
+func (ta *Table) fullyHeld(sr *stepRow) bool {
 	if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); !held {
 		return false
 	}
 	return !slices.ContainsFunc(sr.items, func(ir *itemRow) bool { return ir.open() && (ir.state != waiting || !ta.held(ir)) })
 }
 
-// heldItems returns how many items wait that an operator keeps from beginning.
-func (ta *Table) heldItems() int {
+// heldItemCount returns how many waiting items are held by operators.
+func (ta *Table) heldItemCount() int {
 	count := 0
 	for _, sr := range ta.order {
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); !held {
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -38,12 +38,12 @@
 		end(ta, t, "t", i, runner.Complete, events(1, 3, 1), begin)
 	}
 	ta.Place(begin)
-	assert.Equal(t, ta.heldItems(), 2)
+	assert.Equal(t, ta.heldItemCount(), 2)
 	ta.SetHolds(sheetOf(t, sh), begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	ta.SetHolds(sh, begin) // an outdated sheet
-	assert.Equal(t, ta.heldItems(), 0)
+	assert.Equal(t, ta.heldItemCount(), 0)
 }
 
 func TestNoRoomIsKeptForWhatIsHeld(t *testing.T) {
@@ -87,7 +87,7 @@
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
-	up := ta.Update(begin.Add(time.Second))
+	up := ta.NextWrites(begin.Add(time.Second))
 	assert.Equal(t, len(up.Chunks), 1)
 	assert.Equal(t, len(up.Chunks[0].Results), 2)
 }
--- a/step/incarnation.go
+++ b/step/incarnation.go
@@ -7,12 +7,12 @@
 	"wisteriacroft/runner"
 )
 
-// takeEntry takes in what an engine's entry says of its start and its versions.
-// What the engine itself reports is newer, unless the entry is of a later start.
-func (ta *Table) takeEntry(en *engineRow, in EngineInfo) {
+// applyEntry updates an engine's incarnation and versions from its directory entry. The engine's own reports take
+// precedence, unless the entry is of a later incarnation.
+func (ta *Table) applyEntry(en *engineRow, in EngineInfo) {
 	switch {
 	case in.Incarnation.Supersedes(en.born):
-		ta.reborn(en, in.Incarnation)
+		ta.resetEngine(en, in.Incarnation)
 	case en.born.Supersedes(in.Incarnation), !en.heardAt.IsZero():
 		return
 	}
@@ -22,12 +22,11 @@
 	}
 }
 
-// reborn drops what was believed of an engine that has started again under its
-// ID. What its attendant was told still holds, as that has not.
+// resetEngine clears an engine's state after it has restarted under its ID. State of the attendant, which has not
+// restarted, is kept.
 //
-// Taken for the former start, it counts as slow or as replaced though it is
-// neither, and stays without work for seconds or for good.
-func (ta *Table) reborn(en *engineRow, born incarnation.Number) {
+// Otherwise the engine might still count as slow or replaced, and would get no items.
+func (ta *Table) resetEngine(en *engineRow, born incarnation.Number) {
 	ta.log("engine started again", map[string]any{
 		"born": int64(born), engineField: en.id, "former": int64(en.born), "items": len(en.items), "was-slow": !en.slowAt.IsZero(),
 	})
@@ -36,15 +35,14 @@
 	en.report, en.versions = runner.Report{}, map[string]uint64{}
 }
 
-// takeReport takes in what an engine said to its attendant. A report of a former
-// start says nothing of the engine that is there now.
-func (ta *Table) takeReport(en *engineRow, re runner.ExchangeResponse, now time.Time) {
+// applyReport updates an engine from the report in a response. Reports of an earlier incarnation are ignored.
+func (ta *Table) applyReport(en *engineRow, re runner.ExchangeResponse, now time.Time) {
 	en.heardAt = now
 	if en.born.Supersedes(re.Report.Incarnation) {
 		return
 	}
 	if re.Report.Incarnation.Supersedes(en.born) {
-		ta.reborn(en, re.Report.Incarnation)
+		ta.resetEngine(en, re.Report.Incarnation)
 	}
 	en.born = max(en.born, re.Report.Incarnation)
 	en.report, en.sick = re.Report, !re.Reachable
--- a/step/intake.go
+++ b/step/intake.go
@@ -9,19 +9,18 @@
 	"wisteriacroft/keyvalue"
 )
 
-// An intake is what has been accepted and ended, as the changes of its keys
-// tell. The zero intake is empty and ready to use.
+// An intake is the set of accepted and ended steps, built from the changes of their keys. The zero value is empty and
+// ready to use.
 type intake struct {
 	ended map[string]bool
 	parts map[string]map[int]part
 	steps map[string]*Step
-	// scanned are the steps that were there when the prefix was read whole, and
-	// of which more may be kept.
+	// scanned holds the steps that were found by a scan, for which checkpoints and results may be stored.
 	scanned map[string]bool
 }
 
-// apply takes changes in and returns the steps that are new and those that
-// have ended.
+// apply updates the intake and returns the steps that are newly accepted and those that have ended. scanned tells
+// that the items are the result of a scan.
 func (in *intake) apply(its []keyvalue.Item, scanned bool) (accepted []*Step, ended []string) {
 	if in.steps == nil {
 		in.ended, in.scanned = map[string]bool{}, map[string]bool{}
@@ -29,7 +28,7 @@
 	}
 	for _, it := range its {
 		if it.Value == nil {
-			in.forget(it.Key)
+			in.remove(it.Key)
 			continue
 		}
 		if id, ok := strings.CutPrefix(it.Key, endPrefix); ok {
@@ -50,8 +49,8 @@
 	return accepted, ended
 }
 
-// forget drops a step whose keys were removed.
-func (in *intake) forget(key string) {
+// remove drops a step whose keys were deleted.
+func (in *intake) remove(key string) {
 	if id, ok := strings.CutPrefix(key, endPrefix); ok {
 		delete(in.ended, id)
 		return
@@ -62,7 +61,7 @@
 	delete(in.steps, id)
 }
 
-// applyPart takes one value of a step in and returns the step once it is whole.
+// applyPart adds one value of a step, and returns the step once all of its values are there.
 func (in *intake) applyPart(it keyvalue.Item) *Step {
 	id, text, ok := strings.Cut(strings.TrimPrefix(it.Key, stepPrefix), "/")
 	number, err := strconv.Atoi(text)
@@ -71,7 +70,7 @@
 	}
 	var pa part
 	if cbor.Unmarshal(it.Value, &pa) != nil {
-		return nil // no step of ours
+		return nil // not written by this program
 	}
 	if in.parts[id] == nil {
 		in.parts[id] = map[int]part{}
@@ -91,8 +90,8 @@
 	}
 	st.Parts = pa.Count
 	in.steps[id] = st
-	// What is read of a prefix is no snapshot: the step may have ended after its end
-	// was looked for. Taken for open, its items would run without their bodies.
+	// A scan is no snapshot: the step may have ended after the scan passed its end key. If it counted as open, its
+	// items would run without bodies.
 	if st.Cut {
 		in.ended[id] = true
 	}
--- a/step/keep.go
+++ b/step/keep.go
@@ -12,8 +12,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Prefixes of the keys of steps. Steps and their ends share one, so that one
-// call follows both.
+// Prefixes of the keys of steps. Steps and their ends share a prefix, so that one call follows both.
 const (
 	intakePrefix = "wisteriacroft/intake/"
 	stepPrefix   = intakePrefix + "step/"  // then ID/PART
@@ -22,34 +21,32 @@
 
 	checkpointPrefix = "wisteriacroft/checkpoint/" // then ID/NUMBER, or ID/listed/CHUNK: a mark
 
-	accountKey = "wisteriacroft/fair-share" // what customers have had
+	accountKey = "wisteriacroft/fair-share" // the fair-share account of customers
 )
 
-// partSize is the size of one value of a step or a listing, in bytes. A value
-// may have 1 MB.
+// partSize is the maximum size of one value of a step or a chunk, in bytes. The service allows 1 MB.
 const partSize = 700 << 10
 
-// Errors of keeping steps.
+// Errors of storing and reading steps.
 var (
 	// ErrUnknownStep means that no such step was accepted.
 	ErrUnknownStep = errors.New("no such step")
-	// ErrUnsure means that whether the step exists can't be told now.
+	// ErrUnsure means that it is currently unknown whether the step exists.
 	ErrUnsure = errors.New("can't be told now")
-	// ErrTooManyParts means that a step is too large to be accepted at once.
+	// ErrTooManyParts means that a step is too large to be stored in one transaction.
 	ErrTooManyParts = errors.New("step is too large")
 )
 
-// maxParts is how many values a step may have: one transaction writes them under
-// one expectation.
+// maxParts is the maximum number of values of a step: one transaction writes them, under one expectation.
 const maxParts = keyvalue.MaxTransaction - 1
 
-// A part is one value of a step.
+// A part is one value of an encoded step.
 type part struct {
 	Count int
 	Data  []byte
 }
 
-// A Store reads and writes what must last of steps.
+// A Store keeps steps and their results in the key-value service.
 type Store struct {
 	Client *keyvalue.Client
 	Log    *logrus.Entry // optional
@@ -57,8 +54,8 @@
 	account accountVersion
 }
 
-// Accept keeps a step. It may be repeated with the same step; only the first
-// counts. ErrOutcomeUnknown means that the step may be kept, now or later.
+// Accept stores a step. It may be repeated with the same step; only the first call has an effect. ErrOutcomeUnknown
+// means that the step may be stored, now or later.
 func (ke *Store) Accept(ctx context.Context, st *Step) error {
 	values, err := st.values()
 	if err != nil {
@@ -69,14 +66,14 @@
 		tx.Writes = append(tx.Writes, keyvalue.Write{Key: stepKey(st.ID, i), Value: value})
 	}
 	tx.Expects = []keyvalue.Expectation{{Key: stepKey(st.ID, 0)}}
-	_, err = ke.settle(ctx, tx)
+	_, err = ke.commit(ctx, tx)
 	if errors.Is(err, keyvalue.ErrConflict) {
-		return nil // kept before
+		return nil // stored before
 	}
 	return err
 }
 
-// values returns the values that keep a step, one at least.
+// values returns the encoded step, split into one or more values.
 func (st *Step) values() ([][]byte, error) {
 	data, err := cbor.Marshal(st)
 	if err != nil {
@@ -97,7 +94,7 @@
 	return values, nil
 }
 
-// End keeps that a step has ended. It may be repeated.
+// End records that a step has ended. It may be repeated.
 func (ke *Store) End(ctx context.Context, id string) error {
 	_, err := ke.Client.Put(ctx, endPrefix+id, []byte("ended"), 0, 0)
 	if errors.Is(err, keyvalue.ErrConflict) {
@@ -106,7 +103,7 @@
 	return err
 }
 
-// Load returns a step, or ErrUnknownStep.
+// Load returns a stored step, or ErrUnknownStep.
 func (ke *Store) Load(ctx context.Context, id string) (*Step, error) {
 	ch, err := ke.Client.Scan(ctx, stepPrefix+id+"/")
 	if err != nil {
@@ -121,8 +118,8 @@
 	return st, nil
 }
 
-// Listed returns the chunks of a step's results in order.
-func (ke *Store) Listed(ctx context.Context, id string) ([][]Result, error) {
+// Chunks returns all chunks of a step's results, in order.
+func (ke *Store) Chunks(ctx context.Context, id string) ([][]Result, error) {
 	ch, err := ke.Client.Scan(ctx, listedPrefix+id+"/")
 	if err != nil {
 		return nil, err
@@ -151,13 +148,13 @@
 	return res, errors.Wrapf(cbor.Unmarshal(it.Value, &res), "decode %s", it.Key)
 }
 
-// Read returns a step's results from what is kept.
+// Read returns a step's results from the key-value service.
 func (ke *Store) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
 	st, err := ke.Load(ctx, rq.ID)
 	if err != nil {
 		return Listing{}, err
 	}
-	chunks, err := ke.Listed(ctx, rq.ID)
+	chunks, err := ke.Chunks(ctx, rq.ID)
 	if err != nil {
 		return Listing{}, err
 	}
@@ -168,7 +165,7 @@
 	return page(results, rq.After, st.Total()), nil
 }
 
-// Drop removes all that is kept of a step.
+// Drop deletes everything that is stored of a step.
 func (ke *Store) Drop(ctx context.Context, id string) error {
 	keys := []string{endPrefix + id}
 	for _, prefix := range []string{stepPrefix + id + "/", listedPrefix + id + "/", checkpointPrefix + id + "/"} {
@@ -190,23 +187,23 @@
 	return nil
 }
 
-// A Chunk is some results that are listed together.
+// A Chunk holds results that are stored in one value.
 type Chunk struct {
 	Number  int
 	Results []Result
 	Step    string
 }
 
-// A WriteSet is what a scheduler writes at once.
+// A WriteSet is what a scheduler writes in one transaction.
 type WriteSet struct {
-	Account     []byte // of customers' parts; empty while it need not be written
+	Account     []byte // encoded fair-share account; empty if it is not written
 	Checkpoints []Checkpoint
 	Chunks      []Chunk
-	Cuts        []*Step // that have ended, to be kept without their items
+	Cuts        []*Step // ended steps, to be stored without their items
 	Deletes     []string
 }
 
-// transaction returns the update as one that is applied only under a fence.
+// transaction returns the write set as a transaction that expects fence.
 func (up WriteSet) transaction(fence keyvalue.Expectation) (keyvalue.Transaction, error) {
 	tx := keyvalue.Transaction{Deletes: up.Deletes, Expects: []keyvalue.Expectation{fence}}
 	add := func(key string, value any) error {
@@ -246,8 +243,8 @@
 	return tx, nil
 }
 
-// Write applies an update, if fence still holds. It may be repeated with the
-// same update; done tells that it is applied.
+// Write applies a write set if fence holds. It may be repeated with the same write set. done reports that it is
+// applied, by this call or an earlier one.
 func (ke *Store) Write(ctx context.Context, fence keyvalue.Expectation, up WriteSet) (done bool, err error) {
 	tx, err := up.transaction(fence)
 	if err != nil {
@@ -265,11 +262,11 @@
 
 // writeOnce applies a transaction unless it was applied before.
 func (ke *Store) writeOnce(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
-	if _, err = ke.settle(ctx, tx); !errors.Is(err, keyvalue.ErrConflict) {
+	if _, err = ke.commit(ctx, tx); !errors.Is(err, keyvalue.ErrConflict) {
 		return err == nil, err
 	}
-	// An earlier try of the same update may have been applied.
-	version, errGet := ke.applied(ctx, tx)
+	// An earlier attempt of the same write may have succeeded.
+	version, errGet := ke.appliedVersion(ctx, tx)
 	if version != 0 || errGet != nil {
 		return version != 0, errGet
 	}
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -68,7 +68,7 @@
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 	}
-	listed, err := ke.Listed(t.Context(), "s")
+	listed, err := ke.Chunks(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, listed, [][]Result{up.Chunks[0].Results})
 }
@@ -120,11 +120,11 @@
 		},
 		{
 			"service stays away", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Outage: true}) },
-			keyvalue.ErrUnavailable, acceptTime,
+			keyvalue.ErrUnavailable, acceptTimeout,
 		},
 		{
 			"service is too slow to tell", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Delay: time.Minute}) },
-			keyvalue.ErrOutcomeUnknown, acceptTime,
+			keyvalue.ErrOutcomeUnknown, acceptTimeout,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -181,7 +181,7 @@
 		me.SetFaults(keyvalue.Faults{Outage: true})
 		do := doorOf(&Store{Client: me.Client()})
 		do.CutOffFunc = func() bool { return true }
-		time.AfterFunc(cutOffTime/2, func() { me.SetFaults(keyvalue.Faults{}) })
+		time.AfterFunc(cutOffTimeout/2, func() { me.SetFaults(keyvalue.Faults{}) })
 		assert.NilError(t, do.Accept(t.Context(), stepOf("s", 1)))
 	})
 }
@@ -242,7 +242,7 @@
 		term *term
 	}{{"it has ended", nil}, {"it lasts", te}, {"it lasts, and the results are held", te}} {
 		sc := &Scheduler{Keeper: ke, term: tc.term}
-		li, err := sc.readEnded(t.Context(), te, ta.steps["s"], ReadRequest{After: 1, ID: "s"})
+		li, err := sc.readArchived(t.Context(), te, ta.steps["s"], ReadRequest{After: 1, ID: "s"})
 		assert.NilError(t, err, tc.name)
 		assert.Equal(t, li.Total, 2, tc.name)
 		assert.Equal(t, len(li.Results), 1, tc.name)
@@ -280,7 +280,7 @@
 	for id := range ta.steps {
 		end(ta, t, id, 0, runner.Complete, events(1, 3, 1), begin)
 		engine, key := keyOf(t, ta, id, 1)
-		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, checkpointEvents, 1), Key: key}}}, begin)
+		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
 	}
 	for i := range 20 {
 		ta.garbage = append(ta.garbage, checkpointKey("old", i))
@@ -288,21 +288,21 @@
 	ke := &Store{Client: me.Client()}
 	now, listed, saved := begin.Add(time.Minute), 0, map[string]bool{}
 	for range 8 {
-		up := ta.Update(now)
+		up := ta.NextWrites(now)
 		tx, err := up.transaction(keyvalue.Expectation{Key: "fence"})
 		assert.NilError(t, err)
 		assert.Assert(t, tx.Size() <= keyvalue.MaxTransaction, "%d entries", tx.Size())
 		done, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "fence"}, up)
 		assert.NilError(t, err)
 		assert.Assert(t, done)
-		ta.Written(up, now)
+		ta.WritesApplied(up, now)
 		for _, ch := range up.Chunks {
 			listed += len(ch.Results)
 		}
 		for _, cp := range up.Checkpoints {
 			saved[cp.Step] = true
 		}
-		now = now.Add(checkpointEvery)
+		now = now.Add(checkpointInterval)
 	}
 	assert.Equal(t, listed, 10)
 	assert.Equal(t, len(saved), 10)
--- a/step/listing.go
+++ b/step/listing.go
@@ -7,22 +7,21 @@
 	"wisteriacroft/listing"
 )
 
-// maxChunks bounds the chunks of one write: each takes an expectation and a value
-// of a transaction, which has 32 at most.
+// maxChunks bounds the chunks of one write: each needs an expectation and a value in a transaction.
 const maxChunks = 8
 
-// Due returns the results that are to be listed now, in chunks of one write.
+// DueChunks returns the results to be listed now, in chunks for one write.
 //
-// Load pattern: at the end of an outage all steps have megabytes of results to list. Those
-// with which a trainer has all that it waits for (listing.Final) are written first. Steps
-// whose results are only more than an answer holds (listing.Full) wait for the next write.
-func (ta *Table) Due(now time.Time) []Chunk {
+// At the end of an outage, all steps may have megabytes of results to list. Those that complete what a trainer waits
+// for (listing.Final) go first. Steps that merely exceed the size of an answer (listing.Full) wait for the next
+// write.
+func (ta *Table) DueChunks(now time.Time) []Chunk {
 	whys := map[*stepRow]listing.Reason{}
 	finals := false
 	for _, sr := range ta.order {
-		st := sr.listState(now)
+		st := sr.listingState(now)
 		st.EndsIn = ta.endsIn(sr, now)
-		sr.ending = st.EndsIn < endingTime && !sr.served
+		sr.ending = st.EndsIn < endingSoon && !sr.served
 		whys[sr] = listing.Decide(st, now)
 		finals = finals || whys[sr] == listing.Final
 	}
@@ -30,21 +29,21 @@
 	for _, sr := range ta.order {
 		if why := whys[sr]; why != listing.Wait && (why != listing.Full || !finals) {
 			sr.why, sr.writtenAt = why, now
-			chunks = append(chunks, sr.pending(why, maxChunks-len(chunks))...)
+			chunks = append(chunks, sr.pendingChunks(why, maxChunks-len(chunks))...)
 		}
 	}
 	return chunks
 }
 
-// endingTime is how long before its expected end a step's last items are watched
-// closely: what the expected length of an item is off by in its last seconds.
-const endingTime = time.Second
+// endingSoon is the expected time to the end of a step below which the ends of its last items are awaited, see
+// awaitEnd.
+const endingSoon = time.Second
 
-// listState returns what decides whether a step's results are listed.
-func (sr *stepRow) listState(now time.Time) listing.State {
+// listingState returns the input of the decision whether to list a step's results.
+func (sr *stepRow) listingState(now time.Time) listing.State {
 	st := listing.State{
 		Age: sr.age(now), Due: sr.step.Due, ListedAge: now.Sub(sr.listedAt), ReadAge: now.Sub(sr.readAt),
-		Satisfied: sr.sated(), Served: sr.served, Target: sr.step.Groups,
+		Satisfied: sr.satisfied(), Served: sr.served, Target: sr.step.Groups,
 	}
 	for _, rd := range sr.reads {
 		st.Reads = append(st.Reads, *rd)
@@ -65,12 +64,11 @@
 	return st
 }
 
-// endsIn returns when the groups that a step's trainer waits for are expected to
-// be whole.
+// endsIn returns the expected time until all groups that a step's trainer waits for are complete.
 func (ta *Table) endsIn(sr *stepRow, now time.Time) time.Duration {
 	ta.gather()
 	ta.paceRound++
-	var must time.Duration // for groups that were asked for before
+	var must time.Duration // for groups that an earlier step requested too
 	var others []time.Duration
 	missing := min(sr.step.Groups, len(sr.list)) - len(sr.list)
 	for _, gr := range sr.list {
@@ -78,7 +76,7 @@
 			continue
 		}
 		missing++
-		if took := ta.longest(gr, now); gr.again {
+		if took := ta.groupTime(gr, now); gr.again {
 			must = max(must, took)
 			missing--
 		} else {
@@ -92,12 +90,12 @@
 	return max(must, others[min(missing, len(others))-1])
 }
 
-// longest returns how long the longest of a group's open items is expected to take still.
-func (ta *Table) longest(gr *groupRow, now time.Time) time.Duration {
+// groupTime returns the expected time until all open items of a group end.
+func (ta *Table) groupTime(gr *groupRow, now time.Time) time.Duration {
 	gw := &gr.wait
 	longest := gw.longest
 	if gw.scoring > 0 {
-		longest = max(longest, gr.step.rewards.usual())
+		longest = max(longest, gr.step.rewards.expected())
 	}
 	for _, ir := range gw.running {
 		longest = max(longest, ta.runFor(ir, now))
@@ -105,27 +103,27 @@
 	return longest
 }
 
-// runsFor returns how long an item is expected to take still.
-func (ta *Table) runsFor(ir *itemRow, now time.Time) time.Duration {
+// remainingTime returns how long an item is expected to take from now.
+func (ta *Table) remainingTime(ir *itemRow, now time.Time) time.Duration {
 	if ir.state == scoring {
-		return ir.step.rewards.usual()
+		return ir.step.rewards.expected()
 	}
 	en := ir.run.at
 	if ir.state != running || en == nil || en.base == 0 {
 		return ir.expectedTime()
 	}
-	return ir.runsAt(ta.paceWith(en, nil), now)
+	return ir.remainingAt(ta.paceWith(en, nil), now)
 }
 
-// runsAt returns how long a run is expected to take still at a pace.
-func (ir *itemRow) runsAt(pace time.Duration, now time.Time) time.Duration {
+// remainingAt returns how long a run is expected to take from now if each event takes pace.
+func (ir *itemRow) remainingAt(pace time.Duration, now time.Time) time.Duration {
 	events := float64(ir.left()) / float64(ir.step.gauge.eventTokens())
 	return time.Duration(events*float64(pace)) - now.Sub(ir.run.eventAt)
 }
 
-// sated reports whether the groups that the trainer waits for are whole: as many
-// as it asked for, and all that it asked for before.
-func (sr *stepRow) sated() bool {
+// satisfied reports whether all groups that the trainer waits for are complete: as many as it requested, including
+// all that an earlier step requested too.
+func (sr *stepRow) satisfied() bool {
 	whole := 0
 	for _, gr := range sr.groups {
 		if gr.left == 0 {
@@ -137,25 +135,23 @@
 	return whole >= min(sr.step.Groups, len(sr.groups))
 }
 
-// joinTime bounds how long an answer waits for results of its step that are being
-// written. Without them the trainer would need more reads, with a pause before each.
-const joinTime = 100 * time.Millisecond
+// maxJoinWait bounds how long an answer waits for results of its step that are being written. Without them, the
+// trainer would need more reads, with a pause before each.
+const maxJoinWait = 100 * time.Millisecond
 
-// joins returns for how long a read that finds results is to wait for those that
-// are being written.
-func (sr *stepRow) joins(now time.Time) time.Duration {
+// joinWait returns how long a read that has found results is to wait for those that are being written.
+func (sr *stepRow) joinWait(now time.Time) time.Duration {
 	if sr.writtenAt.IsZero() || sr.served {
 		return 0
 	}
-	return max(0, joinTime-now.Sub(sr.writtenAt))
+	return max(0, maxJoinWait-now.Sub(sr.writtenAt))
 }
 
-// hold notes that a read waits for results of the step, until released.
+// addRead registers a read that waits for results of the step, until release is called.
 //
-// A trainer that reads on, though it was listed all that it was thought to wait for,
-// waits for more: for groups that it asked for before, of which a scheduler that is
-// new does not know. Otherwise what it lacks would be listed too late for it.
-func (sr *stepRow) hold(now time.Time, wait time.Duration) (release func(now time.Time)) {
+// A trainer that reads on after its target was listed waits for more: for groups of an earlier step, which a new
+// scheduler has no record of. Clearing served makes their results be listed in time.
+func (sr *stepRow) addRead(now time.Time, wait time.Duration) (release func(now time.Time)) {
 	rd := &listing.Read{Begun: now, Wait: wait}
 	sr.reads, sr.readAt, sr.served = append(sr.reads, rd), now, false
 	return func(now time.Time) {
@@ -164,19 +160,17 @@
 	}
 }
 
-// answerReads takes in that the reads that wait are answered. Taken for reads that
-// still wait, they had another listing made for them at once, which the trainer's
-// next read then found alone.
-func (sr *stepRow) answerReads(now time.Time) {
+// clearReads removes the waiting reads, as they are being answered. If they stayed until their goroutines run,
+// another listing would be made for them at once, and the trainer's next read would return only that.
+func (sr *stepRow) clearReads(now time.Time) {
 	if len(sr.reads) > 0 {
 		sr.reads, sr.readAt = nil, now
 	}
 }
 
-// pending returns a step's results that are not listed yet, in chunks. Those of
-// whole groups come first; when the trainer waits for no more they come alone, as
-// its last answer then has less to carry.
-func (sr *stepRow) pending(why listing.Reason, limit int) []Chunk {
+// pendingChunks returns a step's unlisted results, in up to limit chunks. Results of complete groups come first. For
+// listing.Final they come alone, to make the trainer's last answer smaller.
+func (sr *stepRow) pendingChunks(why listing.Reason, limit int) []Chunk {
 	var whole, rest []*itemRow
 	for _, ir := range sr.items {
 		switch {
@@ -192,7 +186,7 @@
 	}
 	var chunks []Chunk
 	for len(whole) > 0 && len(chunks) < limit {
-		count := fill(whole)
+		count := countFitting(whole)
 		ch := Chunk{Number: sr.chunks + len(chunks), Step: sr.step.ID}
 		for _, ir := range whole[:count] {
 			ch.Results = append(ch.Results, ir.result())
@@ -203,8 +197,8 @@
 	return chunks
 }
 
-// fill returns how many of some items one value holds, and one at least.
-func fill(irs []*itemRow) int {
+// countFitting returns how many of the items fit into one value, at least one.
+func countFitting(irs []*itemRow) int {
 	size := 0
 	for i, ir := range irs {
 		if size += ir.size; size > partSize && i > 0 {
@@ -214,15 +208,15 @@
 	return len(irs)
 }
 
-// measure notes how much text an item has.
-func (ir *itemRow) measure() {
+// measureText sets the size of an item's text.
+func (ir *itemRow) measureText() {
 	ir.size = 0
 	for _, ev := range ir.events {
 		ir.size += len(ev.Data) + 1
 	}
 }
 
-// result returns what is listed of an item.
+// result returns an item's result as it is listed.
 func (ir *itemRow) result() Result {
 	re := Result{Item: ir.item.ID, Lost: ir.state == lost}
 	if re.Lost {
@@ -242,16 +236,16 @@
 	return re
 }
 
-// Listed takes in that chunks are listed.
-func (ta *Table) Listed(chunks []Chunk, now time.Time) {
+// ChunksListed records that chunks are stored, and wakes their readers.
+func (ta *Table) ChunksListed(chunks []Chunk, now time.Time) {
 	for _, ch := range chunks {
 		if sr, ok := ta.steps[ch.Step]; ok {
-			ta.listed(sr, ch, now)
+			ta.chunkListed(sr, ch, now)
 		}
 	}
 }
 
-func (ta *Table) listed(sr *stepRow, ch Chunk, now time.Time) {
+func (ta *Table) chunkListed(sr *stepRow, ch Chunk, now time.Time) {
 	sr.results = append(sr.results, ch.Results...)
 	sr.chunks = ch.Number + 1
 	sr.counts = append(sr.counts, len(ch.Results))
@@ -268,12 +262,12 @@
 			ta.letGo(ir)
 		}
 		if ir.listed && sr.groups[ir.item.Group].left == 0 {
-			ir.events = nil // the text stands in the results
+			ir.events = nil // the results hold the text
 		}
 		all = all && ir.listed
 	}
 	sr.idle = sr.idle || all
-	sr.answerReads(now)
+	sr.clearReads(now)
 	sr.wake()
 	ta.log("results listed", map[string]any{
 		"chunk": ch.Number, "listed": sr.listedCount(), "reads": reads, stepField: ch.Step, "total": sr.step.Total(),
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -49,7 +49,7 @@
 				sr.groups[fmt.Sprint(i)] = gr
 				sr.items = append(sr.items, ir)
 			}
-			assert.Equal(t, listing.Decide(sr.listState(now), now) != listing.Wait, tc.due)
+			assert.Equal(t, listing.Decide(sr.listingState(now), now) != listing.Wait, tc.due)
 		})
 	}
 }
@@ -70,14 +70,14 @@
 func TestOneListingForARead(t *testing.T) {
 	// Guards against a second listing for a read that has been answered but not yet removed by its own goroutine.
 	ta, sr := twoLarge(t, begin)
-	release := sr.hold(begin, time.Second)
+	release := sr.addRead(begin, time.Second)
 	late := begin.Add(950 * time.Millisecond)
-	chunks := ta.Due(late)
+	chunks := ta.DueChunks(late)
 	assert.Equal(t, len(chunks), 1)
 	assert.Equal(t, sr.why, listing.ReadEnds)
-	ta.Listed(chunks, late)
+	ta.ChunksListed(chunks, late)
 	assert.Equal(t, len(sr.reads), 0)
-	assert.Equal(t, sr.listState(late).ReadAge, time.Duration(0))
+	assert.Equal(t, sr.listingState(late).ReadAge, time.Duration(0))
 	release(late)
 }
 
@@ -92,23 +92,23 @@
 		answer  time.Duration
 	}{
 		{"a write", 20 * time.Millisecond, time.Second, 2, 19 * time.Millisecond},
-		{"a slow write", time.Second, time.Second, 1, joinTime - time.Millisecond},
+		{"a slow write", time.Second, time.Second, 1, maxJoinWait - time.Millisecond},
 		{"a reader that doesn't wait", 20 * time.Millisecond, 0, 1, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ta, sr := twoLarge(t, time.Now())
 				sc := &Scheduler{Log: quiet(), term: &term{ready: true, table: ta}}
-				sr.hold(time.Now().Add(-950*time.Millisecond), time.Second)
-				ta.Listed(ta.Due(time.Now()), time.Now())
+				sr.addRead(time.Now().Add(-950*time.Millisecond), time.Second)
+				ta.ChunksListed(ta.DueChunks(time.Now()), time.Now())
 				end(ta, t, "s", 1, runner.Complete, events(1, 1, 1), time.Now())
-				chunks := ta.Due(time.Now())
+				chunks := ta.DueChunks(time.Now())
 				assert.Equal(t, sr.why, listing.Final)
 				go func() {
 					time.Sleep(tc.takes)
 					sc.mu.Lock()
 					defer sc.mu.Unlock()
-					ta.Listed(chunks, time.Now())
+					ta.ChunksListed(chunks, time.Now())
 				}()
 				time.Sleep(time.Millisecond)
 				begun := time.Now()
@@ -127,10 +127,10 @@
 	ta, sr := twoLarge(t, begin)
 	rq, _ := ta.Request("a")
 	assert.Equal(t, rq.Await, time.Duration(0))
-	ta.Due(begin)
+	ta.DueChunks(begin)
 	assert.Assert(t, !sr.ending, "the second item runs for seconds")
 	sr.items[1].events = events(1, 60, 1)
-	ta.Due(begin)
+	ta.DueChunks(begin)
 	assert.Assert(t, sr.ending)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, rq.Await, time.Duration(0), "the run is not known to have begun")
@@ -138,7 +138,7 @@
 	rq, _ = ta.Request("a")
 	assert.Equal(t, rq.Await, awaitEnd)
 	sr.served = true
-	ta.Due(begin)
+	ta.DueChunks(begin)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, rq.Await, time.Duration(0), "the trainer has what it waits for")
 }
@@ -155,11 +155,11 @@
 	for i, read := range []bool{false, false, true} {
 		end(ta, t, "s", i, runner.Complete, events(1, 1, 1), now)
 		if read {
-			ta.steps["s"].hold(now, time.Second)
+			ta.steps["s"].addRead(now, time.Second)
 		}
-		chunks := ta.Due(now)
+		chunks := ta.DueChunks(now)
 		assert.Equal(t, len(chunks) > 0, i != 1, "%d", i)
-		ta.Listed(chunks, now)
+		ta.ChunksListed(chunks, now)
 	}
 	assert.Equal(t, len(ta.steps["s"].results), 3)
 }
@@ -172,7 +172,7 @@
 	end(ta, t, "s", 0, runner.Complete, events(1, 100, 1), begin)
 	sr := ta.steps["s"]
 	assert.Equal(t, sr.items[0].state, scoring)
-	assert.Equal(t, ta.endsIn(sr, begin), usualReward)
+	assert.Equal(t, ta.endsIn(sr, begin), defaultRewardTime)
 }
 
 func TestWhatEndsStepsIsListedFirst(t *testing.T) {
@@ -187,11 +187,11 @@
 	end(ta, t, "large", 1, runner.Complete, big, begin)
 	end(ta, t, "small", 0, runner.Complete, events(1, 1, 1), begin)
 	later := begin.Add(6 * time.Second)
-	chunks := ta.Due(later)
+	chunks := ta.DueChunks(later)
 	assert.Equal(t, len(chunks), 1)
 	assert.Equal(t, chunks[0].Step, "small")
-	ta.Listed(chunks, later)
-	chunks = ta.Due(later)
+	ta.ChunksListed(chunks, later)
+	chunks = ta.DueChunks(later)
 	assert.Equal(t, len(chunks), 2)
 	assert.Equal(t, chunks[0].Step, "large")
 }
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -10,20 +10,18 @@
 	"wisteriacroft/overview"
 )
 
-// loadLines is for how many customers a look at the load is logged, those that wait for
-// most first: a line each, every few seconds, whatever the load.
-const loadLines = 10
+// maxLoadLines bounds the customers whose load is logged at once. Those with the most waiting items come first.
+const maxLoadLines = 10
 
-// A customerLoad is what a customer has and waits for.
+// A customerLoad counts a customer's open steps and their items.
 type customerLoad struct {
 	items  overview.Items
-	oldest *stepRow // with items that wait
+	oldest *stepRow // oldest step with waiting items; nil if none
 	steps  int
 }
 
-// LogLoad logs who has which part of the engines and who waits for what, while anything
-// waits. When a trainer says later that its step was late, the state of that moment can't
-// be asked for any more.
+// LogLoad logs the share of the engines and the waiting items of each customer, if any items wait. It shows later why
+// a step was late. The key-value service last answered storeHeard ago.
 func (ta *Table) LogLoad(storeHeard time.Duration, now time.Time) {
 	loads, total := ta.customerLoads()
 	if total.Waiting == 0 {
@@ -40,34 +38,34 @@
 		return cmp.Or(cmp.Compare(loads[b].items.Waiting, loads[a].items.Waiting), cmp.Compare(a, b))
 	})
 	ta.log("load", map[string]any{
-		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItems(), "open": len(ta.order), "places": places,
+		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItemCount(), "open": len(ta.order), "places": places,
 		"running": total.Running, "store-heard-ms": storeHeard.Milliseconds(), "troubled": troubled, "waiting": total.Waiting,
 	})
-	for _, name := range names[:min(len(names), loadLines)] {
+	for _, name := range names[:min(len(names), maxLoadLines)] {
 		ta.logCustomerLoad(name, loads[name], total, storeHeard, now)
 	}
 }
 
 func (ta *Table) logCustomerLoad(name string, cu *customerLoad, total overview.Items, storeHeard time.Duration, now time.Time) {
 	fields := map[string]any{
-		customerField: name, "part": partOf(cu.items.Running, total.Running), "running": cu.items.Running,
+		customerField: name, "part": roundedShare(cu.items.Running, total.Running), "running": cu.items.Running,
 		"steps": cu.steps, "waiting": cu.items.Waiting,
 	}
 	if sr := cu.oldest; sr != nil {
 		first := sr.items[slices.IndexFunc(sr.items, func(ir *itemRow) bool { return ir.state == waiting })]
-		wait := ta.engineWait(first, storeHeard >= intakeWait+intakeSlack)
+		wait := ta.engineWaitReason(first, storeHeard >= intakeWait+intakeSlack)
 		fields["age-ms"], fields["due-ms"] = sr.age(now).Milliseconds(), sr.step.Due.Milliseconds()
-		fields[stepField], fields[whyField] = sr.step.ID, string(ta.itemWait(first, wait, now))
+		fields[stepField], fields[whyField] = sr.step.ID, string(ta.itemWaitReason(first, wait, now))
 	}
 	ta.log("load of customer", fields)
 }
 
-// partOf returns a part to two places, as lines show it.
-func partOf(count, total int) float64 {
+// roundedShare returns count/total, rounded to two decimals.
+func roundedShare(count, total int) float64 {
 	return math.Round(100*float64(count)/float64(max(total, 1))) / 100
 }
 
-// customerLoads counts the items of open steps by customer, and in all.
+// customerLoads counts the items of open steps by customer and in total.
 func (ta *Table) customerLoads() (loads map[string]*customerLoad, total overview.Items) {
 	loads = map[string]*customerLoad{}
 	for _, sr := range ta.order {
--- a/step/mark.go
+++ b/step/mark.go
@@ -61,7 +61,7 @@
 		}
 	}
 	kept.Marked = nil
-	kept.Listed, err = ke.Listed(ctx, id)
+	kept.Listed, err = ke.Chunks(ctx, id)
 	return kept, err
 }
 
@@ -115,7 +115,7 @@
 		}
 	}
 	if !sr.ended {
-		sr.count(counts)
+		sr.setChunkSizes(counts)
 		sr.unread = total - len(sr.results)
 	}
 	return listed
@@ -132,8 +132,8 @@
 	sc.mu.Unlock()
 	var results []Result
 	size := 0
-	for at := max(rq.After, 0); at < unread && size <= maxListing; {
-		number, first, _ := locate(counts, at)
+	for at := max(rq.After, 0); at < unread && size <= maxListingBytes; {
+		number, first, _ := findChunk(counts, at)
 		chunk, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 		if err != nil {
 			return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
@@ -144,7 +144,7 @@
 		}
 		at = first + counts[number]
 	}
-	if size <= maxListing {
+	if size <= maxListingBytes {
 		results = append(results, later...)
 	}
 	sc.Log.WithFields(logrus.Fields{
@@ -169,7 +169,7 @@
 	}
 	sc.mu.Unlock()
 	for _, sr := range srs {
-		chunks, err := sc.archive.whole(ctx, sc.Keeper, sr.step.ID)
+		chunks, err := sc.archive.all(ctx, sc.Keeper, sr.step.ID)
 		if err != nil {
 			sc.Log.WithError(err).WithField(stepField, sr.step.ID).Warn("what is listed of a step can't be read")
 			continue
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -128,7 +128,7 @@
 				ch := Chunk{Number: 2, Results: all[2], Step: "s"}
 				_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{ch}})
 				assert.NilError(t, err)
-				ta.Listed([]Chunk{ch}, begin)
+				ta.ChunksListed([]Chunk{ch}, begin)
 				check(4)
 				if tt.filled {
 					sc.readMarked(t.Context())
--- a/step/memory.go
+++ b/step/memory.go
@@ -1,35 +1,34 @@
 package step
 
-// A memoryMemo keeps what memory returns until an event of the engine or of its runs
-// changes it, as placing asks for it again for each item and engine.
+// A memoryMemo caches the memory use of an engine until the engine or its runs change, since placement needs it for
+// each item and engine.
 type memoryMemo struct {
-	coming, comingEnd int     // tokens of runs that move here
-	endsSoon          bool    // one of its runs is about to end
-	gauges            int     // changes of gauges when it was made
-	now, end          int     // tokens of its runs
-	rate              float64 // ends of runs a second
+	coming, comingEnd int     // tokens of items that move here
+	endsSoon          bool    // a run is expected to end soon
+	gauges            int     // value of gaugeChanges at the time of the computation
+	now, end          int     // tokens of the engine's runs
+	rate              float64 // expected ends of runs per second
 	valid             bool
 }
 
-// holds returns how many tokens an item holds now, and is expected to hold at
-// its end.
-func (ir *itemRow) holds() (now, end int) {
-	now = ir.holdsNow()
+// tokenUse returns how many tokens an item tokenUse now, and is expected to hold at its end.
+func (ir *itemRow) tokenUse() (now, end int) {
+	now = ir.tokensNow()
 	return now, now + ir.left()
 }
 
-// holdsNow returns how many tokens an item holds now.
-func (ir *itemRow) holdsNow() int { return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens() }
+// tokensNow returns how many tokens an item holds now.
+func (ir *itemRow) tokensNow() int { return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens() }
 
-// memory returns how many tokens an engine holds now, and would hold if all of
-// its runs came to their expected ends. Runs that move here count, or several
-// would come at once and leave again for want of memory.
-func (en *engineRow) memory() (now, end int) {
+// memoryUse returns how many tokens an engine holds now, and would hold if all of its runs reached their expected
+// ends. It includes items that move here; otherwise several could arrive at once and be evicted again for lack of
+// memoryUse.
+func (en *engineRow) memoryUse() (now, end int) {
 	en.refreshMemo()
 	return max(en.memo.now, en.report.Tokens) + en.memo.coming, en.memo.end + en.memo.comingEnd
 }
 
-// refreshMemo makes the memo anew from the engine's runs, unless it is still valid.
+// refreshMemo recomputes the memo unless it is valid.
 func (en *engineRow) refreshMemo() {
 	changes := en.gauges.count()
 	if en.memo.valid && en.memo.gauges == changes {
@@ -40,36 +39,35 @@
 		me.add(ir, 1)
 	}
 	for ir := range en.coming {
-		now, end := ir.holds()
+		now, end := ir.tokenUse()
 		me.coming, me.comingEnd = me.coming+now, me.comingEnd+end
 	}
 	en.memo = me
 }
 
-// add counts a run so many times: 1, or -1 to take it out before it changes.
+// add adds a run to the sums if sign is 1. If sign is -1, it subtracts the run, before the run changes.
 func (me *memoryMemo) add(ir *itemRow, times int) {
-	now, end := ir.holds()
+	now, end := ir.tokenUse()
 	me.now, me.end = me.now+times*now, me.end+times*end
 	me.rate += float64(times) * ir.endRate()
-	me.endsSoon = expectedEnd(me.rate) <= aheadTime
+	me.endsSoon = expectedEnd(me.rate) <= sendAheadTime
 }
 
-// recount adds one of the engine's runs to the memo so many times, if the memo is valid.
-func (en *engineRow) recount(ir *itemRow, times int) {
+// adjustMemo adds or subtracts one of the engine's runs, see memoryMemo.add, if the memo is valid.
+func (en *engineRow) adjustMemo(ir *itemRow, times int) {
 	if en.memo.valid && en.memo.gauges == en.gauges.count() {
 		en.memo.add(ir, times)
 	}
 }
 
-// dropMemo notes that what the engine holds may have changed.
-func (en *engineRow) dropMemo() { en.memo.valid = false }
+// invalidateMemo invalidates the memo of the engine's memory use.
+func (en *engineRow) invalidateMemo() { en.memo.valid = false }
 
-// dropTargetMemo notes that what an item holds has changed, for the engine that keeps a place
-// for it.
-func (ta *Table) dropTargetMemo(ir *itemRow) {
+// invalidateTargetMemo invalidates the memo of the engine that an item moves to, as the item's tokens have changed.
+func (ta *Table) invalidateTargetMemo(ir *itemRow) {
 	if ir.target != "" {
 		if en, ok := ta.engines[ir.target]; ok {
-			en.dropMemo()
+			en.invalidateMemo()
 		}
 	}
 }
--- a/step/message.go
+++ b/step/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Methods of a scheduler.
+// RPC methods of a scheduler.
 const (
 	acceptMethod = "step.Accept"
 	bodyMethod   = "step.Body"
@@ -10,26 +10,26 @@
 	readMethod   = "step.Read"
 )
 
-// OverviewMethod asks the scheduler how the load stands.
+// OverviewMethod is the RPC method that returns a overview.Overview.
 const OverviewMethod = "step.Overview"
 
-// LeaseName is the name that the scheduler that runs all steps holds.
+// LeaseName is the name of the lease that the active scheduler holds.
 const LeaseName = "scheduler"
 
-// A ReadRequest asks for the results of a step from a position on.
+// A ReadRequest requests the results of a step from position After on.
 type ReadRequest struct {
 	After int
 	ID    string
-	Wait  time.Duration // for at least one
+	Wait  time.Duration // maximum wait for the first result
 }
 
-// A BodyRequest asks for an item's body.
+// A BodyRequest requests the body of an item.
 type BodyRequest struct {
 	Item string
 	Step string
 }
 
-// A BodyResponse is an item's body, or Found false.
+// A BodyResponse holds an item's body; Found is false if there is no such item.
 type BodyResponse struct {
 	Body  []byte
 	Found bool
@@ -38,5 +38,5 @@
 // An EndRequest ends a step.
 type EndRequest struct{ ID string }
 
-// An Empty is an answer that says nothing but that it came.
+// An Empty is a request or response without content.
 type Empty struct{}
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// measureRoom tells how much of each service's room trainers ask for. A service of which no
-// step was open for a while has no figures.
-func (sc *Scheduler) measureRoom(ta *Table) {
+// updateCapacityMetrics sets the gauges of each service's load. It removes the gauges of services that no longer have
+// open steps.
+func (sc *Scheduler) updateCapacityMetrics(ta *Table) {
 	rooms := ta.Rooms()
 	for service, rl := range rooms {
-		sc.Metrics.GetOrCreateGauge(roomGauge(loadGauge, service), nil).Set(rl.Load)
-		sc.Metrics.GetOrCreateGauge(roomGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
+		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(rl.Load)
+		sc.Metrics.GetOrCreateGauge(serviceGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
 	}
 	for service := range sc.measured {
 		if _, ok := rooms[service]; !ok {
-			sc.Metrics.UnregisterMetric(roomGauge(loadGauge, service))
-			sc.Metrics.UnregisterMetric(roomGauge(crowdedGauge, service))
+			sc.Metrics.UnregisterMetric(serviceGauge(loadGauge, service))
+			sc.Metrics.UnregisterMetric(serviceGauge(crowdedGauge, service))
 		}
 	}
 	sc.measured = rooms
 }
 
-// The gauges of services' rooms.
+// Gauges by service.
 const (
 	crowdedGauge = "wisteriacroft_steps_crowded"
 	loadGauge    = "wisteriacroft_step_load"
 )
 
-func roomGauge(name, service string) string { return fmt.Sprintf("%s{service=%q}", name, service) }
+func serviceGauge(name, service string) string { return fmt.Sprintf("%s{service=%q}", name, service) }
 
-// measureCustomers tells how many customers compete, and how far one is ahead at most.
-func (sc *Scheduler) measureCustomers(ta *Table) {
+// updateCustomerMetrics sets the gauges of the competing customers: their number, and how far the first is ahead.
+func (sc *Scheduler) updateCustomerMetrics(ta *Table) {
 	count, most := ta.share.account.Spread()
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customers_competing`, nil).Set(float64(count))
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customer_ahead_seconds`, nil).Set(most)
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -128,7 +128,7 @@
 			synctest.Wait()
 			assert.Equal(t, ended, 0)
 			if what == "step" {
-				sc.takeIntake(te, &intake{}, nil, []string{"s"}, nil)
+				sc.applyIntake(te, &intake{}, nil, []string{"s"}, nil)
 			} else {
 				cancel()
 			}
@@ -167,7 +167,7 @@
 			te.table.Accept(stepOf("s", 1), StoredStep{}, false, time.Now())
 			te.table.Place(time.Now())
 			go sc.follow(ctx, te)
-			go sc.write(ctx, te)
+			go sc.writeLoop(ctx, te)
 			time.Sleep(time.Duration(offset) * 100 * time.Millisecond)
 			silent.Store(true)
 			answered.Store(0)
--- a/step/overview.go
+++ b/step/overview.go
@@ -10,16 +10,16 @@
 	"wisteriacroft/overview"
 )
 
-// An OverviewRequest asks how the load stands.
+// An OverviewRequest requests a overview.Overview.
 type OverviewRequest struct {
-	Rows int // of each list at most; 0 stands for the default
+	Rows int // maximum length of each list; 0 stands for overview.DefaultRows
 }
 
-// overview returns how the load stands. Only copying the rows holds the lock; the rest works
-// on the copy, so that requests for overviews don't delay placing.
+// overview returns an overview of the load. It holds the lock only while it copies the rows, so that overviews don't
+// delay placement.
 func (sc *Scheduler) overview(_ context.Context, rq OverviewRequest) (overview.Overview, error) {
 	begun := time.Now()
-	si, err := sc.situation(begun)
+	si, err := sc.snapshot(begun)
 	if err != nil {
 		return overview.Overview{}, err
 	}
@@ -32,22 +32,21 @@
 	return ov, nil
 }
 
-// situation copies what an overview is made of.
-func (sc *Scheduler) situation(now time.Time) (overview.Snapshot, error) {
+// snapshot copies the input of an overview.
+func (sc *Scheduler) snapshot(now time.Time) (overview.Snapshot, error) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	te, err := sc.current()
 	if err != nil {
 		return overview.Snapshot{}, err
 	}
-	return te.table.Situation(now.Sub(te.freshAt), now), nil
+	return te.table.Snapshot(now.Sub(te.freshAt), now), nil
 }
 
-// Situation returns what an overview of the load is made of. The key-value service last
-// answered storeHeard ago.
-func (ta *Table) Situation(storeHeard time.Duration, now time.Time) overview.Snapshot {
+// Snapshot returns the input of an overview of the load. The key-value service last answered storeHeard ago.
+func (ta *Table) Snapshot(storeHeard time.Duration, now time.Time) overview.Snapshot {
 	si := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
-	paces := map[string]time.Duration{} // of an event beside what the engine runs
+	paces := map[string]time.Duration{} // time per event at each engine under its present runs
 	for _, en := range ta.sorted {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
 		paces[en.id] = ta.paceWith(en, nil)
@@ -59,7 +58,7 @@
 	return si
 }
 
-// customerShares returns which part of the places customers had, and how they rank.
+// customerShares returns the recent share and the rank of each customer.
 func (ta *Table) customerShares(now time.Time) map[string]overview.Share {
 	shares := map[string]overview.Share{}
 	for customer, had := range ta.Parts(now) {
@@ -73,9 +72,9 @@
 	return shares
 }
 
-// engineLoad returns how an engine stands.
+// engineLoad returns the load of an engine.
 func (ta *Table) engineLoad(en *engineRow, now time.Time) overview.Engine {
-	held, _ := en.memory()
+	held, _ := en.memoryUse()
 	le := overview.Engine{
 		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.paces[en.service], Memory: en.tokens, Others: en.foreign,
 		Places: en.slots, Runs: len(en.items) + len(en.coming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
@@ -89,7 +88,7 @@
 	return le
 }
 
-// engineState says what is the matter with an engine.
+// engineState returns the most serious condition of an engine.
 func (ta *Table) engineState(en *engineRow, now time.Time) overview.State {
 	_, drained := ta.holds.Endpoint(en.id, en.endpoint)
 	switch {
@@ -112,14 +111,14 @@
 	}
 }
 
-// stepLoad returns how a step stands.
+// stepLoad returns the load of a step.
 func (ta *Table) stepLoad(sr *stepRow, paces map[string]time.Duration, away bool, now time.Time) overview.StepRow {
 	st := sr.step
 	_, held := ta.holds.Step(st.ID, st.Customer)
 	lo := overview.StepRow{Service: st.Service, Step: overview.Step{
 		Age: sr.age(now), Customer: st.Customer, Due: st.Due, Held: held, ID: st.ID, Model: st.Model, Wanted: min(st.Groups, len(sr.groups)),
 	}}
-	broken := map[string]bool{} // groups of which an item was given up
+	broken := map[string]bool{} // groups with a lost item
 	for _, ir := range sr.items {
 		broken[ir.item.Group] = broken[ir.item.Group] || ir.state == lost
 	}
@@ -133,21 +132,21 @@
 	for _, ir := range sr.items {
 		countItem(&lo.Items, ir)
 		if ir.state == running {
-			held, _ := ir.holds()
+			held, _ := ir.tokenUse()
 			lo.Tokens += held
 		}
 		if !ir.open() || broken[ir.item.Group] {
 			continue
 		}
 		if ir.state == waiting && wait == "" {
-			wait = ta.engineWait(ir, away)
+			wait = ta.engineWaitReason(ir, away)
 		}
 		lo.Open = append(lo.Open, ta.itemLoad(ir, paces, wait, now))
 	}
 	return lo
 }
 
-// countItem counts an item by where it stands.
+// countItem counts an item by its state.
 func countItem(it *overview.Items, ir *itemRow) {
 	switch ir.state {
 	case waiting:
@@ -166,27 +165,26 @@
 	}
 }
 
-// itemLoad returns how an item stands that is not whole. Wait is what the engines make
-// the items of its step wait for.
+// itemLoad returns the load of an open item. wait is the result of engineWaitReason for its step.
 func (ta *Table) itemLoad(ir *itemRow, paces map[string]time.Duration, wait overview.Reason, now time.Time) overview.ItemRow {
-	lo := overview.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.turn(ir, now)}
+	lo := overview.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.placingRank(ir, now)}
 	switch ir.state {
 	case running:
 		lo.Engine, lo.Stand = ir.run.engine, overview.ItemRunning
 		if pace := paces[ir.run.engine]; pace > 0 {
-			lo.Left = max(ir.runsAt(pace, now), 0)
+			lo.Left = max(ir.remainingAt(pace, now), 0)
 		}
 	case scoring:
-		lo.Left, lo.Stand = ir.step.rewards.usual(), overview.ItemScoring
+		lo.Left, lo.Stand = ir.step.rewards.expected(), overview.ItemScoring
 	default:
-		lo.Wait = ta.itemWait(ir, wait, now)
+		lo.Wait = ta.itemWaitReason(ir, wait, now)
 	}
 	return lo
 }
 
-// turn returns an item's place in the order of placing, the lowest first: its time to spare,
-// or, while the room is crowded, its group's position, those without room last.
-func (ta *Table) turn(ir *itemRow, now time.Time) time.Duration {
+// placingRank returns an item's rank in the order of placement, lowest first: its slack or, under overload, the
+// position of its group, with groups that can't be in time last.
+func (ta *Table) placingRank(ir *itemRow, now time.Time) time.Duration {
 	if !ta.crowded(ir.step.step.Service) {
 		return ir.timeToSpare(now)
 	}
@@ -197,14 +195,14 @@
 	return turn
 }
 
-// itemWait returns what an item waits for.
-func (ta *Table) itemWait(ir *itemRow, wait overview.Reason, now time.Time) overview.Reason {
+// itemWaitReason returns what an item waits for.
+func (ta *Table) itemWaitReason(ir *itemRow, wait overview.Reason, now time.Time) overview.Reason {
 	switch {
 	case ta.held(ir):
 		return overview.HeldByOperator
 	case ta.rests(ir, now):
 		return overview.Quarantined
-	case wait == overview.ToBePlaced && now.Sub(ir.since) > placeSoon:
+	case wait == overview.ToBePlaced && now.Sub(ir.since) > maxPlacingDelay:
 		return overview.HeldBack
 	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.crowded(ir.step.step.Service) && !ir.group.plan.InTime():
 		return overview.HeldBack
@@ -213,18 +211,17 @@
 	}
 }
 
-// placeSoon is how long an item may wait beside free places before others were meant to
-// go first.
-const placeSoon = 4 * tickEvery
+// maxPlacingDelay is how long an item waits for a free slot before the reason is that other items go first.
+const maxPlacingDelay = 4 * tickEvery
 
-// engineWait returns what the engines make an item wait for, by the engine that is nearest
-// to taking it. It is the same for all items of a step, unless each is bound to one version.
-func (ta *Table) engineWait(ir *itemRow, away bool) overview.Reason {
+// engineWaitReason returns the condition of the engines that prevents an item's placement, for the engine that is
+// closest to accepting it. It is the same for all items of a step, unless each is bound to one version.
+func (ta *Table) engineWaitReason(ir *itemRow, away bool) overview.Reason {
 	if away {
 		return overview.StoreAway
 	}
 	found, wait := 0, overview.NoEngine
-	better := func(rank int, why overview.Reason) { // the higher the rank, the nearer
+	better := func(rank int, why overview.Reason) { // higher ranks are closer to accepting the item
 		if rank > found {
 			found, wait = rank, why
 		}
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -52,7 +52,7 @@
 			st := stepOf("s", 1)
 			tc.prepare(ta, st)
 			ta.Accept(st, StoredStep{}, false, begin)
-			si := ta.Situation(tc.away, begin)
+			si := ta.Snapshot(tc.away, begin)
 			row := si.Steps[len(si.Steps)-1]
 			assert.Equal(t, row.ID, "s")
 			assert.Equal(t, row.Open[0].Wait, tc.want)
@@ -63,7 +63,7 @@
 func TestItemThatOthersGoBefore(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
-	si := ta.Situation(0, begin.Add(placeSoon+1))
+	si := ta.Snapshot(0, begin.Add(maxPlacingDelay+1))
 	assert.Equal(t, si.Steps[0].Open[0].Wait, overview.HeldBack)
 }
 
@@ -76,9 +76,9 @@
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
-	ta.Listed(ta.Update(begin.Add(time.Second)).Chunks, begin)
+	ta.ChunksListed(ta.NextWrites(begin.Add(time.Second)).Chunks, begin)
 	now := begin.Add(2 * time.Second)
-	ov := overview.Summarize(ta.Situation(0, now), 0)
+	ov := overview.Summarize(ta.Snapshot(0, now), 0)
 	assert.Equal(t, ov.Epoch, uint64(7))
 	assert.Equal(t, len(ov.Steps), 1)
 	got := ov.Steps[0]
@@ -90,7 +90,7 @@
 	assert.Equal(t, ov.Customers[0].Had, 0.0, "nothing was counted yet")
 	ta.ChargeUsage(now)
 	ta.ChargeUsage(now.Add(time.Second))
-	ov = overview.Summarize(ta.Situation(0, now.Add(time.Second)), 0)
+	ov = overview.Summarize(ta.Snapshot(0, now.Add(time.Second)), 0)
 	assert.Equal(t, ov.Customers[0].Had, 1.0)
 	assert.Equal(t, ov.Customers[0].Name, "bakery")
 	assert.Equal(t, len(ov.Engines), 2)
@@ -118,14 +118,14 @@
 	assert.Equal(t, mill[whyField], string(overview.NoPlace))
 	assert.Equal(t, mill["age-ms"], int64(1000))
 	assert.Equal(t, bakery["part"], 1.0)
-	for i := range 3 * loadLines {
+	for i := range 3 * maxLoadLines {
 		st := stepOf(fmt.Sprint("u", i), 1)
 		st.Customer = fmt.Sprint("c", i)
 		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	clear(lines)
 	ta.LogLoad(0, begin.Add(time.Second))
-	assert.Equal(t, len(lines["load of customer"]), loadLines)
+	assert.Equal(t, len(lines["load of customer"]), maxLoadLines)
 }
 
 // BenchmarkLogLoad measures the periodic logging of the load, during which placement waits.
@@ -143,13 +143,13 @@
 	ta := loadedTable(1100, 6)
 	now := begin.Add(time.Second)
 	for b.Loop() {
-		ta.Situation(0, now)
+		ta.Snapshot(0, now)
 	}
 }
 
 // BenchmarkOverview measures summarizing the data that BenchmarkSituation copies.
 func BenchmarkOverview(b *testing.B) {
-	si := loadedTable(1100, 6).Situation(0, begin.Add(time.Second))
+	si := loadedTable(1100, 6).Snapshot(0, begin.Add(time.Second))
 	for b.Loop() {
 		overview.Summarize(si, 0)
 	}
--- a/step/pace.go
+++ b/step/pace.go
@@ -107,7 +107,7 @@
 // judgePace tells whether an engine is much slower than the median.
 func (ta *Table) judgePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
-		held, _ := en.memory()
+		held, _ := en.memoryUse()
 		en.base = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
 	}
 	median := ta.paces[en.service]
@@ -195,7 +195,7 @@
 // one that holds most is the one that the step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sorted {
-		if held, _ := en.memory(); en.tokens == 0 || float64(held) < crowdedMemory*float64(en.tokens) {
+		if held, _ := en.memoryUse(); en.tokens == 0 || float64(held) < crowdedMemory*float64(en.tokens) {
 			continue
 		}
 		if ir := en.mostSpare(now); ir != nil {
@@ -214,7 +214,7 @@
 		if ir.run.stopping {
 			return nil
 		}
-		held, _ := ir.holds()
+		held, _ := ir.tokenUse()
 		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < movedPart*float64(en.tokens) {
 			continue
 		}
@@ -236,7 +236,7 @@
 	ir.run.stopping = true
 	ir.target = to.id
 	to.coming[ir] = true
-	to.dropMemo()
+	to.invalidateMemo()
 	ta.log("run moved", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: from.id, "events": len(ir.events), itemField: ir.item.ID,
 		"pace-ms": from.report.Pace.Milliseconds(), "quiet-ms": now.Sub(ir.run.eventAt).Milliseconds(),
@@ -269,8 +269,8 @@
 
 // roomy reports whether an engine would have plenty of memory beside an item.
 func (en *engineRow) roomy(ir *itemRow) bool {
-	now, _ := en.memory()
-	added, _ := ir.holds()
+	now, _ := en.memoryUse()
+	added, _ := ir.tokenUse()
 	return float64(now+added) <= roomyMemory*float64(en.tokens)
 }
 
@@ -287,7 +287,7 @@
 func (ta *Table) unreserve(ir *itemRow) {
 	if en, ok := ta.engines[ir.target]; ok && ir.target != "" {
 		delete(en.coming, ir)
-		en.dropMemo()
+		en.invalidateMemo()
 	}
 	if ir.target != "" {
 		ir.group.markStale(ta)
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -62,7 +62,7 @@
 	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
 	ta.move(irs[0], ta.engines["a"], memoryReason, begin)
 	assert.Equal(t, irs[0].target, "b")
-	now, _ := ta.engines["b"].memory()
+	now, _ := ta.engines["b"].memoryUse()
 	assert.Assert(t, now >= 4000, "%d", now)
 	assert.Assert(t, !ta.engines["b"].roomy(irs[1]))
 	assert.Equal(t, ta.engines["b"].free(), 1)
--- a/step/place.go
+++ b/step/place.go
@@ -77,8 +77,8 @@
 	if en.tokens == 0 || len(en.items) == 0 {
 		return true
 	}
-	now, _ := en.memory()
-	added, _ := ir.holds()
+	now, _ := en.memoryUse()
+	added, _ := ir.tokenUse()
 	return float64(now+added) <= memoryPart*float64(en.tokens)
 }
 
@@ -190,7 +190,7 @@
 func (ir *itemRow) timeToSpare(now time.Time) time.Duration {
 	spare := ir.step.step.Due - ir.step.age(now) - ir.expectedTime()
 	if ir.item.Reward != nil {
-		spare -= ir.step.rewards.usual()
+		spare -= ir.step.rewards.expected()
 	}
 	return spare
 }
@@ -234,7 +234,7 @@
 		key: runner.Key{Attempt: ta.attempt, Item: ir.item.ID, Step: ir.step.step.ID},
 	}
 	en.items[ir.run.key] = ir
-	en.recount(ir, 1)
+	en.adjustMemo(ir, 1)
 	ta.log("item placed", map[string]any{
 		"after": len(ir.events), attemptField: ta.attempt, "bound": ir.item.Tokens - ir.item.Prompt, engineField: en.id,
 		"free": en.free(), "hint": ir.item.Hint, itemField: ir.item.ID, "known": ir.known,
@@ -252,7 +252,7 @@
 		for _, ir := range sr.items {
 			if ir.open() {
 				ta.release(ir)
-				ta.giveUp(ir, "waited too long", now)
+				ta.markLost(ir, "waited too long", now)
 			}
 		}
 	}
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -168,7 +168,7 @@
 			return cmp.Or(cmp.Compare(a.step.step.ID, b.step.step.ID), cmp.Compare(a.item.ID, b.item.ID))
 		})
 		for _, ir := range irs[:len(irs)/2] {
-			ta.rewarded(ir, forward.Response{Signature: "score"}, took, tw.now)
+			ta.handleReward(ir, forward.Response{Signature: "score"}, took, tw.now)
 		}
 	})
 }
@@ -232,7 +232,7 @@
 			}
 		}
 		for _, en := range ta.sorted {
-			now, end := en.memory()
+			now, end := en.memoryUse()
 			plainNow, plainEnd := plainMemory(en)
 			assert.Equal(t, fmt.Sprint(now, end), fmt.Sprint(plainNow, plainEnd), "memory of %s", en.id)
 		}
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -17,7 +17,7 @@
 				co.waits++
 				co.ready = co.ready || !ta.rests(ir, now)
 			case ir.state == running:
-				held, _ := ir.holds()
+				held, _ := ir.tokenUse()
 				co.tokens += held
 				co.held++
 			}
@@ -32,7 +32,7 @@
 	groups := map[string]time.Duration{}
 	for _, ir := range sr.items {
 		if ir.open() {
-			groups[ir.item.Group] = max(groups[ir.item.Group], ta.runsFor(ir, now))
+			groups[ir.item.Group] = max(groups[ir.item.Group], ta.remainingTime(ir, now))
 		}
 	}
 	var must time.Duration
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -22,7 +22,7 @@
 	}
 	pp := &plainPlacing{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
 	for _, en := range ta.sorted {
-		pp.soon[en] = plainEnd(en) <= aheadTime
+		pp.soon[en] = plainEnd(en) <= sendAheadTime
 	}
 	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.coming) == 0 }
 	open := slices.DeleteFunc(slices.Clone(ta.sorted), full)
@@ -64,7 +64,7 @@
 func (pp *plainPlacing) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
 	ta.start(ir, en, now)
 	if !pp.released[en] {
-		pp.soon[en] = plainEnd(en) <= aheadTime
+		pp.soon[en] = plainEnd(en) <= sendAheadTime
 	}
 }
 
@@ -79,7 +79,7 @@
 	ta.plannedAt = now
 	waiting := plainRanks(ta, plainWaits(ta, now))
 	for _, sr := range ta.order {
-		if sr.step.Due > 0 && !ta.idleByHold(sr) {
+		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			ta.room(sr.step.Service)
 		}
 	}
@@ -88,7 +88,7 @@
 		var steps []*overload.Step
 		var rows []*stepRow
 		for _, sr := range ta.order {
-			if sr.step.Service != service || sr.step.Due <= 0 || ta.idleByHold(sr) {
+			if sr.step.Service != service || sr.step.Due <= 0 || ta.fullyHeld(sr) {
 				continue
 			}
 			st := plainStep(ta, sr, now)
@@ -96,10 +96,10 @@
 			steps, rows = append(steps, st), append(rows, sr)
 		}
 		places := ta.places(service, now)
-		rm.planner.Lingers = !ta.competesWithinPart(rm)
+		rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
 		rm.planner.Plan(steps, places, now)
 		rm.withinPart = ta.customersWithinPart(steps, rows, places)
-		rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+		rm.sendsAhead = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
 		if len(rows) == 0 && rm.planner.Idle() {
 			delete(ta.rooms, service)
 		}
@@ -128,7 +128,7 @@
 		if gr.plan.Work == 0 {
 			st.Groups = append(st.Groups, &gr.plan)
 		}
-		left := max(ta.runsFor(ir, now), minWork)
+		left := max(ta.remainingTime(ir, now), minWork)
 		gr.plan.Work += left
 		gr.plan.Longest = max(gr.plan.Longest, left)
 	}
@@ -191,12 +191,12 @@
 
 func plainMemory(en *engineRow) (now, end int) {
 	for _, ir := range en.items {
-		itNow, itEnd := ir.holds()
+		itNow, itEnd := ir.tokenUse()
 		now, end = now+itNow, end+itEnd
 	}
 	now = max(now, en.report.Tokens)
 	for ir := range en.coming {
-		itNow, itEnd := ir.holds()
+		itNow, itEnd := ir.tokenUse()
 		now, end = now+itNow, end+itEnd
 	}
 	return now, end
@@ -205,14 +205,14 @@
 func plainEnd(en *engineRow) time.Duration {
 	rate := 0.0
 	for _, ir := range en.items {
-		rate += 1 / max(ir.expectedTime(), aheadTime).Seconds()
+		rate += 1 / max(ir.expectedTime(), sendAheadTime).Seconds()
 	}
 	return expectedEnd(rate)
 }
 
 func plainFits(en *engineRow, ir *itemRow) bool {
 	now, _ := plainMemory(en)
-	added, _ := ir.holds()
+	added, _ := ir.tokenUse()
 	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= memoryPart*float64(en.tokens)
 }
 
@@ -274,7 +274,7 @@
 	}
 	crowding := 0.0
 	if en.tokens > 0 {
-		_, added := ir.holds()
+		_, added := ir.tokenUse()
 		crowding = crowdingPlaces * max(0, float64(end+added)/float64(en.tokens)-1)
 	}
 	return score - cost - crowding
--- a/step/queue.go
+++ b/step/queue.go
@@ -93,7 +93,7 @@
 
 // entry returns an item's entry as it is now.
 func (ir *itemRow) entry() waitEntry {
-	return waitEntry{held: ir.holdsNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
+	return waitEntry{held: ir.tokensNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
 }
 
 // valid reports whether the item has waited since the entry was made.
--- a/step/read.go
+++ b/step/read.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// current returns the term, if this process runs the steps.
+// current returns the term if this process is the active scheduler and has loaded its state.
 func (sc *Scheduler) current() (*term, error) {
 	if sc.term == nil || !sc.term.ready {
 		return nil, errNotScheduler
@@ -15,7 +15,7 @@
 	return sc.term, nil
 }
 
-// read returns results, after waiting for one if need be.
+// read returns results of a step, and waits for the first one if requested.
 func (sc *Scheduler) read(ctx context.Context, rq ReadRequest) (Listing, error) {
 	begun := time.Now()
 	for {
@@ -28,11 +28,11 @@
 		sr, ok := te.table.steps[rq.ID]
 		if !ok {
 			sc.mu.Unlock()
-			return sc.Keeper.Read(ctx, rq) // not held any longer, or never accepted
+			return sc.Keeper.Read(ctx, rq) // dropped from memory, or unknown
 		}
 		if sr.archived() {
 			sc.mu.Unlock()
-			return sc.readEnded(ctx, te, sr, rq)
+			return sc.readArchived(ctx, te, sr, rq)
 		}
 		if rq.After < sr.unread {
 			sc.mu.Unlock()
@@ -47,9 +47,9 @@
 			}).Info("results read")
 			return li, nil
 		}
-		changed, release := sr.changed, sr.hold(begun, rq.Wait)
+		changed, release := sr.changed, sr.addRead(begun, rq.Wait)
 		sc.mu.Unlock()
-		err = await(ctx, changed, wait)
+		err = awaitResults(ctx, changed, wait)
 		sc.mu.Lock()
 		release(time.Now())
 		sc.mu.Unlock()
@@ -59,22 +59,21 @@
 	}
 }
 
-// answer returns what a read gets now, and for how long it is to wait for more
-// first.
+// answer returns the results for a read, and how long to wait for more before it is answered.
 func (sr *stepRow) answer(rq ReadRequest, begun, now time.Time) (Listing, time.Duration) {
-	li := sr.listing(rq.After)
+	li := sr.listingFrom(rq.After)
 	switch {
 	case len(li.Results) == 0 && !sr.idle:
 		return li, rq.Wait - now.Sub(begun)
 	case rq.Wait > 0:
-		return li, sr.joins(now)
+		return li, sr.joinWait(now)
 	default:
 		return li, 0
 	}
 }
 
-// await waits until results are listed or a time is over.
-func await(ctx context.Context, changed <-chan struct{}, wait time.Duration) error {
+// awaitResults waits until changed is closed or the wait is over.
+func awaitResults(ctx context.Context, changed <-chan struct{}, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -84,20 +83,20 @@
 	return nil
 }
 
-// maxListing bounds the text of one answer, in bytes: an answer may have 1 MB,
-// and its encoding takes some more.
-const maxListing = 800 << 10
+// maxListingBytes bounds the text of one answer. A message may have 1 MB, including its encoding.
+const maxListingBytes = 800 << 10
 
-// listing returns results from a position on.
-func (sr *stepRow) listing(after int) Listing {
+// listingFrom returns results from a position on.
+func (sr *stepRow) listingFrom(after int) Listing {
 	return page(sr.results, after-sr.unread, sr.step.Total())
 }
 
+// page returns the results from position after on, up to maxListingBytes but at least one.
 func page(results []Result, after, total int) Listing {
 	li := Listing{Total: total}
 	size := 0
 	for _, re := range results[min(max(after, 0), len(results)):] {
-		if size += len(re.Text); size > maxListing && len(li.Results) > 0 {
+		if size += len(re.Text); size > maxListingBytes && len(li.Results) > 0 {
 			break
 		}
 		li.Results = append(li.Results, re)
@@ -105,7 +104,7 @@
 	return li
 }
 
-// body returns an item's body.
+// body returns an item's body, from memory or from the key-value service.
 func (sc *Scheduler) body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
 	sc.mu.Lock()
 	te, err := sc.current()
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -131,8 +131,8 @@
 func (re *replay) decideAfter() {
 	ta := re.table
 	ta.Weights(re.now)
-	if chunks := ta.Due(re.now); len(chunks) > 0 {
-		ta.Listed(chunks, re.now)
+	if chunks := ta.DueChunks(re.now); len(chunks) > 0 {
+		ta.ChunksListed(chunks, re.now)
 	}
 }
 
--- a/step/revival.go
+++ b/step/revival.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// A revival tells those whose calls a silent service has swallowed that it answers
-// again. The zero revival is ready to use.
+// A recoverySignal tells callers that the key-value service has recovered. The zero value is ready to use.
 //
-// A call from before the service's return gets no answer and waits out its time.
-// Whoever is answered first tells the others, which break off and call anew.
-type revival struct {
+// A call from before the recovery gets no answer and would block until its timeout. The first caller that gets an
+// answer notifies the others, which cancel their calls and retry.
+type recoverySignal struct {
 	mu   sync.Mutex
-	back chan struct{} // closed when the service answers again
+	back chan struct{} // closed on recovery
 }
 
-// next returns what is closed when the service answers again.
-func (re *revival) next() <-chan struct{} {
+// recovered returns a channel that is closed at the recovered recovery.
+func (re *recoverySignal) recovered() <-chan struct{} {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if re.back == nil {
@@ -26,8 +25,8 @@
 	return re.back
 }
 
-// tell tells all who wait.
-func (re *revival) tell() {
+// notify wakes all waiting callers.
+func (re *recoverySignal) notify() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if re.back != nil {
@@ -36,16 +35,15 @@
 	}
 }
 
-// swallowedAfter is how old a call must be to be broken off. A younger one was made
-// after the service's return as a rule, and is answered: broken off all the same, two
-// callers would break each other's calls off in turns.
-const swallowedAfter = 150 * time.Millisecond
+// minCancelAge is the age from which a call is canceled on recovery. A younger call was usually made after the
+// recovery and will be answered. If it were canceled too, two callers could cancel each other's calls forever.
+const minCancelAge = 150 * time.Millisecond
 
-// bound returns a context of one call, which ends when the service answers others
-// again.
-func (re *revival) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// callContext returns a context for one call, which is canceled when another call finds that the service has
+// recovered.
+func (re *recoverySignal) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	begun, back := time.Now(), re.next()
+	begun, back := time.Now(), re.recovered()
 	go func() {
 		for {
 			select {
@@ -53,19 +51,18 @@
 			case <-ctx.Done():
 				return
 			}
-			if time.Since(begun) >= swallowedAfter {
+			if time.Since(begun) >= minCancelAge {
 				cancel()
 				return
 			}
-			back = re.next()
+			back = re.recovered()
 		}
 	}()
 	return ctx, cancel
 }
 
-// pause waits after a call that was lost, and no longer than until the service
-// answers others.
-func (re *revival) pause(ctx context.Context, back <-chan struct{}) {
+// pause waits for the pause after a lost call, or until back is closed.
+func (re *recoverySignal) pause(ctx context.Context, back <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-back:
--- a/step/revival_test.go
+++ b/step/revival_test.go
@@ -12,17 +12,17 @@
 	// Guards against a livelock in which two callers cancel each other's new calls: only calls older than
 	// swallowedAfter are canceled.
 	synctest.Test(t, func(t *testing.T) {
-		var re revival
-		old, cancelOld := re.bound(t.Context())
+		var re recoverySignal
+		old, cancelOld := re.callContext(t.Context())
 		defer cancelOld()
-		time.Sleep(swallowedAfter)
-		young, cancelYoung := re.bound(t.Context())
-		re.tell()
+		time.Sleep(minCancelAge)
+		young, cancelYoung := re.callContext(t.Context())
+		re.notify()
 		synctest.Wait()
 		assert.Assert(t, old.Err() != nil)
 		assert.NilError(t, young.Err())
-		time.Sleep(swallowedAfter)
-		re.tell()
+		time.Sleep(minCancelAge)
+		re.notify()
 		synctest.Wait()
 		assert.Assert(t, young.Err() != nil, "it has grown old")
 		cancelYoung()
--- a/step/reward.go
+++ b/step/reward.go
@@ -8,42 +8,38 @@
 	"wisteriacroft/forward"
 )
 
-// Bounds of reward calls.
+// Limits of reward calls.
 const (
-	// rewardPart is the part of a plain service's places that reward calls may
-	// take: live callers share them, and must find places when all of a step's
-	// texts become whole at once.
-	rewardPart = 0.5
-	// rewardPause and maxRewardPause bound the pause before a call that was not
-	// answered is made again; it doubles with each. Endpoints that are full have
-	// a place after about the first, and are asked once a second at most while
-	// they fail.
+	// maxRewardShare is the share of a plain service's slots that reward calls may use, so that live callers find
+	// free slots when many texts complete at once.
+	maxRewardShare = 0.5
+	// minRewardPause and maxRewardPause bound the pause before an unanswered call is retried. It doubles with each
+	// attempt.
 	rewardPause    = 100 * time.Millisecond
 	maxRewardPause = time.Second
-	// usualReward is how long a text is expected to wait for its score before
-	// any has been seen: the plain service's work of 80 ms and the way to it.
-	usualReward = 100 * time.Millisecond
-	// rewardWeight is the part of a new time in the mean.
-	rewardWeight = 0.05
+	// defaultRewardTime is the expected time from a complete text to its score while no score has been received.
+	defaultRewardTime = 100 * time.Millisecond
+	// rewardTimeWeight is the weight of a new sample in the moving average.
+	rewardTimeWeight = 0.05
 )
 
-// A rewardRow is where the reward call of an item stands.
+// A rewardRow is the state of an item's reward call.
 type rewardRow struct {
-	calling  bool
-	calls    int       // made until now
-	failures int       // answers of endpoints that they failed
-	nextAt   time.Time // the call may be made again
+	calling  bool      // a call is in flight
+	calls    int       // attempts
+	failures int       // answers that report a failure of the endpoint
+	nextAt   time.Time // earliest time of the next attempt
 	score    string
-	since    time.Time // the text is whole
-	unrouted bool      // no route led the call anywhere, which is logged
+	since    time.Time // time when the text was complete
+	unrouted bool      // a missing route has been logged
 }
 
-// open reports whether an item is still worked on.
+// open reports whether an item is neither complete nor lost.
 func (ir *itemRow) open() bool { return ir.state != complete && ir.state != lost }
 
-// whole takes in that an item's text is whole. It is complete once it has its
-// score, if it is to have one.
-func (ta *Table) whole(ir *itemRow, now time.Time) {
+// completeText handles the completion of an item's text. The item is complete once it also has its score, if it has a
+// reward call.
+func (ta *Table) completeText(ir *itemRow, now time.Time) {
 	ir.known = max(ir.known, len(ir.events))
 	if ir.item.Reward == nil || ir.reward.score != "" {
 		ta.finish(ir, complete, now)
@@ -55,41 +51,37 @@
 	ta.unscored[ir] = true
 }
 
-// A rewardGauge tells how long a whole text waits for its score. The zero gauge
-// has seen none.
-type rewardGauge struct{ mean time.Duration }
+// A rewardEstimator estimates the time from a complete text to its score. The zero value has no samples.
+type rewardEstimator struct{ mean time.Duration }
 
-func (ga *rewardGauge) observe(took time.Duration) {
+func (ga *rewardEstimator) observe(took time.Duration) {
 	if ga.mean == 0 {
 		ga.mean = took
 		return
 	}
-	ga.mean += time.Duration(rewardWeight * float64(took-ga.mean))
+	ga.mean += time.Duration(rewardTimeWeight * float64(took-ga.mean))
 }
 
-// usual returns how long a whole text is expected to wait for its score.
-func (ga *rewardGauge) usual() time.Duration {
+// expected returns the expected time from a complete text to its score.
+func (ga *rewardEstimator) expected() time.Duration {
 	if ga == nil || ga.mean == 0 {
-		return usualReward
+		return defaultRewardTime
 	}
 	return ga.mean
 }
 
-// A plainService is where a reward call goes by the route in force.
+// A plainService is the service that the current route of a reward call leads to.
 type plainService struct {
-	name   string // empty if no route leads there
-	places int    // of its endpoints
+	name   string // empty if there is no route
+	places int    // slots of its endpoints
 }
 
-// startRewards returns the items whose reward calls are to be made now, and
-// counts them as made until rewarded. Locate tells where a call goes now.
+// startRewards returns the items whose reward calls are to be made now, and marks the calls as in flight until
+// handleReward. locate returns the service of a call.
 //
-// Load pattern: the last texts of a step's groups become whole at once, and
-// share the places of a few plain endpoints with live callers, of which four in
-// ten may be six times slower than usual. Calls take a part of the places, so
-// that a live caller finds one. The call goes first whose step has the least
-// time left, and then the one whose group lacks the fewest items: a group counts
-// only when it is whole.
+// Many texts may complete at once, and live callers share the slots of plain services. Reward calls use at most
+// maxRewardShare of the slots. Calls of the step with the least time left go first and, within a step, those of the
+// group with the fewest open items, since only complete groups count.
 func (ta *Table) startRewards(locate func(ca *forward.Call) plainService, now time.Time) []*itemRow {
 	var due []*itemRow
 	active := map[string]int{}
@@ -100,7 +92,7 @@
 		case ir.reward.calling:
 			active[se.name]++
 		case se.name == "":
-			ta.noteUnrouted(ir)
+			ta.logUnrouted(ir)
 		case !now.Before(ir.reward.nextAt):
 			services[ir] = se
 			due = append(due, ir)
@@ -117,7 +109,7 @@
 	var started []*itemRow
 	for _, ir := range due {
 		se := services[ir]
-		if active[se.name] >= max(1, int(rewardPart*float64(se.places))) {
+		if active[se.name] >= max(1, int(maxRewardShare*float64(se.places))) {
 			continue
 		}
 		active[se.name]++
@@ -127,9 +119,9 @@
 	return started
 }
 
-// noteUnrouted logs once that no route leads an item's reward call anywhere. It
-// waits for one: a later configuration may have it.
-func (ta *Table) noteUnrouted(ir *itemRow) {
+// logUnrouted logs once that no route matches an item's reward call. The call waits until a later configuration has
+// one.
+func (ta *Table) logUnrouted(ir *itemRow) {
 	if ir.reward.unrouted {
 		return
 	}
@@ -149,10 +141,9 @@
 	})
 }
 
-// rewarded takes in what became of an item's reward call. An item is lost only
-// after as many answers that an endpoint failed as its step and the call's route
-// both allow: refusals, cut connections and silence say nothing of the item.
-func (ta *Table) rewarded(ir *itemRow, re forward.Response, took time.Duration, now time.Time) {
+// handleReward handles the reply to an item's reward call. An item is lost only after as many failures of endpoints
+// as both its step and the route of the call allow. Refusals, broken connections and timeouts don't count.
+func (ta *Table) handleReward(ir *itemRow, re forward.Response, took time.Duration, now time.Time) {
 	ir.reward.calling = false
 	ir.reward.failures += re.Failures
 	ta.log("reward call answered", map[string]any{
@@ -170,7 +161,7 @@
 		ta.finish(ir, complete, now)
 	case ir.reward.failures >= max(ir.step.step.MaxAttempts, re.MaxAttempts, 1):
 		ta.release(ir)
-		ta.giveUp(ir, "its reward call failed too often", now)
+		ta.markLost(ir, "its reward call failed too often", now)
 	default:
 		ir.reward.nextAt = now.Add(max(re.HeldFor, min(rewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
 	}
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -46,7 +46,7 @@
 
 func listed(ta *Table, now time.Time) []Result {
 	var res []Result
-	for _, ch := range ta.Due(now) {
+	for _, ch := range ta.DueChunks(now) {
 		res = append(res, ch.Results...)
 	}
 	return res
@@ -59,7 +59,7 @@
 	assert.Equal(t, len(irs), 2)
 	assert.Equal(t, len(ta.startRewards(at(6), begin)), 0, "they are under way")
 	assert.Equal(t, len(listed(ta, begin.Add(time.Minute))), 0)
-	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
+	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
 	res := listed(ta, begin.Add(time.Minute))
 	assert.Equal(t, len(res), 1)
 	assert.Equal(t, res[0].Score, "mark of "+irs[0].item.Reward.ID)
@@ -91,7 +91,7 @@
 				irs := ta.startRewards(at(6), now)
 				assert.Equal(t, len(irs), 1)
 				ir = irs[0]
-				ta.rewarded(ir, re, time.Millisecond, now)
+				ta.handleReward(ir, re, time.Millisecond, now)
 			}
 			assert.Equal(t, ir.state, tc.state)
 		})
@@ -105,7 +105,7 @@
 	for now := begin; now.Before(begin.Add(5 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		for _, ir := range ta.startRewards(at(6), now) {
 			calls++
-			ta.rewarded(ir, forward.Response{NotRun: true}, time.Millisecond, now)
+			ta.handleReward(ir, forward.Response{NotRun: true}, time.Millisecond, now)
 		}
 	}
 	assert.Equal(t, calls, 8, "after 0.1, 0.2, 0.4 and 0.8 s, and then each second")
@@ -132,7 +132,7 @@
 		assert.Assert(t, len(irs) > 0 && len(irs) <= 3, "%d calls", len(irs))
 		for _, ir := range irs {
 			order = append(order, ir.step.step.ID+" "+ir.item.Group)
-			ta.rewarded(ir, signed(ir), time.Millisecond, begin)
+			ta.handleReward(ir, signed(ir), time.Millisecond, begin)
 		}
 	}
 	assert.DeepEqual(t, order, []string{"older g1", "older g1", "older g0", "older g0", "older g0", "newer g0"})
@@ -168,7 +168,7 @@
 	assert.Equal(t, len(irs), 1)
 	ta.End("s")
 	assert.Equal(t, len(ta.startRewards(at(2), begin.Add(time.Minute))), 0)
-	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin) // an answer in flight
+	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin) // an answer in flight
 	assert.Equal(t, irs[0].state, scoring)
 }
 
@@ -193,7 +193,7 @@
 			ta.Place(begin)
 			end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 			irs := ta.startRewards(at(6), begin)
-			ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
+			ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
 			ta.End("s")
 			again := scored(stepOf("s", 2))
 			again.ID, again.MinVersion = "again", tc.min
@@ -215,7 +215,7 @@
 			if calls != "none" {
 				for _, ir := range ta.startRewards(at(6), begin) {
 					if calls == "answered" {
-						ta.rewarded(ir, signed(ir), time.Millisecond, begin)
+						ta.handleReward(ir, signed(ir), time.Millisecond, begin)
 					}
 				}
 			}
@@ -233,7 +233,7 @@
 				assert.Equal(t, len(rq.Forget), 0, "the attendant holds the text until it is listed")
 				irs := next.startRewards(at(6), begin)
 				assert.Equal(t, len(irs), 1)
-				next.rewarded(ir, signed(ir), time.Millisecond, begin)
+				next.handleReward(ir, signed(ir), time.Millisecond, begin)
 				assert.Equal(t, listed(next, begin.Add(time.Minute))[0].Score, "mark of call-s-0-0")
 			}
 		})
@@ -245,7 +245,7 @@
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	irs := ta.startRewards(at(6), begin)
 	hear(ta, "a", runner.ExchangeResponse{}, begin) // acknowledges the end
-	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
+	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
 	rq, _ := ta.Request("a")
 	key := ta.steps["s"].items[0].run.key
 	want := runner.Ack{Ended: true, Events: 3, Key: key, Score: "mark of call-s-0-0"}
@@ -270,7 +270,7 @@
 	ta.SetEngines(nil, begin)
 	irs := ta.startRewards(at(6), begin)
 	assert.Equal(t, len(irs), 1)
-	ta.rewarded(irs[0], signed(irs[0]), time.Millisecond, begin)
+	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
 	res := listed(ta, begin.Add(time.Minute))
 	assert.Equal(t, string(res[0].Text), "e1\ne2\ne3")
 }
@@ -280,10 +280,10 @@
 	ta := tableOf(t, 1, "a")
 	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
 	ta.Place(begin)
-	end(ta, t, "s", 0, runner.Complete, events(1, checkpointEvents, 1), begin)
-	cps := ta.Checkpoints(begin.Add(checkpointEvery))
+	end(ta, t, "s", 0, runner.Complete, events(1, minFirstEvents, 1), begin)
+	cps := ta.Checkpoints(begin.Add(checkpointInterval))
 	assert.Equal(t, len(cps), 1)
-	assert.Equal(t, len(cps[0].Partials[0].Events), checkpointEvents)
+	assert.Equal(t, len(cps[0].Partials[0].Events), minFirstEvents)
 }
 
 func TestGivenUpInTime(t *testing.T) {
@@ -302,7 +302,7 @@
 	st.Items[1].Reward = &forward.Call{Host: "desk", ID: "call", Path: "/"}
 	ta.Accept(st, StoredStep{}, false, begin)
 	spare := func(item int) time.Duration { return ta.steps["s"].items[item].timeToSpare(begin) }
-	assert.Equal(t, spare(0)-spare(1), usualReward)
+	assert.Equal(t, spare(0)-spare(1), defaultRewardTime)
 	for range 200 {
 		ta.rewards.observe(2 * time.Second)
 	}
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -8,12 +8,10 @@
 	"wisteriacroft/forward"
 )
 
-// startRewards makes the reward calls that are due, and ends those whose steps
-// have ended. It is called with the scheduler's lock held.
+// startRewards makes the reward calls that are due, and cancels those whose steps have ended. The caller holds sc.mu.
 //
-// Reward calls go on while the key-value service is away, as live calls do: no
-// step can end meanwhile, and a text that has its score is listed at once when
-// the service is back.
+// Reward calls continue while the key-value service is unavailable. No step can end meanwhile, and scored texts can
+// be listed as soon as the service recovers.
 func (sc *Scheduler) startRewards(te *term, now time.Time) {
 	for ir, cancel := range te.calls {
 		if ir.step.ended {
@@ -29,12 +27,11 @@
 	for _, ir := range te.table.startRewards(locate, now) {
 		ctx, cancel := te.begin()
 		te.calls[ir] = cancel
-		go sc.reward(ctx, te, ir)
+		go sc.callReward(ctx, te, ir)
 	}
 }
 
-// locate returns where a call goes by a configuration. Places holds what is
-// known of services' places already.
+// locate returns the service that a configuration routes a call to. places caches the slots by service.
 func (sc *Scheduler) locate(co *directory.Configuration, places map[string]int, ca *forward.Call) plainService {
 	ro, ok := co.Route(ca.Host, ca.Path)
 	if !ok || ro.StepService() == "" {
@@ -54,8 +51,8 @@
 	return se
 }
 
-// reward makes one reward call.
-func (sc *Scheduler) reward(ctx context.Context, te *term, ir *itemRow) {
+// callReward makes one callReward call.
+func (sc *Scheduler) callReward(ctx context.Context, te *term, ir *itemRow) {
 	begun := time.Now()
 	ca := *ir.item.Reward
 	ca.Customer = ir.step.step.Customer
@@ -68,9 +65,9 @@
 	te.calls[ir]()
 	delete(te.calls, ir)
 	if sc.term != te {
-		return // the next scheduler makes the call again
+		return // the next scheduler repeats the call
 	}
-	te.table.rewarded(ir, re, now.Sub(begun), now)
+	te.table.handleReward(ir, re, now.Sub(begun), now)
 	sc.startRewards(te, now)
 	te.hurry()
 }
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -119,16 +119,16 @@
 	ta := twoServices(t, 1, 1, 60)
 	ta.planRoom(begin)
 	sc := &Scheduler{Metrics: metrics.NewSet()}
-	sc.measureRoom(ta)
+	sc.updateCapacityMetrics(ta)
 	assert.DeepEqual(t, sc.Metrics.ListMetricNames(), []string{
 		`wisteriacroft_step_load{service="service"}`, `wisteriacroft_steps_crowded{service="service"}`,
 	})
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_steps_crowded{service="service"}`, nil).Get(), 1.0)
 	ta.End("s")
 	ta.planRoom(begin.Add(planEvery))
-	sc.measureRoom(ta)
+	sc.updateCapacityMetrics(ta)
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_step_load{service="service"}`, nil).Get(), 0.0)
 	ta.planRoom(begin.Add(2 * time.Minute))
-	sc.measureRoom(ta)
+	sc.updateCapacityMetrics(ta)
 	assert.Equal(t, len(sc.Metrics.ListMetricNames()), 0)
 }
--- a/step/row.go
+++ b/step/row.go
@@ -79,7 +79,7 @@
 	ended        bool
 	gauge        *tokenGauge   // of the step's model
 	tokenTime    time.Duration // that a token takes at its engines; 0 means unknown
-	rewards      *rewardGauge
+	rewards      *rewardEstimator
 	groups       map[string]*groupRow
 	list         []*groupRow   // by their first items
 	interleaved  bool          // items of a group don't stand together
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -118,7 +118,7 @@
 	epoch    uint64
 	exchange map[string]chan struct{} // kicks of the exchanges that run, by engine
 	freshAt  time.Time                // the service answered for the intake
-	revival  revival
+	revival  recoverySignal
 	ready    bool // what earlier schedulers wrote is read
 	table    *Table
 	writes   chan struct{} // kicks of what writes
@@ -243,7 +243,7 @@
 	sc.term = te
 	sc.Log.WithField("epoch", epoch).Info("scheduler")
 	go sc.follow(ctx, te)
-	go sc.write(ctx, te)
+	go sc.writeLoop(ctx, te)
 }
 
 // goOn continues a term under a new epoch.
@@ -264,7 +264,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil {
-		sc.term.revival.tell()
+		sc.term.revival.notify()
 		notify(sc.term.writes)
 	}
 }
@@ -291,9 +291,9 @@
 		ta.RelieveMemory(now)
 		ta.Place(now)
 		ta.Weights(now)
-		sc.measureRoom(ta)
+		sc.updateCapacityMetrics(ta)
 	}
-	sc.measureCustomers(ta)
+	sc.updateCustomerMetrics(ta)
 	sc.startRewards(te, now)
 	for id, kick := range te.exchange {
 		if ta.wantsExchange(id) {
@@ -374,9 +374,9 @@
 	sc.mu.Lock()
 	var ids []string
 	if sc.term != nil && sc.term.ready {
-		ids = sc.term.table.Forget(sc.Keep, now)
+		ids = sc.term.table.DropOldSteps(sc.Keep, now)
 		sc.term.table.LogLoad(now.Sub(sc.term.freshAt), now)
-		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItems()))
+		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItemCount()))
 	}
 	sc.mu.Unlock()
 	sc.readMarked(ctx)
--- a/step/seat.go
+++ b/step/seat.go
@@ -65,7 +65,7 @@
 func (pl *placing) refresh(i int) {
 	se, ta := &pl.seats[i], pl.table
 	en := se.engine
-	now, end := en.memory()
+	now, end := en.memoryUse()
 	se.open, se.end, se.context = pl.countOpen(se), end, float64((now+end)/2)
 	se.trying = ta.trials.tries(en.id, pl.now)
 	pl.summaries[i] = pl.summaryOf(se, now)
@@ -147,7 +147,7 @@
 
 func (pl *placing) needsOf(ir *itemRow) itemNeeds {
 	ne := itemNeeds{item: ir, took: ir.expectedTime().Seconds()}
-	ne.now, ne.end = ir.holds()
+	ne.now, ne.end = ir.tokenUse()
 	if pl.now.Sub(ir.since) < againAfter {
 		ne.unwanted = ir.unwanted
 	}
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -2,16 +2,14 @@
 
 import "time"
 
-// aheadTime is how soon a run must be expected to end for another item to be sent
-// ahead: what passes between the end of a run and the start of the next one there.
-const aheadTime = 150 * time.Millisecond
+// sendAheadTime is how soon a run must be expected to end for another item to be sent to its full engine: the time
+// between the end of a run and the start of the next one in its slot.
+const sendAheadTime = 150 * time.Millisecond
 
-// endRate returns the rate per second at which a run ends, taken as constant: one end in the
-// time that it is expected to take still.
-func (ir *itemRow) endRate() float64 { return 1 / max(ir.expectedTime(), aheadTime).Seconds() }
+// endRate returns the rate of a run's end per second, as the inverse of its expected remaining time.
+func (ir *itemRow) endRate() float64 { return 1 / max(ir.expectedTime(), sendAheadTime).Seconds() }
 
-// expectedEnd returns after how long the first of an engine's runs is expected to end, by
-// the sum of their rates.
+// expectedEnd returns the expected time until the first of an engine's runs ends, given the sum of their end rates.
 func expectedEnd(rate float64) time.Duration {
 	if rate == 0 {
 		return time.Hour
@@ -19,10 +17,10 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// competesWithinPart reports whether, of two or more customers, one that asks for no more
-// than its part of a room has steps open there, or may soon have some. A customer that has
-// steps open at other services only doesn't count.
-func (ta *Table) competesWithinPart(rm *room) bool {
+// smallCustomerCompetes reports whether two or more customers compete and one that requests no more than its share of
+// the room's capacity has open steps there, or may soon have some. Customers that have open steps only at other
+// services don't count.
+func (ta *Table) smallCustomerCompetes(rm *room) bool {
 	customers := ta.share.account.Balances()
 	if len(customers) < 2 {
 		return false
--- a/step/settle_test.go
+++ b/step/settle_test.go
@@ -52,9 +52,9 @@
 		within time.Duration
 	}{
 		"no loss":                  {within: 0},
-		"the answer":               {losses: []loss{{applied: true}}, within: doubtAfter},
-		"the call":                 {losses: []loss{{}}, within: doubtAfter},
-		"the call, then an answer": {losses: []loss{{}, {applied: true}}, within: 3 * doubtAfter},
+		"the answer":               {losses: []loss{{applied: true}}, within: verifyAfter},
+		"the call":                 {losses: []loss{{}}, within: verifyAfter},
+		"the call, then an answer": {losses: []loss{{}, {applied: true}}, within: 3 * verifyAfter},
 		"the connection":           {losses: []loss{{applied: true, broken: true}}, within: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 				assert.NilError(t, err)
 				assert.Assert(t, done)
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
-				chunks, err := (&Store{Client: me.Client()}).Listed(t.Context(), "s")
+				chunks, err := (&Store{Client: me.Client()}).Chunks(t.Context(), "s")
 				assert.NilError(t, err)
 				assert.Equal(t, len(chunks), 1)
 			})
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -110,7 +110,7 @@
 			version, _ = ke.account.get()
 		}
 		tx.Expects = append(expects[:len(expects):len(expects)], keyvalue.Expectation{Key: accountKey, Version: version})
-		written, err := ke.settle(ctx, tx)
+		written, err := ke.commit(ctx, tx)
 		if err == nil {
 			ke.account.set(written)
 			return true, nil
@@ -120,7 +120,7 @@
 			return false, err
 		}
 		// An earlier try of the same update may have been applied.
-		found, errGet := ke.applied(ctx, tx)
+		found, errGet := ke.appliedVersion(ctx, tx)
 		if found != 0 || errGet != nil {
 			return found != 0, errGet
 		}
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -75,7 +75,7 @@
 func (ss *simStep) advance(now time.Time) bool {
 	rd := &ss.reader
 	if rd.held {
-		li := ss.row.listing(ss.read)
+		li := ss.row.listingFrom(ss.read)
 		if len(li.Results) == 0 && now.Sub(rd.begun) < readWait {
 			return false
 		}
@@ -99,7 +99,7 @@
 
 // readOn starts a read.
 func (ss *simStep) readOn(now time.Time) {
-	ss.reader = simReader{begun: now, held: true, release: ss.row.hold(now, readWait)}
+	ss.reader = simReader{begun: now, held: true, release: ss.row.addRead(now, readWait)}
 }
 
 func (tr *simTrainer) length() int {
--- a/step/table.go
+++ b/step/table.go
@@ -31,13 +31,13 @@
 	anyShare  bool      // customers aren't ranked, as measurements compare with
 	// lengths are the most events that items of ended steps are known to have:
 	// groups that come again bring the items that last longest.
-	lengths map[itemKey]length
+	lengths map[itemKey]minLength
 	// reuse keeps the text of items of ended steps, since their groups may
 	// come again in a later step.
 	reuse      map[itemKey]*itemRow
 	quarantine *quarantine.Table // of items under which engines ended
 	requests   uint64            // made to attendants
-	rewards    *rewardGauge
+	rewards    *rewardEstimator
 	share      fairShare
 	steps      map[string]*stepRow
 	trials     trials // of items under which engines ended
@@ -70,10 +70,10 @@
 		log = func(string, map[string]any) {}
 	}
 	ta := &Table{
-		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardGauge{},
+		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardEstimator{},
 		bases: map[string]time.Duration{}, bests: map[string]time.Duration{}, demand: map[string]float64{},
 		engines: map[string]*engineRow{}, former: map[string]time.Time{}, gauges: map[string]*tokenGauge{},
-		lengths: map[itemKey]length{}, named: map[string]uint64{}, paces: map[string]time.Duration{},
+		lengths: map[itemKey]minLength{}, named: map[string]uint64{}, paces: map[string]time.Duration{},
 		gaveUp: map[string]time.Duration{}, reuse: map[itemKey]*itemRow{}, rooms: map[string]*room{},
 		steps: map[string]*stepRow{}, unscored: map[*itemRow]bool{},
 	}
@@ -158,7 +158,7 @@
 			ta.finish(ir, complete, now)
 			continue
 		}
-		ta.takeOver(ir, now)
+		ta.reuseText(ir, now)
 	}
 	sr.restore(ke.Checkpoints)
 	ta.observeDemand(st)
@@ -188,14 +188,14 @@
 	delete(ta.unscored, ir)
 	ta.become(ir, state)
 	ir.doneAt = now
-	ir.measure()
+	ir.measureText()
 	gr := ir.step.groups[ir.item.Group]
 	gr.left--
 	if gr.left == 0 {
 		if ir.step.age(now) <= ir.step.step.Due {
 			ir.step.servedAt = now
 		}
-		ta.urgent = ta.urgent || ir.step.sated()
+		ta.urgent = ta.urgent || ir.step.satisfied()
 	}
 }
 
@@ -211,7 +211,7 @@
 	for _, ir := range sr.items {
 		ta.release(ir)
 		ta.unreserve(ir)
-		ta.noteLength(ir)
+		ta.recordLength(ir)
 		delete(ta.unscored, ir)
 		if ir.state == scoring {
 			ta.log("reward call dropped", map[string]any{
@@ -255,7 +255,7 @@
 	if en, ok := ta.engines[ir.run.engine]; ok {
 		delete(en.items, ir.run.key)
 		delete(en.kept, ir.run.key)
-		en.dropMemo()
+		en.invalidateMemo()
 		en.forget[ir.run.key] = true
 	}
 	ir.run = run{}
@@ -273,7 +273,7 @@
 		return
 	}
 	delete(en.items, ir.run.key)
-	en.dropMemo()
+	en.invalidateMemo()
 	en.kept[ir.run.key] = ir
 }
 
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -15,17 +15,17 @@
 	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 2, 1), begin)
-	assert.Equal(t, len(ta.Due(begin)), 0, "half a group")
+	assert.Equal(t, len(ta.DueChunks(begin)), 0, "half a group")
 	end(ta, t, "s", 1, runner.Complete, events(1, 1, 1), begin)
-	chunks := ta.Due(begin)
+	chunks := ta.DueChunks(begin)
 	assert.DeepEqual(t, chunks, []Chunk{{Step: "s", Results: []Result{
 		{Item: "s-0-0", Text: []byte("e1\ne2"), Versions: []uint64{1}},
 		{Item: "s-0-1", Text: []byte("e1"), Versions: []uint64{1}},
 	}}})
-	assert.DeepEqual(t, ta.Due(begin), chunks) // until it is known to be written
-	ta.Listed(chunks, begin)
-	assert.Equal(t, len(ta.Due(begin.Add(time.Hour))), 0)
-	assert.Equal(t, len(ta.steps["s"].listing(1).Results), 1)
+	assert.DeepEqual(t, ta.DueChunks(begin), chunks) // until it is known to be written
+	ta.ChunksListed(chunks, begin)
+	assert.Equal(t, len(ta.DueChunks(begin.Add(time.Hour))), 0)
+	assert.Equal(t, len(ta.steps["s"].listingFrom(1).Results), 1)
 }
 
 func TestResume(t *testing.T) {
@@ -131,8 +131,8 @@
 	assert.Equal(t, len(rq.Launches), 0)
 	assert.Equal(t, len(rq.Forget), 2)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: key, Events: events(1, 2, 1)}}}, begin)
-	assert.Equal(t, len(ta.Due(begin.Add(time.Hour))), 0)
-	assert.DeepEqual(t, ta.Forget(time.Minute, begin.Add(time.Hour)), []string{"s"})
+	assert.Equal(t, len(ta.DueChunks(begin.Add(time.Hour))), 0)
+	assert.DeepEqual(t, ta.DropOldSteps(time.Minute, begin.Add(time.Hour)), []string{"s"})
 }
 
 // Guards against a memory leak: the wait queue and the group order of a step that has ended
@@ -238,10 +238,10 @@
 		st := stepOf(id, 1)
 		st.Accepted = begin.Add(time.Duration(i) * time.Second)
 		ta.Accept(st, StoredStep{}, false, begin)
-		ta.Listed([]Chunk{{Step: id, Results: []Result{{Item: id + "-0-0", Text: make([]byte, cachedResults/2)}}}}, begin)
+		ta.ChunksListed([]Chunk{{Step: id, Results: []Result{{Item: id + "-0-0", Text: make([]byte, maxCachedResults/2)}}}}, begin)
 		ta.End(id)
 	}
-	ta.Forget(time.Hour, begin)
+	ta.DropOldSteps(time.Hour, begin)
 	held := map[string]int{}
 	for id, sr := range ta.steps {
 		held[id] = len(sr.results)
@@ -307,7 +307,7 @@
 		ta.Place(begin)
 		end(ta, t, "s", 0, runner.Complete, events(1, 40, 1), begin)
 		if listed {
-			ta.Listed(ta.Due(begin.Add(time.Hour)), begin)
+			ta.ChunksListed(ta.DueChunks(begin.Add(time.Hour)), begin)
 		}
 		ta.End("s")
 		again := stepOf("s", 1)
@@ -315,7 +315,7 @@
 		ta.Accept(again, StoredStep{}, false, begin)
 		assert.Equal(t, ta.steps["again"].items[0].known, 40)
 		ta.End("again")
-		ta.Forget(time.Hour, begin.Add(reuseTime+1))
+		ta.DropOldSteps(time.Hour, begin.Add(reuseRetention+1))
 		assert.Equal(t, len(ta.lengths), 0)
 	}
 }
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -51,11 +51,11 @@
 	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 25, 1), Key: key}, {Events: events(1, 5, 1), Key: other},
 	}}, begin)
-	cps := ta.Checkpoints(begin.Add(checkpointEvery))
+	cps := ta.Checkpoints(begin.Add(checkpointInterval))
 	assert.Equal(t, len(cps), 1)
 	assert.Equal(t, len(cps[0].Partials), 1, "five events are soon made again")
 	ta.CheckpointsSaved(cps)
-	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointEvery))), 0, "nothing new")
+	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointInterval))), 0, "nothing new")
 
 	next := tableOf(t, 2, "a")
 	next.Accept(stepOf("s", 2), StoredStep{Checkpoints: cps}, false, begin)
@@ -63,7 +63,7 @@
 	rq, _ := next.Request("a")
 	assert.Equal(t, len(rq.Launches[0].Prior)+len(rq.Launches[1].Prior), 25)
 	next.End("s")
-	assert.DeepEqual(t, next.Garbage(), []string{checkpointKey("s", 0)})
+	assert.DeepEqual(t, next.ObsoleteKeys(), []string{checkpointKey("s", 0)})
 }
 
 func TestCheckpointsTakeTurns(t *testing.T) {
@@ -75,7 +75,7 @@
 	big := func(from, to int) []runner.Event {
 		evs := events(from, to, 1)
 		for i := range evs {
-			evs[i].Data = make([]byte, partSize/checkpointEvents)
+			evs[i].Data = make([]byte, partSize/minFirstEvents)
 		}
 		return evs
 	}
@@ -84,10 +84,10 @@
 		var prs []runner.Progress
 		for item := range 2 {
 			_, key := keyOf(t, ta, "s", item)
-			prs = append(prs, runner.Progress{Events: big(1, (second+1)*checkpointEvents), Key: key})
+			prs = append(prs, runner.Progress{Events: big(1, (second+1)*minFirstEvents), Key: key})
 		}
 		hear(ta, "a", runner.ExchangeResponse{Runs: prs}, begin)
-		cps := ta.Checkpoints(begin.Add(time.Duration(second+1) * checkpointEvery))
+		cps := ta.Checkpoints(begin.Add(time.Duration(second+1) * checkpointInterval))
 		assert.Equal(t, len(cps[0].Partials), 1)
 		saved[cps[0].Partials[0].Item] = true
 		ta.CheckpointsSaved(cps)
@@ -137,7 +137,7 @@
 	hear(ta, "a", again, begin)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, len(rq.Forget), 0, "not listed")
-	ta.Listed(ta.Due(begin.Add(time.Hour)), begin)
+	ta.ChunksListed(ta.DueChunks(begin.Add(time.Hour)), begin)
 	rq, _ = ta.Request("a")
 	assert.DeepEqual(t, rq.Forget, []runner.Key{key})
 }
@@ -197,21 +197,21 @@
 		version uint64 // weights version of the run's text
 		kept    int
 	}{
-		{"the same text", 1, checkpointEvents},
+		{"the same text", 1, minFirstEvents},
 		{"another run's text", 2, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := NewTable(2, nil)
 			addEngines(ta, begin, "a")
 			st := stepOf("s", 1)
-			cp := Checkpoint{Partials: []Partial{{Events: events(1, checkpointEvents, 1), Item: st.Items[0].ID}}, Step: "s"}
+			cp := Checkpoint{Partials: []Partial{{Events: events(1, minFirstEvents, 1), Item: st.Items[0].ID}}, Step: "s"}
 			ta.Accept(st, StoredStep{Checkpoints: []Checkpoint{cp}}, false, begin)
 			hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{
-				{Events: events(1, checkpointEvents+5, tc.version), Key: runner.Key{Attempt: 7, Item: st.Items[0].ID, Step: "s"}},
+				{Events: events(1, minFirstEvents+5, tc.version), Key: runner.Key{Attempt: 7, Item: st.Items[0].ID, Step: "s"}},
 			}}, begin)
 			ir := ta.steps["s"].items[0]
 			assert.Equal(t, ir.state, running)
-			assert.Equal(t, len(ir.events), checkpointEvents+5)
+			assert.Equal(t, len(ir.events), minFirstEvents+5)
 			assert.Equal(t, ir.saved, tc.kept)
 		})
 	}
--- a/step/update.go
+++ b/step/update.go
@@ -8,26 +8,24 @@
 	"wisteriacroft/listing"
 )
 
-// Update returns what is to be written now, as far as one transaction holds it:
-// results first.
+// NextWrites returns what to write now, as far as it fits into one transaction. Results take precedence.
 //
-// An update is repeated as it is until its outcome is known. One that the service
-// will never take would be repeated for good, and nothing would be listed any
-// more: the results of some steps, their checkpoints and old keys are too many entries.
-func (ta *Table) Update(now time.Time) WriteSet {
+// A scheduler repeats a write set unchanged until its outcome is known. One that is larger than a transaction may be
+// would be repeated forever and block all listing.
+func (ta *Table) NextWrites(now time.Time) WriteSet {
 	room := keyvalue.MaxTransaction - fenceEntries - accountEntries
-	up := WriteSet{Chunks: ta.Due(now)}
-	room -= (entriesEach + markEntries) * len(up.Chunks)
-	if !ta.final(up.Chunks) {
+	up := WriteSet{Chunks: ta.DueChunks(now)}
+	room -= (valueEntries + markEntries) * len(up.Chunks)
+	if !ta.hasFinal(up.Chunks) {
 		cps := ta.Checkpoints(now)
-		up.Checkpoints = cps[:min(len(cps), room/entriesEach)]
-		room -= entriesEach * len(up.Checkpoints)
+		up.Checkpoints = cps[:min(len(cps), room/valueEntries)]
+		room -= valueEntries * len(up.Checkpoints)
 	}
 	if up.empty() {
 		return up
 	}
 	up.Account = ta.share.due(now)
-	garbage := ta.Garbage()
+	garbage := ta.ObsoleteKeys()
 	up.Deletes = garbage[:min(len(garbage), room)]
 	room -= len(up.Deletes)
 	for _, st := range ta.cuts {
@@ -39,32 +37,31 @@
 	return up
 }
 
-// final reports whether chunks hold results with which a trainer waits for no more.
+// hasFinal reports whether any of the chunks completes what a trainer waits for.
 //
-// Load pattern: at the end of an outage steps have results to list, and others some seconds of
-// text to keep. In one write, a trainer would wait for megabytes of text that no one reads;
-// they go with the next one.
-func (ta *Table) final(chunks []Chunk) bool {
+// Checkpoints go into the next write then: at the end of an outage they may have megabytes of text, and would delay
+// the trainer.
+func (ta *Table) hasFinal(chunks []Chunk) bool {
 	return slices.ContainsFunc(chunks, func(ch Chunk) bool {
 		sr, ok := ta.steps[ch.Step]
 		return ok && sr.why == listing.Final
 	})
 }
 
-// What an update takes of a transaction.
+// Numbers of entries in a transaction.
 const (
-	fenceEntries   = 1 // the expectation that the lease is held
-	accountEntries = 2 // what customers have had, and the expectation of what that replaces
-	markEntries    = 1 // of a chunk, beside it
-	entriesEach    = 2 // of a chunk or a checkpoint: a value, and the expectation that there is none
+	fenceEntries   = 1 // expectation of the lease
+	accountEntries = 2 // value, and expectation of the previous one
+	markEntries    = 1 // mark of a chunk
+	valueEntries    = 2 // value of a chunk or checkpoint, and expectation that there is none
 )
 
-// Written takes in that an update is applied.
-func (ta *Table) Written(up WriteSet, now time.Time) {
-	ta.Listed(up.Chunks, now)
+// WritesApplied records that a write set has been applied.
+func (ta *Table) WritesApplied(up WriteSet, now time.Time) {
+	ta.ChunksListed(up.Chunks, now)
 	ta.CheckpointsSaved(up.Checkpoints)
 	ta.share.written(up.Account, now)
-	ta.Removed(len(up.Deletes))
+	ta.KeysDeleted(len(up.Deletes))
 	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
 }
 
--- a/step/witness.go
+++ b/step/witness.go
@@ -9,47 +9,45 @@
 	"wisteriacroft/runner"
 )
 
-// Bounds of telling that a scheduler is dead.
+// Limits of the detection of a dead scheduler.
 const (
-	// witnesses is how many attendants are asked when the scheduler last called
-	// them.
-	witnesses = 4
-	// deadAfter is how long none of them may have been called. The scheduler
-	// calls each ten times a second, or each 0.4 s while no step is open.
+	// maxWitnesses is how many attendants are asked when the scheduler last called them.
+	maxWitnesses = 4
+	// deadAfter is how long the scheduler must not have called any of them. It calls each attendant every 0.1 s, or
+	// every 0.4 s while no step is open.
 	deadAfter = 800 * time.Millisecond
-	// witnessTimeout bounds one question, a few milliseconds away.
+	// witnessTimeout bounds one such call.
 	witnessTimeout = 300 * time.Millisecond
-	// usurpPause is how long a scheduler that was replaced does not replace its
-	// successor in turn.
-	usurpPause = 6 * time.Second
+	// takeoverPause is how long a scheduler that was replaced doesn't replace its successor.
+	takeoverPause = 6 * time.Second
 )
 
-// pingMethod asks whether a scheduler's process is there.
+// pingMethod is the RPC method that checks whether a scheduler's process responds.
 const pingMethod = "step.Ping"
 
-// registerPing answers to other schedulers' pings.
+// registerPing registers the handler of pings.
 func registerPing(sv *peer.Server) {
 	peer.Handle(sv, pingMethod, func(context.Context, message.Header, Empty) (Empty, error) { return Empty{}, nil })
 }
 
-// IsDead reports whether the scheduler at an address is dead: it can't be
-// reached from here, and no attendant that can be has heard from it of late.
+// IsDead reports whether the scheduler at address owner is dead: it can't be reached from here, and no reachable
+// attendant was called by it recently.
 //
-// While it is cut off from this process alone, attendants still hear from it;
-// without asking them, two schedulers would replace each other in turns.
+// Without asking attendants, a scheduler that is cut off from this process only would be replaced, and the two could
+// replace each other repeatedly.
 func (sc *Scheduler) IsDead(owner string) bool {
 	sc.mu.Lock()
-	paused := time.Since(sc.replacedAt) < usurpPause && !sc.replacedAt.IsZero()
+	paused := time.Since(sc.replacedAt) < takeoverPause && !sc.replacedAt.IsZero()
 	sc.mu.Unlock()
-	if paused || call[Empty](sc, owner, pingMethod) == nil {
+	if paused || ping[Empty](sc, owner, pingMethod) == nil {
 		return false
 	}
 	heard, silent := 0, 0
 	for _, en := range sc.Directory.Endpoints("") {
-		if len(en.Models) == 0 || heard+silent >= witnesses {
+		if len(en.Models) == 0 || heard+silent >= maxWitnesses {
 			continue
 		}
-		re, err := callFor[Empty, runner.LastContactResponse](sc, sc.attendantOf(en), runner.LastContactMethod)
+		re, err := probe[Empty, runner.LastContactResponse](sc, sc.attendantOf(en), runner.LastContactMethod)
 		switch {
 		case err != nil:
 		case re.Since < deadAfter:
@@ -64,14 +62,14 @@
 	return dead
 }
 
-func callFor[Req, Resp any](sc *Scheduler, address, method string) (Resp, error) {
+func probe[Req, Resp any](sc *Scheduler, address, method string) (Resp, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), witnessTimeout)
 	defer cancel()
 	var rq Req
 	return peer.Call[Req, Resp](ctx, sc.Pool, address, method, rq)
 }
 
-func call[Req any](sc *Scheduler, address, method string) error {
-	_, err := callFor[Req, Empty](sc, address, method)
+func ping[Req any](sc *Scheduler, address, method string) error {
+	_, err := probe[Req, Empty](sc, address, method)
 	return err
 }
--- a/step/write.go
+++ b/step/write.go
@@ -9,16 +9,16 @@
 	"wisteriacroft/keyvalue"
 )
 
-// write writes results and checkpoints while the term lasts, one update at a
-// time. One whose outcome is not known is repeated as it was.
-func (sc *Scheduler) write(ctx context.Context, te *term) {
+// writeLoop writes results and checkpoints during the term, one writeLoop set at a time. One whose outcome is unknown is
+// repeated unchanged.
+func (sc *Scheduler) writeLoop(ctx context.Context, te *term) {
 	var up WriteSet
 	timeout := listTimeout
 	for ctx.Err() == nil {
-		back := te.revival.next()
+		back := te.revival.recovered()
 		if up.empty() {
 			sc.mu.Lock()
-			up = te.table.Update(time.Now())
+			up = te.table.NextWrites(time.Now())
 			sc.mu.Unlock()
 		}
 		if up.empty() {
@@ -28,19 +28,19 @@
 		sc.mu.Lock()
 		epoch := te.epoch
 		sc.mu.Unlock()
-		done, err := sc.writeOnce(ctx, te, epoch, up, timeout)
+		done, err := sc.applyWrites(ctx, te, epoch, up, timeout)
 		switch {
 		case done:
 			if timeout != listTimeout {
-				te.revival.tell()
+				te.revival.notify()
 			}
 			timeout = listTimeout
 			sc.mu.Lock()
-			te.table.Written(up, time.Now())
+			te.table.WritesApplied(up, time.Now())
 			sc.mu.Unlock()
 			up = WriteSet{}
 		case errors.Is(err, keyvalue.ErrConflict):
-			// The term ends, or goes on under another epoch and repeats the update.
+			// The term either ends or continues under another epoch and repeats the write.
 			sc.Log.WithError(err).WithField("epoch", epoch).Warn("results were not listed: the lease is gone")
 			sc.Holder.FenceFailed(epoch)
 			te.awaitWrites(ctx)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (sc *Scheduler) writeOnce(ctx context.Context, te *term, epoch uint64, up WriteSet, timeout time.Duration) (bool, error) {
+func (sc *Scheduler) applyWrites(ctx context.Context, te *term, epoch uint64, up WriteSet, timeout time.Duration) (bool, error) {
 	fence, ok := sc.Holder.Fence(epoch)
 	if !ok {
 		return false, keyvalue.ErrConflict
@@ -69,7 +69,7 @@
 	defer sc.Metrics.GetOrCreateHistogram(`wisteriacroft_list_seconds`).UpdateDuration(time.Now())
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ctx, cancel = te.revival.bound(ctx)
+	ctx, cancel = te.revival.callContext(ctx)
 	defer cancel()
 	return sc.Keeper.Write(ctx, fence, up)
 }
