--- a/step/archive.go
+++ b/step/archive.go
@@ -56,7 +56,7 @@
 // readers may wait for it.
 func fetchShared[Out any](ctx context.Context, gr *singleflight.Group, key string, fetch func(context.Context) (Out, error)) (Out, error) {
 	result := gr.DoChan(key, func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loadTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readTimeout)
 		defer cancel()
 		return fetch(ctx)
 	})
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -10,33 +10,30 @@
 )
 
 const (
-	// planEvery is how often it is planned which groups the room is for: often enough
-	// that no step comes near its due time unseen.
-	planEvery = 200 * time.Millisecond
-	// urgentSpare is the time to spare below which an item goes before its group's
-	// turn. How long items last is known by hints only, which are often far too low: an
-	// item that seems to take half of its step's time may take all of it.
-	urgentSpare = 3 * time.Second
-	// graceTime is how much later than due a group may be whole and still be of use:
-	// trainers read with pauses, and read what is whole a moment late with the rest.
+	// planInterval is the interval of capacity planning.
+	planInterval = 200 * time.Millisecond
+	// urgentSlack is the slack below which an item goes before its group's turn. It is large
+	// because hints often underestimate the length of items.
+	urgentSlack = 3 * time.Second
+	// graceTime is how late a group may be and still count as in time, since trainers poll
+	// with pauses.
 	graceTime = 400 * time.Millisecond
 )
 
-// planRoom decides which groups each service's room is for, by the ranks of customers. In
-// between, groups keep the positions of the last plan.
-func (ta *Table) planRoom(now time.Time) {
-	if now.Sub(ta.plannedAt) < planEvery {
+// planCapacity plans the capacity of each service, at intervals of planEvery.
+func (ta *Table) planCapacity(now time.Time) {
+	if now.Sub(ta.plannedAt) < planInterval {
 		return
 	}
 	ta.plannedAt = now
 	ta.paceRound++
-	ranks := ta.customerRank(ta.waitingCustomers(now))
+	ranks := ta.customerRanks(ta.waitingCustomers(now))
 	rows := map[string][]*stepRow{} // by service
 	for _, sr := range ta.order {
-		// Without a due time no step is late, and no room is kept for it.
+		// A step without a due time is never late and needs no plan.
 		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
-			ta.room(sr.step.Service)
+			ta.servicePlan(sr.step.Service)
 		}
 	}
 	for _, service := range slices.Sorted(maps.Keys(ta.rooms)) {
@@ -44,21 +41,21 @@
 	}
 }
 
-// planService decides which groups of a service's steps its room is for.
+// planService plans the capacity of one service.
 func (ta *Table) planService(service string, rows []*stepRow, ranks map[string]int, now time.Time) {
-	rm := ta.room(service)
-	ranks = rm.rank(ranks)
+	rm := ta.servicePlan(service)
+	ranks = rm.adaptRanks(ranks)
 	steps := make([]*overload.Step, len(rows))
 	for i, sr := range rows {
-		steps[i] = ta.openStep(sr, now)
+		steps[i] = ta.plannerStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := rm.planner.Overloaded(), ta.places(service, now)
-	// Who asks for no more than its part doesn't wait until the others have had their room.
+	was, places := rm.planner.Overloaded(), ta.usableSlots(service, now)
+	// A customer within its share must not wait for the overload of others to end.
 	rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
-	rm.withinPart = ta.customersWithinPart(steps, rows, places)
+	rm.withinPart = ta.customersWithinShare(steps, rows, places)
 	rm.sendsAhead = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
 	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
@@ -67,7 +64,7 @@
 	}
 	if rm.planner.Overloaded() {
 		for i, sr := range rows {
-			ta.logRoom(sr, steps[i], now)
+			ta.logPlan(sr, steps[i], now)
 		}
 	}
 	if len(rows) == 0 && rm.planner.Idle() {
@@ -75,48 +72,48 @@
 	}
 }
 
-// roomLogEvery bounds how often it is logged which room a step has.
-const roomLogEvery = time.Second
+// planLogInterval is the minimum interval of logging the planned groups of a step.
+const planLogInterval = time.Second
 
-// logRoom logs for how many of a step's groups room is kept, when that has changed.
-func (ta *Table) logRoom(sr *stepRow, st *overload.Step, now time.Time) {
+// logPlan logs the number of a step's groups with reserved capacity if it has changed.
+func (ta *Table) logPlan(sr *stepRow, st *overload.Step, now time.Time) {
 	planned := 0
 	for _, gr := range st.Groups {
 		if gr.InTime() {
 			planned++
 		}
 	}
-	if planned == sr.planned || now.Sub(sr.plannedAt) < roomLogEvery {
+	if planned == sr.planned || now.Sub(sr.plannedAt) < planLogInterval {
 		return
 	}
 	sr.planned, sr.plannedAt = planned, now
 	ta.log("room for step", map[string]any{
-		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.room(sr.step.Service).planner.Load(), "open": len(st.Groups),
+		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.servicePlan(sr.step.Service).planner.Load(), "open": len(st.Groups),
 		stepField: sr.step.ID, "wanted": st.Wanted,
 	})
 }
 
-// openStep returns what the planner needs to know of a step.
-func (ta *Table) openStep(sr *stepRow, now time.Time) *overload.Step {
+// plannerStep returns a step as input of the planner.
+func (ta *Table) plannerStep(sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
-		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainer(),
+		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
 	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
 		st.GivesUp = max(gaveUp-sr.age(now), 1)
 	}
-	var open []*groupRow // by their first open items, so that they stand in the same order each time
+	var open []*groupRow // ordered by their first open items, for a deterministic plan
 	for _, gr := range sr.list {
 		gr.plan = overload.Group{Again: gr.again}
 		if gr.left == 0 {
 			st.Wanted--
 			continue
 		}
-		ta.addWork(gr, now)
+		ta.setPlanWork(gr, now)
 		open = append(open, gr)
 	}
 	if sr.interleaved {
-		slices.SortFunc(open, func(a, b *groupRow) int { return cmp.Compare(a.firstOpen(), b.firstOpen()) })
+		slices.SortFunc(open, func(a, b *groupRow) int { return cmp.Compare(a.firstOpenIndex(), b.firstOpenIndex()) })
 	}
 	for _, gr := range open {
 		st.Groups = append(st.Groups, &gr.plan)
@@ -124,30 +121,29 @@
 	return st
 }
 
-// trainer names whose step it is, among all customers' trainers.
-func (sr *stepRow) trainer() string { return sr.step.Customer + "/" + sr.step.Model }
+// trainerKey returns a key for the step's trainerKey that is unique among all customers.
+func (sr *stepRow) trainerKey() string { return sr.step.Customer + "/" + sr.step.Model }
 
-// noteGivenUp learns from a step that ends how long its trainer waits. If it ended the step
-// without the groups that it asked for, its next steps are expected to end at that age, too,
-// and what can't be whole by then is of no use.
-func (ta *Table) noteGivenUp(sr *stepRow, now time.Time) {
+// recordAbandonAge records at which age a trainer ended a step that was late and incomplete. Its
+// next steps are expected to end at the same age.
+func (ta *Table) recordAbandonAge(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
 	case sr.satisfied():
-		delete(ta.gaveUp, sr.trainer())
+		delete(ta.gaveUp, sr.trainerKey())
 	case age > sr.step.Due:
-		ta.gaveUp[sr.trainer()] = age
+		ta.gaveUp[sr.trainerKey()] = age
 	}
 }
 
-// minWork is what an item is taken to need that should have ended already.
+// minWork is the assumed remaining time of an item that should have ended already.
 const minWork = 10 * time.Millisecond
 
-// places returns the places of a service's engines that can be reached, those of a slow
-// one counted by its pace.
-func (ta *Table) places(service string, now time.Time) float64 {
+// usableSlots returns the number of usable slots of a service's reachable engines, weighted by the
+// engines' speed relative to the median.
+func (ta *Table) usableSlots(service string, now time.Time) float64 {
 	total := 0.0
 	for _, en := range ta.sorted {
-		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > silentAfter {
+		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > responseTimeout {
 			continue
 		}
 		part := 1.0
@@ -159,13 +155,12 @@
 	return total
 }
 
-// saves reports whether an item would be in time at another engine, and is late where
-// it runs.
+// makesInTime reports whether an item would be late on its engine and in time on another one.
 //
-// While the room is crowded, another item waits for the place that a moved run takes, and
-// gets the slow place that it left instead. Moves that save no item would only go on and on.
-func (ta *Table) saves(ir *itemRow, from, to *engineRow, now time.Time) bool {
+// Under overload, a moved run takes a fast slot from a waiting item, which then gets the slow
+// one. Moves without a gain would never end.
+func (ta *Table) makesInTime(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
 	stays := ta.remainingTime(ir, now)
-	return stays > left && stays-ta.gain(ir, from, to) <= left
+	return stays > left && stays-ta.timeSaved(ir, from, to) <= left
 }
--- a/step/follow.go
+++ b/step/follow.go
@@ -38,7 +38,7 @@
 		accepted, ended := in.apply(ch.Items, scan)
 		kept, err := sc.loadKept(ctx, te, &in, accepted)
 		if err == nil {
-			err = sc.recall(ctx, te, accepted)
+			err = sc.restoreAccount(ctx, te, accepted)
 		}
 		if err != nil {
 			sc.Log.WithError(err).Warn("what is kept of steps can't be read")
@@ -60,7 +60,7 @@
 	ctx, cancel := te.revival.callContext(ctx)
 	defer cancel()
 	if scan {
-		ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		return sc.Keeper.Client.Scan(ctx, intakePrefix)
 	}
@@ -76,7 +76,7 @@
 // loadKept loads what earlier schedulers stored of open steps, and for a new term the holds of operators. Results of
 // ended steps are loaded on request.
 func (sc *Scheduler) loadKept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	kept := map[string]StoredStep{}
 	var mu sync.Mutex
@@ -154,6 +154,6 @@
 func retryPause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(retryAfter):
+	case <-time.After(retryDelay):
 	}
 }
--- a/step/heard.go
+++ b/step/heard.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if en.boot != "" && en.boot != re.Boot {
-		ta.drop(en, "attendant has started again", now)
+		ta.requeueRuns(en, "attendant has started again", now)
 	}
 	en.boot = re.Boot
 	ta.applyReport(en, re, now)
@@ -71,7 +71,7 @@
 	}
 	en.gone = true
 	ta.log("engine was replaced", map[string]any{"by": actual, engineField: en.id, "items": len(en.items)})
-	ta.drop(en, "engine was replaced", now)
+	ta.requeueRuns(en, "engine was replaced", now)
 }
 
 // updateOrder clears an engine's order once the engine holds the weights, or its attendant has abandoned the order.
@@ -111,12 +111,12 @@
 			return
 		}
 		ir.step.gauge.observeHint(ir.item.Hint, len(ir.events))
-		ir.step.gauge.observeBound(ir.item.Tokens-ir.item.Prompt, len(ir.events))
-		ta.keep(ir)
+		ir.step.gauge.observeLimit(ir.item.Tokens-ir.item.Prompt, len(ir.events))
+		ta.retainRun(ir)
 		ir.reward.score = pr.Score
 		ta.completeText(ir, now)
 	case runner.Impossible:
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.markLost(ir, pr.Detail, now)
 	case runner.Failed:
 		ta.countFailure(ir, pr.Detail, now)
@@ -125,7 +125,7 @@
 		ta.requeue(ir, "not run: "+pr.Detail, now)
 	case runner.Broken:
 		en.failed = now
-		ta.suspect(ir, pr, now)
+		ta.recordEngineEnd(ir, pr, now)
 		ta.requeue(ir, "broken: "+pr.Detail, now)
 	case runner.Stopped:
 		ta.requeue(ir, "stopped", now)
@@ -150,7 +150,7 @@
 		}
 		ir.events = nil
 		ta.invalidateTargetMemo(ir)
-		ta.become(ir, running)
+		ta.setState(ir, running)
 		ir.since = now
 		ir.run = run{at: en, confirmed: true, engine: en.id, eventAt: now, key: pr.Key}
 		en.items[pr.Key] = ir
@@ -185,7 +185,7 @@
 	ir.run.at.adjustMemo(ir, -1)
 	ir.events = append(ir.events[:len(ir.events):len(ir.events)], fresh...)
 	ir.run.at.adjustMemo(ir, 1)
-	if ir.step.step.fits(ir.events) {
+	if ir.step.step.allows(ir.events) {
 		return true
 	}
 	ta.requeue(ir, "made by a version that the step may not have", now)
@@ -197,7 +197,7 @@
 func (ta *Table) countFailure(ir *itemRow, detail string, now time.Time) {
 	ir.failures++
 	if ir.failures >= max(ir.step.step.MaxAttempts, 1) {
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.markLost(ir, "failed too often: "+detail, now)
 		return
 	}
--- a/step/listing.go
+++ b/step/listing.go
@@ -66,7 +66,7 @@
 
 // endsIn returns the expected time until all groups that a step's trainer waits for are complete.
 func (ta *Table) endsIn(sr *stepRow, now time.Time) time.Duration {
-	ta.gather()
+	ta.updateSummaries()
 	ta.paceRound++
 	var must time.Duration // for groups that an earlier step requested too
 	var others []time.Duration
@@ -98,7 +98,7 @@
 		longest = max(longest, gr.step.rewards.expected())
 	}
 	for _, ir := range gw.running {
-		longest = max(longest, ta.runFor(ir, now))
+		longest = max(longest, ta.remainingTimeCached(ir, now))
 	}
 	return longest
 }
@@ -112,12 +112,12 @@
 	if ir.state != running || en == nil || en.base == 0 {
 		return ir.expectedTime()
 	}
-	return ir.remainingAt(ta.paceWith(en, nil), now)
+	return ir.remainingAt(ta.expectedPace(en, nil), now)
 }
 
 // remainingAt returns how long a run is expected to take from now if each event takes pace.
 func (ir *itemRow) remainingAt(pace time.Duration, now time.Time) time.Duration {
-	events := float64(ir.left()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
 	return time.Duration(events*float64(pace)) - now.Sub(ir.run.eventAt)
 }
 
@@ -259,7 +259,7 @@
 	for _, ir := range sr.items {
 		if positions[ir.item.ID] {
 			ir.listed = true
-			ta.letGo(ir)
+			ta.forgetRun(ir)
 		}
 		if ir.listed && sr.groups[ir.item.Group].left == 0 {
 			ir.events = nil // the results hold the text
@@ -268,7 +268,7 @@
 	}
 	sr.idle = sr.idle || all
 	sr.clearReads(now)
-	sr.wake()
+	sr.notifyReaders()
 	ta.log("results listed", map[string]any{
 		"chunk": ch.Number, "listed": sr.listedCount(), "reads": reads, stepField: ch.Step, "total": sr.step.Total(),
 		whyField: string(sr.why),
--- a/step/memory.go
+++ b/step/memory.go
@@ -14,11 +14,13 @@
 // tokenUse returns how many tokens an item tokenUse now, and is expected to hold at its end.
 func (ir *itemRow) tokenUse() (now, end int) {
 	now = ir.tokensNow()
-	return now, now + ir.left()
+	return now, now + ir.remainingTokens()
 }
 
 // tokensNow returns how many tokens an item holds now.
-func (ir *itemRow) tokensNow() int { return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens() }
+func (ir *itemRow) tokensNow() int {
+	return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens()
+}
 
 // memoryUse returns how many tokens an engine holds now, and would hold if all of its runs reached their expected
 // ends. It includes items that move here; otherwise several could arrive at once and be evicted again for lack of
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -5,7 +5,7 @@
 // updateCapacityMetrics sets the gauges of each service's load. It removes the gauges of services that no longer have
 // open steps.
 func (sc *Scheduler) updateCapacityMetrics(ta *Table) {
-	rooms := ta.Rooms()
+	rooms := ta.ServiceLoads()
 	for service, rl := range rooms {
 		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(rl.Load)
 		sc.Metrics.GetOrCreateGauge(serviceGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
--- a/step/overview.go
+++ b/step/overview.go
@@ -49,7 +49,7 @@
 	paces := map[string]time.Duration{} // time per event at each engine under its present runs
 	for _, en := range ta.sorted {
 		si.Engines = append(si.Engines, ta.engineLoad(en, now))
-		paces[en.id] = ta.paceWith(en, nil)
+		paces[en.id] = ta.expectedPace(en, nil)
 	}
 	away := storeHeard >= intakeWait+intakeSlack
 	for _, sr := range ta.order {
@@ -94,7 +94,7 @@
 	switch {
 	case en.gone:
 		return overview.Gone
-	case en.heardAt.IsZero(), now.Sub(en.heardAt) > silentAfter:
+	case en.heardAt.IsZero(), now.Sub(en.heardAt) > responseTimeout:
 		return overview.Silent
 	case en.sick:
 		return overview.Sick
@@ -185,8 +185,8 @@
 // placingRank returns an item's rank in the order of placement, lowest first: its slack or, under overload, the
 // position of its group, with groups that can't be in time last.
 func (ta *Table) placingRank(ir *itemRow, now time.Time) time.Duration {
-	if !ta.crowded(ir.step.step.Service) {
-		return ir.timeToSpare(now)
+	if !ta.overloaded(ir.step.step.Service) {
+		return ir.slack(now)
 	}
 	turn := time.Duration(ir.group.plan.Position())
 	if !ir.group.plan.InTime() {
@@ -200,11 +200,11 @@
 	switch {
 	case ta.held(ir):
 		return overview.HeldByOperator
-	case ta.rests(ir, now):
+	case ta.quarantined(ir, now):
 		return overview.Quarantined
 	case wait == overview.ToBePlaced && now.Sub(ir.since) > maxPlacingDelay:
 		return overview.HeldBack
-	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.crowded(ir.step.step.Service) && !ir.group.plan.InTime():
+	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.overloaded(ir.step.step.Service) && !ir.group.plan.InTime():
 		return overview.HeldBack
 	default:
 		return wait
@@ -212,7 +212,7 @@
 }
 
 // maxPlacingDelay is how long an item waits for a free slot before the reason is that other items go first.
-const maxPlacingDelay = 4 * tickEvery
+const maxPlacingDelay = 4 * tickInterval
 
 // engineWaitReason returns the condition of the engines that prevents an item's placement, for the engine that is
 // closest to accepting it. It is the same for all items of a step, unless each is bound to one version.
@@ -233,13 +233,13 @@
 		case en.service != st.Service:
 		case !en.reachable():
 			better(1, overview.NoneServes)
-		case !ta.usable(en, ir) && en.loads(st.Model) && version > 0:
+		case !ta.canRunItem(en, ir) && en.isLoading(st.Model) && version > 0:
 			better(3, overview.WeightsLoad)
-		case !ta.usable(en, ir):
+		case !ta.canRunItem(en, ir):
 			better(2, overview.NoVersion)
-		case en.free() <= 0:
+		case en.freeSlots() <= 0:
 			better(4, overview.NoPlace)
-		case !en.fits(ir):
+		case !en.hasMemoryFor(ir):
 			better(5, overview.NoMemory)
 		default:
 			return overview.ToBePlaced
--- a/step/place.go
+++ b/step/place.go
@@ -7,138 +7,134 @@
 	"wisteriacroft/runner"
 )
 
-// Weights of placing items.
+// Parameters of placement.
 const (
-	// matePlaces is by how many more taken places an engine may still be
-	// preferred because it runs items of the same group, whose prompt it holds.
-	matePlaces = 3
-	// memoryPart is the part of an engine's memory that new items may fill: less
-	// than crowdedMemory, or each new item would drive another one away.
-	memoryPart = 0.8
-	// expectedPart is the part of its token bound that an item without a hint
-	// is expected to use.
-	expectedPart = 0.25
-	// againAfter is how long an item waits before it goes to the engine that it
-	// was just taken from.
-	againAfter = 500 * time.Millisecond
+	// sameGroupBonus is the score, in free slots, of an engine that runs items of the same group
+	// and so has their prompt cached.
+	sameGroupBonus = 3
+	// maxMemoryFraction is the fraction of an engine's memory that new items may fill. It must be
+	// less than crowdedMemory, or new items would displace others.
+	maxMemoryFraction = 0.8
+	// defaultLengthFraction is the fraction of its token limit that an item without a hint is expected
+	// to use.
+	defaultLengthFraction = 0.25
+	// avoidEngineFor is how long a requeued item avoids its last engine.
+	avoidEngineFor = 500 * time.Millisecond
 )
 
-// expected returns how many tokens an item is expected to generate.
-func (it *Item) expected() int {
+// expectedTokens returns the expectedTokens number of generated tokens.
+func (it *Item) expectedTokens() int {
 	if it.Hint > 0 {
 		return it.Hint
 	}
-	return int(expectedPart * float64(max(it.Tokens-it.Prompt, 0)))
+	return int(defaultLengthFraction * float64(max(it.Tokens-it.Prompt, 0)))
 }
 
-// free returns how many places of an engine are free.
-func (en *engineRow) free() int { return en.slots - len(en.items) - en.foreign - len(en.coming) }
+// freeSlots returns the number of freeSlots slots. It is negative if more runs than slots are known.
+func (en *engineRow) freeSlots() int { return en.slots - len(en.items) - en.foreign - len(en.coming) }
 
-// usable reports whether an engine may run an item.
-func (ta *Table) usable(en *engineRow, ir *itemRow) bool {
+// canRunItem reports whether an engine can run an item.
+func (ta *Table) canRunItem(en *engineRow, ir *itemRow) bool {
 	st := ir.step.step
-	return ta.runsStep(en, st) && en.goesOnWith(ir)
+	return ta.canRunStep(en, st) && en.canContinue(ir)
 }
 
-// reachable reports whether an engine may be given work: it stays, and its attendant has
-// answered and reaches it.
+// reachable reports whether an engine can be assigned work: it isn't leaving, and its
+// attendant has responded and reaches it.
 func (en *engineRow) reachable() bool {
 	return !en.leaving && !en.gone && !en.sick && !en.heardAt.IsZero()
 }
 
-// runsStep reports whether an engine may run items of a step.
-func (ta *Table) runsStep(en *engineRow, st *Step) bool {
-	if en.service != st.Service || !en.reachable() || en.loads(st.Model) {
+// canRunStep reports whether an engine can run items of a step.
+func (ta *Table) canRunStep(en *engineRow, st *Step) bool {
+	if en.service != st.Service || !en.reachable() || en.isLoading(st.Model) {
 		return false
 	}
 	version := en.versions[st.Model]
 	return version != 0 && version >= st.MinVersion
 }
 
-// goesOnWith reports whether an engine has the version that an item's text may go on with.
-func (en *engineRow) goesOnWith(ir *itemRow) bool {
+// canContinue reports whether an engine has a version that may continue an item's text.
+func (en *engineRow) canContinue(ir *itemRow) bool {
 	st := ir.step.step
 	return !st.SingleVersion || len(ir.events) == 0 || en.versions[st.Model] == ir.events[0].Version
 }
 
-// loads reports whether an engine loads weights of a model, which begins no run
-// of it meanwhile. It is busy without an order while it carries out that of an
-// earlier scheduler, which may be of any model.
-func (en *engineRow) loads(model string) bool {
+// isLoading reports whether an engine is loading weights of a model, and so can't start runs of
+// it. An engine that is busy without an order executes an earlier scheduler's order, whose
+// model is unknown.
+func (en *engineRow) isLoading(model string) bool {
 	if en.order == nil {
 		return en.report.Busy
 	}
 	return en.order.Model == model
 }
 
-// fits reports whether an engine has memory for an item now. Beyond it, the
-// engine stops its newest request and reads it again later.
-func (en *engineRow) fits(ir *itemRow) bool {
+// hasMemoryFor reports whether an engine has memory for an item. An engine out of memory preempts its
+// newest request and recomputes it later.
+func (en *engineRow) hasMemoryFor(ir *itemRow) bool {
 	if en.tokens == 0 || len(en.items) == 0 {
 		return true
 	}
 	now, _ := en.memoryUse()
 	added, _ := ir.tokenUse()
-	return float64(now+added) <= memoryPart*float64(en.tokens)
+	return float64(now+added) <= maxMemoryFraction*float64(en.tokens)
 }
 
-// crowding returns what it costs an item, in places, to come to an engine that would then
-// hold end tokens at the ends of its runs.
+// overfillCost returns the cost, in slots, of an engine whose runs would hold end tokens in total
+// at their ends.
 //
-// Not all runs end at once, so that these may be more than the engine's memory, but long
-// items do better where fewer are expected. Were the memory a bound instead, a long item
-// would wait while short ones took what became free.
-func (en *engineRow) crowding(end int) float64 {
+// Runs don't all end at once, so the total may exceed the memory. As a hard limit, it would
+// let short items overtake a long one indefinitely.
+func (en *engineRow) overfillCost(end int) float64 {
 	if en.tokens <= 0 {
 		return 0
 	}
-	return crowdingPlaces * max(0, float64(end)/float64(en.tokens)-1)
+	return overfillCostSlots * max(0, float64(end)/float64(en.tokens)-1)
 }
 
-// crowdingPlaces is how many free places an engine's whole memory is worth.
-const crowdingPlaces = 24
+// overfillCostSlots is the cost, in free slots, of exceeding an engine's memory by 100 percent.
+const overfillCostSlots = 24
 
-// Place gives waiting items places at engines.
+// Place assigns waiting items to free slots of engines, by least slack or, under overload, by
+// the capacity plan.
 //
-// Load pattern: a step's items all come at once and take all places for a
-// second or two, a second step may come with them, and the longest item takes
-// nearly as long as the step may. So the item goes first that has the least
-// time to spare: what is left until its step is due, less what it is expected
-// to take. No more than its places are given to an engine, which would admit
-// the rest in the order of arrival.
+// The longest item of a step takes nearly as long as the step may, so it must start first. An
+// engine gets no more items than it has slots, since it would run the rest in the order of
+// arrival.
 func (ta *Table) Place(now time.Time) {
-	if ta.listening(now) {
+	if ta.awaitingEngines(now) {
 		return
 	}
-	ta.gather()
-	ta.planRoom(now)
+	ta.updateSummaries()
+	ta.planCapacity(now)
 	if len(ta.order) == 0 {
 		return
 	}
-	pl := ta.newPlacing(now)
-	defer ta.forgetRound()
+	pl := ta.newPlacement(now)
+	defer ta.clearPlacement()
 	if pl.live == 0 {
 		return
 	}
-	ranks := ta.customerRank(ta.waitingCustomers(now))
-	// Items of different services don't wait for the same places.
-	for _, steps := range ta.stepsOfServices() {
+	ranks := ta.customerRanks(ta.waitingCustomers(now))
+	// Services don't compete for slots.
+	for _, steps := range ta.stepsByService() {
 		pl.steps = steps
-		if pl.idle() {
+		if pl.exhausted() {
 			continue
 		}
 		rm := ta.rooms[steps[0].step.Service]
 		if rm != nil && rm.planner.Overloaded() {
 			pl.dropQueues()
-			pl.byRoom(rm, rm.rank(ranks))
+			pl.placeByPlan(rm, rm.adaptRanks(ranks))
 		} else {
-			pl.bySpare(rm.rank(ranks))
+			pl.placeBySlack(rm.adaptRanks(ranks))
 		}
 	}
 }
 
-// stepsOfServices returns the open steps, those of a service together.
-func (ta *Table) stepsOfServices() [][]*stepRow {
+// stepsByService returns the open steps grouped by service.
+func (ta *Table) stepsByService() [][]*stepRow {
 	var all [][]*stepRow
 	at := map[string]int{}
 	for _, sr := range ta.order {
@@ -153,41 +149,40 @@
 	return all
 }
 
-// forgetRound lets go of what was of use in one round.
-func (ta *Table) forgetRound() {
+// clearPlacement clears references to the round of placement.
+func (ta *Table) clearPlacement() {
 	for _, sr := range ta.order {
 		sr.round, sr.seats = nil, nil
 	}
 }
 
-// dropQueues forgets the order by time to spare while the room decides.
-func (pl *placing) dropQueues() {
+// dropQueues drops the queues ordered by slack, which aren't used under overload.
+func (pl *placement) dropQueues() {
 	for _, sr := range pl.steps {
 		sr.queue.drop()
 	}
 }
 
-// listening reports whether a new scheduler still waits to hear from engines.
+// awaitingEngines reports whether a new scheduler still waits for first responses of attendants.
 //
-// Items that run at engines, or have ended there, look as if they waited until
-// their attendants have answered. Placed at once, they would run a second time
-// from the start, and the text that is there would be thrown away.
-func (ta *Table) listening(now time.Time) bool {
+// Until then, items that run or have ended on engines appear to be waiting. Placement would
+// run them a second time and discard their texts.
+func (ta *Table) awaitingEngines(now time.Time) bool {
 	if ta.begun.IsZero() {
 		ta.begun, ta.savedAt = now, now
 	}
-	if now.Sub(ta.begun) > listenTime {
+	if now.Sub(ta.begun) > maxEngineWait {
 		return false
 	}
 	return slices.ContainsFunc(ta.sorted, func(en *engineRow) bool { return en.heardAt.IsZero() && !en.gone })
 }
 
-// listenTime bounds how long a new scheduler waits: three exchanges.
-const listenTime = 500 * time.Millisecond
+// maxEngineWait is the longest wait for first responses of attendants.
+const maxEngineWait = 500 * time.Millisecond
 
-// timeToSpare returns how long an item can wait and still end when its step is
-// due. An item that is to be scored must be whole sooner.
-func (ir *itemRow) timeToSpare(now time.Time) time.Duration {
+// slack returns the slack of an item: how long it can wait and still be complete, and
+// scored if it needs a score, when its step is due.
+func (ir *itemRow) slack(now time.Time) time.Duration {
 	spare := ir.step.step.Due - ir.step.age(now) - ir.expectedTime()
 	if ir.item.Reward != nil {
 		spare -= ir.step.rewards.expected()
@@ -195,25 +190,24 @@
 	return spare
 }
 
-// usualTokenTime is what a token is taken to need before engines have shown their pace.
-const usualTokenTime = 630 * time.Microsecond
+// defaultTokenTime is the assumed time per token until it is measured.
+const defaultTokenTime = 630 * time.Microsecond
 
-// expectedTime returns how long the rest of an item is expected to take.
+// expectedTime returns the expected time to generate the rest of an item.
 func (ir *itemRow) expectedTime() time.Duration {
 	each := ir.step.tokenTime
 	if each <= 0 {
-		each = usualTokenTime
+		each = defaultTokenTime
 	}
-	return time.Duration(ir.left()) * each
+	return time.Duration(ir.remainingTokens()) * each
 }
 
-// left returns how many tokens an item is expected to need still. Hints are
-// right at the median and often far off: an item that has passed its hint is
-// one of those that last, and is expected to need as much again.
-func (ir *itemRow) left() int {
+// remainingTokens returns the expected number of tokens still to generate. Hints are only right at the
+// median: an item that has exceeded its hint is expected to double its length.
+func (ir *itemRow) remainingTokens() int {
 	eventTokens := ir.step.gauge.eventTokens()
 	made := len(ir.events) * eventTokens
-	left := max(ir.item.expected(), ir.known*eventTokens) - made
+	left := max(ir.item.expectedTokens(), ir.known*eventTokens) - made
 	if left <= 0 {
 		left = made
 	}
@@ -223,11 +217,11 @@
 	return left
 }
 
-// start gives an item a place.
-func (ta *Table) start(ir *itemRow, en *engineRow, now time.Time) {
+// startRun starts a run of an item on an engine.
+func (ta *Table) startRun(ir *itemRow, en *engineRow, now time.Time) {
 	ta.attempt++
 	version, waited := en.versions[ir.step.step.Model], now.Sub(ir.since)
-	ta.become(ir, running)
+	ta.setState(ir, running)
 	ir.since, ir.unwanted = now, ""
 	ir.run = run{
 		at: en, engine: en.id, eventAt: now, prior: len(ir.events), version: version,
@@ -237,27 +231,27 @@
 	en.adjustMemo(ir, 1)
 	ta.log("item placed", map[string]any{
 		"after": len(ir.events), attemptField: ta.attempt, "bound": ir.item.Tokens - ir.item.Prompt, engineField: en.id,
-		"free": en.free(), "hint": ir.item.Hint, itemField: ir.item.ID, "known": ir.known,
+		"free": en.freeSlots(), "hint": ir.item.Hint, itemField: ir.item.ID, "known": ir.known,
 		"report-ms": now.Sub(en.heardAt).Milliseconds(), stepField: ir.step.step.ID, "version": version,
 		"waited-ms": waited.Milliseconds(),
 	})
 }
 
-// DropExpired gives items up that may no longer be waited for.
+// DropExpired abandons items that have exceeded their step's MaxWait.
 func (ta *Table) DropExpired(now time.Time) {
 	for _, sr := range ta.order {
-		if sr.step.MaxWait <= 0 || sr.age(now) < sr.step.MaxWait+giveUpSlack {
+		if sr.step.MaxWait <= 0 || sr.age(now) < sr.step.MaxWait+expirySlack {
 			continue
 		}
 		for _, ir := range sr.items {
 			if ir.open() {
-				ta.release(ir)
+				ta.releaseRun(ir)
 				ta.markLost(ir, "waited too long", now)
 			}
 		}
 	}
 }
 
-// giveUpSlack is how much longer an item is waited for than it must be. The
-// service may hold a step for as long before the scheduler learns of it.
-const giveUpSlack = 3 * time.Second
+// expirySlack is added to MaxWait, for clients whose clock starts before the scheduler sees
+// the step.
+const expirySlack = 3 * time.Second
--- a/step/revival.go
+++ b/step/revival.go
@@ -66,6 +66,6 @@
 	select {
 	case <-ctx.Done():
 	case <-back:
-	case <-time.After(retryAfter):
+	case <-time.After(retryDelay):
 	}
 }
--- a/step/reward.go
+++ b/step/reward.go
@@ -45,8 +45,8 @@
 		ta.finish(ir, complete, now)
 		return
 	}
-	ta.unreserve(ir)
-	ta.become(ir, scoring)
+	ta.releaseReserved(ir)
+	ta.setState(ir, scoring)
 	ir.reward.since = now
 	ta.unscored[ir] = true
 }
@@ -160,7 +160,7 @@
 		ta.rewards.observe(now.Sub(ir.reward.since))
 		ta.finish(ir, complete, now)
 	case ir.reward.failures >= max(ir.step.step.MaxAttempts, re.MaxAttempts, 1):
-		ta.release(ir)
+		ta.releaseRun(ir)
 		ta.markLost(ir, "its reward call failed too often", now)
 	default:
 		ir.reward.nextAt = now.Add(max(re.HeldFor, min(rewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -69,5 +69,5 @@
 	}
 	te.table.handleReward(ir, re, now.Sub(begun), now)
 	sc.startRewards(te, now)
-	te.hurry()
+	te.writeIfUrgent()
 }
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -20,7 +20,7 @@
 // smallCustomerCompetes reports whether two or more customers compete and one that requests no more than its share of
 // the room's capacity has open steps there, or may soon have some. Customers that have open steps only at other
 // services don't count.
-func (ta *Table) smallCustomerCompetes(rm *room) bool {
+func (ta *Table) smallCustomerCompetes(rm *servicePlan) bool {
 	customers := ta.share.account.Balances()
 	if len(customers) < 2 {
 		return false
--- a/step/settle.go
+++ b/step/settle.go
@@ -66,7 +66,9 @@
 	err     error
 }
 
-func newCommitResult(version int64, err error) commitResult { return commitResult{version: version, err: err} }
+func newCommitResult(version int64, err error) commitResult {
+	return commitResult{version: version, err: err}
+}
 
 // minWriteRate is the minimum rate at which the service accepts a large write, in bytes per second.
 const minWriteRate = 4 << 20
--- a/step/update.go
+++ b/step/update.go
@@ -24,7 +24,7 @@
 	if up.empty() {
 		return up
 	}
-	up.Account = ta.share.due(now)
+	up.Account = ta.share.dueAccount(now)
 	garbage := ta.ObsoleteKeys()
 	up.Deletes = garbage[:min(len(garbage), room)]
 	room -= len(up.Deletes)
@@ -53,14 +53,14 @@
 	fenceEntries   = 1 // expectation of the lease
 	accountEntries = 2 // value, and expectation of the previous one
 	markEntries    = 1 // mark of a chunk
-	valueEntries    = 2 // value of a chunk or checkpoint, and expectation that there is none
+	valueEntries   = 2 // value of a chunk or checkpoint, and expectation that there is none
 )
 
 // WritesApplied records that a write set has been applied.
 func (ta *Table) WritesApplied(up WriteSet, now time.Time) {
 	ta.ChunksListed(up.Chunks, now)
 	ta.CheckpointsSaved(up.Checkpoints)
-	ta.share.written(up.Account, now)
+	ta.share.accountWritten(up.Account, now)
 	ta.KeysDeleted(len(up.Deletes))
 	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
 }
--- a/step/witness.go
+++ b/step/witness.go
@@ -47,7 +47,7 @@
 		if len(en.Models) == 0 || heard+silent >= maxWitnesses {
 			continue
 		}
-		re, err := probe[Empty, runner.LastContactResponse](sc, sc.attendantOf(en), runner.LastContactMethod)
+		re, err := probe[Empty, runner.LastContactResponse](sc, sc.attendantAddress(en), runner.LastContactMethod)
 		switch {
 		case err != nil:
 		case re.Since < deadAfter:
--- a/step/write.go
+++ b/step/write.go
@@ -13,7 +13,7 @@
 // repeated unchanged.
 func (sc *Scheduler) writeLoop(ctx context.Context, te *term) {
 	var up WriteSet
-	timeout := listTimeout
+	timeout := resultsWriteTimeout
 	for ctx.Err() == nil {
 		back := te.revival.recovered()
 		if up.empty() {
@@ -31,10 +31,10 @@
 		done, err := sc.applyWrites(ctx, te, epoch, up, timeout)
 		switch {
 		case done:
-			if timeout != listTimeout {
+			if timeout != resultsWriteTimeout {
 				te.revival.notify()
 			}
-			timeout = listTimeout
+			timeout = resultsWriteTimeout
 			sc.mu.Lock()
 			te.table.WritesApplied(up, time.Now())
 			sc.mu.Unlock()
@@ -57,7 +57,7 @@
 	select {
 	case <-ctx.Done():
 	case <-te.writes:
-	case <-time.After(tickEvery):
+	case <-time.After(tickInterval):
 	}
 }
 
