--- a/step/byroom.go
+++ b/step/byroom.go
@@ -54,7 +54,7 @@
 			if pl.openCount == 0 {
 				return
 			}
-			if pi.item.moveTarget != "" || pi.item.holdsNow() <= pl.listOf(pi.item.step).maxTokens {
+			if pi.item.moveTarget != "" || pi.item.tokensNow() <= pl.listOf(pi.item.step).maxTokens {
 				pl.assign(pi.item)
 			}
 		}
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -72,7 +72,7 @@
 		wq := &sr.queue.queues[number]
 		he := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
 		if number&queueWithReward != 0 {
-			he.slack -= sr.rewards.usual()
+			he.slack -= sr.rewards.expected()
 		}
 		if len(wq.entries) > 0 {
 			heads = append(heads, he)
--- a/step/choose.go
+++ b/step/choose.go
@@ -19,8 +19,8 @@
 			break
 		}
 	}
-	_, end := en.memory()
-	_, added := ir.holds()
+	_, end := en.memoryUse()
+	_, added := ir.tokenUse()
 	return score - paceCost(ir.expectedTime().Seconds(), float64(en.contextTokens()), ta.lagBehindBest(en)) - en.overfillCost(end+added)
 }
 
@@ -65,7 +65,7 @@
 
 // contextTokens returns the expected mean number of tokens that an engine's runs hold.
 func (en *engineRow) contextTokens() int {
-	now, end := en.memory()
+	now, end := en.memoryUse()
 	return (now + end) / 2
 }
 
@@ -98,7 +98,7 @@
 	}
 	runs, tokens := len(en.items)+len(en.incoming), en.contextTokens()
 	if added != nil {
-		now, end := added.holds()
+		now, end := added.tokenUse()
 		runs, tokens = runs+1, tokens+(now+end)/2
 	}
 	return time.Duration(float64(base) * slowdown(runs, tokens))
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -31,7 +31,7 @@
 	rows := map[string][]*stepRow{} // by service
 	for _, sr := range ta.openSteps {
 		// A step without a due time is never late and needs no plan.
-		if sr.step.Due > 0 && !ta.idleByHold(sr) {
+		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
 			ta.servicePlan(sr.step.Service)
 		}
@@ -52,11 +52,11 @@
 	}
 	was, places := rm.planner.Overloaded(), ta.usableSlots(service, now)
 	// A customer within its share must not wait for the overload of others to end.
-	rm.planner.Lingers = !ta.competesWithinPart(rm)
+	rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
 	rm.planner.Plan(steps, places, now)
 	rm.stale = true
 	rm.withinShare = ta.customersWithinShare(steps, rows, places)
-	rm.prequeues = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
+	rm.prequeues = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
 	if rm.planner.Overloaded() != was {
 		ta.log("room for steps", map[string]any{
 			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
@@ -128,7 +128,7 @@
 // next steps are expected to end at the same age.
 func (ta *Table) recordAbandonAge(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
-	case sr.sated():
+	case sr.satisfied():
 		delete(ta.abandonAges, sr.trainerKey())
 	case age > sr.step.Due:
 		ta.abandonAges[sr.trainerKey()] = age
@@ -161,6 +161,6 @@
 // one. Moves without a gain would never end.
 func (ta *Table) makesInTime(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
-	stays := ta.runsFor(ir, now)
+	stays := ta.remainingTime(ir, now)
 	return stays > left && stays-ta.timeSaved(ir, from, to) <= left
 }
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -109,7 +109,7 @@
 	took := ir.expectedTime()
 	gw.waiting = append(gw.waiting, ir)
 	gw.hasEvents = gw.hasEvents || ir.hasEvents()
-	gw.leastTokens = min(gw.leastTokens, ir.holdsNow())
+	gw.leastTokens = min(gw.leastTokens, ir.tokensNow())
 	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
 	gw.needsScore = gw.needsScore || ir.item.Reward != nil
 	gw.work += max(took, minWork)
@@ -154,7 +154,7 @@
 		plan.Longest = max(gw.longest, minWork)
 	}
 	if gw.scoringCount > 0 {
-		took := max(gr.step.rewards.usual(), minWork)
+		took := max(gr.step.rewards.expected(), minWork)
 		plan.Work += time.Duration(gw.scoringCount) * took
 		plan.Longest = max(plan.Longest, took)
 	}
@@ -185,5 +185,5 @@
 	if en.paceRound != ta.paceRound {
 		en.pace, en.paceRound = ta.expectedPace(en, nil), ta.paceRound
 	}
-	return ir.runsAt(en.pace, now)
+	return ir.remainingAt(en.pace, now)
 }
--- a/step/mark.go
+++ b/step/mark.go
@@ -59,7 +59,7 @@
 		}
 	}
 	kept.Marked = nil
-	kept.Listed, err = ke.Listed(ctx, id)
+	kept.Listed, err = ke.Chunks(ctx, id)
 	return kept, err
 }
 
@@ -112,7 +112,7 @@
 		}
 	}
 	if !sr.ended {
-		sr.count(counts)
+		sr.setChunkSizes(counts)
 		sr.unread = total - len(sr.results)
 	}
 	return listed
@@ -129,8 +129,8 @@
 	sc.mu.Unlock()
 	var results []Result
 	size := 0
-	for at := max(rq.After, 0); at < unread && size <= maxListing; {
-		number, first, _ := locate(counts, at)
+	for at := max(rq.After, 0); at < unread && size <= maxListingBytes; {
+		number, first, _ := findChunk(counts, at)
 		chunk, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 		if err != nil {
 			return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
@@ -141,7 +141,7 @@
 		}
 		at = first + counts[number]
 	}
-	if size <= maxListing {
+	if size <= maxListingBytes {
 		results = append(results, later...)
 	}
 	sc.Log.WithFields(logrus.Fields{
@@ -165,7 +165,7 @@
 	}
 	sc.mu.Unlock()
 	for _, sr := range srs {
-		chunks, err := sc.archive.whole(ctx, sc.Keeper, sr.step.ID)
+		chunks, err := sc.archive.all(ctx, sc.Keeper, sr.step.ID)
 		if err != nil {
 			sc.Log.WithError(err).WithField(stepField, sr.step.ID).Warn("can't load the listed results of an open step")
 			continue
--- a/step/pace.go
+++ b/step/pace.go
@@ -99,7 +99,7 @@
 // median.
 func (ta *Table) ratePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
-		held, _ := en.memory()
+		held, _ := en.memoryUse()
 		en.basePace = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
 	}
 	median := ta.medianPaces[en.service]
@@ -182,7 +182,7 @@
 // that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sortedEngines {
-		if held, _ := en.memory(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
+		if held, _ := en.memoryUse(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
 			continue
 		}
 		if ir := en.mostSlack(now); ir != nil {
@@ -200,7 +200,7 @@
 		if ir.run.stopping {
 			return nil
 		}
-		held, _ := ir.holds()
+		held, _ := ir.tokenUse()
 		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < minMovedFraction*float64(en.tokens) {
 			continue
 		}
@@ -222,7 +222,7 @@
 	ir.run.stopping = true
 	ir.moveTarget = to.id
 	to.incoming[ir] = true
-	to.dropMemo()
+	to.invalidateMemo()
 	ta.log("run moved", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: from.id, "events": len(ir.events), itemField: ir.item.ID,
 		"pace-ms": from.report.Pace.Milliseconds(), "quiet-ms": now.Sub(ir.run.eventAt).Milliseconds(),
@@ -255,8 +255,8 @@
 
 // hasSpareMemory reports whether an engine would stay within roomyMemory with an additional item.
 func (en *engineRow) hasSpareMemory(ir *itemRow) bool {
-	now, _ := en.memory()
-	added, _ := ir.holds()
+	now, _ := en.memoryUse()
+	added, _ := ir.tokenUse()
 	return float64(now+added) <= lowMemoryFraction*float64(en.tokens)
 }
 
@@ -273,7 +273,7 @@
 func (ta *Table) releaseReserved(ir *itemRow) {
 	if en, ok := ta.engines[ir.moveTarget]; ok && ir.moveTarget != "" {
 		delete(en.incoming, ir)
-		en.dropMemo()
+		en.invalidateMemo()
 	}
 	if ir.moveTarget != "" {
 		ir.group.markStale(ta)
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -62,7 +62,7 @@
 	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
 	ta.moveRun(irs[0], ta.engines["a"], memoryReason, begin)
 	assert.Equal(t, irs[0].moveTarget, "b")
-	now, _ := ta.engines["b"].memory()
+	now, _ := ta.engines["b"].memoryUse()
 	assert.Assert(t, now >= 4000, "%d", now)
 	assert.Assert(t, !ta.engines["b"].hasSpareMemory(irs[1]))
 	assert.Equal(t, ta.engines["b"].freeSlots(), 1)
--- a/step/queue.go
+++ b/step/queue.go
@@ -92,7 +92,7 @@
 
 // entry returns a new entry for the item.
 func (ir *itemRow) entry() waitEntry {
-	return waitEntry{tokens: ir.holdsNow(), item: ir, duration: ir.expectedTime(), ticket: ir.ticket}
+	return waitEntry{tokens: ir.tokensNow(), item: ir, duration: ir.expectedTime(), ticket: ir.ticket}
 }
 
 // valid reports whether the item has been waiting ever since the entry was made.
--- a/step/row.go
+++ b/step/row.go
@@ -78,7 +78,7 @@
 	ended              bool
 	estimator          *tokenEstimator // of the step's model
 	tokenTime          time.Duration   // per token on the service's engines; 0 means unknown
-	rewards            *rewardGauge
+	rewards            *rewardEstimator
 	groups             map[string]*groupRow
 	groupList          []*groupRow    // ordered by their first items
 	interleaved        bool           // items of a group aren't consecutive
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -110,7 +110,7 @@
 	epoch         uint64
 	exchangeKicks map[string]chan struct{} // wake the exchange loops, by engine
 	polledAt      time.Time                // last response to the intake poll
-	revival       revival
+	revival       recoverySignal
 	ready         bool // the state of earlier schedulers is loaded
 	table         *Table
 	writeKick     chan struct{} // wakes the writer
@@ -235,7 +235,7 @@
 	sc.term = te
 	sc.Log.WithField("epoch", epoch).Info("scheduler")
 	go sc.follow(ctx, te)
-	go sc.write(ctx, te)
+	go sc.writeLoop(ctx, te)
 }
 
 // renew continues a term under a new epoch.
@@ -255,7 +255,7 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil {
-		sc.term.revival.tell()
+		sc.term.revival.notify()
 		notify(sc.term.writeKick)
 	}
 }
@@ -282,9 +282,9 @@
 		ta.RelieveMemory(now)
 		ta.Place(now)
 		ta.OrderLoads(now)
-		sc.measureRoom(ta)
+		sc.updateCapacityMetrics(ta)
 	}
-	sc.measureCustomers(ta)
+	sc.updateCustomerMetrics(ta)
 	sc.startRewards(te, now)
 	for id, kick := range te.exchangeKicks {
 		if ta.exchangeUrgent(id) {
@@ -364,9 +364,9 @@
 	sc.mu.Lock()
 	var ids []string
 	if sc.term != nil && sc.term.ready {
-		ids = sc.term.table.Forget(sc.Keep, now)
+		ids = sc.term.table.DropOldSteps(sc.Keep, now)
 		sc.term.table.LogLoad(now.Sub(sc.term.polledAt), now)
-		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItems()))
+		sc.Metrics.GetOrCreateGauge(`wisteriacroft_items_held_by_operator`, nil).Set(float64(sc.term.table.heldItemCount()))
 	}
 	sc.mu.Unlock()
 	sc.loadListedResults(ctx)
--- a/step/seat.go
+++ b/step/seat.go
@@ -60,7 +60,7 @@
 func (pl *placement) refresh(i int) {
 	se, ta := &pl.candidates[i], pl.table
 	en := se.engine
-	now, end := en.memory()
+	now, end := en.memoryUse()
 	se.openSlots, se.endTokens, se.contextTokens = pl.countOpenSlots(se), end, float64((now+end)/2)
 	se.runsTrial = ta.trials.runsTrial(en.id, pl.now)
 	pl.summaries[i] = pl.summaryOf(se, now)
@@ -141,7 +141,7 @@
 
 func (pl *placement) demandOf(ir *itemRow) itemDemand {
 	ne := itemDemand{item: ir, seconds: ir.expectedTime().Seconds()}
-	ne.tokens, ne.endTokens = ir.holds()
+	ne.tokens, ne.endTokens = ir.tokenUse()
 	if pl.now.Sub(ir.stateSince) < avoidEngineFor {
 		ne.avoidedEngine = ir.avoidedEngine
 	}
--- a/step/table.go
+++ b/step/table.go
@@ -31,13 +31,13 @@
 	ignoreShares bool      // disables ranks of customers, for comparison in tests
 	// knownLengths are lower bounds of the events of items of ended steps, whose groups may be
 	// requested again.
-	knownLengths map[itemKey]length
+	knownLengths map[itemKey]minLength
 	// reusableItems holds items of ended steps, whose texts are reused if their groups are requested
 	// again.
 	reusableItems map[itemKey]*itemRow
 	quarantine    *quarantine.Table // of items that crash engines
 	requests      uint64            // number of requests to attendants
-	rewards       *rewardGauge
+	rewards       *rewardEstimator
 	usage         customerUsage
 	steps         map[string]*stepRow
 	trials        trials // of items suspected to crash engines
@@ -69,10 +69,10 @@
 		log = func(string, map[string]any) {}
 	}
 	ta := &Table{
-		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardGauge{},
+		attempt: epoch << attemptBits, epoch: epoch, log: log, quarantine: &quarantine.Table{}, rewards: &rewardEstimator{},
 		medianBases: map[string]time.Duration{}, bestBases: map[string]time.Duration{}, demand: map[string]float64{},
 		engines: map[string]*engineRow{}, formerEngines: map[string]time.Time{}, estimators: map[string]*tokenEstimator{},
-		knownLengths: map[itemKey]length{}, newestVersions: map[string]uint64{}, medianPaces: map[string]time.Duration{},
+		knownLengths: map[itemKey]minLength{}, newestVersions: map[string]uint64{}, medianPaces: map[string]time.Duration{},
 		abandonAges: map[string]time.Duration{}, reusableItems: map[itemKey]*itemRow{}, servicePlans: map[string]*servicePlan{},
 		steps: map[string]*stepRow{}, unscored: map[*itemRow]bool{},
 	}
@@ -156,7 +156,7 @@
 			ta.finish(ir, complete, now)
 			continue
 		}
-		ta.takeOver(ir, now)
+		ta.reuseText(ir, now)
 	}
 	sr.restore(ke.Checkpoints)
 	ta.observeDemand(st)
@@ -186,14 +186,14 @@
 	delete(ta.unscored, ir)
 	ta.setState(ir, state)
 	ir.doneAt = now
-	ir.measure()
+	ir.measureText()
 	gr := ir.step.groups[ir.item.Group]
 	gr.openItems--
 	if gr.openItems == 0 {
 		if ir.step.age(now) <= ir.step.step.Due {
 			ir.step.servedAt = now
 		}
-		ta.writeUrgent = ta.writeUrgent || ir.step.sated()
+		ta.writeUrgent = ta.writeUrgent || ir.step.satisfied()
 	}
 }
 
@@ -209,7 +209,7 @@
 	for _, ir := range sr.items {
 		ta.releaseRun(ir)
 		ta.releaseReserved(ir)
-		ta.noteLength(ir)
+		ta.recordLength(ir)
 		delete(ta.unscored, ir)
 		if ir.state == scoring {
 			ta.log("reward call dropped", map[string]any{
@@ -254,7 +254,7 @@
 	if en, ok := ta.engines[ir.run.engineID]; ok {
 		delete(en.items, ir.run.key)
 		delete(en.retained, ir.run.key)
-		en.dropMemo()
+		en.invalidateMemo()
 		en.toForget[ir.run.key] = true
 	}
 	ir.run = run{}
@@ -271,7 +271,7 @@
 		return
 	}
 	delete(en.items, ir.run.key)
-	en.dropMemo()
+	en.invalidateMemo()
 	en.retained[ir.run.key] = ir
 }
 
