--- a/step/byroom.go
+++ b/step/byroom.go
@@ -66,7 +66,7 @@
 type passKind int
 
 const (
-	urgentPass    passKind = iota // items with less slack than urgentSpare in groups with reserved capacity
+	urgentPass    passKind = iota // items with less slack than urgentSlack in groups with reserved capacity
 	plannedPass                   // other items in groups with reserved capacity
 	unplannedPass                 // items in groups without reserved capacity
 )
--- a/step/choose.go
+++ b/step/choose.go
@@ -10,7 +10,7 @@
 	return ta.defaultScore(en, ir, now)
 }
 
-// defaultScore returns the default defaultScore of an engine for an item, in free slots.
+// defaultScore returns the default score of an engine for an item, in free slots.
 func (ta *Table) defaultScore(en *engineRow, ir *itemRow, now time.Time) float64 {
 	score := en.baseScore(now)
 	for _, other := range en.items {
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -20,7 +20,7 @@
 	graceTime = 400 * time.Millisecond
 )
 
-// planCapacity plans the capacity of each service, at intervals of planEvery.
+// planCapacity plans the capacity of each service, at intervals of planInterval.
 func (ta *Table) planCapacity(now time.Time) {
 	if now.Sub(ta.plannedAt) < planInterval {
 		return
@@ -121,7 +121,7 @@
 	return st
 }
 
-// trainerKey returns a key for the step's trainerKey that is unique among all customers.
+// trainerKey returns a key for the step's trainer that is unique among all customers.
 func (sr *stepRow) trainerKey() string { return sr.step.Customer + "/" + sr.step.Model }
 
 // recordAbandonAge records at which age a trainer ended a step that was late and incomplete. Its
--- a/step/engines.go
+++ b/step/engines.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// forgetFormer forgets engines that left more than formerTime ago.
+// forgetFormer forgets engines that left more than formerEngineTTL ago.
 func (ta *Table) forgetFormer(now time.Time) {
 	maps.DeleteFunc(ta.formerEngines, func(_ string, gone time.Time) bool { return now.Sub(gone) > formerEngineTTL })
 }
@@ -89,7 +89,7 @@
 	ta.newestVersions[model] = max(ta.newestVersions[model], version)
 }
 
-// EvictSilent requeues the runs of engines whose attendants haven't responded for silentAfter.
+// EvictSilent requeues the runs of engines whose attendants haven't responded for responseTimeout.
 func (ta *Table) EvictSilent(now time.Time) {
 	for _, en := range ta.sortedEngines {
 		if len(en.items) > 0 && !en.respondedAt.IsZero() && now.Sub(en.respondedAt) > responseTimeout {
@@ -150,7 +150,7 @@
 	return 0
 }
 
-// isLast reports whether a running item is one of the isLast that its step waits for.
+// isLast reports whether a running item is one of the last that its step waits for.
 func (ir *itemRow) isLast() bool { return ir.step.ending && ir.run.confirmed && !ir.run.stopping }
 
 // runsLastItems reports whether an engine runs one of the last items that a step waits for, so that
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -49,7 +49,7 @@
 	return ok && len(en.items)+len(en.retained)+len(en.toForget) == 0 && en.order == nil
 }
 
-// attendantAddress returns the current address of an engine's attendantAddress, which changes if the engine
+// attendantAddress returns the current address of an engine's attendant, which changes if the engine
 // restarts elsewhere under its ID.
 func (ta *Table) attendantAddress(id string) string {
 	if en, ok := ta.engines[id]; ok {
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -39,7 +39,7 @@
 	longestEvents int // their events
 }
 
-// A estimateChanges counts changes of the estimates of all gauges, to invalidate caches.
+// An estimateChanges counts changes of the estimates of all models, to invalidate caches.
 type estimateChanges struct{ counted int }
 
 // count returns the count, or 0 if gc is nil.
@@ -111,7 +111,7 @@
 // tokenTime returns the time per token of engines with the given median and best times per
 // event, or 0 if unknown.
 //
-// Engines of other types may be several times slower or faster than usualTokenTime, which would
+// Engines of other types may be several times slower or faster than defaultTokenTime, which would
 // give wrong slack and work.
 //
 // Only items at their limits are used here. Hints would be biased, as the items that end first
@@ -129,7 +129,7 @@
 }
 
 // otherTypeFactor is the factor by which the best engine must be slower, or the median one faster,
-// than usualTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
+// than defaultTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
 // for a short time.
 const otherTypeFactor = 2
 
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -175,7 +175,7 @@
 	return len(gr.step.items)
 }
 
-// remainingTimeCached returns the expected remaining time of a run, as runsFor does, but computes an
+// remainingTimeCached returns the expected remaining time of a run, as remainingTime does, but computes an
 // engine's pace only once in a paceRound, in which no run starts or ends.
 func (ta *Table) remainingTimeCached(ir *itemRow, now time.Time) time.Duration {
 	en := ir.run.engine
--- a/step/mark.go
+++ b/step/mark.go
@@ -23,7 +23,7 @@
 	Listed []string // item IDs, in the order of the results
 }
 
-// manifestPrefix returns the key prefix of a step's marks.
+// manifestPrefix returns the key prefix of a step's manifests.
 func manifestPrefix(id string) string { return checkpointPrefix + id + "/listed/" }
 
 func manifestKey(id string, number int) string {
@@ -38,7 +38,8 @@
 	return ma
 }
 
-// Stored returns the stored progress of an open step, without results if all chunks have a mark.
+// Stored returns the stored progress of an open step, without results if all chunks have a
+// manifest.
 func (ke *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
 	ch, err := ke.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
@@ -49,7 +50,7 @@
 		return StoredStep{}, err
 	}
 	if gapless {
-		// A chunk without a mark was written by an earlier release.
+		// A chunk without a manifest was written by an earlier release.
 		_, err := ke.Client.Get(ctx, listedKey(id, len(kept.Marked)))
 		if errors.Is(err, keyvalue.ErrNotFound) {
 			return kept, nil
@@ -63,7 +64,7 @@
 	return kept, err
 }
 
-// decodeStoredStep decodes marks and checkpoints of a step, and reports whether the marks cover
+// decodeStoredStep decodes manifests and checkpoints of a step, and reports whether the manifests cover
 // consecutive chunks from the first one on.
 func decodeStoredStep(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
 	gapless = true
@@ -150,7 +151,7 @@
 	return page(results, 0, total), nil
 }
 
-// loadListedResults loads the results of open steps that were restored from marks. Until then, reads
+// loadListedResults loads the results of open steps that were restored from manifests. Until then, reads
 // of them depend on the key-value service.
 func (sc *Scheduler) loadListedResults(ctx context.Context) {
 	sc.mu.Lock()
--- a/step/pace.go
+++ b/step/pace.go
@@ -17,7 +17,7 @@
 	// slowDelay is how long an engine must exceed slowFactor to be rated slow. Prefill of
 	// new runs slows it down for a shorter time.
 	slowDelay = 400 * time.Millisecond
-	// verySlowFactor and verySlowSince are the same for a ratio that prefill can't cause.
+	// verySlowFactor and verySlowDelay are the same for a ratio that prefill can't cause.
 	verySlowFactor = 2.5
 	verySlowDelay  = 100 * time.Millisecond
 	// slowDuration is how long an engine stays rated slow. Without runs it can't be measured.
@@ -34,7 +34,7 @@
 	// moveCost is the minimum time that a move must save.
 	moveCost = 400 * time.Millisecond
 	// highMemoryFraction is the fraction of an engine's memory above which a run is moved away,
-	// and roomyMemory the fraction up to which the target may be filled. The difference
+	// and lowMemoryFraction the fraction up to which the target may be filled. The difference
 	// leaves space for growth during the move.
 	highMemoryFraction = 0.88
 	lowMemoryFraction  = 0.6
@@ -253,7 +253,7 @@
 	return best
 }
 
-// hasSpareMemory reports whether an engine would stay within roomyMemory with an additional item.
+// hasSpareMemory reports whether an engine would stay within lowMemoryFraction with an additional item.
 func (en *engineRow) hasSpareMemory(ir *itemRow) bool {
 	now, _ := en.memoryUse()
 	added, _ := ir.tokenUse()
@@ -301,7 +301,7 @@
 	return en.reasonToMove(ir, now) != "" && !en.slow(now)
 }
 
-// isLongRun reports whether a run is isLongRun and its engine slower than the best one at equal load.
+// isLongRun reports whether a run is long and its engine slower than the best one at equal load.
 // The current load isn't considered, as it changes quickly.
 func (ta *Table) isLongRun(en *engineRow, ir *itemRow) bool {
 	return len(ir.events)-ir.run.priorEvents >= minMoveEvents && float64(ta.bestBases[en.service]) < (1-paceTolerance)*float64(en.basePace)
--- a/step/place.go
+++ b/step/place.go
@@ -13,7 +13,7 @@
 	// and so has their prompt cached.
 	sameGroupBonus = 3
 	// maxMemoryFraction is the fraction of an engine's memory that new items may fill. It must be
-	// less than crowdedMemory, or new items would displace others.
+	// less than highMemoryFraction, or new items would displace others.
 	maxMemoryFraction = 0.8
 	// defaultLengthFraction is the fraction of its token limit that an item without a hint is expected
 	// to use.
@@ -22,7 +22,7 @@
 	avoidEngineFor = 500 * time.Millisecond
 )
 
-// expectedTokens returns the expectedTokens number of generated tokens.
+// expectedTokens returns the expected number of generated tokens.
 func (it *Item) expectedTokens() int {
 	if it.Hint > 0 {
 		return it.Hint
@@ -30,7 +30,7 @@
 	return int(defaultLengthFraction * float64(max(it.Tokens-it.Prompt, 0)))
 }
 
-// freeSlots returns the number of freeSlots slots. It is negative if more runs than slots are known.
+// freeSlots returns the number of free slots. It is negative if more runs than slots are known.
 func (en *engineRow) freeSlots() int {
 	return en.slots - len(en.items) - en.foreignRequests - len(en.incoming)
 }
--- a/step/placing.go
+++ b/step/placing.go
@@ -8,10 +8,10 @@
 // A placement is one round of placement: the assignment of waiting items to engine slots.
 //
 // It evaluates each engine once, and again when a slot of it is taken or released. The order of
-// items is that of bySpare or, under overload, of byRoom.
+// items is that of placeBySlack or, under overload, of placeByPlan.
 type placement struct {
-	summaries      []candidateSummary // of seats
-	openCount      int                // number of seats that aren't full
+	summaries      []candidateSummary // parallel to candidates
+	openCount      int                // number of candidates that aren't full
 	candidateLists map[candidateKey]*candidateList
 	now            time.Time
 	candidates     []candidate
@@ -82,7 +82,7 @@
 	}
 }
 
-// startRun starts an item on the engine of a seat. It doesn't update endsSoon of an engine that
+// startRun starts an item on a candidate's engine. It doesn't update endsSoon of an engine that
 // released a reserved slot in this round.
 func (pl *placement) startRun(ir *itemRow, i int) {
 	se := &pl.candidates[i]
--- a/step/queue.go
+++ b/step/queue.go
@@ -8,7 +8,7 @@
 
 // A waitEntry is a waiting item with its properties when it was enqueued.
 type waitEntry struct {
-	tokens   int // tokens
+	tokens   int
 	item     *itemRow
 	duration time.Duration // expected time to complete
 	ticket   int           // the entry is valid while the item has the same ticket
@@ -32,7 +32,7 @@
 type stepQueue struct {
 	built  bool
 	added  []*itemRow   // items that started to wait after the last refresh
-	queues [4]waitQueue // indexed by itemRow.queue
+	queues [4]waitQueue // indexed by itemRow.queueIndex
 }
 
 // add adds an item that starts to wait.
@@ -78,7 +78,7 @@
 	queueWithReward = 2
 )
 
-// queueIndex returns the index of the queueIndex for an item.
+// queueIndex returns the index of the queue for an item.
 func (ir *itemRow) queueIndex() int {
 	number := 0
 	if ir.hasEvents() {
--- a/step/room.go
+++ b/step/room.go
@@ -7,7 +7,7 @@
 // Services are planned separately, since steps can't use the capacity of another service.
 type servicePlan struct {
 	planner overload.Planner
-	// reserved and unreserved are the groups of open steps with and unreserved reserved capacity, by
+	// reserved and unreserved are the groups of open steps with and without reserved capacity, by
 	// position. If stale is set, they are out of date.
 	reserved, unreserved []*groupRow
 	stale                bool
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -1,7 +1,7 @@
 package step
 
-// sortGroups sorts the groups of a service's open steps by position into withRoom and without. It
-// does nothing unless the sortGroups is stale.
+// sortGroups sorts the groups of a service's open steps by position into reserved and unreserved.
+// It does nothing unless the order is stale.
 func (rm *servicePlan) sortGroups(steps []*stepRow) {
 	if !rm.stale {
 		return
--- a/step/row.go
+++ b/step/row.go
@@ -145,7 +145,7 @@
 	service         string
 	pace            time.Duration // expected time per event under current load, as of paceRound
 	paceRound       int
-	candidateIndex  int // index in the last round of placement, or -1; see placing.seatOf
+	candidateIndex  int // index in the last round of placement, or -1; see placement.indexOf
 	slots           int
 	tokens          int // memory
 	versions        map[string]uint64
--- a/step/seat.go
+++ b/step/seat.go
@@ -7,7 +7,7 @@
 
 // A candidate is a candidate engine in a round of placement, with precomputed inputs of its score.
 //
-// The values that exclude most candidates are kept in a compact seatSummary, since every
+// The values that exclude most candidates are kept in a compact candidateSummary, since every
 // candidate is checked for every waiting item.
 type candidate struct {
 	lagBehindBest float64 // see Table.behind
@@ -21,22 +21,23 @@
 	runsTrial     bool // runs an isolated trial of an item
 }
 
-// A candidateSummary holds the values that exclude a seat for most items.
+// A candidateSummary holds the values that exclude a candidate for most items.
 type candidateSummary struct {
-	freeTokens int     // maximum tokens of an item that fits; fullRoom if none does
+	freeTokens int     // maximum tokens of an item that fits; noFreeTokens if none does
 	score      float64 // upper bound of the score: the part that depends on the item is only subtracted
 }
 
-// noFreeTokens is the room of an engine that takes no items.
+// noFreeTokens marks an engine that takes no items.
 const noFreeTokens = math.MinInt
 
-// A candidateKey identifies steps whose items can run on the same engines. They share a seatList.
+// A candidateKey identifies steps whose items can run on the same engines. They share a
+// candidateList.
 type candidateKey struct {
 	minVersion     uint64
 	model, service string
 }
 
-// A candidateList holds the seats that can run the items of some steps.
+// A candidateList holds the candidates that can run the items of some steps.
 type candidateList struct {
 	lastChosen int   // last chosen index, or -1
 	maxTokens  int   // upper bound of the tokens of an item that fits
@@ -56,7 +57,7 @@
 	return free
 }
 
-// refresh recomputes a seat from the current state of its engine.
+// refresh recomputes a candidate from the current state of its engine.
 func (pl *placement) refresh(i int) {
 	se, ta := &pl.candidates[i], pl.table
 	en := se.engine
@@ -73,10 +74,10 @@
 	}
 }
 
-// compactEvery is the number of seats that must become full between two compactions of the lists.
+// compactEvery is the number of candidates that must become full between two compactions of the lists.
 const compactEvery = 16
 
-// summaryOf returns the summary of a seat whose engine holds now tokens.
+// summaryOf returns the summary of a candidate whose engine holds now tokens.
 func (pl *placement) summaryOf(se *candidate, now int) candidateSummary {
 	en := se.engine
 	su := candidateSummary{freeTokens: math.MaxInt, score: en.baseScore(pl.now)}
@@ -89,7 +90,7 @@
 	return su
 }
 
-// indexOf returns the index of an engine's seat, or -1. The index stored in the engine may be of
+// indexOf returns the index of an engine's candidate, or -1. The index stored in the engine may be of
 // an earlier round.
 func (pl *placement) indexOf(en *engineRow) int {
 	if en != nil && en.candidateIndex >= 0 && en.candidateIndex < len(pl.candidates) && pl.candidates[en.candidateIndex].engine == en {
@@ -98,7 +99,7 @@
 	return -1
 }
 
-// listOf returns the seats that can run a step's items, cached for this round.
+// listOf returns the candidates that can run a step's items, cached for this round.
 func (pl *placement) listOf(sr *stepRow) *candidateList {
 	if sr.placement == pl {
 		return sr.candidates
@@ -153,15 +154,15 @@
 	return (ne.avoidedEngine == "" || se.engine.id != ne.avoidedEngine) && se.engine.canContinue(ne.item)
 }
 
-// score returns the score of a seat for an item, given the part that doesn't depend on it.
+// score returns the score of a candidate for an item, given the part that doesn't depend on it.
 func (se *candidate) score(ne *itemDemand, score float64) float64 {
 	return score - paceCost(ne.seconds, se.contextTokens, se.lagBehindBest) - se.engine.overfillCost(se.endTokens+ne.endTokens)
 }
 
-// choose returns the index of the best seat for an item, or -1, and updates the bound of the
+// choose returns the index of the best candidate for an item, or -1, and updates the bound of the
 // list.
 //
-// It skips seats whose upper bound is below the best score, unless the table has a custom
+// It skips candidates whose upper bound is below the best score, unless the table has a custom
 // score, which has no such bound. Engines that run items of the same group are considered
 // first, with their bonus.
 func (pl *placement) choose(ir *itemRow) int {
@@ -204,14 +205,14 @@
 	return best
 }
 
-// compactLists removes full seats from all lists.
+// compactLists removes full candidates from all lists.
 func (pl *placement) compactLists() {
 	for _, sl := range pl.candidateLists {
 		sl.indexes = slices.DeleteFunc(sl.indexes, func(i int) bool { return pl.candidates[i].full })
 	}
 }
 
-// score returns the score of a seat for an item, by the table's custom score if it has one.
+// score returns the score of a candidate for an item, by the table's custom score if it has one.
 func (pl *placement) score(se *candidate, ne *itemDemand, score float64) float64 {
 	if rank := pl.table.scoreFunc; rank != nil {
 		return rank(se.engine, ne.item, pl.now)
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -43,7 +43,7 @@
 	return data
 }
 
-// accountWritten records that an account was accountWritten.
+// accountWritten records that an account was written.
 func (fs *customerUsage) accountWritten(data []byte, now time.Time) {
 	if len(data) > 0 {
 		fs.saved, fs.savedAt = data, now
--- a/step/suspect.go
+++ b/step/suspect.go
@@ -27,8 +27,8 @@
 	// trialStrikes is the number of strikes for an item whose engine ended during its trial.
 	// It bars the item at once.
 	trialStrikes = 6
-	// minCrashWave and the fraction 1/wavePart of all engines are the numbers of other engines
-	// that end within waveTime from which on a common cause is assumed.
+	// minCrashWave and the fraction 1/crashWaveDivisor of all engines are the numbers of other engines
+	// that end within crashWaveTime from which on a common cause is assumed.
 	minCrashWave     = 2
 	crashWaveDivisor = 4
 	crashWaveTime    = time.Second
@@ -76,7 +76,7 @@
 	return count
 }
 
-// recordEnd records the recordEnd of an engine, and returns how many others ended within waveTime.
+// recordEnd records the end of an engine, and returns how many others ended within crashWaveTime.
 func (tr *trials) recordEnd(engine string, now time.Time) int {
 	if tr.ends == nil {
 		tr.ends = map[string]time.Time{}
@@ -94,7 +94,7 @@
 	tr.young[di]++
 }
 
-// young reports whether an item's run has started within trialTime.
+// young reports whether an item's run has started within youngTime.
 func (ir *itemRow) young(now time.Time) bool { return now.Sub(ir.stateSince) < youngTime }
 
 // recordEngineEnd records that a run broke because its engine ended, which the item may have caused.
@@ -131,7 +131,7 @@
 	return ta.quarantine.CheckItem(ir.digest, now).Held()
 }
 
-// needsTrial reports whether an item must be needsTrial alone.
+// needsTrial reports whether an item must be tried alone.
 func (ta *Table) needsTrial(ir *itemRow, now time.Time) bool {
 	return ta.trials.young[ir.digest] >= minSuspectEnds && now.Sub(ir.stateSince) < maxTrialWait
 }
--- a/step/table.go
+++ b/step/table.go
@@ -52,7 +52,7 @@
 	garbageKeys    []string                   // keys to delete
 	endedSteps     []*Step                    // ended steps, to be stored without their items
 	estimators     map[string]*tokenEstimator // by model
-	// estimateChanges counts changes of the estimates of all gauges.
+	// estimateChanges counts changes of the estimates of all models.
 	estimateChanges estimateChanges
 	savedAt         time.Time                // when checkpoints were last made
 	medianBases     map[string]time.Duration // median base, by service
--- a/step/weights.go
+++ b/step/weights.go
@@ -12,7 +12,7 @@
 
 // Limits of loading weights.
 const (
-	// minConcurrentLoads is the minimum number of concurrent loads of a service, and partAtOnce the
+	// minConcurrentLoads is the minimum number of concurrent loads of a service, and enginesPerLoad the
 	// number of engines per load. The weight store serves this many at full speed.
 	minConcurrentLoads = 2
 	enginesPerLoad     = 5
@@ -117,7 +117,7 @@
 	return en.versions[model] >= version || loads
 }
 
-// engineToLoad returns the engine that should load a model next, or nil: the one with the engineToLoad
+// engineToLoad returns the engine that should load a model next, or nil: the one with the oldest
 // version before the given one, then the one with the fewest other usable models, then the one
 // with the most runs, which can't start new ones anyway.
 func (ta *Table) engineToLoad(ens []*engineRow, model string, version uint64) *engineRow {
@@ -146,7 +146,7 @@
 	)
 }
 
-// negativeLag returns the negative number of versions that an engine lags behind, at least -uselessLag.
+// negativeLag returns the negative number of versions that an engine lags behind, at least -unusableLag.
 // Steps accept only the newest version and the one before it.
 func (ta *Table) negativeLag(en *engineRow, model string) int {
 	return -int(min(ta.newestVersions[model]-en.versions[model], unusableLag))
@@ -166,7 +166,7 @@
 	return count
 }
 
-// orderLoad orders an engine to orderLoad a model's newest version.
+// orderLoad orders an engine to load a model's newest version.
 func (ta *Table) orderLoad(en *engineRow, model string, now time.Time) {
 	version := ta.newestVersions[model]
 	en.order = &runner.Order{Endpoint: en.id, Fence: ta.epoch, Keep: !ta.needsSingleVersion(model), Model: model, Version: version}
