--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -19,15 +19,15 @@
 	// margin is the hysteresis of ranks, without which the order would change with each item
 	// that ends.
 	margin = 0.25
-	// foresight is the number of seconds of current and wanted usage that is charged in
+	// chargeAhead is the number of seconds of current and wanted usage that is charged in
 	// advance. Otherwise all waiting work of a customer could be placed before its rank
 	// changes.
-	foresight = 1.0
-	// mostClaim limits, in seconds of its share, how far a customer can fall behind. Otherwise
+	chargeAhead = 1.0
+	// maxLag limits, in seconds of its share, how far a customer can fall behind. Otherwise
 	// work that couldn't run for a while would later block all others for as long.
-	mostClaim = 10.0
-	// maxRows limits the number of customers in an account.
-	maxRows = 1000
+	maxLag = 10.0
+	// maxCustomers limits the number of customers in an account.
+	maxCustomers = 1000
 )
 
 // A Usage is the current usage of a customer, in fractions of the total.
@@ -41,8 +41,8 @@
 // dominant returns the dominant share: the larger fraction of memory and slots.
 func (us Usage) dominant() float64 { return max(us.Memory, us.Places) }
 
-// foreseen returns the dominant share if the customer gets all that it wants.
-func (us Usage) foreseen() float64 { return max(us.dominant(), min(us.Wants, 1)) }
+// projected returns the dominant share if the customer gets all that it wants.
+func (us Usage) projected() float64 { return max(us.dominant(), min(us.Wants, 1)) }
 
 // A row is the account of one customer.
 type row struct {
@@ -87,9 +87,9 @@
 	if ac.rows == nil {
 		ac.rows = map[string]*row{}
 	}
-	ac.join(uses)
+	ac.addCustomers(uses)
 	scarce := isScarce(uses)
-	total := ac.total(uses)
+	total := ac.totalWeight(uses)
 	for _, ro := range ac.rows {
 		ro.use = Usage{}
 	}
@@ -102,13 +102,13 @@
 	}
 	switch {
 	case scarce:
-		ac.bound(uses, total)
-		ac.virtual = max(ac.virtual, ac.least(uses))
+		ac.limitLag(uses, total)
+		ac.virtual = max(ac.virtual, ac.minServed(uses))
 	case len(ac.rows) > 0:
 		ac.virtual += elapsed.Seconds() / max(total, 1)
 	}
 	ac.prune(uses)
-	ac.rate(total)
+	ac.updateLevels(total)
 }
 
 // isScarce reports whether some customer waits while some has usage.
@@ -121,8 +121,8 @@
 	return waits && has
 }
 
-// join adds new customers, and moves those that are behind to the virtual time.
-func (ac *Account) join(uses map[string]Usage) {
+// addCustomers adds new customers, and moves those that are behind to the virtual time.
+func (ac *Account) addCustomers(uses map[string]Usage) {
 	for customer := range uses {
 		ro := ac.rows[customer]
 		if ro == nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-// total returns the total weight of the given customers.
-func (ac *Account) total(uses map[string]Usage) float64 {
+// totalWeight returns the totalWeight weight of the given customers.
+func (ac *Account) totalWeight(uses map[string]Usage) float64 {
 	total := 0.0
 	for customer := range uses {
 		total += ac.Weight(customer)
@@ -142,20 +142,20 @@
 	return total
 }
 
-// bound limits how far customers are behind to mostClaim.
-func (ac *Account) bound(uses map[string]Usage, total float64) {
+// limitLag limits how far customers are behind to mostClaim.
+func (ac *Account) limitLag(uses map[string]Usage, total float64) {
 	most := math.Inf(-1)
 	for customer := range uses {
 		most = max(most, ac.rows[customer].served)
 	}
 	for customer := range uses {
 		ro := ac.rows[customer]
-		ro.served = max(ro.served, most-mostClaim/total)
+		ro.served = max(ro.served, most-maxLag/total)
 	}
 }
 
-// least returns the usage of the waiting customer that is furthest behind.
-func (ac *Account) least(uses map[string]Usage) float64 {
+// minServed returns the usage of the waiting customer that is furthest behind.
+func (ac *Account) minServed(uses map[string]Usage) float64 {
 	least := math.Inf(1)
 	for customer, us := range uses {
 		if us.Waits {
@@ -173,7 +173,7 @@
 		return !present && ro.served <= ac.virtual
 	})
 	for _, customer := range ac.byServed() {
-		if len(ac.rows) <= maxRows {
+		if len(ac.rows) <= maxCustomers {
 			return
 		}
 		if _, present := uses[customer]; !present {
@@ -189,11 +189,11 @@
 	})
 }
 
-// rate updates the level of each customer.
-func (ac *Account) rate(total float64) {
+// updateLevels updates the level of each customer.
+func (ac *Account) updateLevels(total float64) {
 	least := math.Inf(1)
 	for customer, ro := range ac.rows {
-		ro.key = ro.served + ro.use.foreseen()*foresight/ac.Weight(customer)
+		ro.key = ro.served + ro.use.projected()*chargeAhead/ac.Weight(customer)
 		if ro.use.Waits {
 			least = min(least, ro.key)
 		}
@@ -203,13 +203,13 @@
 			ro.rated = false
 			continue
 		}
-		ro.relevel(max(ro.key-least, 0) * total)
+		ro.updateLevel(max(ro.key-least, 0) * total)
 	}
 }
 
-// relevel sets the level for a distance in seconds of the customer's share, with hysteresis for
+// updateLevel sets the level for a distance in seconds of the customer's share, with hysteresis for
 // lower levels.
-func (ro *row) relevel(distance float64) {
+func (ro *row) updateLevel(distance float64) {
 	if !ro.rated || distance >= float64(ro.level+1)*quantum {
 		ro.level, ro.rated = int(distance/quantum), true
 		return
@@ -238,16 +238,16 @@
 // Balances returns the balances of all customers in the account.
 func (ac *Account) Balances() map[string]Balance {
 	out := make(map[string]Balance, len(ac.rows))
-	total := ac.present()
+	total := ac.activeWeight()
 	for customer, ro := range ac.rows {
 		out[customer] = Balance{Ahead: (ro.served - ac.virtual) * total, Rank: ac.Rank(customer), Use: ro.use}
 	}
 	return out
 }
 
-// present returns the total weight of customers with usage or waiting work, or 1 if there are
+// activeWeight returns the total weight of customers with usage or waiting work, or 1 if there are
 // none.
-func (ac *Account) present() float64 {
+func (ac *Account) activeWeight() float64 {
 	total := 0.0
 	for customer, ro := range ac.rows {
 		if ro.use != (Usage{}) {
@@ -262,7 +262,7 @@
 
 // Spread returns the number of waiting customers, and the largest lead in seconds of a share.
 func (ac *Account) Spread() (count int, most float64) {
-	total := ac.present()
+	total := ac.activeWeight()
 	for _, ro := range ac.rows {
 		if ro.use.Waits {
 			count++
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -13,25 +13,25 @@
 
 const testTick = 50 * time.Millisecond
 
-// A shop simulates slots that customers compete for by the ranks of an account.
-type shop struct {
+// A simulation simulates slots that customers compete for by the ranks of an account.
+type simulation struct {
 	account Account
 	at      time.Duration
 	places  int
-	runs    []shopRun
+	runs    []simRun
 	served  map[string]time.Duration // slot time
 	wants   map[string]int           // waiting items
 }
 
-type shopRun struct {
+type simRun struct {
 	customer string
 	end      time.Duration
 }
 
-// step advances by a tick and gives free slots to items of the given length.
-func (sh *shop) step(length time.Duration) {
+// tick advances by a tick and gives free slots to items of the given length.
+func (sh *simulation) tick(length time.Duration) {
 	sh.at += testTick
-	sh.runs = slices.DeleteFunc(sh.runs, func(ru shopRun) bool { return ru.end <= sh.at })
+	sh.runs = slices.DeleteFunc(sh.runs, func(ru simRun) bool { return ru.end <= sh.at })
 	sh.account.Advance(sh.uses(), testTick)
 	for len(sh.runs) < sh.places {
 		customer, ok := sh.next()
@@ -39,14 +39,14 @@
 			break
 		}
 		sh.wants[customer]--
-		sh.runs = append(sh.runs, shopRun{customer: customer, end: sh.at + length})
+		sh.runs = append(sh.runs, simRun{customer: customer, end: sh.at + length})
 	}
 	for _, ru := range sh.runs {
 		sh.served[ru.customer] += testTick
 	}
 }
 
-func (sh *shop) held(customer string) int {
+func (sh *simulation) held(customer string) int {
 	count := 0
 	for _, ru := range sh.runs {
 		if ru.customer == customer {
@@ -56,7 +56,7 @@
 	return count
 }
 
-func (sh *shop) uses() map[string]Usage {
+func (sh *simulation) uses() map[string]Usage {
 	uses := map[string]Usage{}
 	for customer, wants := range sh.wants {
 		held := sh.held(customer)
@@ -71,7 +71,7 @@
 
 // next returns the customer whose item goes next. Of equal ranks it is the one with the most
 // waiting items.
-func (sh *shop) next() (string, bool) {
+func (sh *simulation) next() (string, bool) {
 	best := ""
 	for _, customer := range slices.Sorted(maps.Keys(sh.wants)) {
 		if sh.wants[customer] == 0 {
@@ -85,20 +85,20 @@
 	return best, best != ""
 }
 
-func newShop(places int) *shop {
-	return &shop{places: places, served: map[string]time.Duration{}, wants: map[string]int{}}
+func newSimulation(places int) *simulation {
+	return &simulation{places: places, served: map[string]time.Duration{}, wants: map[string]int{}}
 }
 
-// fill sets the numbers of waiting items.
-func (sh *shop) fill(wants map[string]int) { maps.Copy(sh.wants, wants) }
+// setWaiting sets the numbers of waiting items.
+func (sh *simulation) setWaiting(wants map[string]int) { maps.Copy(sh.wants, wants) }
 
-func TestCustomersThatAllWaitGetTheirWeights(t *testing.T) {
-	sh := newShop(12)
+func TestWaitingCustomersGetTheirWeights(t *testing.T) {
+	sh := newSimulation(12)
 	sh.account.SetWeights(map[string]float64{"half": 0.5})
 	const length = 60 * time.Second
 	for sh.at < length {
-		sh.fill(map[string]int{"large": 500, "small": 20, "half": 20})
-		sh.step(time.Second)
+		sh.setWaiting(map[string]int{"large": 500, "small": 20, "half": 20})
+		sh.tick(time.Second)
 	}
 	total := sh.served["large"] + sh.served["small"] + sh.served["half"]
 	for customer, due := range map[string]float64{"large": 0.4, "small": 0.4, "half": 0.2} {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestMemoryCountsWhereItIsTheMost(t *testing.T) {
+func TestDominantShareCounts(t *testing.T) {
 	// A few slots with most of the memory count as much as many slots.
 	var ac Account
 	uses := map[string]Usage{"long": {Places: 0.2, Memory: 0.8, Waits: true}, "short": {Places: 0.7, Memory: 0.1, Waits: true}}
@@ -118,25 +118,25 @@
 	assert.Assert(t, ac.Rank("long") >= ac.Rank("short"))
 }
 
-func TestUnusedPartIsLentAndNotOwed(t *testing.T) {
+func TestUnusedShareIsNotCredited(t *testing.T) {
 	// Guards against crediting unused time: a customer must not monopolize the engines after
 	// a long absence.
-	sh := newShop(12)
+	sh := newSimulation(12)
 	for sh.at < time.Hour {
-		sh.fill(map[string]int{"stays": 100})
-		sh.step(time.Second)
+		sh.setWaiting(map[string]int{"stays": 100})
+		sh.tick(time.Second)
 	}
 	clear(sh.served)
 	back := sh.at
 	for sh.at < back+20*time.Second {
-		sh.fill(map[string]int{"stays": 100, "comes": 100})
-		sh.step(time.Second)
+		sh.setWaiting(map[string]int{"stays": 100, "comes": 100})
+		sh.tick(time.Second)
 	}
 	got := float64(sh.served["comes"]) / float64(sh.served["comes"]+sh.served["stays"])
 	assert.Assert(t, got > 0.42 && got < 0.58, "%.3f", got)
 }
 
-func TestCustomerThatWasAheadIsAheadOnItsReturn(t *testing.T) {
+func TestLeadIsKeptDuringPause(t *testing.T) {
 	// A customer must not get more than its share by pausing now and then: its usage is
 	// remembered.
 	var ac Account
@@ -149,7 +149,7 @@
 	assert.Assert(t, ac.Rank("large") > ac.Rank("small"))
 }
 
-func TestIdleTimePaysBack(t *testing.T) {
+func TestLeadShrinksWhileIdle(t *testing.T) {
 	var ac Account
 	for range 40 {
 		ac.Advance(map[string]Usage{"large": {Places: 1, Waits: true, Wants: 2}, "small": {Waits: true, Wants: 2}}, testTick)
@@ -161,20 +161,20 @@
 	assert.Equal(t, len(ac.Balances()), 0)
 }
 
-func TestMemoryOfAnAccountIsBounded(t *testing.T) {
+func TestAccountSizeIsBounded(t *testing.T) {
 	var ac Account
 	uses := map[string]Usage{"behind": {Waits: true, Wants: 1}}
-	for i := range 3 * maxRows {
+	for i := range 3 * maxCustomers {
 		customer := fmt.Sprint("customer-", i)
 		uses[customer] = Usage{Places: 0.5, Waits: true, Wants: 1}
 		ac.Advance(uses, testTick)
 		delete(uses, customer)
 	}
-	assert.Assert(t, len(ac.rows) <= maxRows+1, "%d", len(ac.rows))
-	assert.Assert(t, len(ac.Snapshot().Ahead) <= maxKept)
+	assert.Assert(t, len(ac.rows) <= maxCustomers+1, "%d", len(ac.rows))
+	assert.Assert(t, len(ac.Snapshot().Ahead) <= maxSnapshotCustomers)
 }
 
-func TestRecall(t *testing.T) {
+func TestRestore(t *testing.T) {
 	// Guards against an account that starts with all customers equal after a change of
 	// scheduler.
 	var ac, next Account
@@ -188,15 +188,15 @@
 	assert.Equal(t, next.Rank("small"), ac.Rank("small"))
 	next.Restore(Snapshot{Ahead: map[string]float64{"large": 1e300, "small": -1}})
 	next.Advance(uses, testTick)
-	assert.Assert(t, next.Balances()["large"].Ahead <= mostClaim)
+	assert.Assert(t, next.Balances()["large"].Ahead <= maxLag)
 }
 
 // For random loads, every waiting customer gets a slot in bounded time, no waiting customer's
 // lead exceeds mostClaim, and the order of two waiting customers doesn't flap.
-func TestExploreAccount(t *testing.T) {
+func TestAccountProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
-		sh := newShop(rapid.IntRange(1, 8).Draw(rt, "places"))
+		sh := newSimulation(rapid.IntRange(1, 8).Draw(rt, "places"))
 		weights := map[string]float64{}
 		for _, customer := range customers {
 			weights[customer] = rapid.SampledFrom([]float64{0.25, 0.5, 1, 2}).Draw(rt, "weight")
@@ -217,15 +217,15 @@
 			first := ""
 			const ticks = 40
 			for range ticks {
-				sh.fill(wants)
+				sh.setWaiting(wants)
 				before := maps.Clone(sh.served)
-				sh.step(length)
+				sh.tick(length)
 				for _, customer := range customers {
 					if wants[customer] == 0 || sh.held(customer) > 0 || sh.served[customer] > before[customer] {
 						waitedSince[customer] = sh.at
 					}
 					// The claims of the others, in slot time, and the items that run meanwhile.
-					bound := time.Duration((mostClaim+foresight+1)*total/weights[customer]*float64(time.Second)) + 4*length
+					bound := time.Duration((maxLag+chargeAhead+1)*total/weights[customer]*float64(time.Second)) + 4*length
 					if waited := sh.at - waitedSince[customer]; waited > bound {
 						rt.Fatalf("%s waited for %s", customer, waited)
 					}
@@ -240,7 +240,7 @@
 				rt.Fatalf("order turned %v times in %d ticks", turns, ticks)
 			}
 			for customer, st := range sh.account.Balances() {
-				if st.Ahead > mostClaim+1e-6 && st.Use.Waits {
+				if st.Ahead > maxLag+1e-6 && st.Use.Waits {
 					rt.Fatalf("%s is %f ahead", customer, st.Ahead)
 				}
 			}
@@ -249,7 +249,7 @@
 }
 
 // order returns which of two customers goes first, or "".
-func (sh *shop) order(a, b string) string {
+func (sh *simulation) order(a, b string) string {
 	switch ra, rb := sh.account.Rank(a), sh.account.Rank(b); {
 	case ra < rb:
 		return a
--- a/fairshare/division.go
+++ b/fairshare/division.go
@@ -11,9 +11,9 @@
 	// overcommit is the number of requests per slot of an endpoint. One runs while the
 	// response of another is in transit.
 	overcommit = 2
-	// leastWants is the minimum demand of an entry for a customer. With 0, an entry without
+	// minDemand is the minimum demand of an entry for a customer. With 0, an entry without
 	// requests would have a bound of 0 and refuse the next one.
-	leastWants = 0.5
+	minDemand = 0.5
 )
 
 // NoBound means an unlimited number of slots.
@@ -76,7 +76,7 @@
 	}
 	di.turn++
 	for _, service := range services(entries) {
-		wants, places, short := total(entries, service)
+		wants, places, short := totalDemand(entries, service)
 		if len(wants) < 2 || !short {
 			continue
 		}
@@ -84,7 +84,7 @@
 			if part >= wants[customer] {
 				continue
 			}
-			for entry, count := range di.split(entries, service, customer, part) {
+			for entry, count := range di.splitAmongEntries(entries, service, customer, part) {
 				if out[entry][service] == nil {
 					out[entry][service] = map[string]int{}
 				}
@@ -106,9 +106,9 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// total returns customers' demands for a service over all entries, its number of slots, and
+// totalDemand returns customers' demands for a service over all entries, its number of slots, and
 // whether it is short of them.
-func total(entries map[string]map[string]ServiceDemand, service string) (wants map[string]float64, places float64, short bool) {
+func totalDemand(entries map[string]map[string]ServiceDemand, service string) (wants map[string]float64, places float64, short bool) {
 	wants = map[string]float64{}
 	for _, demands := range entries {
 		sd := demands[service]
@@ -123,14 +123,14 @@
 	return wants, places, short
 }
 
-// split divides a customer's slots among entries in proportion to their demands. The remainder
+// splitAmongEntries divides a customer's slots among entries in proportion to their demands. The remainder
 // rotates, so that no entry stays without slots.
-func (di *Divider) split(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
+func (di *Divider) splitAmongEntries(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
 	names := slices.Sorted(maps.Keys(entries))
 	wants := map[string]float64{}
 	sum := 0.0
 	for _, entry := range names {
-		wants[entry] = max(entries[entry][service].Customers[customer].wants(), leastWants)
+		wants[entry] = max(entries[entry][service].Customers[customer].wants(), minDemand)
 		sum += wants[entry]
 	}
 	left := max(int(math.Round(part)), 1)
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -13,7 +13,7 @@
 	return map[string]ServiceDemand{"desk": {Customers: customers, Places: 10, Short: short}}
 }
 
-func TestIdleSystemBoundsNoOne(t *testing.T) {
+func TestNoBoundsWithoutShortage(t *testing.T) {
 	var di Divider
 	large := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 3, Met: 3}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(false, large)}, nil)
@@ -26,7 +26,7 @@
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "no one else asks")
 }
 
-func TestOnlyWhoAsksForTooMuchIsBounded(t *testing.T) {
+func TestOnlyExcessDemandIsBounded(t *testing.T) {
 	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 27}}
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"a": demandOf(true, seen), "b": demandOf(true, seen)}, nil)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestBoundsDoNotComeAndGo(t *testing.T) {
+func TestBoundsDoNotOscillate(t *testing.T) {
 	// Guards against oscillation: bounds stop the refusals of endpoints, which must not lift
 	// the bounds while customers still ask for too much.
 	var di Divider
@@ -54,7 +54,7 @@
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "lifted, it comes back for refusals only")
 }
 
-func TestFewPlacesGoRound(t *testing.T) {
+func TestRemainderOfSlotsRotates(t *testing.T) {
 	// With fewer slots than entries, the remainder of the division rotates, so that no entry
 	// stays without slots.
 	var di Divider
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestEntryAloneNeitherRefusesAllNorLetsAllThrough(t *testing.T) {
+func TestStandaloneEntry(t *testing.T) {
 	// An isolated entry takes its own fraction of the slots, and at least one for each customer.
 	var di Divider
 	seen := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}, "small": {Asked: 9, Met: 9}}
@@ -89,7 +89,7 @@
 
 // For random demands, no customer gets more than the slots in total, and one within its share
 // is unbounded.
-func TestExploreDivision(t *testing.T) {
+func TestDividerProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var di Divider
 		places := rapid.IntRange(1, 12).Draw(rt, "places")
--- a/fairshare/fill_test.go
+++ b/fairshare/fill_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestFill(t *testing.T) {
+func TestMaxMinShares(t *testing.T) {
 	for name, tc := range map[string]struct {
 		whole                float64
 		wants, weights, want map[string]float64
@@ -33,7 +33,7 @@
 
 // Fill never gives more than the whole or the wants, leaves nothing that is wanted, and gives
 // each customer at least the lesser of its share and its wants.
-func TestFillGivesEachItsPart(t *testing.T) {
+func TestMaxMinSharesProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(rt, "whole")
 		wants, weights := map[string]float64{}, map[string]float64{}
--- a/fairshare/memory.go
+++ b/fairshare/memory.go
@@ -1,7 +1,7 @@
 package fairshare
 
-// maxKept limits the number of customers in a Snapshot.
-const maxKept = 200
+// maxSnapshotCustomers limits the number of customers in a Snapshot.
+const maxSnapshotCustomers = 200
 
 // A Snapshot is the persistent state of an account: customers' leads over the virtual time. A
 // missing customer isn't ahead.
@@ -11,7 +11,7 @@
 func (ac *Account) Snapshot() Snapshot {
 	me := Snapshot{Ahead: map[string]float64{}}
 	customers := ac.byServed()
-	for _, customer := range customers[max(0, len(customers)-maxKept):] {
+	for _, customer := range customers[max(0, len(customers)-maxSnapshotCustomers):] {
 		if ahead := ac.rows[customer].served - ac.virtual; ahead > 0 {
 			me.Ahead[customer] = ahead
 		}
@@ -23,8 +23,8 @@
 func (ac *Account) Restore(me Snapshot) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
 	for customer, ahead := range me.Ahead {
-		if ahead > 0 && len(ac.rows) < maxRows {
-			ac.rows[customer] = &row{served: min(ahead, mostClaim)}
+		if ahead > 0 && len(ac.rows) < maxCustomers {
+			ac.rows[customer] = &row{served: min(ahead, maxLag)}
 		}
 	}
 }
--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -5,9 +5,9 @@
 const (
 	// RecentTime is the length of the window of a RecentUsage.
 	RecentTime = time.Minute
-	// recentSpans is the number of spans in the window. Usage expires by whole spans.
-	recentSpans = 12
-	spanTime    = RecentTime / recentSpans
+	// spanCount is the number of spans in the window. Usage expires by whole spans.
+	spanCount = 12
+	spanLength    = RecentTime / spanCount
 )
 
 // A RecentUsage measures the slots that customers used within RecentTime. The zero value is
@@ -16,20 +16,20 @@
 // Unlike an Account, it also includes slots that weren't scarce, and customers with which the
 // others have caught up.
 type RecentUsage struct {
-	spans  [recentSpans]map[string]float64 // slot seconds by customer
+	spans  [spanCount]map[string]float64 // slot seconds by customer
 	number int64                           // of the newest span, counted from the Unix epoch
 }
 
 // Add adds the slots that customers used during the elapsed time that ends now.
 func (re *RecentUsage) Add(places map[string]int, elapsed time.Duration, now time.Time) {
-	re.forget(now)
-	span := re.spans[re.number%recentSpans]
+	re.advance(now)
+	span := re.spans[re.number%spanCount]
 	if span == nil {
 		span = map[string]float64{}
-		re.spans[re.number%recentSpans] = span
+		re.spans[re.number%spanCount] = span
 	}
 	for customer, count := range places {
-		if _, known := span[customer]; known || len(span) < maxRows {
+		if _, known := span[customer]; known || len(span) < maxCustomers {
 			span[customer] += float64(count) * elapsed.Seconds()
 		}
 	}
@@ -37,7 +37,7 @@
 
 // Parts returns each customer's fraction of the slot time used within RecentTime.
 func (re *RecentUsage) Parts(now time.Time) map[string]float64 {
-	re.forget(now)
+	re.advance(now)
 	parts, total := map[string]float64{}, 0.0
 	for _, span := range re.spans {
 		for customer, had := range span {
@@ -53,12 +53,12 @@
 	return parts
 }
 
-// forget advances to the span of now, and clears the spans that have expired.
-func (re *RecentUsage) forget(now time.Time) {
-	number := now.UnixNano() / int64(spanTime)
-	for range min(max(number-re.number, 0), recentSpans) {
+// advance advances to the span of now, and clears the spans that have expired.
+func (re *RecentUsage) advance(now time.Time) {
+	number := now.UnixNano() / int64(spanLength)
+	for range min(max(number-re.number, 0), spanCount) {
 		re.number++
-		re.spans[re.number%recentSpans] = nil
+		re.spans[re.number%spanCount] = nil
 	}
 	re.number = max(number, re.number)
 }
--- a/fairshare/recent_test.go
+++ b/fairshare/recent_test.go
@@ -9,7 +9,7 @@
 )
 
 // A customer that left is included for RecentTime, and then dropped.
-func TestRecent(t *testing.T) {
+func TestRecentUsage(t *testing.T) {
 	var re RecentUsage
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for range 10 {
@@ -30,13 +30,13 @@
 	assert.Equal(t, len(re.Parts(now.Add(2*RecentTime))), 0, "who had nothing has no part")
 }
 
-func TestRecentIsBounded(t *testing.T) {
+func TestRecentUsageIsBounded(t *testing.T) {
 	var re RecentUsage
 	places := map[string]int{}
-	for i := range 2 * maxRows {
+	for i := range 2 * maxCustomers {
 		places[fmt.Sprint("c", i)] = 1
 	}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	re.Add(places, time.Second, now)
-	assert.Equal(t, len(re.Parts(now)), maxRows)
+	assert.Equal(t, len(re.Parts(now)), maxCustomers)
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// crowdedPart and roomyPart are the loads, as fractions of the capacity, at which overload
+	// overloadFraction and roomyPart are the loads, as fractions of the capacity, at which overload
 	// begins and below which it ends. They are far below 1 since hints often underestimate
 	// the work.
-	crowdedPart = 0.55
-	roomyPart   = 0.4
-	// emptyPart is the load below which there is no overload, even if groups have no capacity.
+	overloadFraction = 0.55
+	clearFraction   = 0.4
+	// idleFraction is the load below which there is no overload, even if groups have no capacity.
 	// Those have an item that can't be in time anyway.
-	emptyPart = 0.25
-	// usablePart is the fraction of the capacity that is reserved. The rest is lost between
+	idleFraction = 0.25
+	// reservableFraction is the fraction of the capacity that is reserved. The rest is lost between
 	// runs and to weight loads.
-	usablePart = 0.75
-	// starvedAfter is the multiple of a step's allowed time without any group in time after
+	reservableFraction = 0.75
+	// starvationFactor is the multiple of a step's allowed time without any group in time after
 	// which a trainer's steps go first.
-	starvedAfter = 2
+	starvationFactor = 2
 )
 
 // A Group is a set of items of a step that are useful only together.
@@ -119,10 +119,10 @@
 	pl.load = load(steps, places)
 	short := false // a wanted group has no reserved capacity, and its step isn't late yet
 	steps = pl.starvedFirst(steps, now)
-	cds, ro := pl.candidates(steps), newRoom(steps, usablePart*places)
+	cds, ro := pl.candidates(steps), newCapacity(steps, reservableFraction*places)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = chanceOf(cds[i])
+		cds[i].chance = tierOf(cds[i])
 		gr.inTime = cds[i].chance == possible && ro.fits(st, gr.Work)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
@@ -130,37 +130,37 @@
 			st.work += gr.Work
 		}
 	}
-	for position, cd := range byChance(cds) {
+	for position, cd := range byTier(cds) {
 		cd.group.position = position
 	}
-	pl.setCrowded(short)
+	pl.updateOverloaded(short)
 }
 
-// setCrowded updates whether there is overload, by the load and by whether a wanted group has
+// updateOverloaded updates whether there is overload, by the load and by whether a wanted group has
 // no reserved capacity.
-func (pl *Planner) setCrowded(short bool) {
+func (pl *Planner) updateOverloaded(short bool) {
 	switch {
 	case pl.Way == LeastSlack:
-	case pl.load >= crowdedPart:
+	case pl.load >= overloadFraction:
 		pl.crowded = true
-	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
+	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
 		pl.crowded = false
 	}
 }
 
-// A chance is how useful a group can still be to its trainer.
-type chance int
+// A tier is how useful a group can still be to its trainer.
+type tier int
 
 // The chances, from the best.
 const (
-	planned  chance = iota // capacity is reserved
+	planned  tier = iota // capacity is reserved
 	possible               // could be in time, but the capacity is reserved for others
 	late                   // can be complete before its trainer ends the step
 	hopeless
 )
 
-// chanceOf returns the chance of a group without reserved capacity.
-func chanceOf(cd candidate) chance {
+// tierOf returns the chance of a group without reserved capacity.
+func tierOf(cd candidate) tier {
 	gr, st := cd.group, cd.step
 	switch {
 	case cd.wanted && gr.Longest <= st.Left:
@@ -203,7 +203,7 @@
 // had no group in time for too long.
 func (pl *Planner) starvedFirst(steps []*Step, now time.Time) []*Step {
 	pl.trackStarvation(steps, now)
-	starved := func(st *Step) bool { return pl.starved[st.Trainer].lasts(now) > starvedAfter*st.Due }
+	starved := func(st *Step) bool { return pl.starved[st.Trainer].duration(now) > starvationFactor*st.Due }
 	ordered := slices.Clone(steps)
 	slices.SortStableFunc(ordered, func(a, b *Step) int {
 		return cmp.Or(compareBool(starved(b), starved(a)), cmp.Compare(a.Rank, b.Rank))
@@ -213,7 +213,7 @@
 
 // A candidate is a group to reserve capacity for.
 type candidate struct {
-	chance chance
+	chance tier
 	group  *Group
 	order  int     // index before sorting
 	part   float64 // number of earlier groups of its step, as a fraction of the wanted ones
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -67,7 +67,7 @@
 }
 
 // Overload mode must not toggle while the load varies around the threshold.
-func TestCrowdedHasHysteresis(t *testing.T) {
+func TestOverloadHysteresis(t *testing.T) {
 	var pl Planner
 	changes, was := 0, false
 	for i := range 100 {
@@ -86,7 +86,7 @@
 }
 
 // Guards against starving a trainer whose steps always come after those of others.
-func TestTrainerThatHadNothingGoesFirst(t *testing.T) {
+func TestStarvedTrainerGoesFirst(t *testing.T) {
 	var pl Planner
 	first, second := stepOf("first", 8*time.Second, 8), stepOf("second", 8*time.Second, 8)
 	longest := time.Duration(0)
@@ -104,11 +104,11 @@
 			longest = max(longest, now.Sub(servedAt[st.Trainer]))
 		}
 	}
-	assert.Assert(t, longest <= starvedAfter*8*time.Second+time.Second, "waited %s", longest)
+	assert.Assert(t, longest <= starvationFactor*8*time.Second+time.Second, "waited %s", longest)
 }
 
 // Time in which a trainer waits for nothing doesn't count as starvation.
-func TestPauseIsNoHunger(t *testing.T) {
+func TestPauseIsNoStarvation(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		pause, waited time.Duration // without a step, and with one that isn't served
@@ -143,7 +143,7 @@
 
 // Overload mode lasts while a wanted group has no capacity, even if the load falls below the
 // threshold: least-slack order would make late steps displace those that are in time.
-func TestCrowdedUntilAllHaveRoom(t *testing.T) {
+func TestOverloadLastsUntilAllHaveCapacity(t *testing.T) {
 	pl := Planner{Lingers: true}
 	st := stepOf("a", 8*time.Second, 6, 6)
 	pl.Plan([]*Step{st}, 2, begin)
@@ -151,7 +151,7 @@
 	st.Groups, st.Left, st.Wanted = st.Groups[:1], 2*time.Second, 1 // 6 s of work in 2 s
 	for i := range 3 {
 		pl.Plan([]*Step{st}, 2, begin.Add(time.Duration(i)*time.Second))
-		assert.Assert(t, pl.Load() < roomyPart && pl.Overloaded())
+		assert.Assert(t, pl.Load() < clearFraction && pl.Overloaded())
 	}
 	cheap, hasty := pl, pl
 	cheap.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
@@ -167,7 +167,7 @@
 
 // For random steps, positions are unique, groups in time come first, and their work fits into
 // the capacity until their steps are due.
-func TestPlansOfAnySteps(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 2000 {
 		var steps []*Step
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// planPlainly is a reference implementation of Plan in quadratic time per group.
-func planPlainly(pl *Planner, steps []*Step, places float64, now time.Time) {
+// referencePlan is a reference implementation of Plan in quadratic time per group.
+func referencePlan(pl *Planner, steps []*Step, places float64, now time.Time) {
 	var work, due time.Duration
 	for _, st := range steps {
 		st.work = 0
@@ -31,8 +31,8 @@
 	cds := pl.candidates(steps)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = chanceOf(cds[i])
-		gr.inTime = cds[i].chance == possible && fitsPlainly(steps, st, gr.Work, usablePart*places)
+		cds[i].chance = tierOf(cds[i])
+		gr.inTime = cds[i].chance == possible && referenceFits(steps, st, gr.Work, reservableFraction*places)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
 			cds[i].chance = planned
@@ -51,14 +51,14 @@
 	}
 	switch {
 	case pl.Way == LeastSlack:
-	case pl.load >= crowdedPart:
+	case pl.load >= overloadFraction:
 		pl.crowded = true
-	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
+	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
 		pl.crowded = false
 	}
 }
 
-func fitsPlainly(steps []*Step, st *Step, work time.Duration, places float64) bool {
+func referenceFits(steps []*Step, st *Step, work time.Duration, places float64) bool {
 	for _, until := range steps {
 		if until.Left < st.Left {
 			continue
@@ -111,7 +111,7 @@
 }
 
 // Guards against optimizations of Plan that change its result.
-func TestPlansAsAPlainPlanDoes(t *testing.T) {
+func TestPlanMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		way := rapid.SampledFrom([]Discipline{FirstInFirstOut, ShortestFirst, EqualProgress, LeastSlack}).Draw(t, "way")
 		lingers := rapid.Bool().Draw(t, "lingers")
@@ -121,7 +121,7 @@
 			steps, twins := drawSteps(t)
 			places := float64(rapid.IntRange(0, 12).Draw(t, "places"))
 			pl.Plan(steps, places, now)
-			planPlainly(twin, twins, places, now)
+			referencePlan(twin, twins, places, now)
 			assert.DeepEqual(t, describe(pl, steps), describe(twin, twins))
 			now = now.Add(10 * time.Second)
 		}
--- a/overload/room.go
+++ b/overload/room.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// A room is the capacity until each of the steps is due.
-type room struct {
+// A capacity is the capacity until each of the steps is due.
+type capacity struct {
 	places float64
 	steps  []*Step // by due time, the earliest first
 }
 
-func newRoom(steps []*Step, places float64) *room {
+func newCapacity(steps []*Step, places float64) *capacity {
 	ordered := slices.SortedStableFunc(slices.Values(steps), func(a, b *Step) int { return cmp.Compare(a.Left, b.Left) })
-	return &room{places: places, steps: ordered}
+	return &capacity{places: places, steps: ordered}
 }
 
 // fits reports whether additional work that is due with a step fits: the reserved work that is
 // due by then, and by each later due time, must be feasible by that time.
-func (ro *room) fits(st *Step, work time.Duration) bool {
+func (ro *capacity) fits(st *Step, work time.Duration) bool {
 	total := work // due by until.Left
 	for i, until := range ro.steps {
 		total += until.work
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -16,10 +16,10 @@
 	})
 }
 
-// byChance returns the groups by chance, and otherwise in their order. Late and hopeless ones
+// byTier returns the groups by chance, and otherwise in their order. Late and hopeless ones
 // go by their customers' ranks and then by ascending work, so that as many as possible become
 // complete.
-func byChance(cds []candidate) []candidate {
+func byTier(cds []candidate) []candidate {
 	var chances [hopeless + 1][]candidate
 	for i, cd := range cds {
 		cd.order = i
@@ -27,7 +27,7 @@
 	}
 	ordered := make([]candidate, 0, len(cds))
 	for ch, some := range chances {
-		if chance(ch) >= late {
+		if tier(ch) >= late {
 			slices.SortFunc(some, func(a, b candidate) int {
 				return cmp.Or(cmp.Compare(a.step.Rank, b.step.Rank), cmp.Compare(a.group.Work, b.group.Work), cmp.Compare(a.order, b.order))
 			})
--- a/overload/starvation.go
+++ b/overload/starvation.go
@@ -12,8 +12,8 @@
 	since    time.Time // start, moved forward by the length of each pause
 }
 
-// lasts returns the duration of the starvation, or 0 during a pause. The receiver may be nil.
-func (sv *starvation) lasts(now time.Time) time.Duration {
+// duration returns the duration of the starvation, or 0 during a pause. The receiver may be nil.
+func (sv *starvation) duration(now time.Time) time.Duration {
 	if sv == nil || !sv.pausedAt.IsZero() {
 		return 0
 	}
@@ -28,11 +28,11 @@
 	}
 }
 
-// forgetAfter is how long a trainer in a pause is remembered.
-const forgetAfter = time.Minute
+// starvationRetention is how long a trainer in a pause is remembered.
+const starvationRetention = time.Minute
 
-// waits reports whether the step's trainer still waits for groups.
-func (st *Step) waits() bool {
+// wantsGroups reports whether the step's trainer still wantsGroups for groups.
+func (st *Step) wantsGroups() bool {
 	return st.Wanted > 0 || slices.ContainsFunc(st.Groups, func(gr *Group) bool { return gr.Again })
 }
 
@@ -43,7 +43,7 @@
 	}
 	waits := map[string]bool{}
 	for _, st := range steps {
-		if !st.waits() {
+		if !st.wantsGroups() {
 			continue
 		}
 		waits[st.Trainer] = true
@@ -64,7 +64,7 @@
 		case waits[trainer]:
 		case sv.pausedAt.IsZero():
 			sv.pausedAt = now
-		case now.Sub(sv.pausedAt) > forgetAfter:
+		case now.Sub(sv.pausedAt) > starvationRetention:
 			delete(pl.starved, trainer)
 		}
 	}
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -22,7 +22,7 @@
 			now := begin.Add(at)
 			count := int(at / pace)
 			if count > made {
-				hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{
+				respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{
 					Events: events(made+1, count, 1), First: made, Key: key,
 				}}}, now)
 				made = count
@@ -42,6 +42,6 @@
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents-1, 1), Key: key}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents-1, 1), Key: key}}}, begin)
 	assert.Equal(t, len(ta.Checkpoints(begin.Add(time.Minute))), 0)
 }
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -22,9 +22,9 @@
 	trainers int
 }
 
-// compete replays customers that share engines, and returns by customer the fraction of
+// replayCustomers replays customers that share engines, and returns by customer the fraction of
 // requested groups in time. The function each is called at every tick and may be nil.
-func compete(engines int, customers []simCustomer, seed uint64, each func(re *replay, at time.Duration)) map[string]float64 {
+func replayCustomers(engines int, customers []simCustomer, seed uint64, each func(re *replay, at time.Duration)) map[string]float64 {
 	var trainers []*simTrainer
 	away := map[*simTrainer]func(at time.Duration) bool{}
 	for _, cu := range customers {
@@ -35,7 +35,7 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(engines), trainers)
-	re.play(dayLength, func(at time.Duration) {
+	re.run(dayLength, func(at time.Duration) {
 		for _, tr := range trainers {
 			if stays := away[tr]; stays != nil && stays(at) {
 				tr.start = re.now.Add(simTick - time.Duration(tr.next)*tr.every)
@@ -56,8 +56,8 @@
 	return got
 }
 
-// meanOf returns a customer's mean fraction of groups in time over as many seeds as luck.
-func meanOf(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
+// meanFraction returns a customer's mean fraction of groups in time over as many seeds as luck.
+func meanFraction(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
 	parts := make([]float64, luck)
 	for seed := range luck {
@@ -72,13 +72,13 @@
 }
 
 // A customer at ten times its share may reduce the other's groups in time by at most a tenth.
-func TestCustomerAtTenTimesItsPart(t *testing.T) {
+func TestCustomerAtTenTimesItsShare(t *testing.T) {
 	const luck = 24
 	beside, before := 0.0, 0.0
 	for _, engines := range []int{10, 15} {
 		play := func(trainers int) float64 {
-			return meanOf("small", luck, func(seed uint64) map[string]float64 {
-				return compete(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
+			return meanFraction("small", luck, func(seed uint64) map[string]float64 {
+				return replayCustomers(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
 			})
 		}
 		one, ten := play(1), play(10)
@@ -96,7 +96,7 @@
 		customers = append(customers, simCustomer{name: fmt.Sprintf("small-%d", i), trainers: 1})
 	}
 	for seed := range uint64(3) {
-		got := compete(16, customers, seed, nil)
+		got := replayCustomers(16, customers, seed, nil)
 		mean, small := 0.0, 0.0
 		for customer, part := range got {
 			mean += part / float64(len(got))
@@ -117,7 +117,7 @@
 	gone := func(at time.Duration) bool { return at < dayLength/2 }
 	for seed := range uint64(3) {
 		held := map[string]int{}
-		compete(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
+		replayCustomers(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
 			if at < dayLength/2+2*time.Second {
 				return
 			}
@@ -133,9 +133,9 @@
 	}
 }
 
-// crowd returns a table on which a large customer has held all slots for two seconds while a
+// largeCustomerAhead returns a table on which a large customer has held all slots for two seconds while a
 // small one waited, and the time at the end of it.
-func crowd(t *testing.T) (ta *Table, end time.Time) {
+func largeCustomerAhead(t *testing.T) (ta *Table, end time.Time) {
 	t.Helper()
 	ta = tableOf(t, 1, "a")
 	for _, customer := range []string{"large", "small"} {
@@ -151,13 +151,13 @@
 	return ta, end
 }
 
-func TestChangeOfSchedulerKeepsCustomersParts(t *testing.T) {
+func TestNewSchedulerKeepsUsageAccounts(t *testing.T) {
 	// Guards against losing the customers' usage accounts when another scheduler takes over.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
 		sc := schedulerOf(me.Client())
-		ta, end := crowd(t)
+		ta, end := largeCustomerAhead(t)
 		for _, sr := range ta.openSteps {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestUnreadableAccountBeginsAnew(t *testing.T) {
+func TestCorruptAccountIsReset(t *testing.T) {
 	// An account that can't be decoded must not keep a scheduler from reading the steps.
 	var me keyvalue.Memory
 	sc := schedulerOf(me.Client())
@@ -194,12 +194,12 @@
 }
 
 func TestAccountIsWrittenWithOtherWritesOnly(t *testing.T) {
-	ta, end := crowd(t)
+	ta, end := largeCustomerAhead(t)
 	assert.Assert(t, ta.NextWrites(end).empty())
 	end = end.Add(2 * checkpointInterval)
 	for item := range 2 {
 		engine, key := keyOf(t, ta, "large", item)
-		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 25, 1), Key: key}}}, end)
+		respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 25, 1), Key: key}}}, end)
 	}
 	up := ta.NextWrites(end)
 	assert.Assert(t, len(up.Checkpoints) > 0 && len(up.Account) > 0)
@@ -230,7 +230,7 @@
 	}
 	ta.SetEngines(infos, begin)
 	for _, en := range ta.sortedEngines {
-		hear(ta, en.id, runner.ExchangeResponse{}, begin)
+		respond(ta, en.id, runner.ExchangeResponse{}, begin)
 	}
 	for i := range 6 {
 		sizes := make([]int, 180)
@@ -251,7 +251,7 @@
 
 // Under overload, a customer within its share goes first. A lead of less than one step's
 // work doesn't change the order of the others.
-func TestRanksWhileTheRoomIsShort(t *testing.T) {
+func TestRanksUnderOverload(t *testing.T) {
 	rm := NewTable(1, nil).servicePlan("service")
 	rm.withinShare = map[string]bool{"small": true}
 	ranks := map[string]int{"large": ranksPerStep - 1, "other": 0, "small": 3, "far ahead": ranksPerStep}
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -15,11 +15,11 @@
 	"wisteriacroft/runner"
 )
 
-// A heavyLoad describes trainers that ask for more than their engines can do.
-type heavyLoad struct {
+// A overloadCase describes trainers that ask for more than their engines can do.
+type overloadCase struct {
 	name    string
 	factors []float64 // of the engines' time per event
-	sheet   simSheet
+	sheet   simDeployment
 	shapes  []shape
 }
 
@@ -29,13 +29,13 @@
 	lesson                  time.Duration
 }
 
-// heavyLoads returns three trainers with 47 engines, three with 46 engines of which a third
+// overloadCases returns three trainers with 47 engines, three with 46 engines of which a third
 // take 2.4 times as long, and four with 38 engines of which a third are slower.
-func heavyLoads() []heavyLoad {
-	even := simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}
-	tight := simSheet{eventTokens: 77, maxEvents: 152, prompt: 276, slots: 8, tokens: 32564}
+func overloadCases() []overloadCase {
+	even := simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}
+	tight := simDeployment{eventTokens: 77, maxEvents: 152, prompt: 276, slots: 8, tokens: 32564}
 	second := time.Second
-	return []heavyLoad{
+	return []overloadCase{
 		{"even engines", factors(47), even, []shape{{24, 8, 156, second}, {24, 8, 156, second}, {10, 16, 121, second / 2}}},
 		{"uneven engines", unevenFactors(46), tight, []shape{{22, 8, 152, second / 2}, {22, 8, 80, second}, {11, 16, 152, second}}},
 		{
@@ -55,7 +55,7 @@
 }
 
 // newReplay returns a replay of the load with steps larger by the factor times.
-func (hl *heavyLoad) newReplay(times float64, way overload.Discipline) *replay {
+func (hl *overloadCase) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
 	for i, sh := range hl.shapes {
 		sheet := hl.sheet
@@ -70,9 +70,9 @@
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (hl *heavyLoad) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
+func (hl *overloadCase) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
 	re := hl.newReplay(times, way)
-	re.play(dayLength, nil)
+	re.run(dayLength, nil)
 	least = 1
 	for _, tr := range re.trainers {
 		scheduled := int(dayLength/tr.every) * tr.target
@@ -82,23 +82,23 @@
 	return inTime, owed, least
 }
 
-// ways are the overload policies to compare.
-var ways = []struct {
+// policies are the overload policies to compare.
+var policies = []struct {
 	name string
 	way  overload.Discipline
 }{{"standing", overload.LeastSlack}, {"handed-in", overload.FirstInFirstOut}, {"cheapest", overload.ShortestFirst}, {"alike", overload.EqualProgress}}
 
-// TestStepsBeyondTheRoom replays overload. Guards against least-slack placement under
+// TestReplayOverload replays overload. Guards against least-slack placement under
 // overload, by which all items end at about the same time, and late.
-func TestStepsBeyondTheRoom(t *testing.T) {
+func TestReplayOverload(t *testing.T) {
 	times := []float64{1, 2.5, 4}
 	const main = 2 // these first policies are also replayed at lower load
 	var lines []string
 	var wg sync.WaitGroup
 	served := map[string]int{}
 	var mu sync.Mutex
-	for _, hl := range heavyLoads() {
-		for i, wa := range ways {
+	for _, hl := range overloadCases() {
+		for i, wa := range policies {
 			at := len(lines)
 			lines = append(lines, "")
 			wg.Go(func() {
@@ -121,7 +121,7 @@
 	}
 	wg.Wait()
 	golden.Assert(t, strings.Join(lines, ""), "crowded.golden")
-	for _, hl := range heavyLoads() {
+	for _, hl := range overloadCases() {
 		before, after := served[hl.name+"standing4"], served[hl.name+"handed-in4"]
 		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by time to spare alone", hl.name, after, before)
 	}
@@ -129,7 +129,7 @@
 
 // A new scheduler must plan capacity for the same groups as its predecessor, or the work
 // started for them would be wasted.
-func TestSuccessorPlansAlike(t *testing.T) {
+func TestNewSchedulerPlansSameGroups(t *testing.T) {
 	steps := []*Step{stepOf("first", 4, 4, 4, 4, 4, 4, 4), stepOf("second", 4, 4, 4, 4, 4)}
 	for _, st := range steps {
 		for i := range st.Items {
@@ -142,8 +142,8 @@
 		for _, st := range order {
 			ta.Accept(st, StoredStep{}, false, begin.Add(time.Second))
 		}
-		hear(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
-		hear(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
+		respond(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
+		respond(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
 		ta.planCapacity(begin.Add(time.Second))
 		assert.Assert(t, ta.overloaded("service"))
 		text := ""
@@ -160,7 +160,7 @@
 }
 
 // Steps without a due time never cause overload mode.
-func TestStepsWithoutADueTimeAreNotCrowded(t *testing.T) {
+func TestStepsWithoutDueTimeCauseNoOverload(t *testing.T) {
 	for due, want := range map[time.Duration]bool{0: false, 7500 * time.Millisecond: true} {
 		ta := tableOf(t, 1, "a")
 		st := stepOf("large", 100, 100)
@@ -172,8 +172,8 @@
 }
 
 // largeLoad returns six trainers whose step sizes are proportional to the number of engines.
-func largeLoad(engines int) *heavyLoad {
-	hl := &heavyLoad{factors: factors(engines), sheet: simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
+func largeLoad(engines int) *overloadCase {
+	hl := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
 		hl.shapes = append(hl.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, lesson: time.Second})
 	}
@@ -184,22 +184,22 @@
 // ticks under changing load, placement without changes, and planning alone.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{46, 300, 1100} {
-		for _, wa := range ways[:2] {
+		for _, wa := range policies[:2] {
 			re := largeLoad(engines).newReplay(2.5, wa.way)
-			re.play(4*time.Second, nil)
+			re.run(4*time.Second, nil)
 			name := fmt.Sprintf("%s-%d", wa.name, engines)
 			tick := 0
 			live := func(b *testing.B, before, timed, after func()) {
 				for b.Loop() {
 					b.StopTimer()
 					re.now = re.now.Add(simTick)
-					re.hear(tick)
+					re.respond(tick)
 					before()
 					b.StartTimer()
 					timed()
 					b.StopTimer()
 					after()
-					re.readOn()
+					re.runTrainers()
 					b.StartTimer()
 					tick++
 				}
@@ -228,9 +228,9 @@
 
 // Engines that take three times the default time per token, under overload. With the default
 // time, work would be underestimated and the overload detected too late.
-func TestEnginesOfAnotherMake(t *testing.T) {
-	sheet := simSheet{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
-	hl := heavyLoad{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
+func TestEnginesOfAnotherType(t *testing.T) {
+	sheet := simDeployment{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
+	hl := overloadCase{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
 	for i := range hl.factors {
 		hl.factors[i] *= 3
 	}
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a scheduler overloaded by exchanges with thousands of idle engines.
-func TestIdleEnginesAreLookedAtLessOften(t *testing.T) {
+func TestIdleEnginesArePolledLessOften(t *testing.T) {
 	for _, tc := range []struct {
 		engines int
 		idle    time.Duration
@@ -34,7 +34,7 @@
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
 
 			for _, en := range ta.sortedEngines {
-				hear(ta, en.id, runner.ExchangeResponse{}, begin)
+				respond(ta, en.id, runner.ExchangeResponse{}, begin)
 			}
 			ta.Place(begin)
 			busy := 0
--- a/step/fixture_test.go
+++ b/step/fixture_test.go
@@ -18,7 +18,7 @@
 	ta := NewTable(epoch, nil)
 	addEngines(ta, begin, engines...)
 	for _, id := range engines {
-		hear(ta, id, runner.ExchangeResponse{}, begin)
+		respond(ta, id, runner.ExchangeResponse{}, begin)
 	}
 	return ta
 }
@@ -31,9 +31,9 @@
 	ta.SetEngines(infos, now)
 }
 
-// hear delivers an exchange response of an engine's attendant, with version 1 of the weights
+// respond delivers an exchange response of an engine's attendant, with version 1 of the weights
 // unless the response reports versions.
-func hear(ta *Table, id string, re runner.ExchangeResponse, now time.Time) {
+func respond(ta *Table, id string, re runner.ExchangeResponse, now time.Time) {
 	re.Boot, re.Reachable = "boot", true
 	if re.Report.Versions == nil {
 		re.Report.Versions = map[string]uint64{"model": 1}
@@ -82,5 +82,5 @@
 func end(ta *Table, t *testing.T, step string, item int, state runner.State, evs []runner.Event, now time.Time) {
 	t.Helper()
 	engine, key := keyOf(t, ta, step, item)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: evs, Key: key, State: state}}}, now)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: evs, Key: key, State: state}}}, now)
 }
--- a/step/gauge_test.go
+++ b/step/gauge_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestTokenGauge(t *testing.T) {
+func TestTokenEstimator(t *testing.T) {
 	// Guards against overfilled engines: the number of tokens per event differs between
 	// deployments and is estimated from hints.
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -25,7 +25,7 @@
 	assert.Equal(t, ga.eventTokens(), 62, "the newest items count")
 }
 
-func TestTokenGaugeWithoutHints(t *testing.T) {
+func TestTokenEstimatorWithoutHints(t *testing.T) {
 	var ga tokenEstimator
 	for range 100 {
 		ga.observeHint(0, 50)
@@ -34,7 +34,7 @@
 	assert.Equal(t, ga.eventTokens(), defaultEventTokens)
 }
 
-func TestTokenGaugeByBounds(t *testing.T) {
+func TestTokenEstimatorByLimits(t *testing.T) {
 	// Items that end at their token limit give the exact tokens per event, which hints give
 	// only roughly. Early ends of equal length must not be mistaken for the limit.
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -280,7 +280,7 @@
 	for id := range ta.steps {
 		end(ta, t, id, 0, runner.Complete, events(1, 3, 1), begin)
 		engine, key := keyOf(t, ta, id, 1)
-		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
+		respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
 	}
 	for i := range 20 {
 		ta.garbageKeys = append(ta.garbageKeys, checkpointKey("old", i))
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -18,7 +18,7 @@
 	groups   int
 	size     int
 	trainers int // 0 means one
-	sheet    simSheet
+	sheet    simDeployment
 	lesson   time.Duration // training time between steps; 0 means half a second
 	short    int           // groups of an additional trainer with short items
 	wide     int           // groups, of 16 items each, of another additional trainer
@@ -166,7 +166,7 @@
 		re.baseline = true
 		re.table.scoreFunc = func(en *engineRow, _ *itemRow, _ time.Time) float64 { return float64(en.freeSlots()) }
 	}
-	re.play(dayLength, func(at time.Duration) {
+	re.run(dayLength, func(at time.Duration) {
 		if pa.each != nil {
 			pa.each(re, at)
 		}
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// chunksOf returns results of the first items of stepOf("s", 5).
-func chunksOf(sizes ...int) [][]Result {
+// testChunks returns results of the first items of stepOf("s", 5).
+func testChunks(sizes ...int) [][]Result {
 	var chunks [][]Result
 	item := 0
 	for _, size := range sizes {
@@ -40,8 +40,8 @@
 	return chunks
 }
 
-// counting counts the bytes that a client reads.
-func counting(cl *keyvalue.Client, size *int) *keyvalue.Client {
+// countReads counts the bytes that a client reads.
+func countReads(cl *keyvalue.Client, size *int) *keyvalue.Client {
 	counted := *cl
 	counted.ScanFunc = func(ctx context.Context, prefix string) (keyvalue.Changes, error) {
 		ch, err := cl.ScanFunc(ctx, prefix)
@@ -62,9 +62,9 @@
 	// A new scheduler reads only the names of listed items before it places the others, not
 	// megabytes of result texts.
 	var me keyvalue.Memory
-	writeListed(t, &Store{Client: me.Client()}, chunksOf(2, 1))
+	writeListed(t, &Store{Client: me.Client()}, testChunks(2, 1))
 	size := 0
-	kept, err := (&Store{Client: counting(me.Client(), &size)}).Stored(t.Context(), "s")
+	kept, err := (&Store{Client: countReads(me.Client(), &size)}).Stored(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Assert(t, size < 1000, "%d bytes were read", size)
 	ta := tableOf(t, 2, "a")
@@ -79,7 +79,7 @@
 	assert.Equal(t, ta.steps["s"].chunks, 2)
 }
 
-func TestReadOfWhatAnEarlierSchedulerListed(t *testing.T) {
+func TestReadResultsOfEarlierScheduler(t *testing.T) {
 	// The result at a position never changes: for any scheduler, any start of a read, before
 	// and after the step ends, and while the texts are loaded.
 	for _, tt := range []struct {
@@ -94,9 +94,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
 				ke := &Store{Client: me.Client()}
-				writeListed(t, ke, chunksOf(2, 1))
+				writeListed(t, ke, testChunks(2, 1))
 				if !tt.marks {
-					dropMarks(t, &me)
+					dropManifests(t, &me)
 				}
 				kept, err := ke.Stored(t.Context(), "s")
 				assert.NilError(t, err)
@@ -124,7 +124,7 @@
 					}
 				}
 				check(3)
-				all := chunksOf(2, 1, 1)
+				all := testChunks(2, 1, 1)
 				ch := Chunk{Number: 2, Results: all[2], Step: "s"}
 				_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{ch}})
 				assert.NilError(t, err)
@@ -147,8 +147,8 @@
 	}
 }
 
-// dropMarks removes all keys but the results themselves.
-func dropMarks(t *testing.T, me *keyvalue.Memory) {
+// dropManifests removes all keys but the results themselves.
+func dropManifests(t *testing.T, me *keyvalue.Memory) {
 	t.Helper()
 	its, err := me.Client().List(t.Context(), "")
 	assert.NilError(t, err)
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -209,7 +209,7 @@
 			sc.mu.Lock()
 			ta := sc.term.table
 			addEngines(ta, time.Now(), "a")
-			hear(ta, "a", runner.ExchangeResponse{}, time.Now())
+			respond(ta, "a", runner.ExchangeResponse{}, time.Now())
 			ta.Place(time.Now())
 			sc.mu.Unlock()
 			silent.Store(true)
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -9,9 +9,9 @@
 	"wisteriacroft/runner"
 )
 
-// crowded returns a table with two engines: a, with memory for 10,000 tokens, runs items with
+// fullEngine returns a table with two engines: a, with memory for 10,000 tokens, runs items with
 // the given prompts, and b is empty and has the given time per event.
-func crowded(t *testing.T, pace time.Duration, prompts ...int) (*Table, []*itemRow) {
+func fullEngine(t *testing.T, pace time.Duration, prompts ...int) (*Table, []*itemRow) {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", len(prompts))
@@ -28,19 +28,19 @@
 	for _, ir := range irs {
 		re.Runs = append(re.Runs, runner.Progress{Key: ir.run.key})
 	}
-	hear(ta, "a", re, begin)
+	respond(ta, "a", re, begin)
 	addEngines(ta, begin, "a", "b")
 	ta.engines["a"].slots = len(prompts)
-	hear(ta, "b", runner.ExchangeResponse{Report: runner.Report{Pace: pace, PaceGaps: paceGaps}}, begin)
+	respond(ta, "b", runner.ExchangeResponse{Report: runner.Report{Pace: pace, PaceGaps: paceGaps}}, begin)
 	ta.MeasurePace(begin)
 	return ta, irs
 }
 
-func TestPatientRunLeavesCrowdedEngine(t *testing.T) {
+func TestRunWithMostSlackLeavesFullEngine(t *testing.T) {
 	// An engine short of memory moves the run with the most slack, not the largest, which
 	// is usually the last one of its step, and not to a slower engine.
 	const usual = 40 * time.Millisecond
-	ta, irs := crowded(t, usual, 4000, 3000, 2000, 100)
+	ta, irs := fullEngine(t, usual, 4000, 3000, 2000, 100)
 	irs[0].item.Hint, irs[1].item.Hint, irs[2].item.Hint = 900, 100, 800
 	ta.RelieveMemory(begin)
 	assert.Assert(t, irs[1].run.stopping, "it has the most time to spare")
@@ -50,16 +50,16 @@
 	ta.RelieveMemory(begin)
 	assert.Assert(t, !irs[2].run.stopping, "one at a time")
 
-	ta, irs = crowded(t, usual*13/10, 4000, 3000, 2000, 100)
+	ta, irs = fullEngine(t, usual*13/10, 4000, 3000, 2000, 100)
 	ta.RelieveMemory(begin)
 	for i, ir := range irs {
 		assert.Assert(t, !ir.run.stopping, "item %d goes to a slower engine", i)
 	}
 }
 
-func TestComingRunsCount(t *testing.T) {
+func TestIncomingRunsCount(t *testing.T) {
 	// Incoming runs count as load of the target engine, so that it isn't overfilled.
-	ta, irs := crowded(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
+	ta, irs := fullEngine(t, 40*time.Millisecond, 4000, 3000, 2000, 100)
 	ta.moveRun(irs[0], ta.engines["a"], memoryReason, begin)
 	assert.Equal(t, irs[0].moveTarget, "b")
 	now, _ := ta.engines["b"].memoryUse()
@@ -68,10 +68,10 @@
 	assert.Equal(t, ta.engines["b"].freeSlots(), 1)
 }
 
-func TestPaceOfFullEngineIsNoReasonToMove(t *testing.T) {
+func TestLoadOfEngineIsNoReasonToMove(t *testing.T) {
 	// Guards against runs that move back and forth: engines are compared at equal load, not
 	// by the last reported pace.
-	ta, irs := crowded(t, 40*time.Millisecond, 2000, 2000, 2000, 2000)
+	ta, irs := fullEngine(t, 40*time.Millisecond, 2000, 2000, 2000, 2000)
 	for i, ir := range irs {
 		ir.events = events(1, minMoveEvents+1, 1)
 		assert.Assert(t, !ta.isLongRun(ta.engines["a"], ir), "item %d", i)
@@ -90,14 +90,14 @@
 	}
 }
 
-func TestMovedRunIsHeardAtOnce(t *testing.T) {
+func TestStoppedRunIsReportedAtOnce(t *testing.T) {
 	// The exchange waits for the end of a stopping run, and the item is restarted at once
 	// rather than at the next tick.
 	ta := tableOf(t, 1, "a", "b")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
 	rq, _ := ta.Request(engine)
 	assert.Equal(t, rq.Await, time.Duration(0))
 	ir := ta.steps["s"].items[0]
@@ -105,7 +105,7 @@
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, rq.Await, maxAwait)
 	assert.Equal(t, len(ta.restartStopped(begin)), 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 3, Key: key, State: runner.Stopped}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 3, Key: key, State: runner.Stopped}}}, begin)
 	engines := ta.restartStopped(begin)
 	assert.DeepEqual(t, engines, []string{ir.run.engineID})
 	assert.Equal(t, ir.state, running)
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -15,9 +15,9 @@
 	"wisteriacroft/runner"
 )
 
-// A twinTable applies the same events to two tables: one places items as schedulers do, the
+// A tablePair applies the same events to two tables: one places items as schedulers do, the
 // other by the reference implementation.
-type twinTable struct {
+type tablePair struct {
 	engines []EngineInfo
 	holds   int64 // versions of what is held
 	light   bool  // most slots are free, so that runs can move
@@ -26,24 +26,24 @@
 	tables  [2]*Table
 }
 
-func (tw *twinTable) both(do func(ta *Table)) {
+func (tw *tablePair) both(do func(ta *Table)) {
 	for _, ta := range tw.tables {
 		do(ta)
 	}
 }
 
 var (
-	twinModels    = []string{"model", "other"}
-	twinCustomers = []string{"", "large", "small"}
+	pairModels    = []string{"model", "other"}
+	pairCustomers = []string{"", "large", "small"}
 )
 
 // drawStep submits a step, whose items may have been in earlier steps.
-func (tw *twinTable) drawStep(t *rapid.T) {
+func (tw *tablePair) drawStep(t *rapid.T) {
 	st := &Step{
-		Accepted: tw.now, Customer: rapid.SampledFrom(twinCustomers).Draw(t, "customer"), ID: fmt.Sprint("step-", tw.serial),
+		Accepted: tw.now, Customer: rapid.SampledFrom(pairCustomers).Draw(t, "customer"), ID: fmt.Sprint("step-", tw.serial),
 		Due:         time.Duration(rapid.SampledFrom([]int{0, 1000, 4000, 7500}).Draw(t, "due")) * time.Millisecond,
 		MaxAttempts: 2, MaxWait: rapid.SampledFrom([]time.Duration{0, 10 * time.Second}).Draw(t, "wait"), MinVersion: uint64(rapid.IntRange(1, 2).Draw(t, "version")),
-		Model: rapid.SampledFrom(twinModels).Draw(t, "model"), Service: "service", SingleVersion: rapid.IntRange(0, 3).Draw(t, "single") == 0,
+		Model: rapid.SampledFrom(pairModels).Draw(t, "model"), Service: "service", SingleVersion: rapid.IntRange(0, 3).Draw(t, "single") == 0,
 	}
 	groups, interleaved := rapid.IntRange(1, 8).Draw(t, "groups"), rapid.Bool().Draw(t, "interleaved")
 	items := rapid.IntRange(1, 30).Draw(t, "items")
@@ -73,7 +73,7 @@
 }
 
 // drawEngines changes the set of engines and their properties.
-func (tw *twinTable) drawEngines(t *rapid.T) {
+func (tw *tablePair) drawEngines(t *rapid.T) {
 	for i := range tw.engines {
 		if rapid.IntRange(0, 3).Draw(t, "same") > 0 {
 			continue
@@ -93,7 +93,7 @@
 }
 
 // drawAnswers delivers exchange responses of most attendants.
-func (tw *twinTable) drawAnswers(t *rapid.T) {
+func (tw *tablePair) drawAnswers(t *rapid.T) {
 	for _, en := range tw.tables[0].sortedEngines {
 		if rapid.IntRange(0, 3).Draw(t, "answers") > 0 {
 			tw.drawAnswer(t, en)
@@ -102,7 +102,7 @@
 }
 
 // drawAnswer delivers an exchange response of one engine's attendant.
-func (tw *twinTable) drawAnswer(t *rapid.T, en *engineRow) {
+func (tw *tablePair) drawAnswer(t *rapid.T, en *engineRow) {
 	re := runner.ExchangeResponse{Boot: "boot", Reachable: rapid.IntRange(0, 9).Draw(t, "reachable") > 0}
 	re.Report = runner.Report{
 		Active: len(en.items), Pace: time.Duration(rapid.SampledFrom([]int{40, 40, 48, 150}).Draw(t, "pace")) * time.Millisecond,
@@ -110,7 +110,7 @@
 		Busy: rapid.IntRange(0, 9).Draw(t, "busy") == 0, Versions: map[string]uint64{},
 	}
 	re.Running = max(0, re.Report.Active-rapid.IntRange(0, 1).Draw(t, "foreign"))
-	for _, model := range twinModels {
+	for _, model := range pairModels {
 		re.Report.Versions[model] = max(en.versions[model], uint64(rapid.IntRange(1, 2).Draw(t, "has")))
 	}
 	keys := []runner.Key{}
@@ -145,8 +145,8 @@
 }
 
 // drawGauge changes the observed number of tokens per event of a model.
-func (tw *twinTable) drawGauge(t *rapid.T) {
-	model, tokens := rapid.SampledFrom(twinModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
+func (tw *tablePair) drawGauge(t *rapid.T) {
+	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
 	tw.both(func(ta *Table) {
 		for range estimatorMaxRatios {
 			if gauge := ta.estimators[model]; gauge != nil {
@@ -157,7 +157,7 @@
 }
 
 // drawScores answers reward calls.
-func (tw *twinTable) drawScores(t *rapid.T) {
+func (tw *tablePair) drawScores(t *rapid.T) {
 	took := time.Duration(rapid.IntRange(50, 900).Draw(t, "score")) * time.Millisecond
 	tw.both(func(ta *Table) {
 		var irs []*itemRow
@@ -173,9 +173,9 @@
 	})
 }
 
-func (tw *twinTable) drawHold(t *rapid.T) {
+func (tw *tablePair) drawHold(t *rapid.T) {
 	sh := &hold.Set{}
-	if customer := rapid.SampledFrom(twinCustomers).Draw(t, "held customer"); customer != "" {
+	if customer := rapid.SampledFrom(pairCustomers).Draw(t, "held customer"); customer != "" {
 		target := hold.Target{Kind: hold.Customer, Name: customer}
 		held, _, err := sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: target, Why: "test"}})
 		assert.NilError(t, err)
@@ -186,20 +186,20 @@
 	tw.both(func(ta *Table) { ta.SetHolds(sh, tw.now) })
 }
 
-func (tw *twinTable) drawEnd(t *rapid.T) {
+func (tw *tablePair) drawEnd(t *rapid.T) {
 	if open := tw.tables[0].openSteps; len(open) > 0 {
 		id := open[rapid.IntRange(0, len(open)-1).Draw(t, "step")].step.ID
 		tw.both(func(ta *Table) { ta.End(id) })
 	}
 }
 
-// pass advances the time without any events.
-func (tw *twinTable) pass(t *rapid.T) {
+// skipTime advances the time without any events.
+func (tw *tablePair) skipTime(t *rapid.T) {
 	tw.now = tw.now.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "passes")) * 600 * time.Millisecond)
 }
 
 // tick runs all systems of a tick on both tables, each with its own placement.
-func (tw *twinTable) tick() {
+func (tw *tablePair) tick() {
 	tw.now = tw.now.Add(tickInterval)
 	for i, ta := range tw.tables {
 		ta.EvictSilent(tw.now)
@@ -211,7 +211,7 @@
 		if i == 0 {
 			ta.Place(tw.now)
 		} else {
-			placePlainly(ta, tw.now)
+			referencePlace(ta, tw.now)
 		}
 		ta.OrderLoads(tw.now)
 	}
@@ -219,7 +219,7 @@
 
 // compare fails unless both tables have the same placements, and the cached sums of engines'
 // memory match a full recount.
-func (tw *twinTable) compare(t *rapid.T) {
+func (tw *tablePair) compare(t *rapid.T) {
 	lines := [2][]string{}
 	for i, ta := range tw.tables {
 		lines[i] = append(lines[i], fmt.Sprint("rooms ", ta.ServiceLoads(), " ahead ", ta.prequeues("service")))
@@ -233,37 +233,37 @@
 		}
 		for _, en := range ta.sortedEngines {
 			now, end := en.memoryUse()
-			plainNow, plainEnd := plainMemory(en)
+			plainNow, plainEnd := referenceMemory(en)
 			assert.Equal(t, fmt.Sprint(now, end), fmt.Sprint(plainNow, plainEnd), "memory of %s", en.id)
 		}
 	}
 	assert.DeepEqual(t, lines[0], lines[1])
 	ta := tw.tables[0]
-	assert.Equal(t, fmt.Sprint(ta.customerCounts(tw.now)), fmt.Sprint(plainCounts(ta, tw.now)))
+	assert.Equal(t, fmt.Sprint(ta.customerCounts(tw.now)), fmt.Sprint(referenceCounts(ta, tw.now)))
 	for _, sr := range ta.openSteps {
-		assert.Equal(t, ta.endsIn(sr, tw.now), plainEndsIn(ta, sr, tw.now), "end of %s", sr.step.ID)
-		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tw.now), plainLeaving(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
+		assert.Equal(t, ta.endsIn(sr, tw.now), referenceEndsIn(ta, sr, tw.now), "end of %s", sr.step.ID)
+		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tw.now), referenceMoves(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
 	}
 }
 
 // Guards against stale caches: placement with state kept between ticks must equal a full
 // recomputation after any sequence of events.
-func TestPlacesAsAPlainLookDoes(t *testing.T) {
+func TestPlacementMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tw := &twinTable{now: begin, tables: [2]*Table{NewTable(1, nil), NewTable(1, nil)}}
+		tw := &tablePair{now: begin, tables: [2]*Table{NewTable(1, nil), NewTable(1, nil)}}
 		tw.light = rapid.Bool().Draw(t, "light")
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
 			tw.engines = append(tw.engines, EngineInfo{ID: fmt.Sprint("engine-", i), Service: "service", Slots: 2, Tokens: 12000})
 		}
 		tw.both(func(ta *Table) {
-			for _, model := range twinModels {
+			for _, model := range pairModels {
 				ta.SetVersion(model, 2)
 			}
 			ta.SetEngines(tw.engines, tw.now)
 		})
 		events := []func(*rapid.T){
 			tw.drawStep, tw.drawStep, tw.drawEngines, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers,
-			tw.drawScores, tw.drawHold, tw.drawEnd, tw.drawGauge, tw.pass, tw.pass,
+			tw.drawScores, tw.drawHold, tw.drawEnd, tw.drawGauge, tw.skipTime, tw.skipTime,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			rapid.SampledFrom(events).Draw(t, "event")(t)
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// plainCounts counts customers' items without cached summaries.
-func plainCounts(ta *Table, now time.Time) map[usageKey]itemCounts {
+// referenceCounts counts customers' items without cached summaries.
+func referenceCounts(ta *Table, now time.Time) map[usageKey]itemCounts {
 	counts := map[usageKey]itemCounts{}
 	for _, sr := range ta.openSteps {
 		key := usageKey{sr.step.Customer, sr.step.Service}
@@ -27,8 +27,8 @@
 	return counts
 }
 
-// plainEndsIn returns when a step is expected to end, without cached summaries.
-func plainEndsIn(ta *Table, sr *stepRow, now time.Time) time.Duration {
+// referenceEndsIn returns when a step is expected to end, without cached summaries.
+func referenceEndsIn(ta *Table, sr *stepRow, now time.Time) time.Duration {
 	groups := map[string]time.Duration{}
 	for _, ir := range sr.items {
 		if ir.open() {
@@ -53,8 +53,8 @@
 	return max(must, others[min(missing, len(others))-1])
 }
 
-// plainLeaving returns the runs of a step that should move, without cached summaries.
-func plainLeaving(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
+// referenceMoves returns the runs of a step that should move, without cached summaries.
+func referenceMoves(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
 	var les []moveCandidate
 	for _, ir := range sr.items {
 		en := ta.engines[ir.run.engineID]
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -8,31 +8,31 @@
 	"wisteriacroft/overload"
 )
 
-// placePlainly is the reference implementation of Place: it keeps no state between ticks and
+// referencePlace is the reference implementation of Place: it keeps no state between ticks and
 // compares every waiting item with every engine that has a free slot.
-func placePlainly(ta *Table, now time.Time) {
+func referencePlace(ta *Table, now time.Time) {
 	if ta.awaitingEngines(now) {
 		return
 	}
 	if now.Sub(ta.plannedAt) >= planInterval {
-		planPlainly(ta, now)
+		referencePlan(ta, now)
 	}
 	if len(ta.openSteps) == 0 {
 		return
 	}
-	pp := &plainPlacing{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
+	pp := &referencePlacement{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
 	for _, en := range ta.sortedEngines {
-		pp.soon[en] = plainEnd(en) <= sendAheadTime
+		pp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
 	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.incoming) == 0 }
 	open := slices.DeleteFunc(slices.Clone(ta.sortedEngines), full)
-	for _, ir := range plainWaiting(ta, now) {
+	for _, ir := range referenceOrder(ta, now) {
 		if open = slices.DeleteFunc(open, full); len(open) == 0 {
 			return
 		}
 		if ta.needsTrial(ir, now) {
 			pp.release(ta, ir)
-			if en := plainTrial(ta, ir, now); en != nil {
+			if en := referenceTrial(ta, ir, now); en != nil {
 				pp.start(ta, ir, en, now)
 				ta.trials.start(en.id, ir)
 			}
@@ -42,7 +42,7 @@
 		pp.release(ta, ir)
 		en := kept
 		if en == nil || pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
-			en = plainChoose(pp, ta, ir, open, now)
+			en = referenceChoose(pp, ta, ir, open, now)
 		}
 		if en != nil {
 			pp.start(ta, ir, en, now)
@@ -50,34 +50,34 @@
 	}
 }
 
-// A plainPlacing records which engines have a run about to end. The flag of an engine that
+// A referencePlacement records which engines have a run about to end. The flag of an engine that
 // released a reserved slot isn't updated again in the same round.
-type plainPlacing struct{ released, soon map[*engineRow]bool }
+type referencePlacement struct{ released, soon map[*engineRow]bool }
 
-func (pp *plainPlacing) release(ta *Table, ir *itemRow) {
+func (pp *referencePlacement) release(ta *Table, ir *itemRow) {
 	if en := ta.engines[ir.moveTarget]; en != nil {
 		pp.released[en] = true
 	}
 	ta.releaseReserved(ir)
 }
 
-func (pp *plainPlacing) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
+func (pp *referencePlacement) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
 	ta.startRun(ir, en, now)
 	if !pp.released[en] {
-		pp.soon[en] = plainEnd(en) <= sendAheadTime
+		pp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
 }
 
-func (pp *plainPlacing) open(ta *Table, en *engineRow) int {
+func (pp *referencePlacement) open(ta *Table, en *engineRow) int {
 	if free := en.freeSlots(); free != 0 || !ta.prequeues(en.service) || !pp.soon[en] {
 		return free
 	}
 	return 1
 }
 
-func planPlainly(ta *Table, now time.Time) {
+func referencePlan(ta *Table, now time.Time) {
 	ta.plannedAt = now
-	waiting := plainRanks(ta, plainWaits(ta, now))
+	waiting := referenceRanks(ta, referenceWaiting(ta, now))
 	for _, sr := range ta.openSteps {
 		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			ta.servicePlan(sr.step.Service)
@@ -91,7 +91,7 @@
 			if sr.step.Service != service || sr.step.Due <= 0 || ta.fullyHeld(sr) {
 				continue
 			}
-			st := plainStep(ta, sr, now)
+			st := referenceStep(ta, sr, now)
 			st.Rank = ranks[sr.step.Customer]
 			steps, rows = append(steps, st), append(rows, sr)
 		}
@@ -106,7 +106,7 @@
 	}
 }
 
-func plainStep(ta *Table, sr *stepRow, now time.Time) *overload.Step {
+func referenceStep(ta *Table, sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
@@ -135,7 +135,7 @@
 	return st
 }
 
-func plainWaits(ta *Table, now time.Time) []*itemRow {
+func referenceWaiting(ta *Table, now time.Time) []*itemRow {
 	var irs []*itemRow
 	for _, sr := range ta.openSteps {
 		for _, ir := range sr.items {
@@ -147,7 +147,7 @@
 	return irs
 }
 
-func plainRanks(ta *Table, waits []*itemRow) map[string]int {
+func referenceRanks(ta *Table, waits []*itemRow) map[string]int {
 	ranks := map[string]int{}
 	if ta.ignoreShares {
 		return ranks
@@ -161,9 +161,9 @@
 	return ranks
 }
 
-func plainWaiting(ta *Table, now time.Time) []*itemRow {
-	irs := plainWaits(ta, now)
-	waiting := plainRanks(ta, irs)
+func referenceOrder(ta *Table, now time.Time) []*itemRow {
+	irs := referenceWaiting(ta, now)
+	waiting := referenceRanks(ta, irs)
 	turn := func(ir *itemRow) passKind {
 		switch {
 		case !ir.group.plan.InTime():
@@ -189,7 +189,7 @@
 	return irs
 }
 
-func plainMemory(en *engineRow) (now, end int) {
+func referenceMemory(en *engineRow) (now, end int) {
 	for _, ir := range en.items {
 		itNow, itEnd := ir.tokenUse()
 		now, end = now+itNow, end+itEnd
@@ -202,7 +202,7 @@
 	return now, end
 }
 
-func plainEnd(en *engineRow) time.Duration {
+func referenceEnd(en *engineRow) time.Duration {
 	rate := 0.0
 	for _, ir := range en.items {
 		rate += 1 / max(ir.expectedTime(), sendAheadTime).Seconds()
@@ -210,19 +210,19 @@
 	return expectedEnd(rate)
 }
 
-func plainFits(en *engineRow, ir *itemRow) bool {
-	now, _ := plainMemory(en)
+func referenceFits(en *engineRow, ir *itemRow) bool {
+	now, _ := referenceMemory(en)
 	added, _ := ir.tokenUse()
 	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= maxMemoryFraction*float64(en.tokens)
 }
 
-func plainTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
+func referenceTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
 	if ta.trials.count(now) >= max(1, len(ta.sortedEngines)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
 	for _, en := range ta.sortedEngines {
-		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
+		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
 		if best == nil || len(en.items)+len(en.incoming) < len(best.items)+len(best.incoming) {
@@ -232,17 +232,17 @@
 	return best
 }
 
-func plainChoose(pp *plainPlacing, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
+func referenceChoose(pp *referencePlacement, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
 	var best *engineRow
 	bestScore := 0.0
 	for _, en := range ens {
-		if pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !plainFits(en, ir) || ta.trials.runsTrial(en.id, now) {
+		if pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
 		if en.id == ir.avoidedEngine && now.Sub(ir.stateSince) < avoidEngineFor {
 			continue
 		}
-		score := plainScore(ta, en, ir, now)
+		score := referenceScore(ta, en, ir, now)
 		if best == nil || score > bestScore || score == bestScore && en.id < best.id {
 			best, bestScore = en, score
 		}
@@ -250,7 +250,7 @@
 	return best
 }
 
-func plainScore(ta *Table, en *engineRow, ir *itemRow, now time.Time) float64 {
+func referenceScore(ta *Table, en *engineRow, ir *itemRow, now time.Time) float64 {
 	score := float64(en.freeSlots())
 	for _, other := range en.items {
 		if other.step == ir.step && other.item.Group == ir.item.Group {
@@ -264,7 +264,7 @@
 	if en.slow(now) {
 		score -= float64(2 * en.slots)
 	}
-	held, end := plainMemory(en)
+	held, end := referenceMemory(en)
 	took := ir.expectedTime().Seconds()
 	cost := took * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
 	if best := ta.bestBases[en.service]; best > 0 && en.basePace > 0 {
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -14,13 +14,13 @@
 	known    bool // the table gets the exact pace of each engine
 	engines  []*simEngine
 	now      time.Time
-	sheet    simSheet
+	sheet    simDeployment
 	table    *Table
 	trainers []*simTrainer
 }
 
-// A simSheet holds the properties of a deployment's engines and items.
-type simSheet struct {
+// A simDeployment holds the properties of a deployment's engines and items.
+type simDeployment struct {
 	eventTokens int // tokens per event
 	maxEvents   int // of the longest item
 	prompt      int // tokens per prompt
@@ -30,16 +30,16 @@
 
 // The deployments to simulate, from a dozen to 62 engines.
 var (
-	smallSheet = simSheet{eventTokens: 64, maxEvents: 195, prompt: 271, slots: 12, tokens: 46422}
-	grownSheet = simSheet{eventTokens: 80, maxEvents: 149, prompt: 1016, slots: 8, tokens: 43562}
-	largeSheet = simSheet{eventTokens: 64, maxEvents: 195, prompt: 276, slots: 6, tokens: 27652}
-	shortSheet = simSheet{eventTokens: 64, maxEvents: 91, prompt: 276, slots: 6, tokens: 27652}
-	mixedSheet = simSheet{eventTokens: 80, maxEvents: 156, prompt: 276, slots: 12, tokens: 39466}
-	tightSheet = simSheet{eventTokens: 80, maxEvents: 154, prompt: 276, slots: 8, tokens: 31632}
+	smallSheet = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 271, slots: 12, tokens: 46422}
+	grownSheet = simDeployment{eventTokens: 80, maxEvents: 149, prompt: 1016, slots: 8, tokens: 43562}
+	largeSheet = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 276, slots: 6, tokens: 27652}
+	shortSheet = simDeployment{eventTokens: 64, maxEvents: 91, prompt: 276, slots: 6, tokens: 27652}
+	mixedSheet = simDeployment{eventTokens: 80, maxEvents: 156, prompt: 276, slots: 12, tokens: 39466}
+	tightSheet = simDeployment{eventTokens: 80, maxEvents: 154, prompt: 276, slots: 8, tokens: 31632}
 )
 
 // newReplay returns a replay with an engine for each factor.
-func newReplay(sheet simSheet, factors []float64, trainers []*simTrainer) *replay {
+func newReplay(sheet simDeployment, factors []float64, trainers []*simTrainer) *replay {
 	re := &replay{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), sheet: sheet, table: NewTable(1, nil), trainers: trainers}
 	for i, factor := range factors {
 		se := &simEngine{
@@ -69,14 +69,14 @@
 	return time.Duration(float64(simLoad) * max(1, float64(loading)*5/float64(len(re.engines))))
 }
 
-// playing limits concurrent replays, which would otherwise take the processors from tests of
+// replaySlots limits concurrent replays, which would otherwise take the processors from tests of
 // real processes.
-var playing = make(chan struct{}, 4)
+var replaySlots = make(chan struct{}, 4)
 
-// play runs the replay for the given time, and calls each, if not nil, at every tick.
-func (re *replay) play(length time.Duration, each func(at time.Duration)) {
-	playing <- struct{}{}
-	defer func() { <-playing }()
+// run runs the replay for the given time, and calls each, if not nil, at every tick.
+func (re *replay) run(length time.Duration, each func(at time.Duration)) {
+	replaySlots <- struct{}{}
+	defer func() { <-replaySlots }()
 	begun := re.now
 	for _, tr := range re.trainers {
 		tr.start = begun
@@ -86,16 +86,16 @@
 		if each != nil {
 			each(re.now.Sub(begun))
 		}
-		re.hear(tick)
+		re.respond(tick)
 		re.decideBefore()
 		re.table.Place(re.now)
 		re.decideAfter()
-		re.readOn()
+		re.runTrainers()
 	}
 }
 
-// hear advances the engines by a tick and delivers responses of half of the attendants.
-func (re *replay) hear(tick int) {
+// respond advances the engines by a tick and delivers responses of half of the attendants.
+func (re *replay) respond(tick int) {
 	var infos []EngineInfo
 	for _, se := range re.engines {
 		se.advance(re.now)
@@ -118,7 +118,7 @@
 	ta.MeasurePace(re.now)
 	ta.ChargeUsage(re.now)
 	if re.known {
-		re.tellPaces()
+		re.setExactPaces()
 	}
 	ta.DropExpired(re.now)
 	if !re.baseline {
@@ -136,16 +136,16 @@
 	}
 }
 
-// readOn lets trainers submit steps and read results.
-func (re *replay) readOn() {
+// runTrainers lets trainers submit steps and read results.
+func (re *replay) runTrainers() {
 	for _, tr := range re.trainers {
-		tr.ask(re)
-		tr.look(re)
+		tr.submit(re)
+		tr.poll(re)
 	}
 }
 
-// tellPaces sets the exact base pace of each engine in the table.
-func (re *replay) tellPaces() {
+// setExactPaces sets the exact base pace of each engine in the table.
+func (re *replay) setExactPaces() {
 	bases := map[string][]time.Duration{}
 	for _, se := range re.engines {
 		en := re.table.engines[se.id]
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -29,21 +29,21 @@
 		name string
 		tell func(ta *Table)
 	}{
-		{"the report tells first", func(ta *Table) { hear(ta, "a", reportOf(20, 2), begin) }},
+		{"the report tells first", func(ta *Table) { respond(ta, "a", reportOf(20, 2), begin) }},
 		{"the entry tells first", func(ta *Table) { enter(ta, 20, 2) }},
 		{"an old report comes after", func(ta *Table) {
 			enter(ta, 20, 2)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 		}},
 		{"an old entry comes after", func(ta *Table) {
-			hear(ta, "a", reportOf(20, 2), begin)
+			respond(ta, "a", reportOf(20, 2), begin)
 			enter(ta, 10, 5)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := NewTable(1, nil)
 			enter(ta, 10, 5)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 			en := ta.engines["a"]
 			en.replaced, en.brokeRunAt, en.slowAt, en.basePace = true, begin, begin, time.Second
 			tc.tell(ta)
@@ -58,10 +58,10 @@
 	// A report or directory entry without an incarnation doesn't reset the state of the engine.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 5)
-	hear(ta, "a", reportOf(10, 5), begin)
+	respond(ta, "a", reportOf(10, 5), begin)
 	en := ta.engines["a"]
 	en.slowAt = begin
-	hear(ta, "a", reportOf(0, 6), begin)
+	respond(ta, "a", reportOf(0, 6), begin)
 	enter(ta, 0, 5)
 	assert.Assert(t, en.slow(begin))
 	assert.Equal(t, en.incarnation, incarnation.Number(10))
@@ -72,7 +72,7 @@
 	// Guards against an item being stuck on an engine that restarted and whose attendant never responds again.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 1)
-	hear(ta, "a", reportOf(10, 1), begin)
+	respond(ta, "a", reportOf(10, 1), begin)
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -224,7 +224,7 @@
 				next := NewTable(epoch+2, nil)
 				addEngines(next, begin, "a")
 				next.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
-				hear(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
+				respond(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 					{Events: events(1, 3, 1), Key: key, State: runner.Complete},
 				}}, begin)
 				ir := next.steps["s"].items[0]
@@ -244,20 +244,20 @@
 	// Guards against repeating all reward calls after a failover: attendants hold the scores until they are listed.
 	ta := wholeTexts(t, scored(stepOf("s", 1)))
 	irs := ta.startRewards(at(6), begin)
-	hear(ta, "a", runner.ExchangeResponse{}, begin) // acknowledges the end
+	respond(ta, "a", runner.ExchangeResponse{}, begin) // acknowledges the end
 	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
 	rq, _ := ta.Request("a")
 	key := ta.steps["s"].items[0].run.key
 	want := runner.Ack{Ended: true, Events: 3, Key: key, Score: "mark of call-s-0-0"}
 	assert.DeepEqual(t, rq.Seen, []runner.Ack{want})
-	hear(ta, "a", runner.ExchangeResponse{}, begin)
+	respond(ta, "a", runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, len(rq.Seen), 0)
 
 	next := NewTable(2, nil)
 	addEngines(next, begin, "a")
 	next.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
-	hear(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
+	respond(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 3, 1), Key: key, Score: want.Score, State: runner.Complete},
 	}}, begin)
 	assert.Equal(t, len(next.startRewards(at(6), begin)), 0)
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -25,7 +25,7 @@
 	}
 	ta.SetEngines(infos, begin)
 	for _, en := range ta.sortedEngines {
-		hear(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
+		respond(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
 	}
 	sizes := make([]int, items)
 	for i := range sizes {
@@ -49,7 +49,7 @@
 	return count
 }
 
-func TestFreeRoomOfOneServiceIsNotAnothers(t *testing.T) {
+func TestCapacityIsPlannedByService(t *testing.T) {
 	// Guards against planning a step's groups into slots of engines of another service,
 	// which can't run them.
 	ta := twoServices(t, 1, 20, 30)
@@ -61,7 +61,7 @@
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
-func TestCrowdedServiceCrowdsNoOther(t *testing.T) {
+func TestOverloadIsDetectedByService(t *testing.T) {
 	// An overloaded service must not put another service, which has free slots, into
 	// overload mode.
 	ta := twoServices(t, 1, 4, 300)
@@ -85,7 +85,7 @@
 }
 
 // The hysteresis of overload detection is kept for each service on its own.
-func TestServicesRememberWhetherTheyWereCrowded(t *testing.T) {
+func TestOverloadHysteresisByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 30)
 	ta.planCapacity(begin)
 	assert.Assert(t, ta.overloaded("service") && !ta.overloaded("other"))
@@ -115,7 +115,7 @@
 }
 
 // Each service has its own metrics, which are unregistered after it had no steps for a while.
-func TestRoomsAreMeasuredByService(t *testing.T) {
+func TestLoadMetricsByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
 	ta.planCapacity(begin)
 	sc := &Scheduler{Metrics: metrics.NewSet()}
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -65,7 +65,7 @@
 		{"late anywhere", 7500 * time.Millisecond, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ta, irs := crowded(t, 40*time.Millisecond, 100)
+			ta, irs := fullEngine(t, 40*time.Millisecond, 100)
 			from, to := ta.engines["a"], ta.engines["b"]
 			from.basePace, to.basePace = 100*time.Millisecond, 40*time.Millisecond
 			now := begin.Add(tc.age)
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// shares replays a small customer with one trainer beside a large one with ten. It returns
+// replayShares replays a small customer with one trainer beside a large one with ten. It returns
 // the fraction of groups in time of the small customer, and of both together.
-func shares(seed uint64, anyShare bool) (small, all float64) {
+func replayShares(seed uint64, anyShare bool) (small, all float64) {
 	trainers := []*simTrainer{newTrainer(smallSheet, "small", 10, 4, 500*time.Millisecond, seed)}
 	for i := range 10 {
 		trainers = append(trainers, newTrainer(smallSheet, fmt.Sprintf("large-%d", i), 10, 4, 500*time.Millisecond, seed+uint64(10*i+10)))
@@ -23,7 +23,7 @@
 	}
 	re := newReplay(smallSheet, factors(5), trainers)
 	re.table.ignoreShares = anyShare
-	re.play(dayLength, nil)
+	re.run(dayLength, nil)
 	inTime, owed := 0, 0
 	for _, tr := range trainers {
 		inTime += tr.inTime
@@ -38,9 +38,9 @@
 	var small, all, smallBefore, allBefore float64
 	const luck = 4
 	for seed := range uint64(luck) {
-		s, a := shares(seed, false)
+		s, a := replayShares(seed, false)
 		small, all = small+s/luck, all+a/luck
-		s, a = shares(seed, true)
+		s, a = replayShares(seed, true)
 		smallBefore, allBefore = smallBefore+s/luck, allBefore+a/luck
 	}
 	t.Logf("small %.3f of all %.3f; by time to spare alone %.3f of %.3f", small, all, smallBefore, allBefore)
--- a/step/simengine_test.go
+++ b/step/simengine_test.go
@@ -19,7 +19,7 @@
 	target   uint64
 	order    []*simRun // by launch
 	runs     map[runner.Key]*simRun
-	sheet    simSheet
+	sheet    simDeployment
 	versions map[string]uint64
 	dead     bool
 }
@@ -45,18 +45,18 @@
 	tokens := 0.0
 	for _, ru := range se.order {
 		if ru.state == runner.Running {
-			tokens += se.holds(ru)
+			tokens += se.tokens(ru)
 		}
 	}
 	return tokens
 }
 
-// holds returns how many tokens a run holds.
-func (se *simEngine) holds(ru *simRun) float64 {
+// tokens returns how many tokens a run tokens.
+func (se *simEngine) tokens(ru *simRun) float64 {
 	return float64(se.sheet.prompt) + (float64(len(ru.launch.Prior))+ru.made)*float64(se.sheet.eventTokens)
 }
 
-func (se *simEngine) alive() int {
+func (se *simEngine) running() int {
 	count := 0
 	for _, ru := range se.runs {
 		if ru.state == runner.Running {
@@ -68,7 +68,7 @@
 
 // pace returns the time per event.
 func (se *simEngine) pace() time.Duration {
-	step := 0.592 + 0.00172*float64(se.alive()) + 0.00163*se.context()/1000
+	step := 0.592 + 0.00172*float64(se.running()) + 0.00163*se.context()/1000
 	return time.Duration(step * float64(se.sheet.eventTokens) * se.factor * float64(time.Millisecond))
 }
 
@@ -90,7 +90,7 @@
 			break
 		}
 		// Without memory, the newest runs wait until older ones have ended.
-		if held += se.holds(ru); held > float64(se.sheet.tokens) {
+		if held += se.tokens(ru); held > float64(se.sheet.tokens) {
 			continue
 		}
 		ru.made += events
@@ -121,7 +121,7 @@
 		// Prefill of the prompt and of the prior events takes time.
 		read := float64(se.sheet.prompt + len(la.Prior)*se.sheet.eventTokens)
 		ru.made = -read / 307 / (float64(se.pace()) / float64(time.Millisecond))
-		if !se.loading.IsZero() && se.model == ru.model || se.alive() > se.sheet.slots {
+		if !se.loading.IsZero() && se.model == ru.model || se.running() > se.sheet.slots {
 			ru.state = runner.NotRun
 		}
 		se.runs[la.Key] = ru
@@ -139,8 +139,8 @@
 	if rq.Order != nil && rq.Order.Version > se.versions[rq.Order.Model] && se.loading.IsZero() {
 		se.loading, se.model, se.target = now.Add(load), rq.Order.Model, rq.Order.Version
 	}
-	re := runner.ExchangeResponse{Boot: "boot", Reachable: true, Running: se.alive(), Report: runner.Report{
-		Active: se.alive(), Busy: !se.loading.IsZero(), Pace: se.pace(), PaceGaps: 4 * se.alive(),
+	re := runner.ExchangeResponse{Boot: "boot", Reachable: true, Running: se.running(), Report: runner.Report{
+		Active: se.running(), Busy: !se.loading.IsZero(), Pace: se.pace(), PaceGaps: 4 * se.running(),
 		Tokens: int(se.context()), Versions: maps.Clone(se.versions),
 	}}
 	if !se.loading.IsZero() {
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -26,7 +26,7 @@
 	named    uint64
 	open     []*simStep
 	rng      *rand.Rand
-	sheet    simSheet
+	sheet    simDeployment
 	size     int
 	start    time.Time
 	target   int
@@ -97,8 +97,8 @@
 	return !now.Before(rd.lookAt)
 }
 
-// readOn starts a read.
-func (ss *simStep) readOn(now time.Time) {
+// startRead starts a read.
+func (ss *simStep) startRead(now time.Time) {
 	ss.reader = simReader{begun: now, held: true, release: ss.row.addRead(now, readWait)}
 }
 
@@ -130,8 +130,8 @@
 	return its
 }
 
-// ask submits the next step if it is due and its version is published.
-func (tr *simTrainer) ask(re *replay) {
+// submit submits the next step if it is due and its version is published.
+func (tr *simTrainer) submit(re *replay) {
 	when := tr.start.Add(time.Duration(tr.next) * tr.every)
 	if re.now.Before(when) || uint64(tr.next) > tr.named {
 		return
@@ -161,8 +161,8 @@
 	tr.next++
 }
 
-// look reads each open step, and ends those that are complete or timed out.
-func (tr *simTrainer) look(re *replay) {
+// poll reads each open step, and ends those that are complete or timed out.
+func (tr *simTrainer) poll(re *replay) {
 	for len(tr.trains) > 0 && !re.now.Before(tr.trains[0]) {
 		tr.trains = tr.trains[1:]
 		tr.named++
@@ -178,13 +178,13 @@
 	if !looks && ss.read == before && took < 12*time.Second {
 		return false
 	}
-	whole, first := ss.whole(tr.size)
+	whole, first := ss.completeGroups(tr.size)
 	if took+submitTime <= tr.due+700*time.Millisecond {
 		ss.inTime = whole
 	}
 	if (!looks || whole < tr.target || first < len(ss.first)) && took < 12*time.Second {
 		if looks {
-			ss.readOn(re.now)
+			ss.startRead(re.now)
 		}
 		return false
 	}
@@ -193,12 +193,12 @@
 	tr.tails = append(tr.tails, re.now.Sub(ss.row.lastDone()))
 	tr.carryOver(ss)
 	re.table.End(ss.step.ID)
-	tr.learn(re.now)
+	tr.train(re.now)
 	return true
 }
 
-// learn schedules the training on a step that has ended, after earlier ones.
-func (tr *simTrainer) learn(now time.Time) {
+// train schedules the training on a step that has ended, after earlier ones.
+func (tr *simTrainer) train(now time.Time) {
 	begun := now
 	if len(tr.trains) > 0 {
 		begun = tr.trains[len(tr.trains)-1]
@@ -206,9 +206,9 @@
 	tr.trains = append(tr.trains, begun.Add(tr.lesson))
 }
 
-// whole returns how many groups have been read completely, and how many of these had been
+// completeGroups returns how many groups have been read completely, and how many of these had been
 // requested before.
-func (ss *simStep) whole(size int) (whole, first int) {
+func (ss *simStep) completeGroups(size int) (whole, first int) {
 	for name, count := range ss.readGroups() {
 		if count == size {
 			whole++
@@ -254,7 +254,7 @@
 }
 
 // newTrainer returns a trainer that waits for 90 percent of its groups, rounded up.
-func newTrainer(sheet simSheet, model string, groups, size int, lesson time.Duration, seed uint64) *simTrainer {
+func newTrainer(sheet simDeployment, model string, groups, size int, lesson time.Duration, seed uint64) *simTrainer {
 	return &simTrainer{
 		due: 7500 * time.Millisecond, every: 4 * time.Second, groups: groups, lengths: map[string]int{},
 		lesson: lesson, model: model, named: 1,
--- a/step/suspect_test.go
+++ b/step/suspect_test.go
@@ -10,7 +10,7 @@
 	"wisteriacroft/runner"
 )
 
-func TestItemRestsAfterItsEnginesEnded(t *testing.T) {
+func TestItemIsQuarantinedAfterEngineCrashes(t *testing.T) {
 	// An item that crashes its engines must be quarantined before it takes down all of them.
 	for _, tc := range []struct {
 		name  string
@@ -31,7 +31,7 @@
 					continue
 				}
 				runs++
-				hear(ta, ir.run.engineID, runner.ExchangeResponse{Runs: []runner.Progress{{
+				respond(ta, ir.run.engineID, runner.ExchangeResponse{Runs: []runner.Progress{{
 					EngineEnded: tc.ended, Key: ir.run.key, State: runner.Broken,
 				}}}, at)
 			}
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestItemStaysAtRestUnderTheNextScheduler(t *testing.T) {
+func TestQuarantineIsKeptByNextScheduler(t *testing.T) {
 	// Strikes are kept for the next scheduler and for later steps with the same item.
 	shared := &quarantine.Table{}
 	for _, step := range []string{"s", "t"} {
@@ -60,9 +60,9 @@
 	}
 }
 
-// hearAll delivers responses of all attendants: each run makes one event and completes after
+// respondAll delivers responses of all attendants: each run makes one event and completes after
 // length events, unless ends reports that its engine has ended.
-func hearAll(ta *Table, ids []string, now time.Time, length int, ends func(en *engineRow) bool) {
+func respondAll(ta *Table, ids []string, now time.Time, length int, ends func(en *engineRow) bool) {
 	for _, id := range ids {
 		en := ta.engines[id]
 		ended := ends(en)
@@ -79,13 +79,13 @@
 			}
 			re.Runs = append(re.Runs, pr)
 		}
-		hear(ta, id, re, now)
+		respond(ta, id, re, now)
 	}
 }
 
 // Items that crash their engines are tried alone, so that each takes at most three engines
 // and the items beside it aren't quarantined.
-func TestItemsThatEndTheirEnginesAreTriedAlone(t *testing.T) {
+func TestItemsThatCrashEnginesAreTriedAlone(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
 	for _, en := range ta.engines {
@@ -96,7 +96,7 @@
 	deadly := map[*itemRow]int{items[3]: 0, items[20]: 0}
 	for at := begin; at.Before(begin.Add(20 * time.Second)); at = at.Add(100 * time.Millisecond) {
 		ta.Place(at)
-		hearAll(ta, ids, at, 15, func(en *engineRow) bool {
+		respondAll(ta, ids, at, 15, func(en *engineRow) bool {
 			ends := false
 			for ir := range deadly {
 				if ir.run.engineID == en.id && ir.state == running {
@@ -119,7 +119,7 @@
 
 // Guards against crashes of many engines that turn all items of a step into suspects, which
 // would then be tried one after the other.
-func TestCrashesOfManyEnginesHoldNoItemBack(t *testing.T) {
+func TestCrashesOfManyEnginesDelayNoItem(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	ta := tableOf(t, 1, ids...)
 	for _, en := range ta.engines {
@@ -130,7 +130,7 @@
 	for at := begin; at.Before(begin.Add(8 * time.Second)); at = at.Add(50 * time.Millisecond) {
 		ta.Place(at)
 		crash := at.Equal(begin.Add(150*time.Millisecond)) || at.Equal(begin.Add(650*time.Millisecond))
-		hearAll(ta, ids, at, 60, func(en *engineRow) bool { return crash && en.id < "e" })
+		respondAll(ta, ids, at, 60, func(en *engineRow) bool { return crash && en.id < "e" })
 		for _, ir := range ta.steps["s"].items {
 			if ir.state != waiting {
 				lastRun[ir] = at
@@ -156,7 +156,7 @@
 			for key, ir := range ta.engines[id].items {
 				re.Runs = append(re.Runs, runner.Progress{Key: key, First: len(ir.events), Events: events(len(ir.events)+1, len(ir.events)+3, 1)})
 			}
-			hear(ta, id, re, at)
+			respond(ta, id, re, at)
 		}
 		at = at.Add(3 * time.Second)
 		for _, id := range ids[:4] {
@@ -164,7 +164,7 @@
 			for key, ir := range ta.engines[id].items {
 				re.Runs = append(re.Runs, runner.Progress{EngineEnded: true, First: len(ir.events), Key: key, State: runner.Broken})
 			}
-			hear(ta, id, re, at)
+			respond(ta, id, re, at)
 		}
 	}
 	for _, ir := range ta.steps["s"].items {
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -84,13 +84,13 @@
 	ta.OrderLoads(begin)
 	rq, _ := ta.Request("a")
 	assert.Equal(t, rq.Order.Version, uint64(2))
-	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
-	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 2}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 2}}}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 }
 
-func TestGivenUpItems(t *testing.T) {
+func TestAbandonedItems(t *testing.T) {
 	// Guards against items that run for ever, and items abandoned too early.
 	for _, tc := range []struct {
 		name   string
@@ -130,14 +130,14 @@
 	rq, _ := ta.Request("a")
 	assert.Equal(t, len(rq.Launches), 0)
 	assert.Equal(t, len(rq.Forget), 2)
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: key, Events: events(1, 2, 1)}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: key, Events: events(1, 2, 1)}}}, begin)
 	assert.Equal(t, len(ta.DueChunks(begin.Add(time.Hour))), 0)
 	assert.DeepEqual(t, ta.DropOldSteps(time.Minute, begin.Add(time.Hour)), []string{"s"})
 }
 
 // Guards against a memory leak: the wait queue and the group order of a step that has ended
 // must not reference its items.
-func TestEndedStepsLetGoOfTheirItems(t *testing.T) {
+func TestEndedStepsReleaseItems(t *testing.T) {
 	for _, due := range []time.Duration{0, 7500 * time.Millisecond} { // without and with planned capacity
 		ta := tableOf(t, 1, "a")
 		st := stepOf("s", 100, 100)
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestMovesKeepTheirPlace(t *testing.T) {
+func TestMovedRunKeepsReservedSlot(t *testing.T) {
 	// Guards against losing the target slot of a moved run to a waiting item while the
 	// run stops.
 	ta := tableOf(t, 1, "a", "b", "c")
@@ -178,7 +178,7 @@
 				re.Report.Pace = 160 * time.Millisecond
 				re.Runs = []runner.Progress{{Events: events(1, 2, 1), Key: key}}
 			}
-			hear(ta, id, re, now)
+			respond(ta, id, re, now)
 		}
 		ta.MeasurePace(now)
 		ta.MoveStragglers(now)
@@ -188,7 +188,7 @@
 	to := ir.moveTarget
 	ta.Accept(stepOf("t", 9), StoredStep{}, false, begin)
 	ta.Place(now)
-	hear(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
+	respond(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
 	ta.Place(now)
 	assert.Equal(t, ir.run.engineID, to)
 	for _, en := range ta.engines {
@@ -206,7 +206,7 @@
 	}
 	addEngines(ta, begin, ids...)
 	for _, id := range ids {
-		hear(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"x": 1, "y": 1, "z": 1}}}, begin)
+		respond(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"x": 1, "y": 1, "z": 1}}}, begin)
 	}
 	for model, size := range map[string]int{"x": 60, "y": 30, "z": 10} {
 		st := stepOf("step-"+model, size)
@@ -220,7 +220,7 @@
 		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				have[en.order.Model]++
-				hear(ta, en.id, runner.ExchangeResponse{
+				respond(ta, en.id, runner.ExchangeResponse{
 					Report: runner.Report{Versions: map[string]uint64{en.order.Model: en.order.Version}},
 				}, begin)
 			}
@@ -260,7 +260,7 @@
 	}
 	addEngines(ta, begin, ids...)
 	for _, id := range ids {
-		hear(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}}}, begin)
+		respond(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}}}, begin)
 	}
 	loads := map[string]int{}
 	for round := range 40 { // four loads each; the versions need twenty
@@ -273,7 +273,7 @@
 		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				loads[en.order.Model]++
-				hear(ta, en.id, runner.ExchangeResponse{
+				respond(ta, en.id, runner.ExchangeResponse{
 					Report: runner.Report{Versions: map[string]uint64{en.order.Model: en.order.Version}},
 				}, begin)
 			}
@@ -285,10 +285,10 @@
 func TestLoadingEngineBeginsOtherModels(t *testing.T) {
 	// An engine that loads weights of one model still starts runs of other models.
 	ta := tableOf(t, 1, "a")
-	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
 	ta.SetVersion("other", 2)
 	ta.OrderLoads(begin)
-	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
 	st := stepOf("other-step", 1)
 	st.Model = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
@@ -298,7 +298,7 @@
 	assert.Equal(t, ta.steps["other-step"].items[0].state, waiting)
 }
 
-func TestLengthOfAGroupThatWasNotRead(t *testing.T) {
+func TestLengthOfUnreadGroup(t *testing.T) {
 	// The length of an item is also remembered if its group was complete but not read
 	// before the step ended: the group may come again in a later step.
 	for _, listed := range []bool{false, true} {
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -16,10 +16,10 @@
 	addEngines(ta, begin, "a", "b")
 	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	old := func(item string) runner.Key { return runner.Key{Attempt: 7, Item: item, Step: "s"} }
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 4, 1), Key: old("s-0-0")}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 4, 1), Key: old("s-0-0")}}}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "b has not been heard from")
-	hear(ta, "b", runner.ExchangeResponse{Runs: []runner.Progress{
+	respond(ta, "b", runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 2, 1), Key: old("s-0-1"), State: runner.Complete},
 	}}, begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
@@ -34,7 +34,7 @@
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
-	hear(ta, "a", runner.ExchangeResponse{}, begin)
+	respond(ta, "a", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 	ta.Place(begin.Add(maxEngineWait + 1))
@@ -48,7 +48,7 @@
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	_, other := keyOf(t, ta, "s", 1)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 25, 1), Key: key}, {Events: events(1, 5, 1), Key: other},
 	}}, begin)
 	cps := ta.Checkpoints(begin.Add(checkpointInterval))
@@ -86,7 +86,7 @@
 			_, key := keyOf(t, ta, "s", item)
 			prs = append(prs, runner.Progress{Events: big(1, (second+1)*minFirstEvents), Key: key})
 		}
-		hear(ta, "a", runner.ExchangeResponse{Runs: prs}, begin)
+		respond(ta, "a", runner.ExchangeResponse{Runs: prs}, begin)
 		cps := ta.Checkpoints(begin.Add(time.Duration(second+1) * checkpointInterval))
 		assert.Equal(t, len(cps[0].Partials), 1)
 		saved[cps[0].Partials[0].Item] = true
@@ -111,7 +111,7 @@
 			ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 			ta.Place(begin)
 			engine, key := keyOf(t, ta, "s", 0)
-			hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
+			respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 3, 1), Key: key}}}, begin)
 			ta.End("s")
 			again := stepOf("t", 1)
 			again.Items[0].ID, again.MinVersion = "s-0-0", tc.min
@@ -134,7 +134,7 @@
 	rq, _ := ta.Request("a")
 	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
 	again := runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}
-	hear(ta, "a", again, begin)
+	respond(ta, "a", again, begin)
 	rq, _ = ta.Request("a")
 	assert.Equal(t, len(rq.Forget), 0, "not listed")
 	ta.ChunksListed(ta.DueChunks(begin.Add(time.Hour)), begin)
@@ -147,11 +147,11 @@
 	// for one ID must not make the attendant discard the runs of the other.
 	ta := tableOf(t, 1, "old", "new")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
-	hear(ta, "old", runner.ExchangeResponse{Engine: "new"}, begin)
+	respond(ta, "old", runner.ExchangeResponse{Engine: "new"}, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
 	assert.Equal(t, engine, "new", "the old one is gone")
-	hear(ta, "old", runner.ExchangeResponse{Runs: []runner.Progress{{Endpoint: "new", Key: key}}}, begin)
+	respond(ta, "old", runner.ExchangeResponse{Runs: []runner.Progress{{Endpoint: "new", Key: key}}}, begin)
 	rq, _ := ta.Request("old")
 	assert.Equal(t, len(rq.Forget), 0)
 }
@@ -174,18 +174,18 @@
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "s", 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key}}}, begin)
 	rq, _ := ta.Request(engine)
 	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Events: 2, Key: key}})
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 1, "no answer yet")
-	hear(ta, engine, runner.ExchangeResponse{}, begin)
+	respond(ta, engine, runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{First: 2, Key: key, State: runner.Complete}}}, begin)
 	rq, _ = ta.Request(engine)
 	assert.DeepEqual(t, rq.Seen, []runner.Ack{{Ended: true, Events: 2, Key: key}})
-	hear(ta, engine, runner.ExchangeResponse{}, begin)
+	respond(ta, engine, runner.ExchangeResponse{}, begin)
 	rq, _ = ta.Request(engine)
 	assert.Equal(t, len(rq.Seen), 0)
 }
@@ -206,7 +206,7 @@
 			st := stepOf("s", 1)
 			cp := Checkpoint{Partials: []Partial{{Events: events(1, minFirstEvents, 1), Item: st.Items[0].ID}}, Step: "s"}
 			ta.Accept(st, StoredStep{Checkpoints: []Checkpoint{cp}}, false, begin)
-			hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{
+			respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 				{Events: events(1, minFirstEvents+5, tc.version), Key: runner.Key{Attempt: 7, Item: st.Items[0].ID, Step: "s"}},
 			}}, begin)
 			ir := ta.steps["s"].items[0]
@@ -221,7 +221,7 @@
 	// Guards against marking a restarted engine as replaced when its attendant still names the former engine ID.
 	ta := tableOf(t, 1, "old")
 	addEngines(ta, begin, "new")
-	hear(ta, "new", runner.ExchangeResponse{Engine: "old"}, begin)
+	respond(ta, "new", runner.ExchangeResponse{Engine: "old"}, begin)
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, _ := keyOf(t, ta, "s", 0)
--- a/step/update_test.go
+++ b/step/update_test.go
@@ -16,7 +16,7 @@
 	ta.Accept(stepOf("open", 1, 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	engine, key := keyOf(t, ta, "open", 0)
-	hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
+	respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
 	now := begin.Add(2 * checkpointInterval)
 	end(ta, t, "whole", 0, runner.Complete, events(1, 3, 1), now)
 	up := ta.NextWrites(now)
--- a/step/work_test.go
+++ b/step/work_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, len(ta.openWork(begin)), 0)
 }
 
-func TestWorkThatMustNotBeginAsksForNothing(t *testing.T) {
+func TestOpenWorkExcludesBlockedItems(t *testing.T) {
 	// Guards against scaling up for items that can't start: those held by an operator or
 	// quarantined.
 	for name, stop := range map[string]func(t *testing.T, ta *Table){
@@ -54,7 +54,7 @@
 }
 
 // A running item counts as open work even if it is held.
-func TestHeldWorkThatRunsIsCounted(t *testing.T) {
+func TestOpenWorkIncludesRunningHeldItems(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
