--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// totalWeight returns the totalWeight weight of the given customers.
+// totalWeight returns the total weight of the given customers.
 func (ac *Account) totalWeight(uses map[string]Usage) float64 {
 	total := 0.0
 	for customer := range uses {
@@ -142,7 +142,7 @@
 	return total
 }
 
-// limitLag limits how far customers are behind to mostClaim.
+// limitLag limits how far customers are behind to maxLag.
 func (ac *Account) limitLag(uses map[string]Usage, total float64) {
 	most := math.Inf(-1)
 	for customer := range uses {
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -29,26 +29,26 @@
 }
 
 // tick advances by a tick and gives free slots to items of the given length.
-func (sh *simulation) tick(length time.Duration) {
-	sh.at += testTick
-	sh.runs = slices.DeleteFunc(sh.runs, func(ru simRun) bool { return ru.end <= sh.at })
-	sh.account.Advance(sh.uses(), testTick)
-	for len(sh.runs) < sh.places {
-		customer, ok := sh.next()
+func (si *simulation) tick(length time.Duration) {
+	si.at += testTick
+	si.runs = slices.DeleteFunc(si.runs, func(ru simRun) bool { return ru.end <= si.at })
+	si.account.Advance(si.uses(), testTick)
+	for len(si.runs) < si.places {
+		customer, ok := si.next()
 		if !ok {
 			break
 		}
-		sh.wants[customer]--
-		sh.runs = append(sh.runs, simRun{customer: customer, end: sh.at + length})
+		si.wants[customer]--
+		si.runs = append(si.runs, simRun{customer: customer, end: si.at + length})
 	}
-	for _, ru := range sh.runs {
-		sh.served[ru.customer] += testTick
+	for _, ru := range si.runs {
+		si.served[ru.customer] += testTick
 	}
 }
 
-func (sh *simulation) held(customer string) int {
+func (si *simulation) held(customer string) int {
 	count := 0
-	for _, ru := range sh.runs {
+	for _, ru := range si.runs {
 		if ru.customer == customer {
 			count++
 		}
@@ -56,13 +56,13 @@
 	return count
 }
 
-func (sh *simulation) uses() map[string]Usage {
+func (si *simulation) uses() map[string]Usage {
 	uses := map[string]Usage{}
-	for customer, wants := range sh.wants {
-		held := sh.held(customer)
+	for customer, wants := range si.wants {
+		held := si.held(customer)
 		if held+wants > 0 {
 			uses[customer] = Usage{
-				Places: float64(held) / float64(sh.places), Waits: wants > 0, Wants: float64(held+wants) / float64(sh.places),
+				Places: float64(held) / float64(si.places), Waits: wants > 0, Wants: float64(held+wants) / float64(si.places),
 			}
 		}
 	}
@@ -71,14 +71,14 @@
 
 // next returns the customer whose item goes next. Of equal ranks it is the one with the most
 // waiting items.
-func (sh *simulation) next() (string, bool) {
+func (si *simulation) next() (string, bool) {
 	best := ""
-	for _, customer := range slices.Sorted(maps.Keys(sh.wants)) {
-		if sh.wants[customer] == 0 {
+	for _, customer := range slices.Sorted(maps.Keys(si.wants)) {
+		if si.wants[customer] == 0 {
 			continue
 		}
-		rank, bestRank := sh.account.Rank(customer), sh.account.Rank(best)
-		if best == "" || rank < bestRank || rank == bestRank && sh.wants[customer] > sh.wants[best] {
+		rank, bestRank := si.account.Rank(customer), si.account.Rank(best)
+		if best == "" || rank < bestRank || rank == bestRank && si.wants[customer] > si.wants[best] {
 			best = customer
 		}
 	}
@@ -90,19 +90,19 @@
 }
 
 // setWaiting sets the numbers of waiting items.
-func (sh *simulation) setWaiting(wants map[string]int) { maps.Copy(sh.wants, wants) }
+func (si *simulation) setWaiting(wants map[string]int) { maps.Copy(si.wants, wants) }
 
 func TestWaitingCustomersGetTheirWeights(t *testing.T) {
-	sh := newSimulation(12)
-	sh.account.SetWeights(map[string]float64{"half": 0.5})
+	si := newSimulation(12)
+	si.account.SetWeights(map[string]float64{"half": 0.5})
 	const length = 60 * time.Second
-	for sh.at < length {
-		sh.setWaiting(map[string]int{"large": 500, "small": 20, "half": 20})
-		sh.tick(time.Second)
+	for si.at < length {
+		si.setWaiting(map[string]int{"large": 500, "small": 20, "half": 20})
+		si.tick(time.Second)
 	}
-	total := sh.served["large"] + sh.served["small"] + sh.served["half"]
+	total := si.served["large"] + si.served["small"] + si.served["half"]
 	for customer, due := range map[string]float64{"large": 0.4, "small": 0.4, "half": 0.2} {
-		got := float64(sh.served[customer]) / float64(total)
+		got := float64(si.served[customer]) / float64(total)
 		assert.Assert(t, got > due-0.03 && got < due+0.03, "%s has %.3f of %.1f", customer, got, due)
 	}
 }
@@ -121,18 +121,18 @@
 func TestUnusedShareIsNotCredited(t *testing.T) {
 	// Guards against crediting unused time: a customer must not monopolize the engines after
 	// a long absence.
-	sh := newSimulation(12)
-	for sh.at < time.Hour {
-		sh.setWaiting(map[string]int{"stays": 100})
-		sh.tick(time.Second)
+	si := newSimulation(12)
+	for si.at < time.Hour {
+		si.setWaiting(map[string]int{"stays": 100})
+		si.tick(time.Second)
 	}
-	clear(sh.served)
-	back := sh.at
-	for sh.at < back+20*time.Second {
-		sh.setWaiting(map[string]int{"stays": 100, "comes": 100})
-		sh.tick(time.Second)
+	clear(si.served)
+	back := si.at
+	for si.at < back+20*time.Second {
+		si.setWaiting(map[string]int{"stays": 100, "comes": 100})
+		si.tick(time.Second)
 	}
-	got := float64(sh.served["comes"]) / float64(sh.served["comes"]+sh.served["stays"])
+	got := float64(si.served["comes"]) / float64(si.served["comes"]+si.served["stays"])
 	assert.Assert(t, got > 0.42 && got < 0.58, "%.3f", got)
 }
 
@@ -196,12 +196,12 @@
 func TestAccountProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
-		sh := newSimulation(rapid.IntRange(1, 8).Draw(rt, "places"))
+		si := newSimulation(rapid.IntRange(1, 8).Draw(rt, "places"))
 		weights := map[string]float64{}
 		for _, customer := range customers {
 			weights[customer] = rapid.SampledFrom([]float64{0.25, 0.5, 1, 2}).Draw(rt, "weight")
 		}
-		sh.account.SetWeights(weights)
+		si.account.SetWeights(weights)
 		total := 0.0
 		for _, weight := range weights {
 			total += weight
@@ -217,20 +217,20 @@
 			first := ""
 			const ticks = 40
 			for range ticks {
-				sh.setWaiting(wants)
-				before := maps.Clone(sh.served)
-				sh.tick(length)
+				si.setWaiting(wants)
+				before := maps.Clone(si.served)
+				si.tick(length)
 				for _, customer := range customers {
-					if wants[customer] == 0 || sh.held(customer) > 0 || sh.served[customer] > before[customer] {
-						waitedSince[customer] = sh.at
+					if wants[customer] == 0 || si.held(customer) > 0 || si.served[customer] > before[customer] {
+						waitedSince[customer] = si.at
 					}
 					// The claims of the others, in slot time, and the items that run meanwhile.
 					bound := time.Duration((maxLag+chargeAhead+1)*total/weights[customer]*float64(time.Second)) + 4*length
-					if waited := sh.at - waitedSince[customer]; waited > bound {
+					if waited := si.at - waitedSince[customer]; waited > bound {
 						rt.Fatalf("%s waited for %s", customer, waited)
 					}
 				}
-				if now := sh.order(customers[0], customers[1]); now != "" && now != first {
+				if now := si.order(customers[0], customers[1]); now != "" && now != first {
 					turns[now]++
 					first = now
 				}
@@ -239,7 +239,7 @@
 			if wants[customers[0]] > 8 && wants[customers[1]] > 8 && turns[customers[0]]+turns[customers[1]] > 2+ticks/4 {
 				rt.Fatalf("order turned %v times in %d ticks", turns, ticks)
 			}
-			for customer, st := range sh.account.Balances() {
+			for customer, st := range si.account.Balances() {
 				if st.Ahead > maxLag+1e-6 && st.Use.Waits {
 					rt.Fatalf("%s is %f ahead", customer, st.Ahead)
 				}
@@ -249,8 +249,8 @@
 }
 
 // order returns which of two customers goes first, or "".
-func (sh *simulation) order(a, b string) string {
-	switch ra, rb := sh.account.Rank(a), sh.account.Rank(b); {
+func (si *simulation) order(a, b string) string {
+	switch ra, rb := si.account.Rank(a), si.account.Rank(b); {
 	case ra < rb:
 		return a
 	case rb < ra:
--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -6,8 +6,8 @@
 	// RecentTime is the length of the window of a RecentUsage.
 	RecentTime = time.Minute
 	// spanCount is the number of spans in the window. Usage expires by whole spans.
-	spanCount = 12
-	spanLength    = RecentTime / spanCount
+	spanCount  = 12
+	spanLength = RecentTime / spanCount
 )
 
 // A RecentUsage measures the slots that customers used within RecentTime. The zero value is
@@ -17,7 +17,7 @@
 // others have caught up.
 type RecentUsage struct {
 	spans  [spanCount]map[string]float64 // slot seconds by customer
-	number int64                           // of the newest span, counted from the Unix epoch
+	number int64                         // of the newest span, counted from the Unix epoch
 }
 
 // Add adds the slots that customers used during the elapsed time that ends now.
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// overloadFraction and roomyPart are the loads, as fractions of the capacity, at which overload
+	// overloadFraction and clearFraction are the loads, as fractions of the capacity, at which overload
 	// begins and below which it ends. They are far below 1 since hints often underestimate
 	// the work.
 	overloadFraction = 0.55
-	clearFraction   = 0.4
+	clearFraction    = 0.4
 	// idleFraction is the load below which there is no overload, even if groups have no capacity.
 	// Those have an item that can't be in time anyway.
 	idleFraction = 0.25
@@ -113,17 +113,17 @@
 func (pl *Planner) Idle() bool { return !pl.crowded && len(pl.starved) == 0 }
 
 // Plan reserves capacity for groups of the open steps and sets the positions of all groups.
-// Steps must be ordered from the oldest. Places is the number of slots, in which those of slow
+// Steps must be ordered from the oldest. Slots is the number of slots, in which those of slow
 // engines count in part.
-func (pl *Planner) Plan(steps []*Step, places float64, now time.Time) {
-	pl.load = load(steps, places)
+func (pl *Planner) Plan(steps []*Step, slots float64, now time.Time) {
+	pl.load = load(steps, slots)
 	short := false // a wanted group has no reserved capacity, and its step isn't late yet
 	steps = pl.starvedFirst(steps, now)
-	cds, ro := pl.candidates(steps), newCapacity(steps, reservableFraction*places)
+	cds, ca := pl.candidates(steps), newCapacity(steps, reservableFraction*slots)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
 		cds[i].chance = tierOf(cds[i])
-		gr.inTime = cds[i].chance == possible && ro.fits(st, gr.Work)
+		gr.inTime = cds[i].chance == possible && ca.fits(st, gr.Work)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
 			cds[i].chance = planned
@@ -151,15 +151,15 @@
 // A tier is how useful a group can still be to its trainer.
 type tier int
 
-// The chances, from the best.
+// The tiers, from the best.
 const (
 	planned  tier = iota // capacity is reserved
-	possible               // could be in time, but the capacity is reserved for others
-	late                   // can be complete before its trainer ends the step
+	possible             // could be in time, but the capacity is reserved for others
+	late                 // can be complete before its trainer ends the step
 	hopeless
 )
 
-// tierOf returns the chance of a group without reserved capacity.
+// tierOf returns the tier of a group without reserved capacity.
 func tierOf(cd candidate) tier {
 	gr, st := cd.group, cd.step
 	switch {
@@ -174,7 +174,7 @@
 
 // load returns the wanted work as a fraction of what the slots can do within the longest allowed
 // time. It also sorts the groups of all steps and resets their reserved work.
-func load(steps []*Step, places float64) float64 {
+func load(steps []*Step, slots float64) float64 {
 	var work, due time.Duration
 	for _, st := range steps {
 		st.work = 0
@@ -185,7 +185,7 @@
 	if work == 0 {
 		return 0
 	}
-	return float64(work) / max(1, places*float64(due))
+	return float64(work) / max(1, slots*float64(due))
 }
 
 func compareBool(a, b bool) int {
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -41,10 +41,10 @@
 	again := stepOf("a", 8*time.Second, 1, 9)
 	again.Wanted, again.Groups[1].Again = 1, true
 	for _, tc := range []struct {
-		name   string
-		steps  []*Step
-		places float64
-		want   []string // by step, groups ordered by work
+		name  string
+		steps []*Step
+		slots float64
+		want  []string // by step, groups ordered by work
 	}{
 		{"room for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
 		{"room for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
@@ -58,7 +58,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var pl Planner
-			pl.Plan(tc.steps, tc.places, begin)
+			pl.Plan(tc.steps, tc.slots, begin)
 			for i, st := range tc.steps {
 				assert.Equal(t, inTime(st), tc.want[i], "step %d", i)
 			}
@@ -183,13 +183,13 @@
 			steps = append(steps, st)
 		}
 		pl := Planner{Way: Discipline(rng.IntN(3))}
-		places := 3 * rng.Float64()
-		pl.Plan(steps, places, begin)
-		checkPlan(t, steps, places, total, round)
+		slots := 3 * rng.Float64()
+		pl.Plan(steps, slots, begin)
+		checkPlan(t, steps, slots, total, round)
 	}
 }
 
-func checkPlan(t *testing.T, steps []*Step, places float64, total, round int) {
+func checkPlan(t *testing.T, steps []*Step, slots float64, total, round int) {
 	t.Helper()
 	taken := map[int]bool{}
 	lastInTime, firstLate := -1, total
@@ -202,7 +202,7 @@
 				}
 			}
 		}
-		assert.Assert(t, float64(work) <= places*float64(max(st.Left, 0)), "round %d: more work than room", round)
+		assert.Assert(t, float64(work) <= slots*float64(max(st.Left, 0)), "round %d: more work than room", round)
 		for _, gr := range st.Groups {
 			assert.Assert(t, !taken[gr.Position()] && gr.Position() < total, "round %d: position %d", round, gr.Position())
 			taken[gr.Position()] = true
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -12,7 +12,7 @@
 )
 
 // referencePlan is a reference implementation of Plan in quadratic time per group.
-func referencePlan(pl *Planner, steps []*Step, places float64, now time.Time) {
+func referencePlan(pl *Planner, steps []*Step, slots float64, now time.Time) {
 	var work, due time.Duration
 	for _, st := range steps {
 		st.work = 0
@@ -24,7 +24,7 @@
 	}
 	pl.load = 0
 	if work > 0 {
-		pl.load = float64(work) / max(1, places*float64(due))
+		pl.load = float64(work) / max(1, slots*float64(due))
 	}
 	short := false
 	steps = pl.starvedFirst(steps, now)
@@ -32,7 +32,7 @@
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
 		cds[i].chance = tierOf(cds[i])
-		gr.inTime = cds[i].chance == possible && referenceFits(steps, st, gr.Work, reservableFraction*places)
+		gr.inTime = cds[i].chance == possible && referenceFits(steps, st, gr.Work, reservableFraction*slots)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
 			cds[i].chance = planned
@@ -58,7 +58,7 @@
 	}
 }
 
-func referenceFits(steps []*Step, st *Step, work time.Duration, places float64) bool {
+func referenceFits(steps []*Step, st *Step, work time.Duration, slots float64) bool {
 	for _, until := range steps {
 		if until.Left < st.Left {
 			continue
@@ -69,7 +69,7 @@
 				total += other.work
 			}
 		}
-		if float64(total) > places*float64(until.Left) {
+		if float64(total) > slots*float64(until.Left) {
 			return false
 		}
 	}
@@ -119,9 +119,9 @@
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		for range rapid.IntRange(1, 5).Draw(t, "plans") {
 			steps, twins := drawSteps(t)
-			places := float64(rapid.IntRange(0, 12).Draw(t, "places"))
-			pl.Plan(steps, places, now)
-			referencePlan(twin, twins, places, now)
+			slots := float64(rapid.IntRange(0, 12).Draw(t, "places"))
+			pl.Plan(steps, slots, now)
+			referencePlan(twin, twins, slots, now)
 			assert.DeepEqual(t, describe(pl, steps), describe(twin, twins))
 			now = now.Add(10 * time.Second)
 		}
--- a/overload/room.go
+++ b/overload/room.go
@@ -19,15 +19,15 @@
 
 // fits reports whether additional work that is due with a step fits: the reserved work that is
 // due by then, and by each later due time, must be feasible by that time.
-func (ro *capacity) fits(st *Step, work time.Duration) bool {
+func (ca *capacity) fits(st *Step, work time.Duration) bool {
 	total := work // due by until.Left
-	for i, until := range ro.steps {
+	for i, until := range ca.steps {
 		total += until.work
 		// Check steps with equal due times once, with the work of all of them.
-		if until.Left < st.Left || i+1 < len(ro.steps) && ro.steps[i+1].Left == until.Left {
+		if until.Left < st.Left || i+1 < len(ca.steps) && ca.steps[i+1].Left == until.Left {
 			continue
 		}
-		if float64(total) > ro.places*float64(until.Left) {
+		if float64(total) > ca.places*float64(until.Left) {
 			return false
 		}
 	}
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// byTier returns the groups by chance, and otherwise in their order. Late and hopeless ones
+// byTier returns the groups by tier, and otherwise in their order. Late and hopeless ones
 // go by their customers' ranks and then by ascending work, so that as many as possible become
 // complete.
 func byTier(cds []candidate) []candidate {
--- a/overload/starvation.go
+++ b/overload/starvation.go
@@ -31,7 +31,7 @@
 // starvationRetention is how long a trainer in a pause is remembered.
 const starvationRetention = time.Minute
 
-// wantsGroups reports whether the step's trainer still wantsGroups for groups.
+// wantsGroups reports whether the step's trainer still waits for groups.
 func (st *Step) wantsGroups() bool {
 	return st.Wanted > 0 || slices.ContainsFunc(st.Groups, func(gr *Group) bool { return gr.Again })
 }
--- a/step/byroom.go
+++ b/step/byroom.go
@@ -21,14 +21,14 @@
 // placeByPlan places items by the capacity plan, in the order of customers' ranks: first urgent items
 // of groups with reserved capacity, then other items of these groups, and last items of other
 // groups.
-func (pl *placement) placeByPlan(rm *servicePlan, ranks map[string]int) {
-	rm.sortGroups(pl.steps)
+func (pl *placement) placeByPlan(sp *servicePlan, ranks map[string]int) {
+	sp.sortGroups(pl.steps)
 	for _, rank := range pl.rankSteps(ranks) {
-		for turn, groups := range [][]*groupRow{rm.reserved, rm.reserved, rm.unreserved} {
+		for kind, groups := range [][]*groupRow{sp.reserved, sp.reserved, sp.unreserved} {
 			if pl.exhausted() {
 				return
 			}
-			pl.runPass(groups, rank, passKind(turn))
+			pl.runPass(groups, rank, passKind(kind))
 		}
 	}
 }
@@ -36,15 +36,15 @@
 // runPass places the items of one pass of customers with the given rank. Groups must be ordered
 // by position. Items of groups with the same position, such as those of steps that came after
 // the last plan, are merged by slack.
-func (pl *placement) runPass(groups []*groupRow, rank int, turn passKind) {
+func (pl *placement) runPass(groups []*groupRow, rank int, kind passKind) {
 	var items []passItem
 	for i, gr := range groups {
 		if pl.openCount == 0 {
 			return
 		}
 		if gr.step.customerRank == rank && gr.step.waitingCount > 0 && pl.mayFit(gr.step, gr.step.leastTokens, gr.step.movingCount) &&
-			pl.mayFit(gr.step, gr.summary.leastTokens, gr.summary.movingCount) && gr.mayHaveItems(turn, pl.now) {
-			items = gr.appendItems(items, turn, pl.now)
+			pl.mayFit(gr.step, gr.summary.leastTokens, gr.summary.movingCount) && gr.mayHaveItems(kind, pl.now) {
+			items = gr.appendItems(items, kind, pl.now)
 		}
 		if i+1 < len(groups) && groups[i+1].plan.Position() == gr.plan.Position() {
 			continue
@@ -72,9 +72,9 @@
 )
 
 // mayHaveItems reports whether a group may have items for a pass, by the bounds in its summary.
-func (gr *groupRow) mayHaveItems(turn passKind, now time.Time) bool {
+func (gr *groupRow) mayHaveItems(kind passKind, now time.Time) bool {
 	left := gr.step.step.Due - gr.step.age(now)
-	switch turn {
+	switch kind {
 	case urgentPass:
 		return gr.summary.needsScore || left-gr.summary.longest < urgentSlack
 	case plannedPass:
@@ -85,13 +85,13 @@
 }
 
 // appendItems appends the waiting items of a group that belong to a pass.
-func (gr *groupRow) appendItems(items []passItem, turn passKind, now time.Time) []passItem {
+func (gr *groupRow) appendItems(items []passItem, kind passKind, now time.Time) []passItem {
 	for _, ir := range gr.summary.waiting {
 		if ir.state != waiting {
 			continue
 		}
 		spare := ir.slack(now)
-		if turn == unplannedPass || (turn == urgentPass) == (spare < urgentSlack) {
+		if kind == unplannedPass || (kind == urgentPass) == (spare < urgentSlack) {
 			items = append(items, passItem{item: ir, slack: spare})
 		}
 	}
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -70,12 +70,12 @@
 func (pl *placement) appendCursors(heads []queueCursor, sr *stepRow) []queueCursor {
 	for number := range sr.queue.queues {
 		wq := &sr.queue.queues[number]
-		he := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
+		qc := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
 		if number&queueWithReward != 0 {
-			he.slack -= sr.rewards.expected()
+			qc.slack -= sr.rewards.expected()
 		}
 		if len(wq.entries) > 0 {
-			heads = append(heads, he)
+			heads = append(heads, qc)
 		}
 	}
 	return heads
@@ -99,28 +99,28 @@
 // advance moves to the next waiting item that may fit some engine, and returns its key. Moving
 // holds the keys of items that will still release a reserved slot. An item after the first of
 // these isn't skipped, since it may fit once that slot is free.
-func (he *queueCursor) advance(moving []slackKey) (slackKey, bool) {
-	if len(moving) == 0 && he.list.maxTokens < he.step.leastTokens {
+func (qc *queueCursor) advance(moving []slackKey) (slackKey, bool) {
+	if len(moving) == 0 && qc.list.maxTokens < qc.step.leastTokens {
 		return slackKey{}, false
 	}
-	for ; he.next < len(he.queue.entries); he.next++ {
-		we := &he.queue.entries[he.next]
-		if we.tokens <= he.list.maxTokens {
+	for ; qc.next < len(qc.queue.entries); qc.next++ {
+		we := &qc.queue.entries[qc.next]
+		if we.tokens <= qc.list.maxTokens {
 			if we.valid() {
-				return he.key(we), true
+				return qc.key(we), true
 			}
 			continue
 		}
 		if len(moving) == 0 {
 			continue
 		}
-		if key := he.key(we); key.compare(moving[0]) >= 0 && we.valid() {
+		if key := qc.key(we); key.compare(moving[0]) >= 0 && we.valid() {
 			return key, true
 		}
 	}
 	return slackKey{}, false
 }
 
-func (he *queueCursor) key(we *waitEntry) slackKey {
-	return slackKey{itemIndex: we.item.index, rank: he.step.customerRank, slack: he.slack - we.duration, stepIndex: he.step.orderIndex}
+func (qc *queueCursor) key(we *waitEntry) slackKey {
+	return slackKey{itemIndex: we.item.index, rank: qc.step.customerRank, slack: qc.slack - we.duration, stepIndex: qc.step.orderIndex}
 }
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -252,11 +252,11 @@
 // Under overload, a customer within its share goes first. A lead of less than one step's
 // work doesn't change the order of the others.
 func TestRanksUnderOverload(t *testing.T) {
-	rm := NewTable(1, nil).servicePlan("service")
-	rm.withinShare = map[string]bool{"small": true}
+	sp := NewTable(1, nil).servicePlan("service")
+	sp.withinShare = map[string]bool{"small": true}
 	ranks := map[string]int{"large": ranksPerStep - 1, "other": 0, "small": 3, "far ahead": ranksPerStep}
-	assert.DeepEqual(t, rm.adaptRanks(ranks), ranks) // no overload yet
+	assert.DeepEqual(t, sp.adaptRanks(ranks), ranks) // no overload yet
 	step := &overload.Step{Due: time.Second, Groups: []*overload.Group{{Work: time.Minute}}, Wanted: 1}
-	rm.planner.Plan([]*overload.Step{step}, 1, begin)
-	assert.DeepEqual(t, rm.adaptRanks(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
+	sp.planner.Plan([]*overload.Step{step}, 1, begin)
+	assert.DeepEqual(t, sp.adaptRanks(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
 }
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -43,31 +43,31 @@
 
 // planService plans the capacity of one service.
 func (ta *Table) planService(service string, rows []*stepRow, ranks map[string]int, now time.Time) {
-	rm := ta.servicePlan(service)
-	ranks = rm.adaptRanks(ranks)
+	sp := ta.servicePlan(service)
+	ranks = sp.adaptRanks(ranks)
 	steps := make([]*overload.Step, len(rows))
 	for i, sr := range rows {
 		steps[i] = ta.plannerStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := rm.planner.Overloaded(), ta.usableSlots(service, now)
+	was, places := sp.planner.Overloaded(), ta.usableSlots(service, now)
 	// A customer within its share must not wait for the overload of others to end.
-	rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
-	rm.planner.Plan(steps, places, now)
-	rm.stale = true
-	rm.withinShare = ta.customersWithinShare(steps, rows, places)
-	rm.prequeues = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
-	if rm.planner.Overloaded() != was {
-		ta.log("room for steps", map[string]any{
-			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
+	sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
+	sp.planner.Plan(steps, places, now)
+	sp.stale = true
+	sp.withinShare = ta.customersWithinShare(steps, rows, places)
+	sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
+	if sp.planner.Overloaded() != was {
+		ta.log("overload state changed", map[string]any{
+			"crowded": sp.planner.Overloaded(), "load": sp.planner.Load(), "places": places, "service": service, "steps": len(steps),
 		})
 	}
-	if rm.planner.Overloaded() {
+	if sp.planner.Overloaded() {
 		for i, sr := range rows {
 			ta.logPlan(sr, steps[i], now)
 		}
 	}
-	if len(rows) == 0 && rm.planner.Idle() {
+	if len(rows) == 0 && sp.planner.Idle() {
 		delete(ta.servicePlans, service)
 	}
 }
@@ -87,7 +87,7 @@
 		return
 	}
 	sr.planned, sr.plannedAt = planned, now
-	ta.log("room for step", map[string]any{
+	ta.log("planned groups of step changed", map[string]any{
 		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.servicePlan(sr.step.Service).planner.Load(), "open": len(st.Groups),
 		stepField: sr.step.ID, "wanted": st.Wanted,
 	})
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -15,7 +15,7 @@
 	"wisteriacroft/runner"
 )
 
-// A overloadCase describes trainers that ask for more than their engines can do.
+// An overloadCase describes trainers that ask for more than their engines can do.
 type overloadCase struct {
 	name    string
 	factors []float64 // of the engines' time per event
@@ -55,23 +55,23 @@
 }
 
 // newReplay returns a replay of the load with steps larger by the factor times.
-func (hl *overloadCase) newReplay(times float64, way overload.Discipline) *replay {
+func (oc *overloadCase) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
-	for i, sh := range hl.shapes {
-		sheet := hl.sheet
+	for i, sh := range oc.shapes {
+		sheet := oc.sheet
 		sheet.maxEvents = sh.maxEvents
 		groups := int(times*float64(sh.groups) + 0.5)
 		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.lesson, uint64(100*i)))
 	}
-	re := newReplay(hl.sheet, hl.factors, trainers)
+	re := newReplay(oc.sheet, oc.factors, trainers)
 	re.table.policy = way
 	return re
 }
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (hl *overloadCase) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
-	re := hl.newReplay(times, way)
+func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
+	re := oc.newReplay(times, way)
 	re.run(dayLength, nil)
 	least = 1
 	for _, tr := range re.trainers {
@@ -82,7 +82,7 @@
 	return inTime, owed, least
 }
 
-// policies are the overload policies to compare.
+// policies are the overload disciplines to compare.
 var policies = []struct {
 	name string
 	way  overload.Discipline
@@ -97,20 +97,20 @@
 	var wg sync.WaitGroup
 	served := map[string]int{}
 	var mu sync.Mutex
-	for _, hl := range overloadCases() {
-		for i, wa := range policies {
+	for _, oc := range overloadCases() {
+		for i, po := range policies {
 			at := len(lines)
 			lines = append(lines, "")
 			wg.Go(func() {
-				line := fmt.Sprintf("%-16s %-10s", hl.name, wa.name)
+				line := fmt.Sprintf("%-16s %-10s", oc.name, po.name)
 				for _, n := range times {
 					if i >= main && n < 4 {
 						continue
 					}
-					inTime, owed, least := hl.run(n, wa.way)
+					inTime, owed, least := oc.run(n, po.way)
 					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, owed, least)
 					mu.Lock()
-					served[fmt.Sprint(hl.name, wa.name, n)] = inTime
+					served[fmt.Sprint(oc.name, po.name, n)] = inTime
 					mu.Unlock()
 				}
 				mu.Lock()
@@ -121,9 +121,9 @@
 	}
 	wg.Wait()
 	golden.Assert(t, strings.Join(lines, ""), "crowded.golden")
-	for _, hl := range overloadCases() {
-		before, after := served[hl.name+"standing4"], served[hl.name+"handed-in4"]
-		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by time to spare alone", hl.name, after, before)
+	for _, oc := range overloadCases() {
+		before, after := served[oc.name+"standing4"], served[oc.name+"handed-in4"]
+		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by time to spare alone", oc.name, after, before)
 	}
 }
 
@@ -173,21 +173,21 @@
 
 // largeLoad returns six trainers whose step sizes are proportional to the number of engines.
 func largeLoad(engines int) *overloadCase {
-	hl := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
+	oc := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
-		hl.shapes = append(hl.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, lesson: time.Second})
+		oc.shapes = append(oc.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, lesson: time.Second})
 	}
-	return hl
+	return oc
 }
 
 // BenchmarkTick times ticks with six trainers most of whose items wait: placement and whole
 // ticks under changing load, placement without changes, and planning alone.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{46, 300, 1100} {
-		for _, wa := range policies[:2] {
-			re := largeLoad(engines).newReplay(2.5, wa.way)
+		for _, po := range policies[:2] {
+			re := largeLoad(engines).newReplay(2.5, po.way)
 			re.run(4*time.Second, nil)
-			name := fmt.Sprintf("%s-%d", wa.name, engines)
+			name := fmt.Sprintf("%s-%d", po.name, engines)
 			tick := 0
 			live := func(b *testing.B, before, timed, after func()) {
 				for b.Loop() {
@@ -230,13 +230,13 @@
 // time, work would be underestimated and the overload detected too late.
 func TestEnginesOfAnotherType(t *testing.T) {
 	sheet := simDeployment{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
-	hl := overloadCase{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
-	for i := range hl.factors {
-		hl.factors[i] *= 3
+	oc := overloadCase{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
+	for i := range oc.factors {
+		oc.factors[i] *= 3
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, owed, least := hl.run(times, overload.FirstInFirstOut)
+		inTime, owed, least := oc.run(times, overload.FirstInFirstOut)
 		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, owed, least)
 	}
 	golden.Assert(t, text, "other-make.golden")
@@ -245,15 +245,15 @@
 // The time per token is measured only if engines differ from the default by more than their
 // load explains.
 func TestTokenTime(t *testing.T) {
-	var ga tokenEstimator
+	var es tokenEstimator
 	usual := defaultTokenTime * 64
-	assert.Equal(t, ga.tokenTime(usual, usual), time.Duration(0), "nothing has ended yet")
+	assert.Equal(t, es.tokenTime(usual, usual), time.Duration(0), "nothing has ended yet")
 	for range estimatorMinRatios {
-		ga.observeHint(64*estimatorMinEvents, estimatorMinEvents)
+		es.observeHint(64*estimatorMinEvents, estimatorMinEvents)
 	}
-	assert.Equal(t, ga.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone tell nothing")
+	assert.Equal(t, es.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone tell nothing")
 	for range estimatorMinAtLimit {
-		ga.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
+		es.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
 	}
 	for name, tc := range map[string]struct{ median, best, want time.Duration }{
 		"usual":                   {usual, usual, defaultTokenTime},
@@ -263,6 +263,6 @@
 		"one is faster":           {usual, usual / 4, defaultTokenTime},
 		"not seen yet":            {0, 0, 0},
 	} {
-		assert.Equal(t, ga.tokenTime(tc.median, tc.best), tc.want, name)
+		assert.Equal(t, es.tokenTime(tc.median, tc.best), tc.want, name)
 	}
 }
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -43,22 +43,22 @@
 type estimateChanges struct{ counted int }
 
 // count returns the count, or 0 if gc is nil.
-func (gc *estimateChanges) count() int {
-	if gc == nil {
+func (ec *estimateChanges) count() int {
+	if ec == nil {
 		return 0
 	}
-	return gc.counted
+	return ec.counted
 }
 
 // update recomputes the estimate.
-func (ga *tokenEstimator) update() {
-	before := ga.eventTokens()
-	ga.estimate = ga.fromLimits()
-	if ga.estimate <= 0 {
-		ga.estimate = ga.median
+func (es *tokenEstimator) update() {
+	before := es.eventTokens()
+	es.estimate = es.fromLimits()
+	if es.estimate <= 0 {
+		es.estimate = es.median
 	}
-	if ga.changes != nil && ga.eventTokens() != before {
-		ga.changes.counted++
+	if es.changes != nil && es.eventTokens() != before {
+		es.changes.counted++
 	}
 }
 
@@ -67,45 +67,45 @@
 // The longest items of a step are truncated at their limits and give the exact number of tokens
 // per event. The median of the hints may be too low, so that the ends of long items would be
 // expected too late.
-func (ga *tokenEstimator) observeLimit(bound, events int) {
+func (es *tokenEstimator) observeLimit(bound, events int) {
 	if bound <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
-	switch more := events*ga.longestTokens - ga.longestEvents*bound; {
-	case ga.longestTokens == 0, more > 0:
-		ga.atLimit, ga.longestTokens, ga.longestEvents = 1, bound, events
+	defer es.update()
+	switch more := events*es.longestTokens - es.longestEvents*bound; {
+	case es.longestTokens == 0, more > 0:
+		es.atLimit, es.longestTokens, es.longestEvents = 1, bound, events
 	case more == 0:
-		ga.atLimit++
+		es.atLimit++
 	}
 }
 
 // observeHint records the number of events of an item with a hint. Hints are right at the
 // median.
-func (ga *tokenEstimator) observeHint(hint, events int) {
+func (es *tokenEstimator) observeHint(hint, events int) {
 	if hint <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
+	defer es.update()
 	ratio := float64(hint) / float64(events)
-	if len(ga.ratios) < estimatorMaxRatios {
-		ga.ratios = append(ga.ratios, ratio)
+	if len(es.ratios) < estimatorMaxRatios {
+		es.ratios = append(es.ratios, ratio)
 	} else {
-		ga.ratios[ga.next] = ratio
-		ga.next = (ga.next + 1) % estimatorMaxRatios
+		es.ratios[es.next] = ratio
+		es.next = (es.next + 1) % estimatorMaxRatios
 	}
-	if len(ga.ratios) >= estimatorMinRatios {
-		sorted := slices.Sorted(slices.Values(ga.ratios))
-		ga.median = int(sorted[len(sorted)/2])
+	if len(es.ratios) >= estimatorMinRatios {
+		sorted := slices.Sorted(slices.Values(es.ratios))
+		es.median = int(sorted[len(sorted)/2])
 	}
 }
 
 // eventTokens returns the estimated tokens per event. The receiver may be nil.
-func (ga *tokenEstimator) eventTokens() int {
-	if ga == nil || ga.estimate <= 0 {
+func (es *tokenEstimator) eventTokens() int {
+	if es == nil || es.estimate <= 0 {
 		return defaultEventTokens
 	}
-	return ga.estimate
+	return es.estimate
 }
 
 // tokenTime returns the time per token of engines with the given median and best times per
@@ -116,11 +116,11 @@
 //
 // Only items at their limits are used here. Hints would be biased, as the items that end first
 // are those with far too high hints.
-func (ga *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
-	if ga == nil || ga.fromLimits() <= 0 || best <= 0 {
+func (es *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
+	if es == nil || es.fromLimits() <= 0 || best <= 0 {
 		return 0
 	}
-	tokens := ga.fromLimits()
+	tokens := es.fromLimits()
 	usual := float64(defaultTokenTime) * float64(tokens) // of an event
 	if float64(best) > otherTypeFactor*usual || float64(median) < usual/otherTypeFactor {
 		return median / time.Duration(tokens)
@@ -134,12 +134,12 @@
 const otherTypeFactor = 2
 
 // fromLimits returns the tokens per event according to items at their limits, or 0 if unknown.
-func (ga *tokenEstimator) fromLimits() int {
-	if ga.atLimit < estimatorMinAtLimit || ga.median <= 0 {
+func (es *tokenEstimator) fromLimits() int {
+	if es.atLimit < estimatorMinAtLimit || es.median <= 0 {
 		return 0
 	}
-	exact := ga.longestTokens / ga.longestEvents
-	if float64(exact) > estimatorMaxDeviation*float64(ga.median) || float64(ga.median) > estimatorMaxDeviation*float64(exact) {
+	exact := es.longestTokens / es.longestEvents
+	if float64(exact) > estimatorMaxDeviation*float64(es.median) || float64(es.median) > estimatorMaxDeviation*float64(exact) {
 		return 0 // items that ended early had the same length by chance
 	}
 	return exact
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -86,35 +86,35 @@
 
 // updateSummary recomputes the summary of a group.
 func (gr *groupRow) updateSummary() {
-	gw := &gr.summary
-	*gw = groupSummary{
+	gs := &gr.summary
+	*gs = groupSummary{
 		eventTokens: gr.step.estimator.eventTokens(), tokenTime: gr.step.tokenTime, leastTokens: math.MaxInt, shortest: math.MaxInt,
-		running: gw.running[:0], waiting: gw.waiting[:0],
+		running: gs.running[:0], waiting: gs.waiting[:0],
 	}
 	for _, ir := range gr.items {
 		switch ir.state {
 		case waiting:
-			gw.add(ir)
+			gs.add(ir)
 		case running:
-			gw.running = append(gw.running, ir)
+			gs.running = append(gs.running, ir)
 		case scoring:
-			gw.scoringCount++
+			gs.scoringCount++
 		case complete, lost:
 		}
 	}
 }
 
 // add adds a waiting item.
-func (gw *groupSummary) add(ir *itemRow) {
+func (gs *groupSummary) add(ir *itemRow) {
 	took := ir.expectedTime()
-	gw.waiting = append(gw.waiting, ir)
-	gw.hasEvents = gw.hasEvents || ir.hasEvents()
-	gw.leastTokens = min(gw.leastTokens, ir.tokensNow())
-	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
-	gw.needsScore = gw.needsScore || ir.item.Reward != nil
-	gw.work += max(took, minWork)
+	gs.waiting = append(gs.waiting, ir)
+	gs.hasEvents = gs.hasEvents || ir.hasEvents()
+	gs.leastTokens = min(gs.leastTokens, ir.tokensNow())
+	gs.longest, gs.shortest = max(gs.longest, took), min(gs.shortest, took)
+	gs.needsScore = gs.needsScore || ir.item.Reward != nil
+	gs.work += max(took, minWork)
 	if ir.moveTarget != "" {
-		gw.movingCount++
+		gs.movingCount++
 	}
 }
 
@@ -148,17 +148,17 @@
 
 // setPlanWork sets the expected work of a group's open items for the planner.
 func (ta *Table) setPlanWork(gr *groupRow, now time.Time) {
-	gw, plan := &gr.summary, &gr.plan
-	plan.Work = gw.work
-	if len(gw.waiting) > 0 {
-		plan.Longest = max(gw.longest, minWork)
+	gs, plan := &gr.summary, &gr.plan
+	plan.Work = gs.work
+	if len(gs.waiting) > 0 {
+		plan.Longest = max(gs.longest, minWork)
 	}
-	if gw.scoringCount > 0 {
+	if gs.scoringCount > 0 {
 		took := max(gr.step.rewards.expected(), minWork)
-		plan.Work += time.Duration(gw.scoringCount) * took
+		plan.Work += time.Duration(gs.scoringCount) * took
 		plan.Longest = max(plan.Longest, took)
 	}
-	for _, ir := range gw.running {
+	for _, ir := range gs.running {
 		took := max(ta.remainingTimeCached(ir, now), minWork)
 		plan.Work += took
 		plan.Longest = max(plan.Longest, took)
--- a/step/modelshare.go
+++ b/step/modelshare.go
@@ -34,11 +34,11 @@
 	for customer := range models {
 		total += ta.usage.account.Weight(customer)
 	}
-	parts := map[string]modelClaim{}
+	claims := map[string]modelClaim{}
 	for model, customer := range customers {
 		due := float64(len(ens)) * ta.usage.account.Weight(customer) / total / float64(models[customer])
 		need := math.Ceil(float64(items[model]) * float64(len(ens)) / float64(max(slots, 1)))
-		parts[model] = modelClaim{engines: min(need, due), rank: ta.usage.account.Rank(customer)}
+		claims[model] = modelClaim{engines: min(need, due), rank: ta.usage.account.Rank(customer)}
 	}
-	return parts
+	return claims
 }
--- a/step/pace.go
+++ b/step/pace.go
@@ -139,8 +139,8 @@
 func (ta *Table) MoveStragglers(now time.Time) {
 	ta.updateSummaries()
 	for _, sr := range ta.openSteps {
-		for _, le := range ta.runsToMove(sr, now) {
-			ta.moveRun(le.item, le.item.run.engine, le.why, now)
+		for _, mc := range ta.runsToMove(sr, now) {
+			ta.moveRun(mc.item, mc.item.run.engine, mc.why, now)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 
 // runsToMove returns the runs of a step to move, in the order of the items.
 func (ta *Table) runsToMove(sr *stepRow, now time.Time) []moveCandidate {
-	var les []moveCandidate
+	var moves []moveCandidate
 	for _, gr := range sr.groupList {
 		for _, ir := range gr.summary.running {
 			if ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
@@ -164,14 +164,14 @@
 				why = "faster engine"
 			}
 			if why != "" {
-				les = append(les, moveCandidate{item: ir, why: why})
+				moves = append(moves, moveCandidate{item: ir, why: why})
 			}
 		}
 	}
 	if sr.interleaved {
-		slices.SortFunc(les, func(a, b moveCandidate) int { return cmp.Compare(a.item.index, b.item.index) })
+		slices.SortFunc(moves, func(a, b moveCandidate) int { return cmp.Compare(a.item.index, b.item.index) })
 	}
-	return les
+	return moves
 }
 
 // RelieveMemory moves one run off each engine whose memory is nearly full, if another engine has
--- a/step/place.go
+++ b/step/place.go
@@ -125,12 +125,12 @@
 		if pl.exhausted() {
 			continue
 		}
-		rm := ta.servicePlans[steps[0].step.Service]
-		if rm != nil && rm.planner.Overloaded() {
+		sp := ta.servicePlans[steps[0].step.Service]
+		if sp != nil && sp.planner.Overloaded() {
 			pl.dropQueues()
-			pl.placeByPlan(rm, rm.adaptRanks(ranks))
+			pl.placeByPlan(sp, sp.adaptRanks(ranks))
 		} else {
-			pl.placeBySlack(rm.adaptRanks(ranks))
+			pl.placeBySlack(sp.adaptRanks(ranks))
 		}
 	}
 }
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -26,8 +26,8 @@
 	tables  [2]*Table
 }
 
-func (tw *tablePair) both(do func(ta *Table)) {
-	for _, ta := range tw.tables {
+func (tp *tablePair) both(do func(ta *Table)) {
+	for _, ta := range tp.tables {
 		do(ta)
 	}
 }
@@ -38,19 +38,19 @@
 )
 
 // drawStep submits a step, whose items may have been in earlier steps.
-func (tw *tablePair) drawStep(t *rapid.T) {
+func (tp *tablePair) drawStep(t *rapid.T) {
 	st := &Step{
-		Accepted: tw.now, Customer: rapid.SampledFrom(pairCustomers).Draw(t, "customer"), ID: fmt.Sprint("step-", tw.serial),
+		Accepted: tp.now, Customer: rapid.SampledFrom(pairCustomers).Draw(t, "customer"), ID: fmt.Sprint("step-", tp.serial),
 		Due:         time.Duration(rapid.SampledFrom([]int{0, 1000, 4000, 7500}).Draw(t, "due")) * time.Millisecond,
 		MaxAttempts: 2, MaxWait: rapid.SampledFrom([]time.Duration{0, 10 * time.Second}).Draw(t, "wait"), MinVersion: uint64(rapid.IntRange(1, 2).Draw(t, "version")),
 		Model: rapid.SampledFrom(pairModels).Draw(t, "model"), Service: "service", SingleVersion: rapid.IntRange(0, 3).Draw(t, "single") == 0,
 	}
 	groups, interleaved := rapid.IntRange(1, 8).Draw(t, "groups"), rapid.Bool().Draw(t, "interleaved")
 	items := rapid.IntRange(1, 30).Draw(t, "items")
-	if tw.light {
+	if tp.light {
 		items = (items + 3) / 4
 	}
-	first := tw.serial % 3 * 5 // group names recur in later steps
+	first := tp.serial % 3 * 5 // group names recur in later steps
 	for i := range items {
 		group := i * groups / items
 		if interleaved {
@@ -68,41 +68,41 @@
 		st.Items = append(st.Items, it)
 	}
 	st.Groups = groups
-	tw.serial++
-	tw.both(func(ta *Table) { ta.Accept(st, StoredStep{}, false, tw.now) })
+	tp.serial++
+	tp.both(func(ta *Table) { ta.Accept(st, StoredStep{}, false, tp.now) })
 }
 
 // drawEngines changes the set of engines and their properties.
-func (tw *tablePair) drawEngines(t *rapid.T) {
-	for i := range tw.engines {
+func (tp *tablePair) drawEngines(t *rapid.T) {
+	for i := range tp.engines {
 		if rapid.IntRange(0, 3).Draw(t, "same") > 0 {
 			continue
 		}
-		tw.engines[i].Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
-		tw.engines[i].Slots = rapid.IntRange(1, 5).Draw(t, "slots")
-		if tw.light {
-			tw.engines[i].Slots += 4
+		tp.engines[i].Leaving = rapid.IntRange(0, 3).Draw(t, "leaving") == 0
+		tp.engines[i].Slots = rapid.IntRange(1, 5).Draw(t, "slots")
+		if tp.light {
+			tp.engines[i].Slots += 4
 		}
-		tw.engines[i].Tokens = rapid.SampledFrom([]int{0, 4000, 12000}).Draw(t, "memory")
+		tp.engines[i].Tokens = rapid.SampledFrom([]int{0, 4000, 12000}).Draw(t, "memory")
 	}
-	infos := tw.engines
+	infos := tp.engines
 	if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
 		infos = infos[:len(infos)-1]
 	}
-	tw.both(func(ta *Table) { ta.SetEngines(infos, tw.now) })
+	tp.both(func(ta *Table) { ta.SetEngines(infos, tp.now) })
 }
 
 // drawAnswers delivers exchange responses of most attendants.
-func (tw *tablePair) drawAnswers(t *rapid.T) {
-	for _, en := range tw.tables[0].sortedEngines {
+func (tp *tablePair) drawAnswers(t *rapid.T) {
+	for _, en := range tp.tables[0].sortedEngines {
 		if rapid.IntRange(0, 3).Draw(t, "answers") > 0 {
-			tw.drawAnswer(t, en)
+			tp.drawAnswer(t, en)
 		}
 	}
 }
 
 // drawAnswer delivers an exchange response of one engine's attendant.
-func (tw *tablePair) drawAnswer(t *rapid.T, en *engineRow) {
+func (tp *tablePair) drawAnswer(t *rapid.T, en *engineRow) {
 	re := runner.ExchangeResponse{Boot: "boot", Reachable: rapid.IntRange(0, 9).Draw(t, "reachable") > 0}
 	re.Report = runner.Report{
 		Active: len(en.items), Pace: time.Duration(rapid.SampledFrom([]int{40, 40, 48, 150}).Draw(t, "pace")) * time.Millisecond,
@@ -135,19 +135,19 @@
 		re.Runs = append(re.Runs, pr)
 	}
 	goesOn := rapid.Bool().Draw(t, "goes on")
-	tw.both(func(ta *Table) {
+	tp.both(func(ta *Table) {
 		rq, _ := ta.Request(en.id)
-		ta.HandleResponse(en.id, rq, re, tw.now)
+		ta.HandleResponse(en.id, rq, re, tp.now)
 		if goesOn {
-			ta.restartStopped(tw.now)
+			ta.restartStopped(tp.now)
 		}
 	})
 }
 
 // drawGauge changes the observed number of tokens per event of a model.
-func (tw *tablePair) drawGauge(t *rapid.T) {
+func (tp *tablePair) drawGauge(t *rapid.T) {
 	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
-	tw.both(func(ta *Table) {
+	tp.both(func(ta *Table) {
 		for range estimatorMaxRatios {
 			if gauge := ta.estimators[model]; gauge != nil {
 				gauge.observeHint(tokens*estimatorMinEvents, estimatorMinEvents)
@@ -157,9 +157,9 @@
 }
 
 // drawScores answers reward calls.
-func (tw *tablePair) drawScores(t *rapid.T) {
+func (tp *tablePair) drawScores(t *rapid.T) {
 	took := time.Duration(rapid.IntRange(50, 900).Draw(t, "score")) * time.Millisecond
-	tw.both(func(ta *Table) {
+	tp.both(func(ta *Table) {
 		var irs []*itemRow
 		for ir := range ta.unscored {
 			irs = append(irs, ir)
@@ -168,12 +168,12 @@
 			return cmp.Or(cmp.Compare(a.step.step.ID, b.step.step.ID), cmp.Compare(a.item.ID, b.item.ID))
 		})
 		for _, ir := range irs[:len(irs)/2] {
-			ta.handleReward(ir, forward.Response{Signature: "score"}, took, tw.now)
+			ta.handleReward(ir, forward.Response{Signature: "score"}, took, tp.now)
 		}
 	})
 }
 
-func (tw *tablePair) drawHold(t *rapid.T) {
+func (tp *tablePair) drawHold(t *rapid.T) {
 	sh := &hold.Set{}
 	if customer := rapid.SampledFrom(pairCustomers).Draw(t, "held customer"); customer != "" {
 		target := hold.Target{Kind: hold.Customer, Name: customer}
@@ -181,47 +181,47 @@
 		assert.NilError(t, err)
 		sh = held
 	}
-	tw.holds++
-	sh = sh.WithVersion(tw.holds)
-	tw.both(func(ta *Table) { ta.SetHolds(sh, tw.now) })
+	tp.holds++
+	sh = sh.WithVersion(tp.holds)
+	tp.both(func(ta *Table) { ta.SetHolds(sh, tp.now) })
 }
 
-func (tw *tablePair) drawEnd(t *rapid.T) {
-	if open := tw.tables[0].openSteps; len(open) > 0 {
+func (tp *tablePair) drawEnd(t *rapid.T) {
+	if open := tp.tables[0].openSteps; len(open) > 0 {
 		id := open[rapid.IntRange(0, len(open)-1).Draw(t, "step")].step.ID
-		tw.both(func(ta *Table) { ta.End(id) })
+		tp.both(func(ta *Table) { ta.End(id) })
 	}
 }
 
 // skipTime advances the time without any events.
-func (tw *tablePair) skipTime(t *rapid.T) {
-	tw.now = tw.now.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "passes")) * 600 * time.Millisecond)
+func (tp *tablePair) skipTime(t *rapid.T) {
+	tp.now = tp.now.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "passes")) * 600 * time.Millisecond)
 }
 
 // tick runs all systems of a tick on both tables, each with its own placement.
-func (tw *tablePair) tick() {
-	tw.now = tw.now.Add(tickInterval)
-	for i, ta := range tw.tables {
-		ta.EvictSilent(tw.now)
-		ta.MeasurePace(tw.now)
-		ta.ChargeUsage(tw.now)
-		ta.DropExpired(tw.now)
-		ta.MoveStragglers(tw.now)
-		ta.RelieveMemory(tw.now)
+func (tp *tablePair) tick() {
+	tp.now = tp.now.Add(tickInterval)
+	for i, ta := range tp.tables {
+		ta.EvictSilent(tp.now)
+		ta.MeasurePace(tp.now)
+		ta.ChargeUsage(tp.now)
+		ta.DropExpired(tp.now)
+		ta.MoveStragglers(tp.now)
+		ta.RelieveMemory(tp.now)
 		if i == 0 {
-			ta.Place(tw.now)
+			ta.Place(tp.now)
 		} else {
-			referencePlace(ta, tw.now)
+			referencePlace(ta, tp.now)
 		}
-		ta.OrderLoads(tw.now)
+		ta.OrderLoads(tp.now)
 	}
 }
 
 // compare fails unless both tables have the same placements, and the cached sums of engines'
 // memory match a full recount.
-func (tw *tablePair) compare(t *rapid.T) {
+func (tp *tablePair) compare(t *rapid.T) {
 	lines := [2][]string{}
-	for i, ta := range tw.tables {
+	for i, ta := range tp.tables {
 		lines[i] = append(lines[i], fmt.Sprint("rooms ", ta.ServiceLoads(), " ahead ", ta.prequeues("service")))
 		for _, sr := range ta.openSteps {
 			for _, ir := range sr.items {
@@ -238,11 +238,11 @@
 		}
 	}
 	assert.DeepEqual(t, lines[0], lines[1])
-	ta := tw.tables[0]
-	assert.Equal(t, fmt.Sprint(ta.customerCounts(tw.now)), fmt.Sprint(referenceCounts(ta, tw.now)))
+	ta := tp.tables[0]
+	assert.Equal(t, fmt.Sprint(ta.customerCounts(tp.now)), fmt.Sprint(referenceCounts(ta, tp.now)))
 	for _, sr := range ta.openSteps {
-		assert.Equal(t, ta.endsIn(sr, tw.now), referenceEndsIn(ta, sr, tw.now), "end of %s", sr.step.ID)
-		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tw.now), referenceMoves(ta, sr, tw.now)), "runs of %s that leave", sr.step.ID)
+		assert.Equal(t, ta.endsIn(sr, tp.now), referenceEndsIn(ta, sr, tp.now), "end of %s", sr.step.ID)
+		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tp.now), referenceMoves(ta, sr, tp.now)), "runs of %s that leave", sr.step.ID)
 	}
 }
 
@@ -250,25 +250,25 @@
 // recomputation after any sequence of events.
 func TestPlacementMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tw := &tablePair{now: begin, tables: [2]*Table{NewTable(1, nil), NewTable(1, nil)}}
-		tw.light = rapid.Bool().Draw(t, "light")
+		tp := &tablePair{now: begin, tables: [2]*Table{NewTable(1, nil), NewTable(1, nil)}}
+		tp.light = rapid.Bool().Draw(t, "light")
 		for i := range rapid.IntRange(1, 6).Draw(t, "engines") {
-			tw.engines = append(tw.engines, EngineInfo{ID: fmt.Sprint("engine-", i), Service: "service", Slots: 2, Tokens: 12000})
+			tp.engines = append(tp.engines, EngineInfo{ID: fmt.Sprint("engine-", i), Service: "service", Slots: 2, Tokens: 12000})
 		}
-		tw.both(func(ta *Table) {
+		tp.both(func(ta *Table) {
 			for _, model := range pairModels {
 				ta.SetVersion(model, 2)
 			}
-			ta.SetEngines(tw.engines, tw.now)
+			ta.SetEngines(tp.engines, tp.now)
 		})
 		events := []func(*rapid.T){
-			tw.drawStep, tw.drawStep, tw.drawEngines, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers, tw.drawAnswers,
-			tw.drawScores, tw.drawHold, tw.drawEnd, tw.drawGauge, tw.skipTime, tw.skipTime,
+			tp.drawStep, tp.drawStep, tp.drawEngines, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers,
+			tp.drawScores, tp.drawHold, tp.drawEnd, tp.drawGauge, tp.skipTime, tp.skipTime,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			rapid.SampledFrom(events).Draw(t, "event")(t)
-			tw.tick()
-			tw.compare(t)
+			tp.tick()
+			tp.compare(t)
 		}
 	})
 }
--- a/step/placing.go
+++ b/step/placing.go
@@ -30,12 +30,12 @@
 			continue
 		}
 		en.refreshMemo()
-		se := candidate{endsSoon: en.memo.endsSoon, engine: en}
-		if pl.countOpenSlots(&se) <= 0 && len(en.incoming) == 0 {
+		ca := candidate{endsSoon: en.memo.endsSoon, engine: en}
+		if pl.countOpenSlots(&ca) <= 0 && len(en.incoming) == 0 {
 			continue
 		}
 		en.candidateIndex = len(pl.candidates)
-		pl.candidates = append(pl.candidates, se)
+		pl.candidates = append(pl.candidates, ca)
 		pl.summaries = append(pl.summaries, candidateSummary{})
 		pl.openCount++
 		pl.refresh(en.candidateIndex)
@@ -85,10 +85,10 @@
 // startRun starts an item on a candidate's engine. It doesn't update endsSoon of an engine that
 // released a reserved slot in this round.
 func (pl *placement) startRun(ir *itemRow, i int) {
-	se := &pl.candidates[i]
-	pl.table.startRun(ir, se.engine, pl.now)
-	if se.engine.refreshMemo(); !se.released {
-		se.endsSoon = se.engine.memo.endsSoon
+	ca := &pl.candidates[i]
+	pl.table.startRun(ir, ca.engine, pl.now)
+	if ca.engine.refreshMemo(); !ca.released {
+		ca.endsSoon = ca.engine.memo.endsSoon
 	}
 	pl.refresh(i)
 }
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -10,19 +10,19 @@
 	counts := map[usageKey]itemCounts{}
 	for _, sr := range ta.openSteps {
 		key := usageKey{sr.step.Customer, sr.step.Service}
-		co := counts[key]
+		ic := counts[key]
 		for _, ir := range sr.items {
 			switch {
 			case ir.state == waiting && !ta.held(ir):
-				co.waiting++
-				co.canStart = co.canStart || !ta.quarantined(ir, now)
+				ic.waiting++
+				ic.canStart = ic.canStart || !ta.quarantined(ir, now)
 			case ir.state == running:
 				held, _ := ir.tokenUse()
-				co.tokens += held
-				co.running++
+				ic.tokens += held
+				ic.running++
 			}
 		}
-		counts[key] = co
+		counts[key] = ic
 	}
 	return counts
 }
@@ -55,7 +55,7 @@
 
 // referenceMoves returns the runs of a step that should move, without cached summaries.
 func referenceMoves(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
-	var les []moveCandidate
+	var moves []moveCandidate
 	for _, ir := range sr.items {
 		en := ta.engines[ir.run.engineID]
 		if en == nil || ir.state != running || ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
@@ -66,8 +66,8 @@
 			why = "faster engine"
 		}
 		if why != "" {
-			les = append(les, moveCandidate{item: ir, why: why})
+			moves = append(moves, moveCandidate{item: ir, why: why})
 		}
 	}
-	return les
+	return moves
 }
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -20,32 +20,32 @@
 	if len(ta.openSteps) == 0 {
 		return
 	}
-	pp := &referencePlacement{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
+	rp := &referencePlacement{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
 	for _, en := range ta.sortedEngines {
-		pp.soon[en] = referenceEnd(en) <= sendAheadTime
+		rp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
-	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.incoming) == 0 }
+	full := func(en *engineRow) bool { return rp.open(ta, en) <= 0 && len(en.incoming) == 0 }
 	open := slices.DeleteFunc(slices.Clone(ta.sortedEngines), full)
 	for _, ir := range referenceOrder(ta, now) {
 		if open = slices.DeleteFunc(open, full); len(open) == 0 {
 			return
 		}
 		if ta.needsTrial(ir, now) {
-			pp.release(ta, ir)
+			rp.release(ta, ir)
 			if en := referenceTrial(ta, ir, now); en != nil {
-				pp.start(ta, ir, en, now)
+				rp.start(ta, ir, en, now)
 				ta.trials.start(en.id, ir)
 			}
 			continue
 		}
 		kept := ta.engines[ir.moveTarget]
-		pp.release(ta, ir)
+		rp.release(ta, ir)
 		en := kept
-		if en == nil || pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
-			en = referenceChoose(pp, ta, ir, open, now)
+		if en == nil || rp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
+			en = referenceChoose(rp, ta, ir, open, now)
 		}
 		if en != nil {
-			pp.start(ta, ir, en, now)
+			rp.start(ta, ir, en, now)
 		}
 	}
 }
@@ -54,22 +54,22 @@
 // released a reserved slot isn't updated again in the same round.
 type referencePlacement struct{ released, soon map[*engineRow]bool }
 
-func (pp *referencePlacement) release(ta *Table, ir *itemRow) {
+func (rp *referencePlacement) release(ta *Table, ir *itemRow) {
 	if en := ta.engines[ir.moveTarget]; en != nil {
-		pp.released[en] = true
+		rp.released[en] = true
 	}
 	ta.releaseReserved(ir)
 }
 
-func (pp *referencePlacement) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
+func (rp *referencePlacement) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
 	ta.startRun(ir, en, now)
-	if !pp.released[en] {
-		pp.soon[en] = referenceEnd(en) <= sendAheadTime
+	if !rp.released[en] {
+		rp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
 }
 
-func (pp *referencePlacement) open(ta *Table, en *engineRow) int {
-	if free := en.freeSlots(); free != 0 || !ta.prequeues(en.service) || !pp.soon[en] {
+func (rp *referencePlacement) open(ta *Table, en *engineRow) int {
+	if free := en.freeSlots(); free != 0 || !ta.prequeues(en.service) || !rp.soon[en] {
 		return free
 	}
 	return 1
@@ -83,8 +83,8 @@
 			ta.servicePlan(sr.step.Service)
 		}
 	}
-	for service, rm := range ta.servicePlans {
-		ranks := rm.adaptRanks(waiting)
+	for service, sp := range ta.servicePlans {
+		ranks := sp.adaptRanks(waiting)
 		var steps []*overload.Step
 		var rows []*stepRow
 		for _, sr := range ta.openSteps {
@@ -96,11 +96,11 @@
 			steps, rows = append(steps, st), append(rows, sr)
 		}
 		places := ta.usableSlots(service, now)
-		rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
-		rm.planner.Plan(steps, places, now)
-		rm.withinShare = ta.customersWithinShare(steps, rows, places)
-		rm.prequeues = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
-		if len(rows) == 0 && rm.planner.Idle() {
+		sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
+		sp.planner.Plan(steps, places, now)
+		sp.withinShare = ta.customersWithinShare(steps, rows, places)
+		sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
+		if len(rows) == 0 && sp.planner.Idle() {
 			delete(ta.servicePlans, service)
 		}
 	}
@@ -232,11 +232,11 @@
 	return best
 }
 
-func referenceChoose(pp *referencePlacement, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
+func referenceChoose(rp *referencePlacement, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
 	var best *engineRow
 	bestScore := 0.0
 	for _, en := range ens {
-		if pp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
+		if rp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
 		if en.id == ir.avoidedEngine && now.Sub(ir.stateSince) < avoidEngineFor {
--- a/step/room.go
+++ b/step/room.go
@@ -20,33 +20,33 @@
 
 // servicePlan returns the capacity plan of a service, and creates it if necessary.
 func (ta *Table) servicePlan(service string) *servicePlan {
-	rm := ta.servicePlans[service]
-	if rm == nil {
-		rm = &servicePlan{planner: overload.Planner{Way: ta.policy}}
-		ta.servicePlans[service] = rm
+	sp := ta.servicePlans[service]
+	if sp == nil {
+		sp = &servicePlan{planner: overload.Planner{Way: ta.policy}}
+		ta.servicePlans[service] = sp
 	}
-	return rm
+	return sp
 }
 
 // markPlanStale drops the order of a service's groups after its open steps have changed. This
 // also frees the memory of ended steps.
 func (ta *Table) markPlanStale(service string) {
-	if rm := ta.servicePlans[service]; rm != nil {
-		rm.reserved, rm.unreserved, rm.stale = nil, nil, true
+	if sp := ta.servicePlans[service]; sp != nil {
+		sp.reserved, sp.unreserved, sp.stale = nil, nil, true
 	}
 }
 
 // overloaded reports whether a service is overloaded.
 func (ta *Table) overloaded(service string) bool {
-	rm := ta.servicePlans[service]
-	return rm != nil && rm.planner.Overloaded()
+	sp := ta.servicePlans[service]
+	return sp != nil && sp.planner.Overloaded()
 }
 
 // prequeues reports whether full engines of a service with a run about to end get one item in
 // advance.
 func (ta *Table) prequeues(service string) bool {
-	rm := ta.servicePlans[service]
-	return rm != nil && rm.prequeues
+	sp := ta.servicePlans[service]
+	return sp != nil && sp.prequeues
 }
 
 // A ServiceLoad is the load of a service.
@@ -58,8 +58,8 @@
 // ServiceLoads returns the load of each service with a capacity plan.
 func (ta *Table) ServiceLoads() map[string]ServiceLoad {
 	rooms := make(map[string]ServiceLoad, len(ta.servicePlans))
-	for service, rm := range ta.servicePlans {
-		rooms[service] = ServiceLoad{Crowded: rm.planner.Overloaded(), Load: rm.planner.Load()}
+	for service, sp := range ta.servicePlans {
+		rooms[service] = ServiceLoad{Crowded: sp.planner.Overloaded(), Load: sp.planner.Load()}
 	}
 	return rooms
 }
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -2,17 +2,17 @@
 
 // sortGroups sorts the groups of a service's open steps by position into reserved and unreserved.
 // It does nothing unless the order is stale.
-func (rm *servicePlan) sortGroups(steps []*stepRow) {
-	if !rm.stale {
+func (sp *servicePlan) sortGroups(steps []*stepRow) {
+	if !sp.stale {
 		return
 	}
-	rm.stale = false
-	rm.reserved, rm.unreserved = rm.reserved[:0], rm.unreserved[:0]
+	sp.stale = false
+	sp.reserved, sp.unreserved = sp.reserved[:0], sp.unreserved[:0]
 	for _, gr := range byPosition(steps) {
 		if gr.plan.InTime() {
-			rm.reserved = append(rm.reserved, gr)
+			sp.reserved = append(sp.reserved, gr)
 		} else {
-			rm.unreserved = append(rm.unreserved, gr)
+			sp.unreserved = append(sp.unreserved, gr)
 		}
 	}
 }
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -7,13 +7,13 @@
 // Customers within their share go first. Among the others, only a lead of at least one step's
 // work counts, since capacity is assigned step by step. With smaller leads, customers would
 // take slots from each other's started groups, and fewer groups would be complete in time.
-func (rm *servicePlan) adaptRanks(ranks map[string]int) map[string]int {
-	if rm == nil || !rm.planner.Overloaded() {
+func (sp *servicePlan) adaptRanks(ranks map[string]int) map[string]int {
+	if sp == nil || !sp.planner.Overloaded() {
 		return ranks
 	}
 	room := make(map[string]int, len(ranks))
 	for customer, rank := range ranks {
-		if !rm.withinShare[customer] {
+		if !sp.withinShare[customer] {
 			room[customer] = 1 + rank/ranksPerStep
 		}
 	}
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -57,7 +57,7 @@
 )
 
 // errNotScheduler means that this process doesn't hold the scheduler lease.
-var errNotScheduler = errors.New("not the scheduler")
+var errNotScheduler = errors.New("this process is not the scheduler")
 
 // Codes returns the errors of this package that are sent to peers, with their wire names.
 func Codes() []peer.Code {
@@ -206,13 +206,13 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil && epoch != 0 && sc.Holder.Continues(sc.term.epoch) {
-		sc.Log.WithFields(logrus.Fields{"epoch": epoch, "former": sc.term.epoch}).Info("scheduler goes on")
+		sc.Log.WithFields(logrus.Fields{"epoch": epoch, "former": sc.term.epoch}).Info("scheduler term continues under a new epoch")
 		sc.Metrics.GetOrCreateCounter(`wisteriacroft_scheduler_continuations_total`).Inc()
 		sc.term.renew(epoch)
 		return
 	}
 	if sc.term != nil && sc.term.epoch != epoch {
-		sc.Log.WithField("epoch", sc.term.epoch).Warn("no longer the scheduler")
+		sc.Log.WithField("epoch", sc.term.epoch).Warn("scheduler term ended")
 		sc.term.cancel()
 		sc.term = nil
 		sc.termEndedAt = time.Now()
@@ -233,7 +233,7 @@
 		te.table.quarantine = sc.Quarantine
 	}
 	sc.term = te
-	sc.Log.WithField("epoch", epoch).Info("scheduler")
+	sc.Log.WithField("epoch", epoch).Info("scheduler term started")
 	go sc.follow(ctx, te)
 	go sc.writeLoop(ctx, te)
 }
@@ -375,7 +375,7 @@
 		err := sc.Keeper.Drop(cx, id)
 		cancel()
 		if err != nil {
-			sc.Log.WithError(err).WithField(stepField, id).Warn("old step can't be dropped")
+			sc.Log.WithError(err).WithField(stepField, id).Warn("can't drop an expired step")
 		}
 	}
 }
--- a/step/seat.go
+++ b/step/seat.go
@@ -49,9 +49,9 @@
 // A full engine with a run about to end gets one item in advance, so that the slot isn't idle
 // until the scheduler learns of the end. This isn't done while a customer within its share
 // competes, since the next free slot would already be taken when its step arrives.
-func (pl *placement) countOpenSlots(se *candidate) int {
-	free := se.engine.freeSlots()
-	if free == 0 && se.endsSoon && pl.table.prequeues(se.engine.service) {
+func (pl *placement) countOpenSlots(ca *candidate) int {
+	free := ca.engine.freeSlots()
+	if free == 0 && ca.endsSoon && pl.table.prequeues(ca.engine.service) {
 		return 1
 	}
 	return free
@@ -59,15 +59,15 @@
 
 // refresh recomputes a candidate from the current state of its engine.
 func (pl *placement) refresh(i int) {
-	se, ta := &pl.candidates[i], pl.table
-	en := se.engine
+	ca, ta := &pl.candidates[i], pl.table
+	en := ca.engine
 	now, end := en.memoryUse()
-	se.openSlots, se.endTokens, se.contextTokens = pl.countOpenSlots(se), end, float64((now+end)/2)
-	se.runsTrial = ta.trials.runsTrial(en.id, pl.now)
-	pl.summaries[i] = pl.summaryOf(se, now)
-	se.lagBehindBest = ta.lagBehindBest(en)
-	if !se.full && se.openSlots <= 0 && len(en.incoming) == 0 {
-		se.full = true
+	ca.openSlots, ca.endTokens, ca.contextTokens = pl.countOpenSlots(ca), end, float64((now+end)/2)
+	ca.runsTrial = ta.trials.runsTrial(en.id, pl.now)
+	pl.summaries[i] = pl.summaryOf(ca, now)
+	ca.lagBehindBest = ta.lagBehindBest(en)
+	if !ca.full && ca.openSlots <= 0 && len(en.incoming) == 0 {
+		ca.full = true
 		if pl.openCount--; pl.openCount < len(pl.summaries)/2 && pl.openCount%compactEvery == 0 {
 			pl.compactLists()
 		}
@@ -78,16 +78,16 @@
 const compactEvery = 16
 
 // summaryOf returns the summary of a candidate whose engine holds now tokens.
-func (pl *placement) summaryOf(se *candidate, now int) candidateSummary {
-	en := se.engine
-	su := candidateSummary{freeTokens: math.MaxInt, score: en.baseScore(pl.now)}
+func (pl *placement) summaryOf(ca *candidate, now int) candidateSummary {
+	en := ca.engine
+	cs := candidateSummary{freeTokens: math.MaxInt, score: en.baseScore(pl.now)}
 	switch {
-	case se.openSlots <= 0 || se.runsTrial:
-		su.freeTokens = noFreeTokens
+	case ca.openSlots <= 0 || ca.runsTrial:
+		cs.freeTokens = noFreeTokens
 	case en.tokens > 0 && len(en.items) > 0:
-		su.freeTokens = int(math.Floor(maxMemoryFraction*float64(en.tokens))) - now
+		cs.freeTokens = int(math.Floor(maxMemoryFraction*float64(en.tokens))) - now
 	}
-	return su
+	return cs
 }
 
 // indexOf returns the index of an engine's candidate, or -1. The index stored in the engine may be of
@@ -105,29 +105,29 @@
 		return sr.candidates
 	}
 	key := candidateKey{minVersion: sr.step.MinVersion, model: sr.step.Model, service: sr.step.Service}
-	sl := pl.candidateLists[key]
-	if sl == nil {
-		sl = &candidateList{lastChosen: -1, maxTokens: noFreeTokens}
+	cl := pl.candidateLists[key]
+	if cl == nil {
+		cl = &candidateList{lastChosen: -1, maxTokens: noFreeTokens}
 		for i := range pl.candidates {
-			se := &pl.candidates[i]
-			if se.full || !pl.table.canRunStep(se.engine, sr.step) {
+			ca := &pl.candidates[i]
+			if ca.full || !pl.table.canRunStep(ca.engine, sr.step) {
 				continue
 			}
-			sl.indexes = append(sl.indexes, i)
-			sl.maxTokens = max(sl.maxTokens, pl.summaries[i].freeTokens)
+			cl.indexes = append(cl.indexes, i)
+			cl.maxTokens = max(cl.maxTokens, pl.summaries[i].freeTokens)
 		}
-		pl.candidateLists[key] = sl
+		pl.candidateLists[key] = cl
 	}
-	sr.placement, sr.candidates = pl, sl
-	return sl
+	sr.placement, sr.candidates = pl, cl
+	return cl
 }
 
 // resetBounds resets the bounds of all lists after memory of an engine was released. The next
 // choice from a list computes its bound again.
 func (pl *placement) resetBounds() {
-	for _, sl := range pl.candidateLists {
-		if len(sl.indexes) > 0 {
-			sl.maxTokens = math.MaxInt
+	for _, cl := range pl.candidateLists {
+		if len(cl.indexes) > 0 {
+			cl.maxTokens = math.MaxInt
 		}
 	}
 }
@@ -141,22 +141,22 @@
 }
 
 func (pl *placement) demandOf(ir *itemRow) itemDemand {
-	ne := itemDemand{item: ir, seconds: ir.expectedTime().Seconds()}
-	ne.tokens, ne.endTokens = ir.tokenUse()
+	de := itemDemand{item: ir, seconds: ir.expectedTime().Seconds()}
+	de.tokens, de.endTokens = ir.tokenUse()
 	if pl.now.Sub(ir.stateSince) < avoidEngineFor {
-		ne.avoidedEngine = ir.avoidedEngine
+		de.avoidedEngine = ir.avoidedEngine
 	}
-	return ne
+	return de
 }
 
 // accepts reports whether an engine with enough free memory for an item can run it.
-func (se *candidate) accepts(ne *itemDemand) bool {
-	return (ne.avoidedEngine == "" || se.engine.id != ne.avoidedEngine) && se.engine.canContinue(ne.item)
+func (ca *candidate) accepts(de *itemDemand) bool {
+	return (de.avoidedEngine == "" || ca.engine.id != de.avoidedEngine) && ca.engine.canContinue(de.item)
 }
 
 // score returns the score of a candidate for an item, given the part that doesn't depend on it.
-func (se *candidate) score(ne *itemDemand, score float64) float64 {
-	return score - paceCost(ne.seconds, se.contextTokens, se.lagBehindBest) - se.engine.overfillCost(se.endTokens+ne.endTokens)
+func (ca *candidate) score(de *itemDemand, score float64) float64 {
+	return score - paceCost(de.seconds, ca.contextTokens, ca.lagBehindBest) - ca.engine.overfillCost(ca.endTokens+de.endTokens)
 }
 
 // choose returns the index of the best candidate for an item, or -1, and updates the bound of the
@@ -166,16 +166,16 @@
 // score, which has no such bound. Engines that run items of the same group are considered
 // first, with their bonus.
 func (pl *placement) choose(ir *itemRow) int {
-	sl := pl.listOf(ir.step)
-	ne := pl.demandOf(ir)
+	cl := pl.listOf(ir.step)
+	de := pl.demandOf(ir)
 	best, bestScore, most := -1, 0.0, noFreeTokens
 	consider := func(i int, score float64) {
-		se := &pl.candidates[i]
-		if !se.accepts(&ne) {
+		ca := &pl.candidates[i]
+		if !ca.accepts(&de) {
 			return
 		}
-		score = pl.score(se, &ne, score)
-		if best < 0 || score > bestScore || score == bestScore && se.engine.id < pl.candidates[best].engine.id {
+		score = pl.score(ca, &de, score)
+		if best < 0 || score > bestScore || score == bestScore && ca.engine.id < pl.candidates[best].engine.id {
 			best, bestScore = i, score
 		}
 	}
@@ -184,38 +184,38 @@
 		if mate.state != running {
 			continue
 		}
-		if i := pl.indexOf(mate.run.engine); i >= 0 && ne.tokens <= pl.summaries[i].freeTokens && pl.table.canRunStep(mate.run.engine, ir.step.step) {
+		if i := pl.indexOf(mate.run.engine); i >= 0 && de.tokens <= pl.summaries[i].freeTokens && pl.table.canRunStep(mate.run.engine, ir.step.step) {
 			consider(i, pl.summaries[i].score+sameGroupBonus)
 		}
 	}
-	if i := sl.lastChosen; i >= 0 && ne.tokens <= pl.summaries[i].freeTokens {
+	if i := cl.lastChosen; i >= 0 && de.tokens <= pl.summaries[i].freeTokens {
 		consider(i, pl.summaries[i].score)
 	}
-	for _, i := range sl.indexes {
-		su := &pl.summaries[i]
-		most = max(most, su.freeTokens)
-		if ne.tokens <= su.freeTokens && (best < 0 || su.score >= bestScore || pl.table.scoreFunc != nil) {
-			consider(i, su.score)
+	for _, i := range cl.indexes {
+		cs := &pl.summaries[i]
+		most = max(most, cs.freeTokens)
+		if de.tokens <= cs.freeTokens && (best < 0 || cs.score >= bestScore || pl.table.scoreFunc != nil) {
+			consider(i, cs.score)
 		}
 	}
-	sl.maxTokens = most
+	cl.maxTokens = most
 	if best >= 0 {
-		sl.lastChosen = best
+		cl.lastChosen = best
 	}
 	return best
 }
 
 // compactLists removes full candidates from all lists.
 func (pl *placement) compactLists() {
-	for _, sl := range pl.candidateLists {
-		sl.indexes = slices.DeleteFunc(sl.indexes, func(i int) bool { return pl.candidates[i].full })
+	for _, cl := range pl.candidateLists {
+		cl.indexes = slices.DeleteFunc(cl.indexes, func(i int) bool { return pl.candidates[i].full })
 	}
 }
 
 // score returns the score of a candidate for an item, by the table's custom score if it has one.
-func (pl *placement) score(se *candidate, ne *itemDemand, score float64) float64 {
+func (pl *placement) score(ca *candidate, de *itemDemand, score float64) float64 {
 	if rank := pl.table.scoreFunc; rank != nil {
-		return rank(se.engine, ne.item, pl.now)
+		return rank(ca.engine, de.item, pl.now)
 	}
-	return se.score(ne, score)
+	return ca.score(de, score)
 }
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -20,7 +20,7 @@
 // smallCustomerCompetes reports whether two or more customers compete and one that requests no more than its share of
 // the room's capacity has open steps there, or may soon have some. Customers that have open steps only at other
 // services don't count.
-func (ta *Table) smallCustomerCompetes(rm *servicePlan) bool {
+func (ta *Table) smallCustomerCompetes(sp *servicePlan) bool {
 	customers := ta.usage.account.Balances()
 	if len(customers) < 2 {
 		return false
@@ -28,11 +28,11 @@
 	elsewhere := map[string]bool{}
 	for _, other := range ta.servicePlans {
 		for customer := range other.withinShare {
-			elsewhere[customer] = elsewhere[customer] || other != rm
+			elsewhere[customer] = elsewhere[customer] || other != sp
 		}
 	}
 	for customer := range customers {
-		if within, open := rm.withinShare[customer]; within || !open && !elsewhere[customer] {
+		if within, open := sp.withinShare[customer]; within || !open && !elsewhere[customer] {
 			return true
 		}
 	}
--- a/step/share.go
+++ b/step/share.go
@@ -39,36 +39,36 @@
 // and make the others late. The slots in use at one moment don't show who has used most, as
 // steps come in bursts.
 func (ta *Table) ChargeUsage(now time.Time) {
-	fs := &ta.usage
+	cu := &ta.usage
 	elapsed := time.Duration(0)
-	if !fs.chargedAt.IsZero() {
-		elapsed = min(now.Sub(fs.chargedAt), maxElapsed)
+	if !cu.chargedAt.IsZero() {
+		elapsed = min(now.Sub(cu.chargedAt), maxElapsed)
 	}
-	fs.chargedAt = now
+	cu.chargedAt = now
 	counts := ta.customerCounts(now)
-	fs.account.Advance(ta.customerUses(counts), elapsed)
-	fs.recentSlots.Add(slotsInUse(counts), elapsed, now)
-	if now.Sub(fs.loggedAt) >= rankLogInterval {
-		fs.loggedAt = now
+	cu.account.Advance(ta.customerUses(counts), elapsed)
+	cu.recentSlots.Add(slotsInUse(counts), elapsed, now)
+	if now.Sub(cu.loggedAt) >= rankLogInterval {
+		cu.loggedAt = now
 		ta.logRanks()
 	}
 }
 
 // logRanks logs the customers whose rank has changed.
 func (ta *Table) logRanks() {
-	fs := &ta.usage
-	sts := fs.account.Balances()
-	before := fs.logged
-	fs.logged = map[string]int{}
+	cu := &ta.usage
+	sts := cu.account.Balances()
+	before := cu.logged
+	cu.logged = map[string]int{}
 	lines := 0
 	for _, customer := range slices.Sorted(maps.Keys(sts)) {
 		st := sts[customer]
-		fs.logged[customer] = st.Rank
+		cu.logged[customer] = st.Rank
 		if st.Rank == before[customer] || lines >= maxRankLines {
 			continue
 		}
 		lines++
-		ta.log("customer ranked", map[string]any{
+		ta.log("customer rank changed", map[string]any{
 			"ahead-s": st.Ahead, "before": before[customer], customerField: customer, "memory": st.Use.Memory,
 			"places": st.Use.Places, "rank": st.Rank, "waits": st.Use.Waits, "wants": st.Use.Wants,
 		})
@@ -106,9 +106,9 @@
 // only where they are scarce.
 func (ta *Table) customerUses(counts map[usageKey]itemCounts) map[string]fairshare.Usage {
 	waits, held := map[string]bool{}, map[string]int{} // by service
-	for key, co := range counts {
-		waits[key.service] = waits[key.service] || co.canStart
-		held[key.service] += co.running
+	for key, ic := range counts {
+		waits[key.service] = waits[key.service] || ic.canStart
+		held[key.service] += ic.running
 	}
 	uses := map[string]fairshare.Usage{}
 	ta.usage.scarce = map[string]bool{}
@@ -136,21 +136,21 @@
 	counts := map[usageKey]itemCounts{}
 	for _, sr := range ta.openSteps {
 		key := usageKey{sr.step.Customer, sr.step.Service}
-		co := counts[key]
+		ic := counts[key]
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); held {
-			ta.countUnheld(&co, sr)
+			ta.countUnheld(&ic, sr)
 		} else {
-			co.waiting += sr.waitingCount
+			ic.waiting += sr.waitingCount
 		}
-		co.canStart = co.canStart || sr.waitingCount > 0 && ta.anyCanStart(sr, now)
+		ic.canStart = ic.canStart || sr.waitingCount > 0 && ta.anyCanStart(sr, now)
 		eventTokens := sr.estimator.eventTokens()
 		for _, gr := range sr.groupList {
-			co.running += len(gr.summary.running)
+			ic.running += len(gr.summary.running)
 			for _, ir := range gr.summary.running {
-				co.tokens += ir.item.Prompt + len(ir.events)*eventTokens
+				ic.tokens += ir.item.Prompt + len(ir.events)*eventTokens
 			}
 		}
-		counts[key] = co
+		counts[key] = ic
 	}
 	return counts
 }
@@ -158,18 +158,18 @@
 // slotsInUse returns the number of slots in use by customer.
 func slotsInUse(counts map[usageKey]itemCounts) map[string]int {
 	places := map[string]int{}
-	for key, co := range counts {
-		places[key.customer] += co.running
+	for key, ic := range counts {
+		places[key.customer] += ic.running
 	}
 	return places
 }
 
 // countUnheld counts the waiting items of a held step that aren't held themselves.
-func (ta *Table) countUnheld(co *itemCounts, sr *stepRow) {
+func (ta *Table) countUnheld(ic *itemCounts, sr *stepRow) {
 	for _, gr := range sr.groupList {
 		for _, ir := range gr.summary.waiting {
 			if !ta.held(ir) {
-				co.waiting++
+				ic.waiting++
 			}
 		}
 	}
@@ -188,17 +188,17 @@
 
 // addUses adds what customers want of a service and, if its slots are scarce, what they use.
 func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, places, tokens int, scarce bool) {
-	for key, co := range counts {
-		if key.service != service || co.running+co.waiting == 0 {
+	for key, ic := range counts {
+		if key.service != service || ic.running+ic.waiting == 0 {
 			continue
 		}
 		us := uses[key.customer]
 		if scarce {
-			us.Places = max(us.Places, ratio(co.running, places))
-			us.Memory = max(us.Memory, ratio(co.tokens, tokens))
+			us.Places = max(us.Places, ratio(ic.running, places))
+			us.Memory = max(us.Memory, ratio(ic.tokens, tokens))
 		}
-		us.Waits = us.Waits || co.canStart
-		us.Wants = max(us.Wants, ratio(co.running+co.waiting, places))
+		us.Waits = us.Waits || ic.canStart
+		us.Wants = max(us.Wants, ratio(ic.running+ic.waiting, places))
 		uses[key.customer] = us
 	}
 }
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -28,25 +28,25 @@
 }()
 
 // dueAccount returns the encoded account if it must be written now, or nil.
-func (fs *customerUsage) dueAccount(now time.Time) []byte {
-	if now.Sub(fs.savedAt) < accountInterval {
+func (cu *customerUsage) dueAccount(now time.Time) []byte {
+	if now.Sub(cu.savedAt) < accountInterval {
 		return nil
 	}
-	me := fs.account.Snapshot()
-	if len(me.Ahead) == 0 && len(fs.saved) == 0 {
+	me := cu.account.Snapshot()
+	if len(me.Ahead) == 0 && len(cu.saved) == 0 {
 		return nil
 	}
 	data, err := accountMode.Marshal(me)
-	if err != nil || bytes.Equal(data, fs.saved) {
+	if err != nil || bytes.Equal(data, cu.saved) {
 		return nil // encoding numbers and strings never fails
 	}
 	return data
 }
 
 // accountWritten records that an account was written.
-func (fs *customerUsage) accountWritten(data []byte, now time.Time) {
+func (cu *customerUsage) accountWritten(data []byte, now time.Time) {
 	if len(data) > 0 {
-		fs.saved, fs.savedAt = data, now
+		cu.saved, cu.savedAt = data, now
 	}
 }
 
--- a/step/simengine_test.go
+++ b/step/simengine_test.go
@@ -51,7 +51,7 @@
 	return tokens
 }
 
-// tokens returns how many tokens a run tokens.
+// tokens returns how many tokens a run holds.
 func (se *simEngine) tokens(ru *simRun) float64 {
 	return float64(se.sheet.prompt) + (float64(len(ru.launch.Prior))+ru.made)*float64(se.sheet.eventTokens)
 }
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -150,8 +150,8 @@
 		ta.Place(begin.Add(tickInterval))
 		sr := ta.steps["s"]
 		assert.Equal(t, len(sr.items)+len(sr.groupList)+len(ta.staleGroups), 0)
-		if rm := ta.servicePlans[st.Service]; rm != nil {
-			assert.Equal(t, len(rm.reserved)+len(rm.unreserved), 0)
+		if sp := ta.servicePlans[st.Service]; sp != nil {
+			assert.Equal(t, len(sp.reserved)+len(sp.unreserved), 0)
 		}
 		assert.DeepEqual(t, sr.queue.built, false)
 		for _, wq := range sr.queue.queues {
