--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -46,11 +46,11 @@
 
 // A row is the account of one customer.
 type row struct {
-	key    float64 // served plus usage charged in advance
-	level  int     // quanta ahead of the waiting customer that is furthest behind
-	rated  bool    // level is set
-	served float64 // virtual time: fraction of the total times seconds, divided by weight
-	use    Usage
+	projectedServed float64 // served plus usage charged in advance
+	level           int     // quanta ahead of the waiting customer that is furthest behind
+	hasLevel        bool    // level is set
+	served          float64 // virtual time: fraction of the total times seconds, divided by weight
+	use             Usage
 }
 
 // An Account tracks the usage of customers by start-time fair queueing. The zero value is ready
@@ -193,25 +193,25 @@
 func (ac *Account) updateLevels(total float64) {
 	least := math.Inf(1)
 	for customer, ro := range ac.rows {
-		ro.key = ro.served + ro.use.projected()*chargeAhead/ac.Weight(customer)
+		ro.projectedServed = ro.served + ro.use.projected()*chargeAhead/ac.Weight(customer)
 		if ro.use.Waits {
-			least = min(least, ro.key)
+			least = min(least, ro.projectedServed)
 		}
 	}
 	for _, ro := range ac.rows {
 		if ro.use == (Usage{}) || math.IsInf(least, 1) {
-			ro.rated = false
+			ro.hasLevel = false
 			continue
 		}
-		ro.updateLevel(max(ro.key-least, 0) * total)
+		ro.updateLevel(max(ro.projectedServed-least, 0) * total)
 	}
 }
 
 // updateLevel sets the level for a distance in seconds of the customer's share, with hysteresis for
 // lower levels.
 func (ro *row) updateLevel(distance float64) {
-	if !ro.rated || distance >= float64(ro.level+1)*quantum {
-		ro.level, ro.rated = int(distance/quantum), true
+	if !ro.hasLevel || distance >= float64(ro.level+1)*quantum {
+		ro.level, ro.hasLevel = int(distance/quantum), true
 		return
 	}
 	if distance < float64(ro.level)*quantum-margin {
@@ -222,7 +222,7 @@
 // Rank returns a customer's lead over the waiting customer that is furthest behind, in quanta.
 // Customers with the lowest rank go first.
 func (ac *Account) Rank(customer string) int {
-	if ro := ac.rows[customer]; ro != nil && ro.rated {
+	if ro := ac.rows[customer]; ro != nil && ro.hasLevel {
 		return ro.level
 	}
 	return 0
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -17,10 +17,10 @@
 type simulation struct {
 	account Account
 	at      time.Duration
-	places  int
+	slots   int
 	runs    []simRun
 	served  map[string]time.Duration // slot time
-	wants   map[string]int           // waiting items
+	waiting map[string]int           // waiting items
 }
 
 type simRun struct {
@@ -33,12 +33,12 @@
 	si.at += testTick
 	si.runs = slices.DeleteFunc(si.runs, func(ru simRun) bool { return ru.end <= si.at })
 	si.account.Advance(si.uses(), testTick)
-	for len(si.runs) < si.places {
+	for len(si.runs) < si.slots {
 		customer, ok := si.next()
 		if !ok {
 			break
 		}
-		si.wants[customer]--
+		si.waiting[customer]--
 		si.runs = append(si.runs, simRun{customer: customer, end: si.at + length})
 	}
 	for _, ru := range si.runs {
@@ -58,11 +58,11 @@
 
 func (si *simulation) uses() map[string]Usage {
 	uses := map[string]Usage{}
-	for customer, wants := range si.wants {
+	for customer, wants := range si.waiting {
 		held := si.held(customer)
 		if held+wants > 0 {
 			uses[customer] = Usage{
-				Places: float64(held) / float64(si.places), Waits: wants > 0, Wants: float64(held+wants) / float64(si.places),
+				Places: float64(held) / float64(si.slots), Waits: wants > 0, Wants: float64(held+wants) / float64(si.slots),
 			}
 		}
 	}
@@ -73,12 +73,12 @@
 // waiting items.
 func (si *simulation) next() (string, bool) {
 	best := ""
-	for _, customer := range slices.Sorted(maps.Keys(si.wants)) {
-		if si.wants[customer] == 0 {
+	for _, customer := range slices.Sorted(maps.Keys(si.waiting)) {
+		if si.waiting[customer] == 0 {
 			continue
 		}
 		rank, bestRank := si.account.Rank(customer), si.account.Rank(best)
-		if best == "" || rank < bestRank || rank == bestRank && si.wants[customer] > si.wants[best] {
+		if best == "" || rank < bestRank || rank == bestRank && si.waiting[customer] > si.waiting[best] {
 			best = customer
 		}
 	}
@@ -86,11 +86,11 @@
 }
 
 func newSimulation(places int) *simulation {
-	return &simulation{places: places, served: map[string]time.Duration{}, wants: map[string]int{}}
+	return &simulation{slots: places, served: map[string]time.Duration{}, waiting: map[string]int{}}
 }
 
 // setWaiting sets the numbers of waiting items.
-func (si *simulation) setWaiting(wants map[string]int) { maps.Copy(si.wants, wants) }
+func (si *simulation) setWaiting(wants map[string]int) { maps.Copy(si.waiting, wants) }
 
 func TestWaitingCustomersGetTheirWeights(t *testing.T) {
 	si := newSimulation(12)
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -98,19 +98,19 @@
 	Lingers bool
 	Way     Discipline
 
-	crowded bool
-	starved map[string]*starvation // by trainer
-	load    float64
+	overloaded bool
+	starved    map[string]*starvation // by trainer
+	load       float64
 }
 
 // Overloaded reports whether the capacity is insufficient for all open steps.
-func (pl *Planner) Overloaded() bool { return pl.crowded }
+func (pl *Planner) Overloaded() bool { return pl.overloaded }
 
 // Load returns the wanted work as a fraction of the capacity within a step's allowed time.
 func (pl *Planner) Load() float64 { return pl.load }
 
 // Idle reports whether the planner has no state, so that it can be replaced by a new one.
-func (pl *Planner) Idle() bool { return !pl.crowded && len(pl.starved) == 0 }
+func (pl *Planner) Idle() bool { return !pl.overloaded && len(pl.starved) == 0 }
 
 // Plan reserves capacity for groups of the open steps and sets the positions of all groups.
 // Steps must be ordered from the oldest. Slots is the number of slots, in which those of slow
@@ -122,11 +122,11 @@
 	cds, ca := pl.candidates(steps), newCapacity(steps, reservableFraction*slots)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = tierOf(cds[i])
-		gr.inTime = cds[i].chance == possible && ca.fits(st, gr.Work)
+		cds[i].tier = tierOf(cds[i])
+		gr.inTime = cds[i].tier == possible && ca.fits(st, gr.Work)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
-			cds[i].chance = planned
+			cds[i].tier = planned
 			st.work += gr.Work
 		}
 	}
@@ -142,9 +142,9 @@
 	switch {
 	case pl.Way == LeastSlack:
 	case pl.load >= overloadFraction:
-		pl.crowded = true
+		pl.overloaded = true
 	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
-		pl.crowded = false
+		pl.overloaded = false
 	}
 }
 
@@ -213,12 +213,12 @@
 
 // A candidate is a group to reserve capacity for.
 type candidate struct {
-	chance tier
-	group  *Group
-	order  int     // index before sorting
-	part   float64 // number of earlier groups of its step, as a fraction of the wanted ones
-	step   *Step
-	wanted bool // the trainer waits for the group
+	tier     tier
+	group    *Group
+	order    int     // index before sorting
+	progress float64 // number of earlier groups of its step, as a fraction of the wanted ones
+	step     *Step
+	wanted   bool // the trainer waits for the group
 }
 
 // candidates returns all groups in the order in which capacity is reserved for them.
@@ -227,7 +227,7 @@
 	for _, st := range steps {
 		for i, gr := range st.Groups {
 			cds = append(cds, candidate{
-				group: gr, part: float64(i) / float64(max(st.Wanted, 1)), step: st, wanted: i < st.Wanted || gr.Again,
+				group: gr, progress: float64(i) / float64(max(st.Wanted, 1)), step: st, wanted: i < st.Wanted || gr.Again,
 			})
 		}
 	}
@@ -235,7 +235,7 @@
 	case ShortestFirst:
 		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.group.Work, b.group.Work) })
 	case EqualProgress:
-		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.part, b.part) })
+		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.progress, b.progress) })
 	case FirstInFirstOut, LeastSlack:
 	}
 	return cds
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -31,17 +31,17 @@
 	cds := pl.candidates(steps)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = tierOf(cds[i])
-		gr.inTime = cds[i].chance == possible && referenceFits(steps, st, gr.Work, reservableFraction*slots)
+		cds[i].tier = tierOf(cds[i])
+		gr.inTime = cds[i].tier == possible && referenceFits(steps, st, gr.Work, reservableFraction*slots)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
-			cds[i].chance = planned
+			cds[i].tier = planned
 			st.work += gr.Work
 		}
 	}
 	slices.SortStableFunc(cds, func(a, b candidate) int {
-		order := cmp.Compare(a.chance, b.chance)
-		if order == 0 && a.chance >= late {
+		order := cmp.Compare(a.tier, b.tier)
+		if order == 0 && a.tier >= late {
 			order = cmp.Or(cmp.Compare(a.step.Rank, b.step.Rank), cmp.Compare(a.group.Work, b.group.Work))
 		}
 		return order
@@ -52,9 +52,9 @@
 	switch {
 	case pl.Way == LeastSlack:
 	case pl.load >= overloadFraction:
-		pl.crowded = true
+		pl.overloaded = true
 	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
-		pl.crowded = false
+		pl.overloaded = false
 	}
 }
 
--- a/overload/room.go
+++ b/overload/room.go
@@ -8,13 +8,13 @@
 
 // A capacity is the capacity until each of the steps is due.
 type capacity struct {
-	places float64
-	steps  []*Step // by due time, the earliest first
+	slots float64
+	steps []*Step // by due time, the earliest first
 }
 
 func newCapacity(steps []*Step, places float64) *capacity {
 	ordered := slices.SortedStableFunc(slices.Values(steps), func(a, b *Step) int { return cmp.Compare(a.Left, b.Left) })
-	return &capacity{places: places, steps: ordered}
+	return &capacity{slots: places, steps: ordered}
 }
 
 // fits reports whether additional work that is due with a step fits: the reserved work that is
@@ -27,7 +27,7 @@
 		if until.Left < st.Left || i+1 < len(ca.steps) && ca.steps[i+1].Left == until.Left {
 			continue
 		}
-		if float64(total) > ca.places*float64(until.Left) {
+		if float64(total) > ca.slots*float64(until.Left) {
 			return false
 		}
 	}
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -23,7 +23,7 @@
 	var chances [hopeless + 1][]candidate
 	for i, cd := range cds {
 		cd.order = i
-		chances[cd.chance] = append(chances[cd.chance], cd)
+		chances[cd.tier] = append(chances[cd.tier], cd)
 	}
 	ordered := make([]candidate, 0, len(cds))
 	for ch, some := range chances {
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -26,7 +26,7 @@
 // A shape is the size of a trainer's steps at a load factor of 1.
 type shape struct {
 	groups, size, maxEvents int
-	lesson                  time.Duration
+	trainingTime            time.Duration
 }
 
 // overloadCases returns three trainers with 47 engines, three with 46 engines of which a third
@@ -61,7 +61,7 @@
 		sheet := oc.sheet
 		sheet.maxEvents = sh.maxEvents
 		groups := int(times*float64(sh.groups) + 0.5)
-		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.lesson, uint64(100*i)))
+		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.trainingTime, uint64(100*i)))
 	}
 	re := newReplay(oc.sheet, oc.factors, trainers)
 	re.table.policy = way
@@ -175,7 +175,7 @@
 func largeLoad(engines int) *overloadCase {
 	oc := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
-		oc.shapes = append(oc.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, lesson: time.Second})
+		oc.shapes = append(oc.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, trainingTime: time.Second})
 	}
 	return oc
 }
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -158,7 +158,7 @@
 // run replays the pattern with one seed.
 func (pa *pattern) run(seed uint64, po policy) outcome {
 	re := pa.newReplay(seed)
-	re.known = po == known
+	re.exactPaces = po == known
 	for _, tr := range re.trainers {
 		tr.exact = po == known
 	}
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -10,13 +10,13 @@
 // A replay simulates a load on a Table tick by tick: engines, attendants that respond every
 // second tick, and trainers.
 type replay struct {
-	baseline bool // runs aren't moved, and the engine with the most free slots is chosen
-	known    bool // the table gets the exact pace of each engine
-	engines  []*simEngine
-	now      time.Time
-	sheet    simDeployment
-	table    *Table
-	trainers []*simTrainer
+	baseline   bool // runs aren't moved, and the engine with the most free slots is chosen
+	exactPaces bool // the table gets the exact pace of each engine
+	engines    []*simEngine
+	now        time.Time
+	sheet      simDeployment
+	table      *Table
+	trainers   []*simTrainer
 }
 
 // A simDeployment holds the properties of a deployment's engines and items.
@@ -117,7 +117,7 @@
 	ta.EvictSilent(re.now)
 	ta.MeasurePace(re.now)
 	ta.ChargeUsage(re.now)
-	if re.known {
+	if re.exactPaces {
 		re.setExactPaces()
 	}
 	ta.DropExpired(re.now)
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -12,25 +12,25 @@
 // A simTrainer simulates a trainer: it submits step k once version k is published, allows
 // versions from k-1 on, and has at most two steps open.
 type simTrainer struct {
-	carry    []string // groups to request again
-	customer string
-	due      time.Duration
-	every    time.Duration
-	exact    bool // hints are right
-	groups   int
-	lengths  map[string]int
-	lesson   time.Duration // of training on one step
-	model    string
-	names    map[string][]Item // items by group
-	next     int
-	named    uint64
-	open     []*simStep
-	rng      *rand.Rand
-	sheet    simDeployment
-	size     int
-	start    time.Time
-	target   int
-	trains   []time.Time // publication times of the next versions; steps are trained on one by one
+	carriedOver      []string // groups to request again
+	customer         string
+	due              time.Duration
+	every            time.Duration
+	exact            bool // hints are right
+	groups           int
+	lengths          map[string]int
+	trainingTime     time.Duration // of training on one step
+	model            string
+	names            map[string][]Item // items by group
+	next             int
+	publishedVersion uint64
+	open             []*simStep
+	rng              *rand.Rand
+	sheet            simDeployment
+	size             int
+	start            time.Time
+	target           int
+	publications     []time.Time // publication times of the next versions; steps are trained on one by one
 
 	inTime, asked int
 	took          []time.Duration
@@ -38,10 +38,10 @@
 }
 
 type simStep struct {
-	row   *stepRow
-	step  *Step
-	asked time.Time
-	first map[string]bool
+	row         *stepRow
+	step        *Step
+	asked       time.Time
+	carriedOver map[string]bool
 
 	inTime int // groups that were read in time
 	read   int // results
@@ -52,12 +52,12 @@
 // result, the response takes some time to arrive, and the next poll comes readEvery after
 // the start of the read or with the response, whichever is later.
 type simReader struct {
-	begun    time.Time // of the read
-	held     bool      // the read waits for results
-	lookAt   time.Time
-	release  func(now time.Time)
-	arriving int // results on their way
-	arriveAt time.Time
+	startedAt time.Time // of the read
+	waiting   bool      // the read waits for results
+	pollAt    time.Time
+	release   func(now time.Time)
+	arriving  int // results on their way
+	arriveAt  time.Time
 }
 
 // How trainers read.
@@ -74,9 +74,9 @@
 // advance progresses a read, and reports whether the trainer polls now.
 func (ss *simStep) advance(now time.Time) bool {
 	rd := &ss.reader
-	if rd.held {
+	if rd.waiting {
 		li := ss.row.listingFrom(ss.read)
-		if len(li.Results) == 0 && now.Sub(rd.begun) < readWait {
+		if len(li.Results) == 0 && now.Sub(rd.startedAt) < readWait {
 			return false
 		}
 		size := 0
@@ -84,22 +84,22 @@
 			size += len(re.Text)
 		}
 		rd.release(now)
-		rd.held, rd.arriving = false, len(li.Results)
+		rd.waiting, rd.arriving = false, len(li.Results)
 		rd.arriveAt = now.Add(answerTime + time.Duration(size)*time.Second/answerRate)
-		rd.lookAt = rd.begun.Add(readEvery)
-		if rd.lookAt.Before(rd.arriveAt) {
-			rd.lookAt = rd.arriveAt
+		rd.pollAt = rd.startedAt.Add(readEvery)
+		if rd.pollAt.Before(rd.arriveAt) {
+			rd.pollAt = rd.arriveAt
 		}
 	}
 	if rd.arriving > 0 && !now.Before(rd.arriveAt) {
 		ss.read, rd.arriving = ss.read+rd.arriving, 0
 	}
-	return !now.Before(rd.lookAt)
+	return !now.Before(rd.pollAt)
 }
 
 // startRead starts a read.
 func (ss *simStep) startRead(now time.Time) {
-	ss.reader = simReader{begun: now, held: true, release: ss.row.addRead(now, readWait)}
+	ss.reader = simReader{startedAt: now, waiting: true, release: ss.row.addRead(now, readWait)}
 }
 
 func (tr *simTrainer) length() int {
@@ -133,15 +133,15 @@
 // submit submits the next step if it is due and its version is published.
 func (tr *simTrainer) submit(re *replay) {
 	when := tr.start.Add(time.Duration(tr.next) * tr.every)
-	if re.now.Before(when) || uint64(tr.next) > tr.named {
+	if re.now.Before(when) || uint64(tr.next) > tr.publishedVersion {
 		return
 	}
 	st := &Step{
 		Accepted: re.now, Due: tr.due, Groups: tr.target, ID: fmt.Sprintf("%s-%d", tr.model, tr.next),
 		MinVersion: uint64(max(tr.next-1, 1)), Model: tr.model, Number: tr.next, Service: "service", MaxAttempts: 3, Customer: tr.customer,
 	}
-	carried := tr.carry[:min(len(tr.carry), tr.target/2)]
-	tr.carry = tr.carry[len(carried):]
+	carried := tr.carriedOver[:min(len(tr.carriedOver), tr.target/2)]
+	tr.carriedOver = tr.carriedOver[len(carried):]
 	names := slices.Clone(carried)
 	for i := len(names); i < tr.groups; i++ {
 		name := fmt.Sprintf("%s-g%d-%d", tr.model, tr.next, i)
@@ -156,17 +156,17 @@
 		st.Items = append(st.Items, tr.names[name]...)
 	}
 	re.table.Accept(st, StoredStep{}, false, re.now)
-	tr.open = append(tr.open, &simStep{row: re.table.steps[st.ID], step: st, asked: re.now, first: first, reader: simReader{lookAt: re.now}})
+	tr.open = append(tr.open, &simStep{row: re.table.steps[st.ID], step: st, asked: re.now, carriedOver: first, reader: simReader{pollAt: re.now}})
 	tr.asked += tr.target
 	tr.next++
 }
 
 // poll reads each open step, and ends those that are complete or timed out.
 func (tr *simTrainer) poll(re *replay) {
-	for len(tr.trains) > 0 && !re.now.Before(tr.trains[0]) {
-		tr.trains = tr.trains[1:]
-		tr.named++
-		re.table.SetVersion(tr.model, tr.named)
+	for len(tr.publications) > 0 && !re.now.Before(tr.publications[0]) {
+		tr.publications = tr.publications[1:]
+		tr.publishedVersion++
+		re.table.SetVersion(tr.model, tr.publishedVersion)
 	}
 	tr.open = slices.DeleteFunc(tr.open, func(ss *simStep) bool { return tr.finish(re, ss) })
 }
@@ -182,7 +182,7 @@
 	if took+submitTime <= tr.due+700*time.Millisecond {
 		ss.inTime = whole
 	}
-	if (!looks || whole < tr.target || first < len(ss.first)) && took < 12*time.Second {
+	if (!looks || whole < tr.target || first < len(ss.carriedOver)) && took < 12*time.Second {
 		if looks {
 			ss.startRead(re.now)
 		}
@@ -200,10 +200,10 @@
 // train schedules the training on a step that has ended, after earlier ones.
 func (tr *simTrainer) train(now time.Time) {
 	begun := now
-	if len(tr.trains) > 0 {
-		begun = tr.trains[len(tr.trains)-1]
+	if len(tr.publications) > 0 {
+		begun = tr.publications[len(tr.publications)-1]
 	}
-	tr.trains = append(tr.trains, begun.Add(tr.lesson))
+	tr.publications = append(tr.publications, begun.Add(tr.trainingTime))
 }
 
 // completeGroups returns how many groups have been read completely, and how many of these had been
@@ -212,7 +212,7 @@
 	for name, count := range ss.readGroups() {
 		if count == size {
 			whole++
-			if ss.first[name] {
+			if ss.carriedOver[name] {
 				first++
 			}
 		}
@@ -246,18 +246,18 @@
 func (tr *simTrainer) carryOver(ss *simStep) {
 	read := ss.readGroups()
 	for _, it := range ss.step.Items {
-		if read[it.Group] < tr.size && !slices.Contains(tr.carry, it.Group) {
-			tr.carry = append(tr.carry, it.Group)
+		if read[it.Group] < tr.size && !slices.Contains(tr.carriedOver, it.Group) {
+			tr.carriedOver = append(tr.carriedOver, it.Group)
 		}
 	}
-	slices.Sort(tr.carry)
+	slices.Sort(tr.carriedOver)
 }
 
 // newTrainer returns a trainer that waits for 90 percent of its groups, rounded up.
 func newTrainer(sheet simDeployment, model string, groups, size int, lesson time.Duration, seed uint64) *simTrainer {
 	return &simTrainer{
 		due: 7500 * time.Millisecond, every: 4 * time.Second, groups: groups, lengths: map[string]int{},
-		lesson: lesson, model: model, named: 1,
+		trainingTime: lesson, model: model, publishedVersion: 1,
 		names: map[string][]Item{}, rng: rand.New(rand.NewPCG(seed, 1)), sheet: sheet, size: size, target: (groups*9 + 9) / 10,
 	}
 }
