--- a/fairshare/snapshot.go
+++ b/fairshare/snapshot.go
@@ -1,31 +1,30 @@
 package fairshare
 
-// maxKept bounds how many customers a Snapshot holds.
-const maxKept = 200
+// maxSnapshotCustomers limits the number of customers in a Snapshot.
+const maxSnapshotCustomers = 200
 
-// A Snapshot is what lasts of an account: how far customers are ahead of the virtual
-// time. One that it does not name is not ahead.
+// A Snapshot is the persistent state of an account: customers' leads over the virtual time. A
+// missing customer isn't ahead.
 type Snapshot struct{ Ahead map[string]float64 }
 
-// Snapshot returns what is to last of the account.
+// Snapshot returns the state of the account to persist.
 func (ac *Account) Snapshot() Snapshot {
-	me := Snapshot{Ahead: map[string]float64{}}
+	sn := Snapshot{Ahead: map[string]float64{}}
 	customers := ac.byServed()
-	for _, customer := range customers[max(0, len(customers)-maxKept):] {
+	for _, customer := range customers[max(0, len(customers)-maxSnapshotCustomers):] {
 		if ahead := ac.rows[customer].served - ac.virtual; ahead > 0 {
-			me.Ahead[customer] = ahead
+			sn.Ahead[customer] = ahead
 		}
 	}
-	return me
+	return sn
 }
 
-// Restore sets an account to what was kept of another one. An empty account would rank a
-// customer that has had far more than its part with those that had less.
-func (ac *Account) Restore(me Snapshot) {
+// Restore restores an account from persistent state.
+func (ac *Account) Restore(sn Snapshot) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
-	for customer, ahead := range me.Ahead {
-		if ahead > 0 && len(ac.rows) < maxRows {
-			ac.rows[customer] = &row{served: min(ahead, mostClaim)}
+	for customer, ahead := range sn.Ahead {
+		if ahead > 0 && len(ac.rows) < maxCustomers {
+			ac.rows[customer] = &row{served: min(ahead, maxLag)}
 		}
 	}
 }
--- a/overload/room.go
+++ b/overload/room.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// A room is what the places can do until each of the steps is due.
-type room struct {
-	places float64
-	steps  []*Step // by due time, the earliest first
+// A capacity is the capacity until each of the steps is due.
+type capacity struct {
+	slots float64
+	steps []*Step // by due time, the earliest first
 }
 
-func newRoom(steps []*Step, places float64) *room {
+func newCapacity(steps []*Step, places float64) *capacity {
 	ordered := slices.SortedStableFunc(slices.Values(steps), func(a, b *Step) int { return cmp.Compare(a.Left, b.Left) })
-	return &room{places: places, steps: ordered}
+	return &capacity{slots: places, steps: ordered}
 }
 
-// fits reports whether work that is due with a step fits beside all that room is kept for:
-// what is due by then, and by each later due time, must be done by that time.
-func (ro *room) fits(st *Step, work time.Duration) bool {
-	total := work // due by the time of the step that is looked at
-	for i, until := range ro.steps {
+// fits reports whether additional work that is due with a step fits: the reserved work that is
+// due by then, and by each later due time, must be feasible by that time.
+func (ca *capacity) fits(st *Step, work time.Duration) bool {
+	total := work // due by until.Left
+	for i, until := range ca.steps {
 		total += until.work
-		// Steps of one due time are looked at once, with the work of all of them.
-		if until.Left < st.Left || i+1 < len(ro.steps) && ro.steps[i+1].Left == until.Left {
+		// Check steps with equal due times once, with the work of all of them.
+		if until.Left < st.Left || i+1 < len(ca.steps) && ca.steps[i+1].Left == until.Left {
 			continue
 		}
-		if float64(total) > ro.places*float64(until.Left) {
+		if float64(total) > ca.slots*float64(until.Left) {
 			return false
 		}
 	}
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// A queueHead is where a round of placing stands in one queue of a step.
-type queueHead struct {
-	at    int // index of the next entry
-	list  *seatList
+// A queueCursor is the position of a round of placement in one queue of a step.
+type queueCursor struct {
+	next  int // index of the next entry
+	list  *candidateList
 	queue *waitQueue
-	spare time.Duration // time to spare of an item that would take none
+	slack time.Duration // slack of an item that would take no time
 	step  *stepRow
 }
 
-// A spareKey is an item's place in the order of time to spare.
-type spareKey struct {
-	rank  int // of its customer
-	spare time.Duration
-	step  int // its place in the order of steps
-	index int // in its step
+// A slackKey is the sort key of an item in the order of slack.
+type slackKey struct {
+	rank      int // of the customer
+	slack     time.Duration
+	stepIndex int // index of the step
+	itemIndex int // in the step
 }
 
-func (sk spareKey) compare(other spareKey) int {
+func (sk slackKey) compare(other slackKey) int {
 	return cmp.Or(
-		cmp.Compare(sk.rank, other.rank), cmp.Compare(sk.spare, other.spare), cmp.Compare(sk.step, other.step),
-		cmp.Compare(sk.index, other.index),
+		cmp.Compare(sk.rank, other.rank), cmp.Compare(sk.slack, other.slack), cmp.Compare(sk.stepIndex, other.stepIndex),
+		cmp.Compare(sk.itemIndex, other.itemIndex),
 	)
 }
 
-// bySpare gives places to items in the order of their customers' ranks, and then of their
-// time to spare, the least first. It merges the queues of all steps.
-func (pl *placing) bySpare(ranks map[string]int) {
+// placeBySlack places items in the order of their customers' ranks and then of least slack. It
+// merges the queues of all steps.
+func (pl *placement) placeBySlack(ranks map[string]int) {
 	pl.rankSteps(ranks)
-	var heads []queueHead
-	var moving []spareKey // of items that give back a place
+	var heads []queueCursor
+	var moving []slackKey // of items with a reserved slot
 	for _, sr := range pl.steps {
-		if sr.waits == 0 {
+		if sr.waitingCount == 0 {
 			continue
 		}
 		sr.queue.refresh(sr)
-		heads = pl.headsOf(heads, sr)
-		moving = pl.movingOf(moving, sr)
+		heads = pl.appendCursors(heads, sr)
+		moving = pl.appendMovingKeys(moving, sr)
 	}
-	slices.SortFunc(moving, spareKey.compare)
-	for pl.live > 0 {
-		best, bestKey := -1, spareKey{}
+	slices.SortFunc(moving, slackKey.compare)
+	for pl.openCount > 0 {
+		best, bestKey := -1, slackKey{}
 		for i := range heads {
 			if key, ok := heads[i].advance(moving); ok && (best < 0 || key.compare(bestKey) < 0) {
 				best, bestKey = i, key
@@ -55,72 +55,72 @@
 		if best < 0 {
 			return
 		}
-		we := heads[best].queue.entries[heads[best].at]
-		heads[best].at++
-		if we.item.target != "" {
+		we := heads[best].queue.entries[heads[best].next]
+		heads[best].next++
+		if we.item.moveTarget != "" {
 			moving = moving[1:]
 		}
-		if we.item.target != "" || we.held <= heads[best].list.most {
-			pl.give(we.item)
+		if we.item.moveTarget != "" || we.tokens <= heads[best].list.maxTokens {
+			pl.assign(we.item)
 		}
 	}
 }
 
-// headsOf appends the heads of a step's queues to heads.
-func (pl *placing) headsOf(heads []queueHead, sr *stepRow) []queueHead {
+// appendCursors appends the heads of a step's nonempty queues.
+func (pl *placement) appendCursors(heads []queueCursor, sr *stepRow) []queueCursor {
 	for number := range sr.queue.queues {
 		wq := &sr.queue.queues[number]
-		he := queueHead{list: pl.listOf(sr), queue: wq, spare: sr.step.Due - sr.age(pl.now), step: sr}
-		if number&queueRewarded != 0 {
-			he.spare -= sr.rewards.usual()
+		qc := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
+		if number&queueWithReward != 0 {
+			qc.slack -= sr.rewards.expected()
 		}
 		if len(wq.entries) > 0 {
-			heads = append(heads, he)
+			heads = append(heads, qc)
 		}
 	}
 	return heads
 }
 
-// movingOf appends to keys those of a step's items that wait and give back a place.
-func (pl *placing) movingOf(keys []spareKey, sr *stepRow) []spareKey {
-	if sr.moving == 0 {
+// appendMovingKeys appends the keys of a step's waiting items with a reserved slot.
+func (pl *placement) appendMovingKeys(keys []slackKey, sr *stepRow) []slackKey {
+	if sr.movingCount == 0 {
 		return keys
 	}
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.waiting {
-			if ir.target != "" {
-				keys = append(keys, spareKey{index: ir.index, rank: sr.rank, spare: ir.timeToSpare(pl.now), step: sr.place})
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.waiting {
+			if ir.moveTarget != "" {
+				keys = append(keys, slackKey{itemIndex: ir.index, rank: sr.customerRank, slack: ir.slack(pl.now), stepIndex: sr.orderIndex})
 			}
 		}
 	}
 	return keys
 }
 
-// advance moves on to the next item that waits and may fit somewhere, and returns its place
-// in the order. Moving are the items that still give back a place. An item that comes after
-// the first of these may fit once the place is free, so that it isn't passed over now.
-func (he *queueHead) advance(moving []spareKey) (spareKey, bool) {
-	if len(moving) == 0 && he.list.most < he.step.least {
-		return spareKey{}, false
+// advance moves to the next waiting item that may fit some engine, and returns its key. Moving
+// holds the keys of items that will still release a reserved slot. An item after the first of
+// these isn't skipped, since it may fit once that slot is free.
+func (qc *queueCursor) advance(moving []slackKey) (slackKey, bool) {
+	if len(moving) == 0 && qc.list.maxTokens < qc.step.leastTokens {
+		return slackKey{}, false
 	}
-	for ; he.at < len(he.queue.entries); he.at++ {
-		we := &he.queue.entries[he.at]
-		if we.held <= he.list.most {
+	for ; qc.next < len(qc.queue.entries); qc.next++ {
+		we := &qc.queue.entries[qc.next]
+		if we.tokens <= qc.list.maxTokens {
 			if we.valid() {
-				return he.key(we), true
+				return qc.key(we), true
 			}
 			continue
 		}
 		if len(moving) == 0 {
 			continue
 		}
-		if key := he.key(we); key.compare(moving[0]) >= 0 && we.valid() {
+		if key := qc.key(we); key.compare(moving[0]) >= 0 && we.valid() {
 			return key, true
 		}
 	}
-	return spareKey{}, false
+	return slackKey{}, false
 }
 
-func (he *queueHead) key(we *waitEntry) spareKey {
-	return spareKey{index: we.item.index, rank: he.step.rank, spare: he.spare - we.need, step: he.step.place}
+func (qc *queueCursor) key(we *waitEntry) slackKey {
+	return slackKey{itemIndex: we.item.index, rank: qc.step.customerRank, slack: qc.slack - we.duration, stepIndex: qc.step.orderIndex}
 }
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -22,9 +22,9 @@
 	trainers int
 }
 
-// compete replays customers that share engines, and returns by customer the fraction of
+// replayCustomers replays customers that share engines, and returns by customer the fraction of
 // requested groups in time. The function each is called at every tick and may be nil.
-func compete(engines int, customers []simCustomer, seed uint64, each func(re *replay, at time.Duration)) map[string]float64 {
+func replayCustomers(engines int, customers []simCustomer, seed uint64, each func(re *replay, at time.Duration)) map[string]float64 {
 	var trainers []*simTrainer
 	away := map[*simTrainer]func(at time.Duration) bool{}
 	for _, cu := range customers {
@@ -35,7 +35,7 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(engines), trainers)
-	re.play(dayLength, func(at time.Duration) {
+	re.run(dayLength, func(at time.Duration) {
 		for _, tr := range trainers {
 			if stays := away[tr]; stays != nil && stays(at) {
 				tr.start = re.now.Add(simTick - time.Duration(tr.next)*tr.every)
@@ -56,8 +56,8 @@
 	return got
 }
 
-// meanOf returns a customer's mean fraction of groups in time over as many seeds as luck.
-func meanOf(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
+// meanFraction returns a customer's mean fraction of groups in time over as many seeds as luck.
+func meanFraction(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
 	parts := make([]float64, luck)
 	for seed := range luck {
@@ -72,13 +72,13 @@
 }
 
 // A customer at ten times its share may reduce the other's groups in time by at most a tenth.
-func TestCustomerAtTenTimesItsPart(t *testing.T) {
+func TestCustomerAtTenTimesItsShare(t *testing.T) {
 	const luck = 24
 	beside, before := 0.0, 0.0
 	for _, engines := range []int{10, 15} {
 		play := func(trainers int) float64 {
-			return meanOf("small", luck, func(seed uint64) map[string]float64 {
-				return compete(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
+			return meanFraction("small", luck, func(seed uint64) map[string]float64 {
+				return replayCustomers(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
 			})
 		}
 		one, ten := play(1), play(10)
@@ -96,7 +96,7 @@
 		customers = append(customers, simCustomer{name: fmt.Sprintf("small-%d", i), trainers: 1})
 	}
 	for seed := range uint64(3) {
-		got := compete(16, customers, seed, nil)
+		got := replayCustomers(16, customers, seed, nil)
 		mean, small := 0.0, 0.0
 		for customer, part := range got {
 			mean += part / float64(len(got))
@@ -117,11 +117,11 @@
 	gone := func(at time.Duration) bool { return at < dayLength/2 }
 	for seed := range uint64(3) {
 		held := map[string]int{}
-		compete(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
+		replayCustomers(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
 			if at < dayLength/2+2*time.Second {
 				return
 			}
-			for _, en := range re.table.sorted {
+			for _, en := range re.table.sortedEngines {
 				for _, ir := range en.items {
 					held[ir.step.step.Customer]++
 				}
@@ -133,9 +133,9 @@
 	}
 }
 
-// crowd returns a table on which a large customer has held all slots for two seconds while a
+// largeCustomerAhead returns a table on which a large customer has held all slots for two seconds while a
 // small one waited, and the time at the end of it.
-func crowd(t *testing.T) (ta *Table, end time.Time) {
+func largeCustomerAhead(t *testing.T) (ta *Table, end time.Time) {
 	t.Helper()
 	ta = tableOf(t, 1, "a")
 	for _, customer := range []string{"large", "small"} {
@@ -145,23 +145,23 @@
 	}
 	ta.Place(begin)
 	end = begin.Add(2 * time.Second)
-	for now := begin; !now.After(end); now = now.Add(tickEvery) {
+	for now := begin; !now.After(end); now = now.Add(tickInterval) {
 		ta.ChargeUsage(now)
 	}
 	return ta, end
 }
 
-func TestChangeOfSchedulerKeepsCustomersParts(t *testing.T) {
+func TestNewSchedulerKeepsUsageAccounts(t *testing.T) {
 	// Guards against losing the customers' usage accounts when another scheduler takes over.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
 		sc := schedulerOf(me.Client())
-		ta, end := crowd(t)
-		for _, sr := range ta.order {
+		ta, end := largeCustomerAhead(t)
+		for _, sr := range ta.openSteps {
 			assert.NilError(t, sc.Keeper.Accept(ctx, sr.step))
 		}
-		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.share.due(end)})
+		done, err := sc.Keeper.Write(ctx, keyvalue.Expectation{Key: "lease"}, WriteSet{Account: ta.usage.dueAccount(end)})
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 
@@ -182,43 +182,43 @@
 	})
 }
 
-func TestUnreadableAccountBeginsAnew(t *testing.T) {
+func TestCorruptAccountIsReset(t *testing.T) {
 	// An account that can't be decoded must not keep a scheduler from reading the steps.
 	var me keyvalue.Memory
 	sc := schedulerOf(me.Client())
 	_, err := me.Client().Put(t.Context(), accountKey, []byte{0xff, 1}, 0, 0)
 	assert.NilError(t, err)
 	te := &term{table: tableOf(t, 2, "a")}
-	assert.NilError(t, sc.recall(t.Context(), te, []*Step{{Customer: "ada"}}))
+	assert.NilError(t, sc.restoreAccount(t.Context(), te, []*Step{{Customer: "ada"}}))
 	assert.Equal(t, len(te.table.Shares()), 0)
 }
 
 func TestAccountIsWrittenWithOtherWritesOnly(t *testing.T) {
-	ta, end := crowd(t)
-	assert.Assert(t, ta.Update(end).empty())
-	end = end.Add(2 * checkpointEvery)
+	ta, end := largeCustomerAhead(t)
+	assert.Assert(t, ta.NextWrites(end).empty())
+	end = end.Add(2 * checkpointInterval)
 	for item := range 2 {
 		engine, key := keyOf(t, ta, "large", item)
-		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 25, 1), Key: key}}}, end)
+		respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 25, 1), Key: key}}}, end)
 	}
-	up := ta.Update(end)
+	up := ta.NextWrites(end)
 	assert.Assert(t, len(up.Checkpoints) > 0 && len(up.Account) > 0)
 	tx, err := up.transaction(keyvalue.Expectation{Key: "fence"})
 	assert.NilError(t, err)
 	assert.Equal(t, tx.Writes[len(tx.Writes)-1].Key, accountKey)
-	ta.Written(up, end)
-	assert.Equal(t, len(ta.share.due(end.Add(accountEvery))), 0, "unchanged, it is not written again")
+	ta.WritesApplied(up, end)
+	assert.Equal(t, len(ta.usage.dueAccount(end.Add(accountInterval))), 0, "unchanged, it is not written again")
 }
 
 func TestOneCustomerHasNoRank(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 4), StoredStep{}, false, begin)
 	ta.ChargeUsage(begin)
-	assert.Equal(t, len(ta.customerRank(ta.waitingCustomers(begin))), 0)
+	assert.Equal(t, len(ta.customerRanks(ta.waitingCustomers(begin))), 0)
 	for range 40 {
 		ta.ChargeUsage(begin)
 	}
-	assert.Equal(t, len(ta.share.due(begin.Add(time.Hour))), 0)
+	assert.Equal(t, len(ta.usage.dueAccount(begin.Add(time.Hour))), 0)
 }
 
 // Six customers on 1,100 full engines, each with thousands of waiting items.
@@ -229,8 +229,8 @@
 		infos = append(infos, EngineInfo{ID: fmt.Sprintf("engine-%04d", i), Service: "service", Slots: 8, Tokens: 40000})
 	}
 	ta.SetEngines(infos, begin)
-	for _, en := range ta.sorted {
-		hear(ta, en.id, runner.ExchangeResponse{}, begin)
+	for _, en := range ta.sortedEngines {
+		respond(ta, en.id, runner.ExchangeResponse{}, begin)
 	}
 	for i := range 6 {
 		sizes := make([]int, 180)
@@ -244,19 +244,19 @@
 	ta.Place(begin)
 	now := begin
 	for b.Loop() {
-		now = now.Add(tickEvery)
+		now = now.Add(tickInterval)
 		ta.ChargeUsage(now)
 	}
 }
 
 // Under overload, a customer within its share goes first. A lead of less than one step's
 // work doesn't change the order of the others.
-func TestRanksWhileTheRoomIsShort(t *testing.T) {
-	rm := NewTable(1, nil).room("service")
-	rm.withinPart = map[string]bool{"small": true}
-	ranks := map[string]int{"large": ranksOfAStep - 1, "other": 0, "small": 3, "far ahead": ranksOfAStep}
-	assert.DeepEqual(t, rm.rank(ranks), ranks) // no overload yet
+func TestRanksUnderOverload(t *testing.T) {
+	sp := NewTable(1, nil).servicePlan("service")
+	sp.withinShare = map[string]bool{"small": true}
+	ranks := map[string]int{"large": ranksPerStep - 1, "other": 0, "small": 3, "far ahead": ranksPerStep}
+	assert.DeepEqual(t, sp.adaptRanks(ranks), ranks) // no overload yet
 	step := &overload.Step{Due: time.Second, Groups: []*overload.Group{{Work: time.Minute}}, Wanted: 1}
-	rm.planner.Plan([]*overload.Step{step}, 1, begin)
-	assert.DeepEqual(t, rm.rank(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
+	sp.planner.Plan([]*overload.Step{step}, 1, begin)
+	assert.DeepEqual(t, sp.adaptRanks(ranks), map[string]int{"large": 1, "other": 1, "far ahead": 2})
 }
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -11,8 +11,8 @@
 	"wisteriacroft/runner"
 )
 
-// wantsExchange reports whether an attendant must hear something at once.
-func (ta *Table) wantsExchange(id string) bool {
+// exchangeUrgent reports whether there is an urgent request to an attendant.
+func (ta *Table) exchangeUrgent(id string) bool {
 	en, ok := ta.engines[id]
 	if !ok {
 		return false
@@ -22,59 +22,57 @@
 			return true
 		}
 	}
-	return en.order != nil && en.order.Version > 0 && !en.ordered
+	return en.order != nil && en.order.Version > 0 && !en.orderAcked
 }
 
-// exchangePause returns the pause after the next exchange with an engine's attendant,
-// unless it has to hear something at once.
+// exchangePause returns the pause after the next exchange with an engine's attendant, unless
+// it is woken earlier.
 //
-// Load pattern: there are thousands of engines, and most run nothing. Exchanges with all of
-// them at the usual pause would take most of a scheduler's time, and runs and takeovers
-// would be late. So the pause of idle engines grows with the number of engines. An engine
-// that gets an item is told at once all the same.
+// The pause of idle engines grows with the number of engines, since exchanges with thousands of
+// them would overload the scheduler. New items are still sent at once.
 func (ta *Table) exchangePause(id string) time.Duration {
 	switch {
 	case !ta.HasOpenWork():
-		return idleExchange
-	case ta.ending(id):
-		return awaitPause // the answer has waited
-	case ta.idle(id):
-		return min(max(exchangeEvery, time.Duration(len(ta.engines))*idleCost), idleExchange)
+		return idleExchangeInterval
+	case ta.runsLastItems(id):
+		return pauseAfterAwait // the response was delayed already
+	case ta.engineIdle(id):
+		return min(max(exchangeInterval, time.Duration(len(ta.engines))*idleIntervalPerEngine), idleExchangeInterval)
 	}
-	return exchangeEvery
+	return exchangeInterval
 }
 
-// idle reports whether an engine runs nothing, loads nothing, and its attendant has
-// nothing to hear.
-func (ta *Table) idle(id string) bool {
+// engineIdle reports whether an engine has no runs and no order, and nothing must be sent to its
+// attendant.
+func (ta *Table) engineIdle(id string) bool {
 	en, ok := ta.engines[id]
-	return ok && len(en.items)+len(en.kept)+len(en.forget) == 0 && en.order == nil
+	return ok && len(en.items)+len(en.retained)+len(en.toForget) == 0 && en.order == nil
 }
 
-// attendant returns the address of the attendant beside an engine: an engine may
-// start again under its ID elsewhere.
-func (ta *Table) attendant(id string) string {
+// attendantAddress returns the current address of an engine's attendant, which changes if the engine
+// restarts elsewhere under its ID.
+func (ta *Table) attendantAddress(id string) string {
 	if en, ok := ta.engines[id]; ok {
 		return en.address
 	}
 	return ""
 }
 
-// hurry has a listing written at once that a trainer waits for alone.
-func (te *term) hurry() {
+// writeIfUrgent wakes the writer if everything that a trainer waits for is complete.
+func (te *term) writeIfUrgent() {
 	if te.table.takeUrgent() {
-		notify(te.writes)
+		notify(te.writeKick)
 	}
 }
 
-// placeStopped starts items whose runs have stopped at other engines, if runs may begin, and
-// has these engines' attendants told.
-func (sc *Scheduler) placeStopped(te *term, now time.Time) {
-	if sc.term != te || !sc.mayPlace(te, now) {
+// restartStopped starts moved items whose runs have stopped, and wakes the exchanges with their
+// new engines.
+func (sc *Scheduler) restartStopped(te *term, now time.Time) {
+	if sc.term != te || !sc.mayStartRuns(te, now) {
 		return
 	}
-	for _, id := range te.table.placeStopped(now) {
-		if kick, ok := te.exchange[id]; ok {
+	for _, id := range te.table.restartStopped(now) {
+		if kick, ok := te.exchangeKicks[id]; ok {
 			notify(kick)
 		}
 	}
@@ -87,16 +85,16 @@
 	}
 }
 
-// exchangeWith makes one exchange after the other with an attendant, until its
-// engine is gone or the term ends.
-func (sc *Scheduler) exchangeWith(te *term, id string, kick chan struct{}) {
+// exchangeLoop runs the exchange loop with an attendant until its engine is removed or the
+// term ends.
+func (sc *Scheduler) exchangeLoop(te *term, id string, kick chan struct{}) {
 	failed := false
 	for {
 		sc.mu.Lock()
 		rq, ok := te.table.Request(id)
-		pause, address := te.table.exchangePause(id), te.table.attendant(id)
+		pause, address := te.table.exchangePause(id), te.table.attendantAddress(id)
 		if !ok || sc.term != te {
-			delete(te.exchange, id)
+			delete(te.exchangeKicks, id)
 			sc.mu.Unlock()
 			return
 		}
@@ -121,12 +119,12 @@
 			if sc.term == te {
 				sc.startRewards(te, now)
 			}
-			te.hurry()
-			sc.placeStopped(te, now)
+			te.writeIfUrgent()
+			sc.restartStopped(te, now)
 			sc.mu.Unlock()
 		}
 		if err != nil {
-			pause = retryAfter
+			pause = retryDelay
 		}
 		select {
 		case <-kick:
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -11,15 +11,15 @@
 )
 
 // Guards against a scheduler overloaded by exchanges with thousands of idle engines.
-func TestIdleEnginesAreLookedAtLessOften(t *testing.T) {
+func TestIdleEnginesArePolledLessOften(t *testing.T) {
 	for _, tc := range []struct {
 		engines int
 		idle    time.Duration
 	}{
-		{1, exchangeEvery},
-		{500, exchangeEvery},
+		{1, exchangeInterval},
+		{500, exchangeInterval},
 		{1100, 220 * time.Millisecond},
-		{2700, idleExchange},
+		{2700, idleExchangeInterval},
 	} {
 		t.Run(fmt.Sprint(tc.engines), func(t *testing.T) {
 			ta := NewTable(1, nil)
@@ -28,23 +28,23 @@
 				infos = append(infos, EngineInfo{ID: fmt.Sprintf("engine-%04d", i), Service: "service", Slots: 1, Tokens: 40000})
 			}
 			ta.SetEngines(infos, begin)
-			assert.Equal(t, ta.exchangePause("engine-0000"), idleExchange, "no step is open")
+			assert.Equal(t, ta.exchangePause("engine-0000"), idleExchangeInterval, "no step is open")
 
 			ta.Accept(stepOf("step", 1), StoredStep{}, false, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
 
-			for _, en := range ta.sorted {
-				hear(ta, en.id, runner.ExchangeResponse{}, begin)
+			for _, en := range ta.sortedEngines {
+				respond(ta, en.id, runner.ExchangeResponse{}, begin)
 			}
 			ta.Place(begin)
 			busy := 0
-			for _, en := range ta.sorted {
+			for _, en := range ta.sortedEngines {
 				if len(en.items) == 0 {
 					continue
 				}
 				busy++
-				assert.Equal(t, ta.exchangePause(en.id), exchangeEvery)
-				assert.Assert(t, ta.wantsExchange(en.id), "what is placed is told at once")
+				assert.Equal(t, ta.exchangePause(en.id), exchangeInterval)
+				assert.Assert(t, ta.exchangeUrgent(en.id), "what is placed is told at once")
 			}
 			assert.Equal(t, busy, 1)
 		})
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -5,150 +5,142 @@
 	"time"
 )
 
-// Bounds of measuring how many tokens an event holds.
+// Parameters of estimating the tokens per event.
 const (
-	// usualEventTokens is assumed of a model before any of its items has ended.
-	usualEventTokens = 62
-	// gaugeRatios is how many of the newest items count: single hints are far off, the
-	// median of so many is not.
-	gaugeRatios = 64
-	// leastRatios is how many items it takes to believe the median.
-	leastRatios = 16
-	// gaugeEvents is how many events an item must have: the last event of a
-	// shorter one holds too few tokens.
-	gaugeEvents = 8
-	// leastAtBound is how many items must have ended with the most events for their bounds
-	// to be taken for cut off there. A single one may have ended before.
-	leastAtBound = 3
-	// implausible is by what factor what those items tell may differ from the median to be
-	// believed.
-	implausible = 1.5
+	// defaultEventTokens is assumed before there is an estimate.
+	defaultEventTokens = 62
+	// estimatorMaxRatios is the number of recent items whose median is used.
+	estimatorMaxRatios = 64
+	// estimatorMinRatios is the minimum number of items for a median.
+	estimatorMinRatios = 16
+	// estimatorMinEvents is the minimum number of events of an item to be used. In short items the
+	// last event, which is partly filled, distorts the ratio.
+	estimatorMinEvents = 8
+	// estimatorMinAtLimit is the number of items of maximum length from which they are assumed to
+	// have been truncated at their token limit.
+	estimatorMinAtLimit = 3
+	// estimatorMaxDeviation is the factor from the median beyond which the ratio of those items is
+	// rejected.
+	estimatorMaxDeviation = 1.5
 )
 
-// A tokenGauge estimates how many tokens an event of a model holds. The zero gauge
-// knows of no item.
-//
-// Engines differ in this. Where events hold more tokens than usualEventTokens, runs
-// would fill an engine's memory sooner than expected, and the longest item would end
-// sooner.
-type tokenGauge struct {
-	changes *gaugeChanges // counts changes of the estimate
-	tokens  int           // the estimate; 0 before there is one
+// A tokenEstimator estimates the number of tokens per event of a model, which determines the memory
+// that runs take and their remaining times. The zero value has no observations.
+type tokenEstimator struct {
+	changes  *estimateChanges // counts changes of the estimate; may be nil
+	estimate int              // the estimate; 0 means none
 
-	ratios []float64 // hint by events, of items that ended
+	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
 	median int       // of the ratios
 
-	atBound       int // items that ended with the most events for their bound
-	fullest       int // tokens of their bound
-	fullestEvents int // and their events
+	atLimit       int // number of items with the most events for their limit
+	longestTokens int // their token limit
+	longestEvents int // their events
 }
 
-// A gaugeChanges counts the changes of all gauges' estimates: what was worked out from them
-// is stale when the count is another one.
-type gaugeChanges struct{ counted int }
+// An estimateChanges counts changes of the estimates of all models, to invalidate caches.
+type estimateChanges struct{ counted int }
 
-// count returns the count; nil is one of no gauges.
-func (gc *gaugeChanges) count() int {
-	if gc == nil {
+// count returns the count, or 0 if gc is nil.
+func (ec *estimateChanges) count() int {
+	if ec == nil {
 		return 0
 	}
-	return gc.counted
+	return ec.counted
 }
 
-// update makes the estimate anew.
-func (ga *tokenGauge) update() {
-	before := ga.eventTokens()
-	ga.tokens = ga.exact()
-	if ga.tokens <= 0 {
-		ga.tokens = ga.median
+// update recomputes the estimate.
+func (es *tokenEstimator) update() {
+	before := es.eventTokens()
+	es.estimate = es.fromLimits()
+	if es.estimate <= 0 {
+		es.estimate = es.median
 	}
-	if ga.changes != nil && ga.eventTokens() != before {
-		ga.changes.counted++
+	if es.changes != nil && es.eventTokens() != before {
+		es.changes.counted++
 	}
 }
 
-// observeBound takes in that an item with a bound on its tokens ended after some events.
+// observeLimit records that an item with a token limit ended after some events.
 //
-// Several of a step's longest items are cut off at their bounds. These tell exactly what an
-// event holds, while the median of the hints may be too low: the ends of long items would
-// be expected after they come, and results be listed too late for the last read.
-func (ga *tokenGauge) observeBound(bound, events int) {
-	if bound <= 0 || events < gaugeEvents {
+// The longest items of a step are truncated at their limits and give the exact number of tokens
+// per event. The median of the hints may be too low, so that the ends of long items would be
+// expected too late.
+func (es *tokenEstimator) observeLimit(bound, events int) {
+	if bound <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
-	switch more := events*ga.fullest - ga.fullestEvents*bound; {
-	case ga.fullest == 0, more > 0:
-		ga.atBound, ga.fullest, ga.fullestEvents = 1, bound, events
+	defer es.update()
+	switch more := events*es.longestTokens - es.longestEvents*bound; {
+	case es.longestTokens == 0, more > 0:
+		es.atLimit, es.longestTokens, es.longestEvents = 1, bound, events
 	case more == 0:
-		ga.atBound++
+		es.atLimit++
 	}
 }
 
-// observeHint takes in how many events an item with a hint had. Hints are right at
-// the median.
-func (ga *tokenGauge) observeHint(hint, events int) {
-	if hint <= 0 || events < gaugeEvents {
+// observeHint records the number of events of an item with a hint. Hints are right at the
+// median.
+func (es *tokenEstimator) observeHint(hint, events int) {
+	if hint <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
+	defer es.update()
 	ratio := float64(hint) / float64(events)
-	if len(ga.ratios) < gaugeRatios {
-		ga.ratios = append(ga.ratios, ratio)
+	if len(es.ratios) < estimatorMaxRatios {
+		es.ratios = append(es.ratios, ratio)
 	} else {
-		ga.ratios[ga.next] = ratio
-		ga.next = (ga.next + 1) % gaugeRatios
+		es.ratios[es.next] = ratio
+		es.next = (es.next + 1) % estimatorMaxRatios
 	}
-	if len(ga.ratios) >= leastRatios {
-		sorted := slices.Sorted(slices.Values(ga.ratios))
-		ga.median = int(sorted[len(sorted)/2])
+	if len(es.ratios) >= estimatorMinRatios {
+		sorted := slices.Sorted(slices.Values(es.ratios))
+		es.median = int(sorted[len(sorted)/2])
 	}
 }
 
-// eventTokens returns about how many tokens an event holds. A nil gauge is an empty one.
-func (ga *tokenGauge) eventTokens() int {
-	if ga == nil || ga.tokens <= 0 {
-		return usualEventTokens
+// eventTokens returns the estimated tokens per event. The receiver may be nil.
+func (es *tokenEstimator) eventTokens() int {
+	if es == nil || es.estimate <= 0 {
+		return defaultEventTokens
 	}
-	return ga.tokens
+	return es.estimate
 }
 
-// tokenTime returns how long a token takes at engines of which the median one and the best
-// one take so long for an event, or 0 while that is not known.
+// tokenTime returns the time per token of engines with the given median and best times per
+// event, or 0 if unknown.
 //
-// Engines of other makes may be several times slower or faster. By usualTokenTime alone,
-// steps at slow engines would seem to have time to spare until they are late, and to be far
-// less work than they are.
+// Engines of other types may be several times slower or faster than defaultTokenTime, which would
+// give wrong slack and work.
 //
-// Only items at their bounds tell how many tokens an event holds here. The hints don't: the
-// items of a step that end first are those whose hints were far too high.
-func (ga *tokenGauge) tokenTime(median, best time.Duration) time.Duration {
-	if ga == nil || ga.exact() <= 0 || best <= 0 {
+// Only items at their limits are used here. Hints would be biased, as the items that end first
+// are those with far too high hints.
+func (es *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
+	if es == nil || es.fromLimits() <= 0 || best <= 0 {
 		return 0
 	}
-	tokens := ga.exact()
-	usual := float64(usualTokenTime) * float64(tokens) // of an event
-	if float64(best) > otherMake*usual || float64(median) < usual/otherMake {
+	tokens := es.fromLimits()
+	usual := float64(defaultTokenTime) * float64(tokens) // of an event
+	if float64(best) > otherTypeFactor*usual || float64(median) < usual/otherTypeFactor {
 		return median / time.Duration(tokens)
 	}
-	return usualTokenTime
+	return defaultTokenTime
 }
 
-// otherMake is by what factor even the best engine must be slower than usual, or the
-// median one faster, to be believed to be of another make. Most engines at once may be
-// slowed down for a moment, by the prompts of many new runs or by loads of weights.
-const otherMake = 2
+// otherTypeFactor is the factor by which the best engine must be slower, or the median one faster,
+// than defaultTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
+// for a short time.
+const otherTypeFactor = 2
 
-// exact returns how many tokens an event holds by the items that reached their bounds,
-// or 0 if that can't be told.
-func (ga *tokenGauge) exact() int {
-	if ga.atBound < leastAtBound || ga.median <= 0 {
+// fromLimits returns the tokens per event according to items at their limits, or 0 if unknown.
+func (es *tokenEstimator) fromLimits() int {
+	if es.atLimit < estimatorMinAtLimit || es.median <= 0 {
 		return 0
 	}
-	exact := ga.fullest / ga.fullestEvents
-	if float64(exact) > implausible*float64(ga.median) || float64(ga.median) > implausible*float64(exact) {
-		return 0 // some that ended early had the same length by chance
+	exact := es.longestTokens / es.longestEvents
+	if float64(exact) > estimatorMaxDeviation*float64(es.median) || float64(es.median) > estimatorMaxDeviation*float64(exact) {
+		return 0 // items that ended early had the same length by chance
 	}
 	return exact
 }
--- a/step/groupwait.go
+++ b/step/groupwait.go
@@ -5,141 +5,140 @@
 	"time"
 )
 
-// A groupWait is a summary of a group's open items. It stays from one tick to the next until
-// an item changes its state or a gauge changes.
-type groupWait struct {
-	eventTokens int           // that an event held by the gauge when it was made
-	tokenTime   time.Duration // that a token of the step took then
-	begun       bool          // an item that waits has begun, so that it depends on the gauge
-	least       int           // tokens: each waiting item holds as many or more
-	longest     time.Duration // that a waiting item is expected to take
-	moving      int           // waiting items that an engine keeps a place for
-	rewarded    bool          // an item that waits is to be scored
-	running     []*itemRow
-	scoring     int           // items
-	shortest    time.Duration // that a waiting item is expected to take
-	waiting     []*itemRow    // in the order of the step
-	work        time.Duration // that the waiting items take, one after the other
+// A groupSummary is a summary of a group's open items. It is kept between ticks until the state
+// of an item or an estimate changes.
+type groupSummary struct {
+	eventTokens  int           // tokens per event that the summary was made with
+	tokenTime    time.Duration // time per token that the summary was made with
+	hasEvents    bool          // a waiting item has events, so that the summary depends on eventTokens
+	leastTokens  int           // minimum tokens of a waiting item
+	longest      time.Duration // expected time of the longest waiting item
+	movingCount  int           // waiting items with a reserved slot
+	needsScore   bool          // a waiting item needs a score
+	running      []*itemRow
+	scoringCount int           // number of items
+	shortest     time.Duration // expected time of the shortest waiting item
+	waiting      []*itemRow    // in the order of the step
+	work         time.Duration // total expected time of the waiting items
 }
 
-// markStale notes that items of a group have changed, so that it is gathered again.
+// markStale schedules an update of the group's summary.
 func (gr *groupRow) markStale(ta *Table) {
 	if !gr.stale {
 		gr.stale = true
-		ta.stale = append(ta.stale, gr)
+		ta.staleGroups = append(ta.staleGroups, gr)
 	}
 }
 
-// become moves an item to another state.
-func (ta *Table) become(ir *itemRow, state itemState) {
+// setState sets the state of an item.
+func (ta *Table) setState(ir *itemRow, state itemState) {
 	sr := ir.step
 	if ir.state == waiting {
-		sr.waits--
+		sr.waitingCount--
 	}
 	if state == waiting {
-		sr.waits++
+		sr.waitingCount++
 		sr.queue.add(ir)
 	}
 	ir.state = state
 	ir.group.markStale(ta)
 }
 
-// gather brings the summaries of groups and steps up to date: those of groups whose items
-// have changed, and those that depend on a gauge that has.
-func (ta *Table) gather() {
-	for _, gr := range ta.stale {
+// updateSummaries updates the summaries of groups and steps whose items or estimates have changed.
+func (ta *Table) updateSummaries() {
+	for _, gr := range ta.staleGroups {
 		gr.stale = false
 		if !gr.step.ended {
-			gr.gather()
-			gr.step.gathered = true
+			gr.updateSummary()
+			gr.step.summariesChanged = true
 		}
 	}
-	clear(ta.stale)
-	ta.stale = ta.stale[:0]
-	for _, sr := range ta.order {
-		sr.gather()
+	clear(ta.staleGroups)
+	ta.staleGroups = ta.staleGroups[:0]
+	for _, sr := range ta.openSteps {
+		sr.updateSummary()
 	}
 }
 
-// gather gathers the groups that depend on a gauge that has changed, and sums up what the
-// step's items hold if a group has been gathered since the last time.
-func (sr *stepRow) gather() {
-	if tokens := sr.gauge.eventTokens(); tokens != sr.eventTokens || sr.tokenTime != sr.gatheredTime {
-		sr.eventTokens, sr.gatheredTime = tokens, sr.tokenTime
-		for _, gr := range sr.list {
-			if gr.wait.begun && gr.wait.eventTokens != tokens || gr.wait.tokenTime != sr.tokenTime {
-				gr.gather()
-				sr.gathered = true
+// updateSummary updates the summaries of groups whose estimates have changed, and then those of the
+// step.
+func (sr *stepRow) updateSummary() {
+	if tokens := sr.estimator.eventTokens(); tokens != sr.summaryEventTokens || sr.tokenTime != sr.summaryTokenTime {
+		sr.summaryEventTokens, sr.summaryTokenTime = tokens, sr.tokenTime
+		for _, gr := range sr.groupList {
+			if gr.summary.hasEvents && gr.summary.eventTokens != tokens || gr.summary.tokenTime != sr.tokenTime {
+				gr.updateSummary()
+				sr.summariesChanged = true
 			}
 		}
 	}
-	if !sr.gathered {
+	if !sr.summariesChanged {
 		return
 	}
-	sr.gathered, sr.moving, sr.least = false, 0, math.MaxInt
-	for _, gr := range sr.list {
-		sr.moving += gr.wait.moving
-		if len(gr.wait.waiting) > 0 {
-			sr.least = min(sr.least, gr.wait.least)
+	sr.summariesChanged, sr.movingCount, sr.leastTokens = false, 0, math.MaxInt
+	for _, gr := range sr.groupList {
+		sr.movingCount += gr.summary.movingCount
+		if len(gr.summary.waiting) > 0 {
+			sr.leastTokens = min(sr.leastTokens, gr.summary.leastTokens)
 		}
 	}
 }
 
-// gather works the summary of a group out anew.
-func (gr *groupRow) gather() {
-	gw := &gr.wait
-	*gw = groupWait{
-		eventTokens: gr.step.gauge.eventTokens(), tokenTime: gr.step.tokenTime, least: math.MaxInt, shortest: math.MaxInt,
-		running: gw.running[:0], waiting: gw.waiting[:0],
+// updateSummary recomputes the summary of a group.
+func (gr *groupRow) updateSummary() {
+	gs := &gr.summary
+	*gs = groupSummary{
+		eventTokens: gr.step.estimator.eventTokens(), tokenTime: gr.step.tokenTime, leastTokens: math.MaxInt, shortest: math.MaxInt,
+		running: gs.running[:0], waiting: gs.waiting[:0],
 	}
 	for _, ir := range gr.items {
 		switch ir.state {
 		case waiting:
-			gw.add(ir)
+			gs.add(ir)
 		case running:
-			gw.running = append(gw.running, ir)
+			gs.running = append(gs.running, ir)
 		case scoring:
-			gw.scoring++
+			gs.scoringCount++
 		case complete, lost:
 		}
 	}
 }
 
-// add takes in an item that waits.
-func (gw *groupWait) add(ir *itemRow) {
+// add adds a waiting item.
+func (gs *groupSummary) add(ir *itemRow) {
 	took := ir.expectedTime()
-	gw.waiting = append(gw.waiting, ir)
-	gw.begun = gw.begun || ir.begun()
-	gw.least = min(gw.least, ir.holdsNow())
-	gw.longest, gw.shortest = max(gw.longest, took), min(gw.shortest, took)
-	gw.rewarded = gw.rewarded || ir.item.Reward != nil
-	gw.work += max(took, minWork)
-	if ir.target != "" {
-		gw.moving++
+	gs.waiting = append(gs.waiting, ir)
+	gs.hasEvents = gs.hasEvents || ir.hasEvents()
+	gs.leastTokens = min(gs.leastTokens, ir.tokensNow())
+	gs.longest, gs.shortest = max(gs.longest, took), min(gs.shortest, took)
+	gs.needsScore = gs.needsScore || ir.item.Reward != nil
+	gs.work += max(took, minWork)
+	if ir.moveTarget != "" {
+		gs.movingCount++
 	}
 }
 
-// begun reports whether events of an item are known, so that what it takes still depends
-// on how many tokens an event holds.
-func (ir *itemRow) begun() bool { return len(ir.events) > 0 || ir.known > 0 }
+// hasEvents reports whether events of an item are known, so that its expected time depends on the
+// tokens per event.
+func (ir *itemRow) hasEvents() bool { return len(ir.events) > 0 || ir.knownEvents > 0 }
 
-// waitingCustomers returns the customers of which an item waits that may begin.
+// waitingCustomers returns the customers with waiting items that can start.
 func (ta *Table) waitingCustomers(now time.Time) map[string]bool {
-	ta.gather()
+	ta.updateSummaries()
 	customers := map[string]bool{}
-	for _, sr := range ta.order {
-		if !customers[sr.step.Customer] && sr.waits > 0 && ta.anyMayBegin(sr, now) {
+	for _, sr := range ta.openSteps {
+		if !customers[sr.step.Customer] && sr.waitingCount > 0 && ta.anyCanStart(sr, now) {
 			customers[sr.step.Customer] = true
 		}
 	}
 	return customers
 }
 
-// anyMayBegin reports whether an item of a step waits that may begin.
-func (ta *Table) anyMayBegin(sr *stepRow, now time.Time) bool {
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.waiting {
-			if !ta.held(ir) && !ta.rests(ir, now) {
+// anyCanStart reports whether a step has a waiting item that can start.
+func (ta *Table) anyCanStart(sr *stepRow, now time.Time) bool {
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.waiting {
+			if !ta.held(ir) && !ta.quarantined(ir, now) {
 				return true
 			}
 		}
@@ -147,27 +146,27 @@
 	return false
 }
 
-// addWork sets, for the plan of the room, what a group's open items take still.
-func (ta *Table) addWork(gr *groupRow, now time.Time) {
-	gw, plan := &gr.wait, &gr.plan
-	plan.Work = gw.work
-	if len(gw.waiting) > 0 {
-		plan.Longest = max(gw.longest, minWork)
-	}
-	if gw.scoring > 0 {
-		took := max(gr.step.rewards.usual(), minWork)
-		plan.Work += time.Duration(gw.scoring) * took
+// setPlanWork sets the expected work of a group's open items for the planner.
+func (ta *Table) setPlanWork(gr *groupRow, now time.Time) {
+	gs, plan := &gr.summary, &gr.plan
+	plan.Work = gs.work
+	if len(gs.waiting) > 0 {
+		plan.Longest = max(gs.longest, minWork)
+	}
+	if gs.scoringCount > 0 {
+		took := max(gr.step.rewards.expected(), minWork)
+		plan.Work += time.Duration(gs.scoringCount) * took
 		plan.Longest = max(plan.Longest, took)
 	}
-	for _, ir := range gw.running {
-		took := max(ta.runFor(ir, now), minWork)
+	for _, ir := range gs.running {
+		took := max(ta.remainingTimeCached(ir, now), minWork)
 		plan.Work += took
 		plan.Longest = max(plan.Longest, took)
 	}
 }
 
-// firstOpen returns the place of the first of a group's items that is still worked on.
-func (gr *groupRow) firstOpen() int {
+// firstOpenIndex returns the index of the first open item of a group.
+func (gr *groupRow) firstOpenIndex() int {
 	for _, ir := range gr.items {
 		if ir.open() {
 			return ir.index
@@ -176,15 +175,15 @@
 	return len(gr.step.items)
 }
 
-// runFor returns how long a run is expected to take still, as runsFor does. An engine's
-// pace is worked out once in a paceRound, in which no run begins or ends.
-func (ta *Table) runFor(ir *itemRow, now time.Time) time.Duration {
-	en := ir.run.at
-	if en.base == 0 {
+// remainingTimeCached returns the expected remaining time of a run, as remainingTime does, but computes an
+// engine's pace only once in a paceRound, in which no run starts or ends.
+func (ta *Table) remainingTimeCached(ir *itemRow, now time.Time) time.Duration {
+	en := ir.run.engine
+	if en.basePace == 0 {
 		return ir.expectedTime()
 	}
 	if en.paceRound != ta.paceRound {
-		en.pace, en.paceRound = ta.paceWith(en, nil), ta.paceRound
+		en.pace, en.paceRound = ta.expectedPace(en, nil), ta.paceRound
 	}
-	return ir.runsAt(en.pace, now)
+	return ir.remainingAt(en.pace, now)
 }
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -38,12 +38,12 @@
 		end(ta, t, "t", i, runner.Complete, events(1, 3, 1), begin)
 	}
 	ta.Place(begin)
-	assert.Equal(t, ta.heldItems(), 2)
+	assert.Equal(t, ta.heldItemCount(), 2)
 	ta.SetHolds(sheetOf(t, sh), begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	ta.SetHolds(sh, begin) // an outdated sheet
-	assert.Equal(t, ta.heldItems(), 0)
+	assert.Equal(t, ta.heldItemCount(), 0)
 }
 
 func TestNoRoomIsKeptForWhatIsHeld(t *testing.T) {
@@ -53,12 +53,12 @@
 	large.Customer, small.Customer = "bakery", "mill"
 	ta.Accept(large, StoredStep{}, false, begin)
 	ta.Accept(small, StoredStep{}, false, begin)
-	ta.planRoom(begin)
-	assert.Assert(t, ta.crowded("service"))
-	asked := ta.Rooms()["service"].Load
+	ta.planCapacity(begin)
+	assert.Assert(t, ta.overloaded("service"))
+	asked := ta.ServiceLoads()["service"].Load
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"}), begin)
-	ta.planRoom(begin.Add(planEvery))
-	assert.Assert(t, ta.Rooms()["service"].Load < asked/10)
+	ta.planCapacity(begin.Add(planInterval))
+	assert.Assert(t, ta.ServiceLoads()["service"].Load < asked/10)
 }
 
 func TestHeldRunGoesOn(t *testing.T) {
@@ -68,13 +68,13 @@
 	ta.Accept(stepOf("s", 3), StoredStep{}, false, begin)
 	ta.Place(begin)
 	_, key := keyOf(t, ta, "s", 0)
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 5, 1), Key: key}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 5, 1), Key: key}}}, begin)
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	addEngines(ta, begin, "b")
-	hear(ta, "b", runner.ExchangeResponse{}, begin)
+	respond(ta, "b", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
-	assert.Equal(t, ta.steps["s"].items[0].run.engine, "b")
-	assert.Equal(t, ta.steps["s"].items[0].run.prior, 5)
+	assert.Equal(t, ta.steps["s"].items[0].run.engineID, "b")
+	assert.Equal(t, ta.steps["s"].items[0].run.priorEvents, 5)
 	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "it had made nothing yet")
 	assert.Equal(t, ta.steps["s"].items[2].state, waiting, "it never began")
 }
@@ -87,7 +87,7 @@
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
-	up := ta.Update(begin.Add(time.Second))
+	up := ta.NextWrites(begin.Add(time.Second))
 	assert.Equal(t, len(up.Chunks), 1)
 	assert.Equal(t, len(up.Chunks[0].Results), 2)
 }
@@ -101,7 +101,7 @@
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
-	ta.DropExpired(begin.Add(st.MaxWait + giveUpSlack))
+	ta.DropExpired(begin.Add(st.MaxWait + expirySlack))
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
@@ -112,13 +112,13 @@
 	ta.Place(begin)
 	ir := ta.steps["s"].items[0]
 	addEngines(ta, begin, "a", "b")
-	late := begin.Add(firstEventTime + time.Second)
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
-	hear(ta, "b", runner.ExchangeResponse{}, late)
+	late := begin.Add(firstEventTimeout + time.Second)
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key}}}, late)
+	respond(ta, "b", runner.ExchangeResponse{}, late)
 	ta.MoveStragglers(late)
-	assert.Equal(t, ir.target, "b")
+	assert.Equal(t, ir.moveTarget, "b")
 	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
 	ta.Place(late)
-	assert.Equal(t, ir.run.engine, "b")
+	assert.Equal(t, ir.run.engineID, "b")
 }
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -88,7 +88,7 @@
 			time.Sleep(6 * time.Second)
 			silent.Store(false)
 			assert.NilError(t, (&Store{Client: me.Client()}).Accept(t.Context(), stepOf("s", 1)))
-			time.Sleep(probeTimeout + retryAfter + 10*time.Millisecond)
+			time.Sleep(probeTimeout + retryDelay + 10*time.Millisecond)
 			sc.mu.Lock()
 			assert.Assert(t, te.table.steps["s"] != nil)
 			sc.mu.Unlock()
@@ -115,8 +115,8 @@
 				return forward.Response{Err: ctx.Err()}
 			}
 			te := &term{
-				begin: func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
-				calls: map[*itemRow]context.CancelFunc{}, table: tableOf(t, 1, "a"),
+				newContext:  func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) },
+				rewardCalls: map[*itemRow]context.CancelFunc{}, table: tableOf(t, 1, "a"),
 			}
 			sc.term = te
 			te.table.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
@@ -128,13 +128,13 @@
 			synctest.Wait()
 			assert.Equal(t, ended, 0)
 			if what == "step" {
-				sc.takeIntake(te, &intake{}, nil, []string{"s"}, nil)
+				sc.applyIntake(te, &intake{}, nil, []string{"s"}, nil)
 			} else {
 				cancel()
 			}
 			synctest.Wait()
 			assert.Equal(t, ended, 1)
-			assert.Equal(t, len(te.calls), 0)
+			assert.Equal(t, len(te.rewardCalls), 0)
 		})
 	}
 }
@@ -167,7 +167,7 @@
 			te.table.Accept(stepOf("s", 1), StoredStep{}, false, time.Now())
 			te.table.Place(time.Now())
 			go sc.follow(ctx, te)
-			go sc.write(ctx, te)
+			go sc.writeLoop(ctx, te)
 			time.Sleep(time.Duration(offset) * 100 * time.Millisecond)
 			silent.Store(true)
 			answered.Store(0)
@@ -209,7 +209,7 @@
 			sc.mu.Lock()
 			ta := sc.term.table
 			addEngines(ta, time.Now(), "a")
-			hear(ta, "a", runner.ExchangeResponse{}, time.Now())
+			respond(ta, "a", runner.ExchangeResponse{}, time.Now())
 			ta.Place(time.Now())
 			sc.mu.Unlock()
 			silent.Store(true)
--- a/step/placing.go
+++ b/step/placing.go
@@ -5,115 +5,115 @@
 	"time"
 )
 
-// A placing is one round of giving places at engines to items that wait.
+// A placement is one round of placement: the assignment of waiting items to engine slots.
 //
-// It looks at the engines once, and at one engine again when a place there is given or given
-// back. Items go in the order of bySpare, or of byRoom while the room is crowded.
-type placing struct {
-	summaries []seatSummary // of the seats
-	live      int           // seats that are not full
-	lists     map[seatKey]*seatList
-	now       time.Time
-	seats     []seat
-	steps     []*stepRow // open ones of the service whose items are placed
-	table     *Table
+// It evaluates each engine once, and again when a slot of it is taken or released. The order of
+// items is that of placeBySlack or, under overload, of placeByPlan.
+type placement struct {
+	summaries      []candidateSummary // parallel to candidates
+	openCount      int                // number of candidates that aren't full
+	candidateLists map[candidateKey]*candidateList
+	now            time.Time
+	candidates     []candidate
+	steps          []*stepRow // open steps of the current service
+	table          *Table
 }
 
-// newPlacing returns a placing with the engines that have a free place, or keep one for an
-// item that moves and gives it back.
-func (ta *Table) newPlacing(now time.Time) *placing {
-	pl := &placing{lists: map[seatKey]*seatList{}, now: now, table: ta}
-	for _, en := range ta.sorted {
-		en.seat = -1
-		free := en.free()
-		if len(en.coming) == 0 && (free < 0 || free == 0 && !ta.sendsAhead(en.service)) {
+// newPlacement returns a round with the engines that have a free slot or one that is reserved
+// for a moving item.
+func (ta *Table) newPlacement(now time.Time) *placement {
+	pl := &placement{candidateLists: map[candidateKey]*candidateList{}, now: now, table: ta}
+	for _, en := range ta.sortedEngines {
+		en.candidateIndex = -1
+		free := en.freeSlots()
+		if len(en.incoming) == 0 && (free < 0 || free == 0 && !ta.prequeues(en.service)) {
 			continue
 		}
 		en.refreshMemo()
-		se := seat{endsSoon: en.memo.endsSoon, engine: en}
-		if pl.countOpen(&se) <= 0 && len(en.coming) == 0 {
+		ca := candidate{endsSoon: en.memo.endsSoon, engine: en}
+		if pl.countOpenSlots(&ca) <= 0 && len(en.incoming) == 0 {
 			continue
 		}
-		en.seat = len(pl.seats)
-		pl.seats = append(pl.seats, se)
-		pl.summaries = append(pl.summaries, seatSummary{})
-		pl.live++
-		pl.refresh(en.seat)
+		en.candidateIndex = len(pl.candidates)
+		pl.candidates = append(pl.candidates, ca)
+		pl.summaries = append(pl.summaries, candidateSummary{})
+		pl.openCount++
+		pl.refresh(en.candidateIndex)
 	}
 	return pl
 }
 
-// give gives an item that waits a place, if there is one for it: the one that is kept for
-// it, if its engine may still run it, or else the best.
-func (pl *placing) give(ir *itemRow) {
+// assign starts a waiting item if some engine can take it: the one with its reserved slot if it
+// can still run the item, or else the best.
+func (pl *placement) assign(ir *itemRow) {
 	ta := pl.table
-	if ta.held(ir) || ta.rests(ir, pl.now) {
+	if ta.held(ir) || ta.quarantined(ir, pl.now) {
 		return
 	}
-	kept := ta.engines[ir.target]
-	pl.release(ir)
-	if ta.tried(ir, pl.now) {
-		if en := ta.chooseTrial(ir, pl.now); en != nil {
-			ta.trials.begin(en.id, ir)
-			pl.start(ir, pl.seatOf(en))
+	kept := ta.engines[ir.moveTarget]
+	pl.releaseReserved(ir)
+	if ta.needsTrial(ir, pl.now) {
+		if en := ta.trialEngine(ir, pl.now); en != nil {
+			ta.trials.start(en.id, ir)
+			pl.startRun(ir, pl.indexOf(en))
 		}
 		return
 	}
-	i := pl.seatOf(kept)
-	if i < 0 || pl.seats[i].open <= 0 || !ta.usable(kept, ir) || pl.seats[i].trying {
+	i := pl.indexOf(kept)
+	if i < 0 || pl.candidates[i].openSlots <= 0 || !ta.canRunItem(kept, ir) || pl.candidates[i].runsTrial {
 		i = pl.choose(ir)
 	}
 	if i >= 0 {
-		pl.start(ir, i)
+		pl.startRun(ir, i)
 	}
 }
 
-// release gives the place back that is kept for an item.
-func (pl *placing) release(ir *itemRow) {
-	if ir.target == "" {
+// releaseReserved releases the reserved slot of an item, if any.
+func (pl *placement) releaseReserved(ir *itemRow) {
+	if ir.moveTarget == "" {
 		return
 	}
-	i := pl.seatOf(pl.table.engines[ir.target])
-	pl.table.unreserve(ir)
+	i := pl.indexOf(pl.table.engines[ir.moveTarget])
+	pl.table.releaseReserved(ir)
 	if i >= 0 {
-		pl.seats[i].released = true
+		pl.candidates[i].released = true
 		pl.refresh(i)
-		pl.dropBounds()
+		pl.resetBounds()
 	}
 }
 
-// start gives an item a place at a seat. Whether a run there ends soon stays as it was if
-// the engine gave back a place in this round.
-func (pl *placing) start(ir *itemRow, i int) {
-	se := &pl.seats[i]
-	pl.table.start(ir, se.engine, pl.now)
-	if se.engine.refreshMemo(); !se.released {
-		se.endsSoon = se.engine.memo.endsSoon
+// startRun starts an item on a candidate's engine. It doesn't update endsSoon of an engine that
+// released a reserved slot in this round.
+func (pl *placement) startRun(ir *itemRow, i int) {
+	ca := &pl.candidates[i]
+	pl.table.startRun(ir, ca.engine, pl.now)
+	if ca.engine.refreshMemo(); !ca.released {
+		ca.endsSoon = ca.engine.memo.endsSoon
 	}
 	pl.refresh(i)
 }
 
-// mayTake reports whether an item of a step may get a place: one that holds held tokens may
-// fit somewhere, or some of the items, moving of them, give back places.
-func (pl *placing) mayTake(sr *stepRow, held, moving int) bool {
-	return moving > 0 || pl.listOf(sr).most >= held
+// mayFit reports whether an item of a step may get a slot: one with held tokens may fit some
+// engine, or moving items may release reserved slots.
+func (pl *placement) mayFit(sr *stepRow, held, moving int) bool {
+	return moving > 0 || pl.listOf(sr).maxTokens >= held
 }
 
-// idle reports whether no item of any step can get a place or gives one back.
-func (pl *placing) idle() bool {
+// exhausted reports whether no item of any step can get or release a slot.
+func (pl *placement) exhausted() bool {
 	return !slices.ContainsFunc(pl.steps, func(sr *stepRow) bool {
-		return sr.waits > 0 && pl.mayTake(sr, sr.least, sr.moving)
+		return sr.waitingCount > 0 && pl.mayFit(sr, sr.leastTokens, sr.movingCount)
 	})
 }
 
-// rankSteps sets the steps' places in the order and the ranks of their customers. It returns
-// the ranks of steps with items that wait, the lowest first.
-func (pl *placing) rankSteps(ranks map[string]int) []int {
+// rankSteps sets the index and the customer's rank of each step. It returns the distinct ranks
+// of steps with waiting items in ascending order.
+func (pl *placement) rankSteps(ranks map[string]int) []int {
 	var all []int
 	for i, sr := range pl.steps {
-		sr.place, sr.rank = i, ranks[sr.step.Customer]
-		if sr.waits > 0 {
-			all = append(all, sr.rank)
+		sr.orderIndex, sr.customerRank = i, ranks[sr.step.Customer]
+		if sr.waitingCount > 0 {
+			all = append(all, sr.customerRank)
 		}
 	}
 	slices.Sort(all)
--- a/step/plainlook_test.go
+++ b/step/plainlook_test.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// plainCounts counts customers' items without cached summaries.
-func plainCounts(ta *Table, now time.Time) map[useKey]useCount {
-	counts := map[useKey]useCount{}
-	for _, sr := range ta.order {
-		key := useKey{sr.step.Customer, sr.step.Service}
-		co := counts[key]
+// referenceCounts counts customers' items without cached summaries.
+func referenceCounts(ta *Table, now time.Time) map[usageKey]itemCounts {
+	counts := map[usageKey]itemCounts{}
+	for _, sr := range ta.openSteps {
+		key := usageKey{sr.step.Customer, sr.step.Service}
+		ic := counts[key]
 		for _, ir := range sr.items {
 			switch {
 			case ir.state == waiting && !ta.held(ir):
-				co.waits++
-				co.ready = co.ready || !ta.rests(ir, now)
+				ic.waiting++
+				ic.canStart = ic.canStart || !ta.quarantined(ir, now)
 			case ir.state == running:
-				held, _ := ir.holds()
-				co.tokens += held
-				co.held++
+				held, _ := ir.tokenUse()
+				ic.tokens += held
+				ic.running++
 			}
 		}
-		counts[key] = co
+		counts[key] = ic
 	}
 	return counts
 }
 
-// plainEndsIn returns when a step is expected to end, without cached summaries.
-func plainEndsIn(ta *Table, sr *stepRow, now time.Time) time.Duration {
+// referenceEndsIn returns when a step is expected to end, without cached summaries.
+func referenceEndsIn(ta *Table, sr *stepRow, now time.Time) time.Duration {
 	groups := map[string]time.Duration{}
 	for _, ir := range sr.items {
 		if ir.open() {
-			groups[ir.item.Group] = max(groups[ir.item.Group], ta.runsFor(ir, now))
+			groups[ir.item.Group] = max(groups[ir.item.Group], ta.remainingTime(ir, now))
 		}
 	}
 	var must time.Duration
 	var others []time.Duration
 	missing := min(sr.step.Groups, len(sr.groups)) - (len(sr.groups) - len(groups))
 	for name, took := range groups {
-		if sr.groups[name].again {
+		if sr.groups[name].recurring {
 			must = max(must, took)
 			missing--
 		} else {
@@ -53,21 +53,21 @@
 	return max(must, others[min(missing, len(others))-1])
 }
 
-// plainLeaving returns the runs of a step that should move, without cached summaries.
-func plainLeaving(ta *Table, sr *stepRow, now time.Time) []leave {
-	var les []leave
+// referenceMoves returns the runs of a step that should move, without cached summaries.
+func referenceMoves(ta *Table, sr *stepRow, now time.Time) []moveCandidate {
+	var moves []moveCandidate
 	for _, ir := range sr.items {
-		en := ta.engines[ir.run.engine]
+		en := ta.engines[ir.run.engineID]
 		if en == nil || ir.state != running || ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 			continue
 		}
 		why := en.reasonToMove(ir, now)
-		if why == "" && ta.long(en, ir) {
+		if why == "" && ta.isLongRun(en, ir) {
 			why = "faster engine"
 		}
 		if why != "" {
-			les = append(les, leave{item: ir, why: why})
+			moves = append(moves, moveCandidate{item: ir, why: why})
 		}
 	}
-	return les
+	return moves
 }
--- a/step/plainplace_test.go
+++ b/step/plainplace_test.go
@@ -8,115 +8,115 @@
 	"wisteriacroft/overload"
 )
 
-// placePlainly is the reference implementation of Place: it keeps no state between ticks and
+// referencePlace is the reference implementation of Place: it keeps no state between ticks and
 // compares every waiting item with every engine that has a free slot.
-func placePlainly(ta *Table, now time.Time) {
-	if ta.listening(now) {
+func referencePlace(ta *Table, now time.Time) {
+	if ta.awaitingEngines(now) {
 		return
 	}
-	if now.Sub(ta.plannedAt) >= planEvery {
-		planPlainly(ta, now)
+	if now.Sub(ta.plannedAt) >= planInterval {
+		referencePlan(ta, now)
 	}
-	if len(ta.order) == 0 {
+	if len(ta.openSteps) == 0 {
 		return
 	}
-	pp := &plainPlacing{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
-	for _, en := range ta.sorted {
-		pp.soon[en] = plainEnd(en) <= aheadTime
+	rp := &referencePlacement{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
+	for _, en := range ta.sortedEngines {
+		rp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
-	full := func(en *engineRow) bool { return pp.open(ta, en) <= 0 && len(en.coming) == 0 }
-	open := slices.DeleteFunc(slices.Clone(ta.sorted), full)
-	for _, ir := range plainWaiting(ta, now) {
+	full := func(en *engineRow) bool { return rp.open(ta, en) <= 0 && len(en.incoming) == 0 }
+	open := slices.DeleteFunc(slices.Clone(ta.sortedEngines), full)
+	for _, ir := range referenceOrder(ta, now) {
 		if open = slices.DeleteFunc(open, full); len(open) == 0 {
 			return
 		}
-		if ta.tried(ir, now) {
-			pp.release(ta, ir)
-			if en := plainTrial(ta, ir, now); en != nil {
-				pp.start(ta, ir, en, now)
-				ta.trials.begin(en.id, ir)
+		if ta.needsTrial(ir, now) {
+			rp.release(ta, ir)
+			if en := referenceTrial(ta, ir, now); en != nil {
+				rp.start(ta, ir, en, now)
+				ta.trials.start(en.id, ir)
 			}
 			continue
 		}
-		kept := ta.engines[ir.target]
-		pp.release(ta, ir)
+		kept := ta.engines[ir.moveTarget]
+		rp.release(ta, ir)
 		en := kept
-		if en == nil || pp.open(ta, en) <= 0 || !ta.usable(en, ir) || ta.trials.tries(en.id, now) {
-			en = plainChoose(pp, ta, ir, open, now)
+		if en == nil || rp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
+			en = referenceChoose(rp, ta, ir, open, now)
 		}
 		if en != nil {
-			pp.start(ta, ir, en, now)
+			rp.start(ta, ir, en, now)
 		}
 	}
 }
 
-// A plainPlacing records which engines have a run about to end. The flag of an engine that
+// A referencePlacement records which engines have a run about to end. The flag of an engine that
 // released a reserved slot isn't updated again in the same round.
-type plainPlacing struct{ released, soon map[*engineRow]bool }
+type referencePlacement struct{ released, soon map[*engineRow]bool }
 
-func (pp *plainPlacing) release(ta *Table, ir *itemRow) {
-	if en := ta.engines[ir.target]; en != nil {
-		pp.released[en] = true
+func (rp *referencePlacement) release(ta *Table, ir *itemRow) {
+	if en := ta.engines[ir.moveTarget]; en != nil {
+		rp.released[en] = true
 	}
-	ta.unreserve(ir)
+	ta.releaseReserved(ir)
 }
 
-func (pp *plainPlacing) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
-	ta.start(ir, en, now)
-	if !pp.released[en] {
-		pp.soon[en] = plainEnd(en) <= aheadTime
+func (rp *referencePlacement) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
+	ta.startRun(ir, en, now)
+	if !rp.released[en] {
+		rp.soon[en] = referenceEnd(en) <= sendAheadTime
 	}
 }
 
-func (pp *plainPlacing) open(ta *Table, en *engineRow) int {
-	if free := en.free(); free != 0 || !ta.sendsAhead(en.service) || !pp.soon[en] {
+func (rp *referencePlacement) open(ta *Table, en *engineRow) int {
+	if free := en.freeSlots(); free != 0 || !ta.prequeues(en.service) || !rp.soon[en] {
 		return free
 	}
 	return 1
 }
 
-func planPlainly(ta *Table, now time.Time) {
+func referencePlan(ta *Table, now time.Time) {
 	ta.plannedAt = now
-	waiting := plainRanks(ta, plainWaits(ta, now))
-	for _, sr := range ta.order {
-		if sr.step.Due > 0 && !ta.idleByHold(sr) {
-			ta.room(sr.step.Service)
+	waiting := referenceRanks(ta, referenceWaiting(ta, now))
+	for _, sr := range ta.openSteps {
+		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
+			ta.servicePlan(sr.step.Service)
 		}
 	}
-	for service, rm := range ta.rooms {
-		ranks := rm.rank(waiting)
+	for service, sp := range ta.servicePlans {
+		ranks := sp.adaptRanks(waiting)
 		var steps []*overload.Step
 		var rows []*stepRow
-		for _, sr := range ta.order {
-			if sr.step.Service != service || sr.step.Due <= 0 || ta.idleByHold(sr) {
+		for _, sr := range ta.openSteps {
+			if sr.step.Service != service || sr.step.Due <= 0 || ta.fullyHeld(sr) {
 				continue
 			}
-			st := plainStep(ta, sr, now)
+			st := referenceStep(ta, sr, now)
 			st.Rank = ranks[sr.step.Customer]
 			steps, rows = append(steps, st), append(rows, sr)
 		}
-		places := ta.places(service, now)
-		rm.planner.Lingers = !ta.competesWithinPart(rm)
-		rm.planner.Plan(steps, places, now)
-		rm.withinPart = ta.customersWithinPart(steps, rows, places)
-		rm.sendsAhead = rm.planner.Overloaded() && !ta.competesWithinPart(rm)
-		if len(rows) == 0 && rm.planner.Idle() {
-			delete(ta.rooms, service)
+		places := ta.usableSlots(service, now)
+		sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
+		sp.planner.Plan(steps, places, now)
+		sp.withinShare = ta.customersWithinShare(steps, rows, places)
+		sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
+		if len(rows) == 0 && sp.planner.Idle() {
+			delete(ta.servicePlans, service)
 		}
 	}
 }
 
-func plainStep(ta *Table, sr *stepRow, now time.Time) *overload.Step {
+func referenceStep(ta *Table, sr *stepRow, now time.Time) *overload.Step {
 	st := &overload.Step{
-		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainer(),
+		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
-	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
+	if gaveUp := ta.abandonAges[st.Trainer]; gaveUp > 0 {
 		st.GivesUp = max(gaveUp-sr.age(now), 1)
 	}
 	for _, gr := range sr.groups {
-		gr.plan = overload.Group{Again: gr.again}
-		if gr.left == 0 {
+		gr.plan = overload.Group{Again: gr.recurring}
+		if gr.openItems == 0 {
 			st.Wanted--
 		}
 	}
@@ -128,18 +128,18 @@
 		if gr.plan.Work == 0 {
 			st.Groups = append(st.Groups, &gr.plan)
 		}
-		left := max(ta.runsFor(ir, now), minWork)
+		left := max(ta.remainingTime(ir, now), minWork)
 		gr.plan.Work += left
 		gr.plan.Longest = max(gr.plan.Longest, left)
 	}
 	return st
 }
 
-func plainWaits(ta *Table, now time.Time) []*itemRow {
+func referenceWaiting(ta *Table, now time.Time) []*itemRow {
 	var irs []*itemRow
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		for _, ir := range sr.items {
-			if ir.state == waiting && !ta.rests(ir, now) && !ta.held(ir) {
+			if ir.state == waiting && !ta.quarantined(ir, now) && !ta.held(ir) {
 				irs = append(irs, ir)
 			}
 		}
@@ -147,13 +147,13 @@
 	return irs
 }
 
-func plainRanks(ta *Table, waits []*itemRow) map[string]int {
+func referenceRanks(ta *Table, waits []*itemRow) map[string]int {
 	ranks := map[string]int{}
-	if ta.anyShare {
+	if ta.ignoreShares {
 		return ranks
 	}
 	for _, ir := range waits {
-		ranks[ir.step.step.Customer] = ta.share.account.Rank(ir.step.step.Customer)
+		ranks[ir.step.step.Customer] = ta.usage.account.Rank(ir.step.step.Customer)
 	}
 	if len(ranks) < 2 {
 		return nil
@@ -161,17 +161,17 @@
 	return ranks
 }
 
-func plainWaiting(ta *Table, now time.Time) []*itemRow {
-	irs := plainWaits(ta, now)
-	waiting := plainRanks(ta, irs)
-	turn := func(ir *itemRow) placeTurn {
+func referenceOrder(ta *Table, now time.Time) []*itemRow {
+	irs := referenceWaiting(ta, now)
+	waiting := referenceRanks(ta, irs)
+	turn := func(ir *itemRow) passKind {
 		switch {
 		case !ir.group.plan.InTime():
-			return unplanned
-		case ir.timeToSpare(now) < urgentSpare:
-			return urgent
+			return unplannedPass
+		case ir.slack(now) < urgentSlack:
+			return urgentPass
 		default:
-			return planned
+			return plannedPass
 		}
 	}
 	slices.SortStableFunc(irs, func(a, b *itemRow) int {
@@ -179,70 +179,70 @@
 		if order := cmp.Compare(service, b.step.step.Service); order != 0 {
 			return order // services don't compete for slots
 		}
-		ranks := ta.rooms[service].rank(waiting)
+		ranks := ta.servicePlans[service].adaptRanks(waiting)
 		order := cmp.Compare(ranks[a.step.step.Customer], ranks[b.step.step.Customer])
-		if order == 0 && ta.crowded(service) {
+		if order == 0 && ta.overloaded(service) {
 			order = cmp.Or(cmp.Compare(turn(a), turn(b)), cmp.Compare(a.group.plan.Position(), b.group.plan.Position()))
 		}
-		return cmp.Or(order, cmp.Compare(a.timeToSpare(now), b.timeToSpare(now)))
+		return cmp.Or(order, cmp.Compare(a.slack(now), b.slack(now)))
 	})
 	return irs
 }
 
-func plainMemory(en *engineRow) (now, end int) {
+func referenceMemory(en *engineRow) (now, end int) {
 	for _, ir := range en.items {
-		itNow, itEnd := ir.holds()
+		itNow, itEnd := ir.tokenUse()
 		now, end = now+itNow, end+itEnd
 	}
 	now = max(now, en.report.Tokens)
-	for ir := range en.coming {
-		itNow, itEnd := ir.holds()
+	for ir := range en.incoming {
+		itNow, itEnd := ir.tokenUse()
 		now, end = now+itNow, end+itEnd
 	}
 	return now, end
 }
 
-func plainEnd(en *engineRow) time.Duration {
+func referenceEnd(en *engineRow) time.Duration {
 	rate := 0.0
 	for _, ir := range en.items {
-		rate += 1 / max(ir.expectedTime(), aheadTime).Seconds()
+		rate += 1 / max(ir.expectedTime(), sendAheadTime).Seconds()
 	}
 	return expectedEnd(rate)
 }
 
-func plainFits(en *engineRow, ir *itemRow) bool {
-	now, _ := plainMemory(en)
-	added, _ := ir.holds()
-	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= memoryPart*float64(en.tokens)
+func referenceFits(en *engineRow, ir *itemRow) bool {
+	now, _ := referenceMemory(en)
+	added, _ := ir.tokenUse()
+	return en.tokens == 0 || len(en.items) == 0 || float64(now+added) <= maxMemoryFraction*float64(en.tokens)
 }
 
-func plainTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
-	if ta.trials.count(now) >= max(1, len(ta.sorted)/trialPart) {
+func referenceTrial(ta *Table, ir *itemRow, now time.Time) *engineRow {
+	if ta.trials.count(now) >= max(1, len(ta.sortedEngines)/enginesPerTrial) {
 		return nil
 	}
 	var best *engineRow
-	for _, en := range ta.sorted {
-		if en.free() <= 0 || !ta.usable(en, ir) || !plainFits(en, ir) || ta.trials.tries(en.id, now) {
+	for _, en := range ta.sortedEngines {
+		if en.freeSlots() <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if best == nil || len(en.items)+len(en.coming) < len(best.items)+len(best.coming) {
+		if best == nil || len(en.items)+len(en.incoming) < len(best.items)+len(best.incoming) {
 			best = en
 		}
 	}
 	return best
 }
 
-func plainChoose(pp *plainPlacing, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
+func referenceChoose(rp *referencePlacement, ta *Table, ir *itemRow, ens []*engineRow, now time.Time) *engineRow {
 	var best *engineRow
 	bestScore := 0.0
 	for _, en := range ens {
-		if pp.open(ta, en) <= 0 || !ta.usable(en, ir) || !plainFits(en, ir) || ta.trials.tries(en.id, now) {
+		if rp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || !referenceFits(en, ir) || ta.trials.runsTrial(en.id, now) {
 			continue
 		}
-		if en.id == ir.unwanted && now.Sub(ir.since) < againAfter {
+		if en.id == ir.avoidedEngine && now.Sub(ir.stateSince) < avoidEngineFor {
 			continue
 		}
-		score := plainScore(ta, en, ir, now)
+		score := referenceScore(ta, en, ir, now)
 		if best == nil || score > bestScore || score == bestScore && en.id < best.id {
 			best, bestScore = en, score
 		}
@@ -250,32 +250,32 @@
 	return best
 }
 
-func plainScore(ta *Table, en *engineRow, ir *itemRow, now time.Time) float64 {
-	score := float64(en.free())
+func referenceScore(ta *Table, en *engineRow, ir *itemRow, now time.Time) float64 {
+	score := float64(en.freeSlots())
 	for _, other := range en.items {
 		if other.step == ir.step && other.item.Group == ir.item.Group {
-			score += matePlaces
+			score += sameGroupBonus
 			break
 		}
 	}
-	if now.Sub(en.failed) < failedFor {
+	if now.Sub(en.brokeRunAt) < brokenRunPenalty {
 		score -= float64(en.slots)
 	}
 	if en.slow(now) {
 		score -= float64(2 * en.slots)
 	}
-	held, end := plainMemory(en)
+	held, end := referenceMemory(en)
 	took := ir.expectedTime().Seconds()
-	cost := took * placesPerSecond * float64((held+end)/2) * slowdownPerToken
-	if best := ta.bests[en.service]; best > 0 && en.base > 0 {
-		if behind := float64(en.base)/float64(best) - 1; behind >= paceTolerance {
-			cost += behind * took * placesPerSecond
+	cost := took * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
+	if best := ta.bestBases[en.service]; best > 0 && en.basePace > 0 {
+		if behind := float64(en.basePace)/float64(best) - 1; behind >= paceTolerance {
+			cost += behind * took * slotsPerSecond
 		}
 	}
 	crowding := 0.0
 	if en.tokens > 0 {
-		_, added := ir.holds()
-		crowding = crowdingPlaces * max(0, float64(end+added)/float64(en.tokens)-1)
+		_, added := ir.tokenUse()
+		crowding = overfillCostSlots * max(0, float64(end+added)/float64(en.tokens)-1)
 	}
 	return score - cost - crowding
 }
--- a/step/queue.go
+++ b/step/queue.go
@@ -6,66 +6,65 @@
 	"time"
 )
 
-// A waitEntry is an item that waits, as it was when it came into the queue.
+// A waitEntry is a waiting item with its properties when it was enqueued.
 type waitEntry struct {
-	held   int // tokens that it holds
-	item   *itemRow
-	need   time.Duration // what it is expected to take
-	ticket int           // of the item then; another one makes the entry void
+	tokens   int
+	item     *itemRow
+	duration time.Duration // expected time to complete
+	ticket   int           // the entry is valid while the item has the same ticket
 }
 
 func compareEntries(a, b waitEntry) int {
-	return cmp.Or(cmp.Compare(b.need, a.need), cmp.Compare(a.item.index, b.item.index))
+	return cmp.Or(cmp.Compare(b.duration, a.duration), cmp.Compare(a.item.index, b.item.index))
 }
 
-// A waitQueue holds items of a step that wait, the one first that takes the longest, which
-// has the least time to spare. Either all of them have begun or none has, and either all are
-// to be scored or none is: time changes the time to spare of all alike.
+// A waitQueue holds waiting items of a step by descending expected time, that is, by ascending
+// slack. Its items agree in whether they have events and in whether they need a score, so that
+// the order doesn't change with time.
 type waitQueue struct {
 	entries     []waitEntry
-	eventTokens int           // that an event held by the gauge when it was ordered
-	tokenTime   time.Duration // that a token of the step took then
+	eventTokens int           // tokens per event that the order was made with
+	tokenTime   time.Duration // time per token that the order was made with
 }
 
-// A stepQueue holds the items of a step that wait, by their time to spare. It stays from one
-// tick to the next until the room is crowded.
+// A stepQueue holds the waiting items of a step by slack. It is kept between ticks, except
+// under overload.
 type stepQueue struct {
 	built  bool
-	fresh  []*itemRow   // items that came to wait since the last refresh
-	queues [4]waitQueue // by the number that itemRow.queue returns
+	added  []*itemRow   // items that started to wait after the last refresh
+	queues [4]waitQueue // indexed by itemRow.queueIndex
 }
 
-// add adds an item that has come to wait.
+// add adds an item that starts to wait.
 func (sq *stepQueue) add(ir *itemRow) {
 	ir.ticket++
 	if sq.built {
-		sq.fresh = append(sq.fresh, ir)
+		sq.added = append(sq.added, ir)
 	}
 }
 
-// drop empties the queue until the next refresh builds it again.
+// drop empties the queue. The next refresh builds it again.
 func (sq *stepQueue) drop() { *sq = stepQueue{} }
 
-// refresh adds the items that have come to wait, and orders queues anew whose items are now
-// expected to take another time.
+// refresh adds new items, and sorts queues again whose items' expected times have changed.
 func (sq *stepQueue) refresh(sr *stepRow) {
 	if !sq.built {
 		sq.built = true
-		for _, gr := range sr.list {
-			sq.fresh = append(sq.fresh, gr.wait.waiting...)
+		for _, gr := range sr.groupList {
+			sq.added = append(sq.added, gr.summary.waiting...)
 		}
 	}
 	var fresh [4][]waitEntry
-	for _, ir := range sq.fresh {
+	for _, ir := range sq.added {
 		if ir.state == waiting {
-			fresh[ir.queue()] = append(fresh[ir.queue()], ir.entry())
+			fresh[ir.queueIndex()] = append(fresh[ir.queueIndex()], ir.entry())
 		}
 	}
-	sq.fresh = sq.fresh[:0]
-	tokens := sr.gauge.eventTokens()
+	sq.added = sq.added[:0]
+	tokens := sr.estimator.eventTokens()
 	for i := range sq.queues {
 		wq := &sq.queues[i]
-		if i&queueBegun != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
+		if i&queueWithEvents != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
 			wq.reorder()
 		}
 		wq.eventTokens, wq.tokenTime = tokens, sr.tokenTime
@@ -73,33 +72,33 @@
 	}
 }
 
-// queueBegun and queueRewarded are the bits of the number of an item's queue.
+// queueWithEvents and queueWithReward are the bits of the index of an item's queue.
 const (
-	queueBegun    = 1
-	queueRewarded = 2
+	queueWithEvents = 1
+	queueWithReward = 2
 )
 
-// queue returns the number of the queue for an item.
-func (ir *itemRow) queue() int {
+// queueIndex returns the index of the queue for an item.
+func (ir *itemRow) queueIndex() int {
 	number := 0
-	if ir.begun() {
-		number |= queueBegun
+	if ir.hasEvents() {
+		number |= queueWithEvents
 	}
 	if ir.item.Reward != nil {
-		number |= queueRewarded
+		number |= queueWithReward
 	}
 	return number
 }
 
-// entry returns an item's entry as it is now.
+// entry returns a new entry for the item.
 func (ir *itemRow) entry() waitEntry {
-	return waitEntry{held: ir.holdsNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
+	return waitEntry{tokens: ir.tokensNow(), item: ir, duration: ir.expectedTime(), ticket: ir.ticket}
 }
 
-// valid reports whether the item has waited since the entry was made.
+// valid reports whether the item has been waiting ever since the entry was made.
 func (we *waitEntry) valid() bool { return we.item.state == waiting && we.item.ticket == we.ticket }
 
-// reorder makes all entries anew and sorts them.
+// reorder recomputes and sorts all entries.
 func (wq *waitQueue) reorder() {
 	kept := wq.entries[:0]
 	for _, we := range wq.entries {
@@ -111,15 +110,15 @@
 	slices.SortFunc(wq.entries, compareEntries)
 }
 
-// fewFresh is how many new items are inserted one by one. For more, a merge is less work.
-const fewFresh = 16
+// maxInserts is the largest number of entries to insert one by one rather than by a merge.
+const maxInserts = 16
 
-// merge adds entries. It drops void ones at the front, and where it merges all.
+// merge adds entries. It drops invalid ones at the front, or all invalid ones if it merges.
 func (wq *waitQueue) merge(fresh []waitEntry) {
 	for len(wq.entries) > 0 && !wq.entries[0].valid() {
 		wq.entries = wq.entries[1:]
 	}
-	if len(fresh) <= fewFresh {
+	if len(fresh) <= maxInserts {
 		for _, we := range fresh {
 			at, _ := slices.BinarySearchFunc(wq.entries, we, compareEntries)
 			wq.entries = slices.Insert(wq.entries, at, we)
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -29,26 +29,26 @@
 		name string
 		tell func(ta *Table)
 	}{
-		{"the report tells first", func(ta *Table) { hear(ta, "a", reportOf(20, 2), begin) }},
+		{"the report tells first", func(ta *Table) { respond(ta, "a", reportOf(20, 2), begin) }},
 		{"the entry tells first", func(ta *Table) { enter(ta, 20, 2) }},
 		{"an old report comes after", func(ta *Table) {
 			enter(ta, 20, 2)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 		}},
 		{"an old entry comes after", func(ta *Table) {
-			hear(ta, "a", reportOf(20, 2), begin)
+			respond(ta, "a", reportOf(20, 2), begin)
 			enter(ta, 10, 5)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := NewTable(1, nil)
 			enter(ta, 10, 5)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 			en := ta.engines["a"]
-			en.gone, en.failed, en.slowAt, en.base = true, begin, begin, time.Second
+			en.replaced, en.brokeRunAt, en.slowAt, en.basePace = true, begin, begin, time.Second
 			tc.tell(ta)
-			assert.Equal(t, en.born, incarnation.Number(20))
-			assert.Assert(t, !en.gone && !en.slow(begin) && en.failed.IsZero() && en.base == 0)
+			assert.Equal(t, en.incarnation, incarnation.Number(20))
+			assert.Assert(t, !en.replaced && !en.slow(begin) && en.brokeRunAt.IsZero() && en.basePace == 0)
 			assert.Equal(t, en.versions["model"], uint64(2))
 		})
 	}
@@ -58,13 +58,13 @@
 	// A report or directory entry without an incarnation doesn't reset the state of the engine.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 5)
-	hear(ta, "a", reportOf(10, 5), begin)
+	respond(ta, "a", reportOf(10, 5), begin)
 	en := ta.engines["a"]
 	en.slowAt = begin
-	hear(ta, "a", reportOf(0, 6), begin)
+	respond(ta, "a", reportOf(0, 6), begin)
 	enter(ta, 0, 5)
 	assert.Assert(t, en.slow(begin))
-	assert.Equal(t, en.born, incarnation.Number(10))
+	assert.Equal(t, en.incarnation, incarnation.Number(10))
 	assert.Equal(t, en.versions["model"], uint64(6), "what the engine says counts, not its entry")
 }
 
@@ -72,12 +72,12 @@
 	// Guards against an item being stuck on an engine that restarted and whose attendant never responds again.
 	ta := NewTable(1, nil)
 	enter(ta, 10, 1)
-	hear(ta, "a", reportOf(10, 1), begin)
+	respond(ta, "a", reportOf(10, 1), begin)
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	enter(ta, 20, 1)
-	ta.EvictSilent(begin.Add(silentAfter + time.Millisecond))
+	ta.EvictSilent(begin.Add(responseTimeout + time.Millisecond))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 }
 
@@ -86,6 +86,6 @@
 	ta := NewTable(1, nil)
 	ta.SetEngines([]EngineInfo{{Address: "one", ID: "a", Incarnation: 10}}, begin)
 	ta.SetEngines([]EngineInfo{{Address: "two", ID: "a", Incarnation: 20}}, begin)
-	assert.Equal(t, ta.attendant("a"), "two")
-	assert.Equal(t, ta.attendant("b"), "")
+	assert.Equal(t, ta.attendantAddress("a"), "two")
+	assert.Equal(t, ta.attendantAddress("b"), "")
 }
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -24,8 +24,8 @@
 		infos = append(infos, EngineInfo{ID: string(rune('a' + i)), Service: service, Slots: 2, Tokens: 10000})
 	}
 	ta.SetEngines(infos, begin)
-	for _, en := range ta.sorted {
-		hear(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
+	for _, en := range ta.sortedEngines {
+		respond(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
 	}
 	sizes := make([]int, items)
 	for i := range sizes {
@@ -49,19 +49,19 @@
 	return count
 }
 
-func TestFreeRoomOfOneServiceIsNotAnothers(t *testing.T) {
+func TestCapacityIsPlannedByService(t *testing.T) {
 	// Guards against planning a step's groups into slots of engines of another service,
 	// which can't run them.
 	ta := twoServices(t, 1, 20, 30)
 	st := stepOf("t", 1)
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	assert.Assert(t, plannedGroups(ta, "s") < 20)
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
-func TestCrowdedServiceCrowdsNoOther(t *testing.T) {
+func TestOverloadIsDetectedByService(t *testing.T) {
 	// An overloaded service must not put another service, which has free slots, into
 	// overload mode.
 	ta := twoServices(t, 1, 4, 300)
@@ -70,14 +70,14 @@
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.SetVersion("model", 2)
 	ta.SetVersion("second", 2)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	total := 0.0
-	for _, part := range ta.shares(ta.sorted[1:]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[1:]) {
 		total += part
 	}
 	assert.Assert(t, total < 4.01, "each model of the service with room has its share alone: %v", total)
 	total = 0
-	for _, part := range ta.shares(ta.sorted[:1]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[:1]) {
 		total += part
 	}
 	assert.Equal(t, total, 2.0, "each model of the crowded one has all")
@@ -85,16 +85,16 @@
 }
 
 // The hysteresis of overload detection is kept for each service on its own.
-func TestServicesRememberWhetherTheyWereCrowded(t *testing.T) {
+func TestOverloadHysteresisByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 30)
-	ta.planRoom(begin)
-	assert.Assert(t, ta.crowded("service") && !ta.crowded("other"))
+	ta.planCapacity(begin)
+	assert.Assert(t, ta.overloaded("service") && !ta.overloaded("other"))
 	ta.End("s")
 	st := stepOf("t", 1)
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
-	ta.planRoom(begin.Add(planEvery))
-	rooms := ta.Rooms()
+	ta.planCapacity(begin.Add(planInterval))
+	rooms := ta.ServiceLoads()
 	assert.Assert(t, !rooms["service"].Crowded && !rooms["other"].Crowded)
 	assert.Equal(t, rooms["service"].Load, 0.0)
 	assert.Assert(t, rooms["other"].Load > 0)
@@ -107,28 +107,28 @@
 	st := stepOf("t", 8)
 	st.Service, st.Customer = "other", "small"
 	ta.Accept(st, StoredStep{}, false, begin)
-	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickEvery) {
+	for now := begin; now.Before(begin.Add(time.Second)); now = now.Add(tickInterval) {
 		ta.ChargeUsage(now)
 		ta.Place(now)
 	}
-	assert.Assert(t, ta.sendsAhead("service"))
+	assert.Assert(t, ta.prequeues("service"))
 }
 
 // Each service has its own metrics, which are unregistered after it had no steps for a while.
-func TestRoomsAreMeasuredByService(t *testing.T) {
+func TestLoadMetricsByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
-	ta.planRoom(begin)
+	ta.planCapacity(begin)
 	sc := &Scheduler{Metrics: metrics.NewSet()}
-	sc.measureRoom(ta)
+	sc.updateCapacityMetrics(ta)
 	assert.DeepEqual(t, sc.Metrics.ListMetricNames(), []string{
 		`wisteriacroft_step_load{service="service"}`, `wisteriacroft_steps_crowded{service="service"}`,
 	})
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_steps_crowded{service="service"}`, nil).Get(), 1.0)
 	ta.End("s")
-	ta.planRoom(begin.Add(planEvery))
-	sc.measureRoom(ta)
+	ta.planCapacity(begin.Add(planInterval))
+	sc.updateCapacityMetrics(ta)
 	assert.Equal(t, sc.Metrics.GetOrCreateGauge(`wisteriacroft_step_load{service="service"}`, nil).Get(), 0.0)
-	ta.planRoom(begin.Add(2 * time.Minute))
-	sc.measureRoom(ta)
+	ta.planCapacity(begin.Add(2 * time.Minute))
+	sc.updateCapacityMetrics(ta)
 	assert.Equal(t, len(sc.Metrics.ListMetricNames()), 0)
 }
--- a/step/roomorder.go
+++ b/step/roomorder.go
@@ -1,36 +1,35 @@
 package step
 
-// order orders the groups of a service's open steps by their positions, those that room is
-// kept for apart from the others. It does so once after each plan.
-func (rm *room) order(steps []*stepRow) {
-	if !rm.stale {
+// sortGroups sorts the groups of a service's open steps by position into reserved and unreserved.
+// It does nothing unless the order is stale.
+func (sp *servicePlan) sortGroups(steps []*stepRow) {
+	if !sp.stale {
 		return
 	}
-	rm.stale = false
-	rm.withRoom, rm.without = rm.withRoom[:0], rm.without[:0]
+	sp.stale = false
+	sp.reserved, sp.unreserved = sp.reserved[:0], sp.unreserved[:0]
 	for _, gr := range byPosition(steps) {
 		if gr.plan.InTime() {
-			rm.withRoom = append(rm.withRoom, gr)
+			sp.reserved = append(sp.reserved, gr)
 		} else {
-			rm.without = append(rm.without, gr)
+			sp.unreserved = append(sp.unreserved, gr)
 		}
 	}
 }
 
-// byPosition returns the groups of steps by their positions. These are numbers below that
-// of all groups, so that a counting sort does it in two passes; it keeps groups of one
-// position in their order.
+// byPosition returns the groups of steps by position. It is a stable counting sort: positions
+// are less than the number of groups.
 func byPosition(steps []*stepRow) []*groupRow {
 	most := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			most = max(most, gr.plan.Position())
 		}
 	}
 	counts := make([]int, most+2) // groups before each position
 	total := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			counts[gr.plan.Position()+1]++
 			total++
 		}
@@ -40,7 +39,7 @@
 	}
 	all := make([]*groupRow, total)
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			at := &counts[gr.plan.Position()]
 			all[*at] = gr
 			*at++
--- a/step/row.go
+++ b/step/row.go
@@ -10,144 +10,143 @@
 	"wisteriacroft/runner"
 )
 
-// An itemState is where an item stands.
+// An itemState is the state of an item.
 type itemState int
 
-// The states of items.
 const (
-	waiting itemState = iota // for a place at an engine
-	running                  // at the engine of its run
-	scoring                  // the text is whole and waits for its score
+	waiting itemState = iota // for a slot of an engine
+	running
+	scoring // the text is complete and waits for its score
 	complete
-	lost // given up
+	lost // abandoned
 )
 
 // An itemRow is an item of an open step.
 type itemRow struct {
-	item     *Item
-	digest   quarantine.Digest
-	step     *stepRow
-	state    itemState
-	doneAt   time.Time
-	events   []runner.Event
-	group    *groupRow
-	failures int // answers of engines that failed
-	reward   rewardRow
-	saved    int // events that are kept in a checkpoint
-	known    int // events that an earlier run made, at least
-	listed   bool
-	moves    int
-	size     int       // of the text of an item that is complete, in bytes
-	index    int       // in its step
-	ticket   int       // grows each time it comes to wait
-	since    time.Time // waiting or running since then
-	run      run       // if running
-	target   string    // engine that keeps a place for the item while it moves
-	unwanted string    // engine that the item was moved away from
+	item          *Item
+	digest        quarantine.Digest
+	step          *stepRow
+	state         itemState
+	doneAt        time.Time
+	events        []runner.Event
+	group         *groupRow
+	failures      int // failed answers
+	reward        rewardRow
+	savedEvents   int // events in checkpoints
+	knownEvents   int // minimum length in events, from earlier runs
+	listed        bool
+	moves         int
+	size          int       // bytes of the text, if complete
+	index         int       // in its step
+	ticket        int       // incremented each time the item starts to wait
+	stateSince    time.Time // start of waiting or running
+	run           run       // if running
+	moveTarget    string    // engine with a reserved slot while the item moves
+	avoidedEngine string    // engine that the last run was on
 }
 
-// A run is the run of an item at an engine.
+// A run is the run of an item on an engine.
 type run struct {
-	at        *engineRow
-	confirmed bool // the attendant has it
-	engine    string
-	eventAt   time.Time // of the newest event, or of the launch
-	key       runner.Key
-	prior     int    // events that it was launched with
-	said      int    // events that the attendant knows to be here, and one
-	saidEnd   bool   // the attendant knows that the end is known here
-	saidScore string // the score that the attendant keeps
-	stopping  bool
-	version   uint64
+	engine      *engineRow
+	confirmed   bool // the attendant has reported it
+	engineID    string
+	eventAt     time.Time // of the newest event, or of the launch
+	key         runner.Key
+	priorEvents int    // events at launch
+	acked       int    // number of events acknowledged to the attendant plus 1; 0 before the first
+	ackedEnd    bool   // the end has been acknowledged to the attendant
+	storedScore string // score that the attendant has stored
+	stopping    bool
+	version     uint64
 }
 
-// A groupRow counts the items of a group that are not complete.
+// A groupRow is a group of an open step.
 type groupRow struct {
-	again bool // it was in an earlier step too
-	items []*itemRow
-	stale bool // items have changed since it was gathered
-	step  *stepRow
-	wait  groupWait
-	left  int            // open items
-	plan  overload.Group // by the last plan, while open
+	recurring bool // also in an earlier step
+	items     []*itemRow
+	stale     bool // wait is out of date
+	step      *stepRow
+	summary   groupSummary
+	openItems int            // open items
+	plan      overload.Group // of the last capacity plan
 }
 
-// A stepRow is a step that the scheduler holds.
+// A stepRow is a step and its progress.
 type stepRow struct {
-	seenAt       time.Time // this scheduler learned of it
-	step         *Step
-	ended        bool
-	gauge        *tokenGauge   // of the step's model
-	tokenTime    time.Duration // that a token takes at its engines; 0 means unknown
-	rewards      *rewardGauge
-	groups       map[string]*groupRow
-	list         []*groupRow   // by their first items
-	interleaved  bool          // items of a group don't stand together
-	waits        int           // items that wait
-	queue        stepQueue     // of items that wait
-	eventTokens  int           // that an event held when the groups were gathered
-	gatheredTime time.Duration // that a token took then
-	gathered     bool          // groups were gathered since least and moving were worked out
-	least        int           // tokens: each waiting item holds as many or more
-	moving       int           // waiting items that an engine keeps a place for
-	place        int           // in the order of steps, in this round of placing
-	round        *placing      // in which seats was made
-	seats        *seatList     // of engines that can run the step's items
-	rank         int           // of the customer, in this round of placing
-	items        []*itemRow
-	chunks       int             // that are listed
-	counted      bool            // counts are known
-	counts       []int           // results of each chunk
-	checkpoints  int             // that are kept
-	listedAt     time.Time       // of the last results
-	reads        []*listing.Read // that wait for results
-	readAt       time.Time       // a read last waited
-	why          listing.Reason  // of the last listing
-	writtenAt    time.Time       // results are being written since then; zero if not
-	planned      int             // groups that room was kept for, as last logged
-	plannedAt    time.Time       // of that line
-	servedAt     time.Time       // the last group was whole in time
-	served       bool            // all that the trainer waits for is listed
-	ending       bool            // the trainer is expected to wait for no more soon
-	results      []Result        // from the position unread on
-	unread       int             // results of an earlier scheduler that are not held here
-	changed      chan struct{}   // closed when results are listed
-	idle         bool            // all items are listed, or it has ended
-	loaded       bool            // results that were listed before this term are in
+	seenAt             time.Time // when this scheduler first saw the step
+	step               *Step
+	ended              bool
+	estimator          *tokenEstimator // of the step's model
+	tokenTime          time.Duration   // per token on the service's engines; 0 means unknown
+	rewards            *rewardEstimator
+	groups             map[string]*groupRow
+	groupList          []*groupRow    // ordered by their first items
+	interleaved        bool           // items of a group aren't consecutive
+	waitingCount       int            // number of waiting items
+	queue              stepQueue      // of waiting items
+	summaryEventTokens int            // tokens per event that the group summaries were made with
+	summaryTokenTime   time.Duration  // time per token that the group summaries were made with
+	summariesChanged   bool           // group summaries changed after least and moving
+	leastTokens        int            // lower bound of the tokens of a waiting item
+	movingCount        int            // waiting items with a reserved slot
+	orderIndex         int            // index of the step, in this round of placement
+	placement          *placement     // that seats belongs to
+	candidates         *candidateList // engines that can run the step's items
+	customerRank       int            // of the customer, in this round of placement
+	items              []*itemRow
+	chunks             int             // number of listed chunks
+	chunkSizesKnown    bool            // counts is set
+	chunkSizes         []int           // results per chunk
+	checkpoints        int             // number of stored checkpoints
+	listedAt           time.Time       // of the last results
+	reads              []*listing.Read // waiting for results
+	readAt             time.Time       // when a read last waited
+	listingReason      listing.Reason  // of the last listing
+	writtenAt          time.Time       // start of the current write of results, or zero
+	planned            int             // groups with reserved capacity, as last logged
+	plannedAt          time.Time       // when planned was logged
+	servedAt           time.Time       // when the last group was completed in time
+	served             bool            // everything that the trainer waits for is listed
+	ending             bool            // the trainer is expected to end the step soon
+	results            []Result        // from position unread on
+	unread             int             // results listed by an earlier scheduler and not loaded
+	listedSignal       chan struct{}   // closed when results are listed
+	idle               bool            // all items are listed, or the step has ended
+	resultsLoaded      bool            // results listed before this term are loaded
 }
 
-// An engineRow is an engine and the attendant beside it.
+// An engineRow is an engine with its attendant.
 type engineRow struct {
-	id        string
-	address   string // of the attendant
-	boot      string
-	endpoint  string             // address of the engine
-	born      incarnation.Number // the start that the rest is known of
-	forget    map[runner.Key]bool
-	foreign   int // requests of others that it runs
-	gauges    *gaugeChanges
-	gone      bool // another answers at its address
-	items     map[runner.Key]*itemRow
-	kept      map[runner.Key]*itemRow // whole, and held by the attendant until they are listed
-	leaving   bool
-	memo      memoryMemo
-	order     *runner.Order // wanted, until it holds
-	orderAt   time.Time
-	ordered   bool      // the attendant has the order
-	failed    time.Time // of the last run that it didn't finish
-	heardAt   time.Time // the attendant answered
-	joinedAt  time.Time
-	base      time.Duration // of an event of a single short run, as last seen; 0 means unknown
-	report    runner.Report
-	coming    map[*itemRow]bool // items that move here, for which places are kept
-	slowAt    time.Time         // it was much slower than the others
-	slowerAt  time.Time         // it has been slower since then without a break
-	sick      bool              // its engine doesn't answer its attendant
-	service   string
-	pace      time.Duration // of an event beside all that it runs, as of paceRound
-	paceRound int
-	seat      int // number in the last round of placing, or -1; see placing.seatOf
-	slots     int
-	tokens    int // memory
-	versions  map[string]uint64
+	id              string
+	address         string // of the attendant
+	boot            string
+	endpoint        string             // address of the engine
+	incarnation     incarnation.Number // of the engine that the row describes
+	toForget        map[runner.Key]bool
+	foreignRequests int // running requests that aren't items
+	estimateChanges *estimateChanges
+	replaced        bool // another engine responds at its address
+	items           map[runner.Key]*itemRow
+	retained        map[runner.Key]*itemRow // complete items that the attendant retains until they are listed
+	leaving         bool
+	memo            memoryMemo
+	order           *runner.Order // to load weights, until done
+	orderAt         time.Time
+	orderAcked      bool      // the attendant has acknowledged the order
+	brokeRunAt      time.Time // of the last broken run
+	respondedAt     time.Time // last response of the attendant
+	joinedAt        time.Time
+	basePace        time.Duration // time per event without load, as last measured; 0 means unknown
+	report          runner.Report
+	incoming        map[*itemRow]bool // items that move here, with reserved slots
+	slowAt          time.Time         // when the engine was last rated slow
+	slowerSince     time.Time         // since when its pace has exceeded the limit
+	unreachable     bool              // the engine doesn't respond to its attendant
+	service         string
+	pace            time.Duration // expected time per event under current load, as of paceRound
+	paceRound       int
+	candidateIndex  int // index in the last round of placement, or -1; see placement.indexOf
+	slots           int
+	tokens          int // memory
+	versions        map[string]uint64
 }
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -14,12 +14,11 @@
 	"wisteriacroft/keyvalue"
 )
 
-// accountEvery is how often what customers have had is kept, with other writes. A change of
-// scheduler forgets as much time.
-const accountEvery = time.Second
+// accountInterval is the minimum interval of writing the account, always with other writes. A new
+// scheduler may miss as much usage.
+const accountInterval = time.Second
 
-// accountMode encodes equal accounts equally, so that one that didn't change is not
-// written again.
+// accountMode is a canonical encoding, so that unchanged accounts can be detected.
 var accountMode = func() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -28,41 +27,39 @@
 	return mode
 }()
 
-// due returns the account if it is to be kept now, or nil.
-func (fs *fairShare) due(now time.Time) []byte {
-	if now.Sub(fs.savedAt) < accountEvery {
+// dueAccount returns the encoded account if it must be written now, or nil.
+func (cu *customerUsage) dueAccount(now time.Time) []byte {
+	if now.Sub(cu.savedAt) < accountInterval {
 		return nil
 	}
-	me := fs.account.Snapshot()
-	if len(me.Ahead) == 0 && len(fs.saved) == 0 {
+	me := cu.account.Snapshot()
+	if len(me.Ahead) == 0 && len(cu.saved) == 0 {
 		return nil
 	}
 	data, err := accountMode.Marshal(me)
-	if err != nil || bytes.Equal(data, fs.saved) {
-		return nil // numbers and names can always be encoded
+	if err != nil || bytes.Equal(data, cu.saved) {
+		return nil // encoding numbers and strings never fails
 	}
 	return data
 }
 
-// written takes in that an account is kept.
-func (fs *fairShare) written(data []byte, now time.Time) {
+// accountWritten records that an account was written.
+func (cu *customerUsage) accountWritten(data []byte, now time.Time) {
 	if len(data) > 0 {
-		fs.saved, fs.savedAt = data, now
+		cu.saved, cu.savedAt = data, now
 	}
 }
 
-// recall continues the account of an earlier scheduler. Otherwise, after each change of
-// scheduler, a customer that had far more than its part would rank with all others again.
-//
-// Steps without customers have no account, and cost no call.
-func (sc *Scheduler) recall(ctx context.Context, te *term, accepted []*Step) error {
+// restoreAccount loads the account of an earlier scheduler, so that customers keep their ranks. It
+// makes no call unless a step has a customer.
+func (sc *Scheduler) restoreAccount(ctx context.Context, te *term, accepted []*Step) error {
 	sc.mu.Lock()
 	first := !te.ready
 	sc.mu.Unlock()
 	if !first || !slices.ContainsFunc(accepted, func(st *Step) bool { return st.Customer != "" }) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	data, err := sc.Keeper.Account(ctx)
 	if err != nil {
@@ -70,18 +67,18 @@
 	}
 	var me fairshare.Snapshot
 	if errDecode := cbor.Unmarshal(data, &me); len(data) > 0 && errDecode != nil {
-		sc.Log.WithError(errDecode).Warn("customers' parts can't be read and begin anew")
+		sc.Log.WithError(errDecode).Warn("can't decode the customers' usage accounts; starting with empty ones")
 		me = fairshare.Snapshot{}
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.table.share.account.Restore(me)
-	te.table.share.saved = data
-	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' parts are known again")
+	te.table.usage.account.Restore(me)
+	te.table.usage.saved = data
+	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' usage accounts restored")
 	return nil
 }
 
-// Account returns what earlier schedulers kept of customers' parts, or nothing.
+// Account returns the stored encoded account, or nil if there is none.
 func (ke *Store) Account(ctx context.Context) ([]byte, error) {
 	it, err := ke.Client.Get(ctx, accountKey)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
@@ -91,17 +88,16 @@
 	return it.Value, nil
 }
 
-// writeAccount applies a transaction that replaces the account, as one that expects the
-// account that it replaces.
+// writeAccount applies a transaction that replaces the account, with the expected version of
+// the replaced one.
 //
-// Sequence: a write gets no answer and is sent once more, which succeeds. Others follow, and
-// then the first one is applied: without the expectation, the account would be an old one
-// again. After a conflict the same transaction is sent for the version that is there, unless
-// it was applied before. As it also expects the lease, its account is the newest. So nothing
-// else in it may depend on the account that it replaces.
+// Otherwise a write that timed out and was retried could still be applied after later writes,
+// and restore an old account. After a conflict the transaction is retried with the current
+// version unless it was applied already. It also expects the lease, so its account is the
+// newest. Nothing else in it may depend on the replaced account.
 func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
-	for range accountTries {
+	for range maxAccountTries {
 		version, known := ke.account.get()
 		if !known {
 			if _, err = ke.Account(ctx); err != nil {
@@ -110,7 +106,7 @@
 			version, _ = ke.account.get()
 		}
 		tx.Expects = append(expects[:len(expects):len(expects)], keyvalue.Expectation{Key: accountKey, Version: version})
-		written, err := ke.settle(ctx, tx)
+		written, err := ke.commit(ctx, tx)
 		if err == nil {
 			ke.account.set(written)
 			return true, nil
@@ -120,7 +116,7 @@
 			return false, err
 		}
 		// An earlier try of the same update may have been applied.
-		found, errGet := ke.applied(ctx, tx)
+		found, errGet := ke.appliedVersion(ctx, tx)
 		if found != 0 || errGet != nil {
 			return found != 0, errGet
 		}
@@ -128,11 +124,11 @@
 	return false, keyvalue.ErrConflict
 }
 
-// accountTries is how often a write of the account is tried: once more if the account was
-// another than the one that was known.
-const accountTries = 2
+// maxAccountTries limits the attempts to write the account: one retry after a version conflict.
+const maxAccountTries = 2
 
-// An accountVersion is the version of the account's key, if it is known. The zero accountVersion isn't.
+// An accountVersion is the version of the account's key, if known. It is safe for concurrent
+// use. The zero value is unknown.
 type accountVersion struct {
 	known   bool
 	mu      sync.Mutex
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -15,17 +15,17 @@
 	ta.Accept(stepOf("s", 2), StoredStep{}, false, begin)
 	ta.Place(begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 2, 1), begin)
-	assert.Equal(t, len(ta.Due(begin)), 0, "half a group")
+	assert.Equal(t, len(ta.DueChunks(begin)), 0, "half a group")
 	end(ta, t, "s", 1, runner.Complete, events(1, 1, 1), begin)
-	chunks := ta.Due(begin)
+	chunks := ta.DueChunks(begin)
 	assert.DeepEqual(t, chunks, []Chunk{{Step: "s", Results: []Result{
 		{Item: "s-0-0", Text: []byte("e1\ne2"), Versions: []uint64{1}},
 		{Item: "s-0-1", Text: []byte("e1"), Versions: []uint64{1}},
 	}}})
-	assert.DeepEqual(t, ta.Due(begin), chunks) // until it is known to be written
-	ta.Listed(chunks, begin)
-	assert.Equal(t, len(ta.Due(begin.Add(time.Hour))), 0)
-	assert.Equal(t, len(ta.steps["s"].listing(1).Results), 1)
+	assert.DeepEqual(t, ta.DueChunks(begin), chunks) // until it is known to be written
+	ta.ChunksListed(chunks, begin)
+	assert.Equal(t, len(ta.DueChunks(begin.Add(time.Hour))), 0)
+	assert.Equal(t, len(ta.steps["s"].listingFrom(1).Results), 1)
 }
 
 func TestResume(t *testing.T) {
@@ -68,7 +68,7 @@
 			for i, version := range tc.versions {
 				evs = append(evs, runner.Event{ID: int64(i + 1), Version: version})
 			}
-			assert.Equal(t, st.fits(evs), tc.usable)
+			assert.Equal(t, st.allows(evs), tc.usable)
 		})
 	}
 }
@@ -81,16 +81,16 @@
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 	ta.SetVersion("model", 2)
-	ta.Weights(begin)
+	ta.OrderLoads(begin)
 	rq, _ := ta.Request("a")
 	assert.Equal(t, rq.Order.Version, uint64(2))
-	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
-	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 2}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 2}}}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 }
 
-func TestGivenUpItems(t *testing.T) {
+func TestAbandonedItems(t *testing.T) {
 	// Guards against items that run for ever, and items abandoned too early.
 	for _, tc := range []struct {
 		name   string
@@ -130,28 +130,28 @@
 	rq, _ := ta.Request("a")
 	assert.Equal(t, len(rq.Launches), 0)
 	assert.Equal(t, len(rq.Forget), 2)
-	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: key, Events: events(1, 2, 1)}}}, begin)
-	assert.Equal(t, len(ta.Due(begin.Add(time.Hour))), 0)
-	assert.DeepEqual(t, ta.Forget(time.Minute, begin.Add(time.Hour)), []string{"s"})
+	respond(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: key, Events: events(1, 2, 1)}}}, begin)
+	assert.Equal(t, len(ta.DueChunks(begin.Add(time.Hour))), 0)
+	assert.DeepEqual(t, ta.DropOldSteps(time.Minute, begin.Add(time.Hour)), []string{"s"})
 }
 
 // Guards against a memory leak: the wait queue and the group order of a step that has ended
 // must not reference its items.
-func TestEndedStepsLetGoOfTheirItems(t *testing.T) {
+func TestEndedStepsReleaseItems(t *testing.T) {
 	for _, due := range []time.Duration{0, 7500 * time.Millisecond} { // without and with planned capacity
 		ta := tableOf(t, 1, "a")
 		st := stepOf("s", 100, 100)
 		st.Due = due
 		ta.Accept(st, StoredStep{}, false, begin)
 		ta.Place(begin)
-		assert.Equal(t, ta.crowded(st.Service), due > 0)
+		assert.Equal(t, ta.overloaded(st.Service), due > 0)
 		assert.Equal(t, ta.steps["s"].queue.built, due == 0)
 		ta.End("s")
-		ta.Place(begin.Add(tickEvery))
+		ta.Place(begin.Add(tickInterval))
 		sr := ta.steps["s"]
-		assert.Equal(t, len(sr.items)+len(sr.list)+len(ta.stale), 0)
-		if rm := ta.rooms[st.Service]; rm != nil {
-			assert.Equal(t, len(rm.withRoom)+len(rm.without), 0)
+		assert.Equal(t, len(sr.items)+len(sr.groupList)+len(ta.staleGroups), 0)
+		if sp := ta.servicePlans[st.Service]; sp != nil {
+			assert.Equal(t, len(sp.reserved)+len(sp.unreserved), 0)
 		}
 		assert.DeepEqual(t, sr.queue.built, false)
 		for _, wq := range sr.queue.queues {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestMovesKeepTheirPlace(t *testing.T) {
+func TestMovedRunKeepsReservedSlot(t *testing.T) {
 	// Guards against losing the target slot of a moved run to a waiting item while the
 	// run stops.
 	ta := tableOf(t, 1, "a", "b", "c")
@@ -178,21 +178,21 @@
 				re.Report.Pace = 160 * time.Millisecond
 				re.Runs = []runner.Progress{{Events: events(1, 2, 1), Key: key}}
 			}
-			hear(ta, id, re, now)
+			respond(ta, id, re, now)
 		}
 		ta.MeasurePace(now)
 		ta.MoveStragglers(now)
 	}
 	ir := ta.steps["s"].items[0]
 	assert.Assert(t, ir.run.stopping)
-	to := ir.target
+	to := ir.moveTarget
 	ta.Accept(stepOf("t", 9), StoredStep{}, false, begin)
 	ta.Place(now)
-	hear(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
+	respond(ta, from, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 2, 1), Key: key, State: runner.Stopped}}}, now)
 	ta.Place(now)
-	assert.Equal(t, ir.run.engine, to)
+	assert.Equal(t, ir.run.engineID, to)
 	for _, en := range ta.engines {
-		assert.Equal(t, len(en.coming), 0, en.id)
+		assert.Equal(t, len(en.incoming), 0, en.id)
 	}
 }
 
@@ -206,7 +206,7 @@
 	}
 	addEngines(ta, begin, ids...)
 	for _, id := range ids {
-		hear(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"x": 1, "y": 1, "z": 1}}}, begin)
+		respond(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"x": 1, "y": 1, "z": 1}}}, begin)
 	}
 	for model, size := range map[string]int{"x": 60, "y": 30, "z": 10} {
 		st := stepOf("step-"+model, size)
@@ -216,11 +216,11 @@
 	}
 	have := map[string]int{}
 	for range len(ids) {
-		ta.Weights(begin)
-		for _, en := range ta.sorted {
+		ta.OrderLoads(begin)
+		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				have[en.order.Model]++
-				hear(ta, en.id, runner.ExchangeResponse{
+				respond(ta, en.id, runner.ExchangeResponse{
 					Report: runner.Report{Versions: map[string]uint64{en.order.Model: en.order.Version}},
 				}, begin)
 			}
@@ -238,10 +238,10 @@
 		st := stepOf(id, 1)
 		st.Accepted = begin.Add(time.Duration(i) * time.Second)
 		ta.Accept(st, StoredStep{}, false, begin)
-		ta.Listed([]Chunk{{Step: id, Results: []Result{{Item: id + "-0-0", Text: make([]byte, cachedResults/2)}}}}, begin)
+		ta.ChunksListed([]Chunk{{Step: id, Results: []Result{{Item: id + "-0-0", Text: make([]byte, maxCachedResults/2)}}}}, begin)
 		ta.End(id)
 	}
-	ta.Forget(time.Hour, begin)
+	ta.DropOldSteps(time.Hour, begin)
 	held := map[string]int{}
 	for id, sr := range ta.steps {
 		held[id] = len(sr.results)
@@ -260,7 +260,7 @@
 	}
 	addEngines(ta, begin, ids...)
 	for _, id := range ids {
-		hear(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}}}, begin)
+		respond(ta, id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}}}, begin)
 	}
 	loads := map[string]int{}
 	for round := range 40 { // four loads each; the versions need twenty
@@ -269,11 +269,11 @@
 				ta.SetVersion(model, uint64(2+round/4))
 			}
 		}
-		ta.Weights(begin)
-		for _, en := range ta.sorted {
+		ta.OrderLoads(begin)
+		for _, en := range ta.sortedEngines {
 			if en.order != nil {
 				loads[en.order.Model]++
-				hear(ta, en.id, runner.ExchangeResponse{
+				respond(ta, en.id, runner.ExchangeResponse{
 					Report: runner.Report{Versions: map[string]uint64{en.order.Model: en.order.Version}},
 				}, begin)
 			}
@@ -285,10 +285,10 @@
 func TestLoadingEngineBeginsOtherModels(t *testing.T) {
 	// An engine that loads weights of one model still starts runs of other models.
 	ta := tableOf(t, 1, "a")
-	hear(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
+	respond(ta, "a", runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "other": 1}}}, begin)
 	ta.SetVersion("other", 2)
-	ta.Weights(begin)
-	hear(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
+	ta.OrderLoads(begin)
+	respond(ta, "a", runner.ExchangeResponse{Ordered: 2, Report: runner.Report{Busy: true}}, begin)
 	st := stepOf("other-step", 1)
 	st.Model = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
@@ -298,7 +298,7 @@
 	assert.Equal(t, ta.steps["other-step"].items[0].state, waiting)
 }
 
-func TestLengthOfAGroupThatWasNotRead(t *testing.T) {
+func TestLengthOfUnreadGroup(t *testing.T) {
 	// The length of an item is also remembered if its group was complete but not read
 	// before the step ended: the group may come again in a later step.
 	for _, listed := range []bool{false, true} {
@@ -307,15 +307,15 @@
 		ta.Place(begin)
 		end(ta, t, "s", 0, runner.Complete, events(1, 40, 1), begin)
 		if listed {
-			ta.Listed(ta.Due(begin.Add(time.Hour)), begin)
+			ta.ChunksListed(ta.DueChunks(begin.Add(time.Hour)), begin)
 		}
 		ta.End("s")
 		again := stepOf("s", 1)
 		again.ID, again.MinVersion = "again", 2
 		ta.Accept(again, StoredStep{}, false, begin)
-		assert.Equal(t, ta.steps["again"].items[0].known, 40)
+		assert.Equal(t, ta.steps["again"].items[0].knownEvents, 40)
 		ta.End("again")
-		ta.Forget(time.Hour, begin.Add(reuseTime+1))
-		assert.Equal(t, len(ta.lengths), 0)
+		ta.DropOldSteps(time.Hour, begin.Add(reuseRetention+1))
+		assert.Equal(t, len(ta.knownLengths), 0)
 	}
 }
