--- a/gate/estimate.go
+++ b/gate/estimate.go
@@ -3,26 +3,23 @@
 import "time"
 
 const (
-	// smoothing is the weight of the newest service time in its moving
-	// average.
+	// smoothing is the weight of the newest service time in its moving average.
 	smoothing = 0.1
-	// probeAfter is how long after the last answer a service time is no
-	// longer held to be known.
-	probeAfter = time.Second
-	// unknownDivisor makes a part of MaxRetry the time between two refused
-	// callers for as long as no service time is known.
-	unknownDivisor = 10
+	// estimateLifetime is how long a service time stays valid after the last answer.
+	estimateLifetime = time.Second
+	// unknownRetryDivisor divides MaxRetry into the interval between retries while no service time is
+	// known.
+	unknownRetryDivisor = 10
 )
 
-// An estimate is what the gate has learned of how long requests run. It is
-// empty until a request of the class was answered whole.
+// An estimate holds the mean service time of each class, 0 until the first whole answer.
 type estimate struct {
-	at   [classes]time.Time // of the last answer
-	mean [classes]time.Duration
+	at   [classCount]time.Time // time of the last answer
+	mean [classCount]time.Duration
 }
 
-// learn takes in how long a request ran.
-func (es *estimate) learn(now time.Time, cl Class, ran time.Duration) {
+// record adds a service time to the moving average.
+func (es *estimate) record(now time.Time, cl Class, ran time.Duration) {
 	es.at[cl] = now
 	if es.mean[cl] == 0 {
 		es.mean[cl] = ran
@@ -31,13 +28,12 @@
 	es.mean[cl] += time.Duration(smoothing * float64(ran-es.mean[cl]))
 }
 
-// each returns the time between two places that fall free for a class, or 0
-// if it is not known yet.
-func (ta *Table) each(cl Class) time.Duration {
+// slotInterval returns the mean time between two slots that become free for a class, or 0 if unknown.
+func (ta *Table) slotInterval(cl Class) time.Duration {
 	if cl == Sample {
-		return ta.estimate.mean[Sample] / time.Duration(max(1, ta.samplePlaces()))
+		return ta.estimate.mean[Sample] / time.Duration(max(1, ta.sampleSlots()))
 	}
-	var rate float64 // places that fall free in a nanosecond
+	var rate float64 // freed slots per nanosecond
 	for other, mean := range ta.estimate.mean {
 		if mean > 0 {
 			rate += float64(ta.running[other]) / float64(mean)
@@ -49,7 +45,7 @@
 	return time.Duration(1 / rate)
 }
 
-// wait returns how long a request that arrives now would wait for a place.
+// wait returns the expected queueing time of a request that arrives now.
 func (ta *Table) wait(cl Class) time.Duration {
 	ahead := len(ta.waiting[cl]) + 1 - ta.free(cl)
 	if ta.policy.Order == FirstInFirstOut {
@@ -58,26 +54,25 @@
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead) * ta.each(cl)
+	return time.Duration(ahead) * ta.slotInterval(cl)
 }
 
-// comeBack returns the time that a refused caller is told to wait. Each
-// refusal gets the next place of a queue of those sent away: were all told
-// the same time, they would return together and be refused together.
-func (ta *Table) comeBack(now time.Time, cl Class) time.Duration {
-	each := ta.each(cl)
+// retryAfter returns the Retry-After time of a refusal. Successive refusals get increasing times, so
+// that refused callers don't all return at once.
+func (ta *Table) retryAfter(now time.Time, cl Class) time.Duration {
+	each := ta.slotInterval(cl)
 	if each == 0 {
-		each = ta.policy.MaxRetry / unknownDivisor
+		each = ta.policy.MaxRetry / unknownRetryDivisor
 	}
 	soonest := now.Add(max(each, ta.wait(cl)))
-	if ta.returns[cl].Before(soonest) {
-		ta.returns[cl] = soonest
+	if ta.retryAt[cl].Before(soonest) {
+		ta.retryAt[cl] = soonest
 	}
 	latest := now.Add(ta.policy.MaxRetry)
-	if ta.returns[cl].After(latest) {
-		ta.returns[cl] = latest
+	if ta.retryAt[cl].After(latest) {
+		ta.retryAt[cl] = latest
 	}
-	wait := ta.returns[cl].Sub(now)
-	ta.returns[cl] = ta.returns[cl].Add(each)
+	wait := ta.retryAt[cl].Sub(now)
+	ta.retryAt[cl] = ta.retryAt[cl].Add(each)
 	return max(wait.Round(time.Millisecond), time.Millisecond)
 }
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,6 +1,5 @@
-// Package gate decides which requests an attendant writes to its endpoint,
-// and when. Engines admit whatever arrives and know no priorities, so the
-// gate keeps an endpoint's running set just full enough and holds the rest.
+// Package gate limits and orders the requests that an attendant sends to its endpoint. Engines
+// admit all requests and have no priorities, so excess requests queue here.
 package gate
 
 import (
@@ -11,16 +10,16 @@
 	"wisteriacroft/outcome"
 )
 
-// A Gate admits the requests of one endpoint. It wraps a Table for callers
-// that wait, and is safe for concurrent use.
+// A Gate admits the requests of one endpoint. It is safe for concurrent use; a Table makes its
+// decisions.
 type Gate struct {
-	changed chan struct{} // closed and replaced when a row leaves
+	changed chan struct{} // closed and replaced by run
 	mu      sync.Mutex
 	table   *Table
 	waiters map[string]chan Decision // by request id
 }
 
-// NewGate returns a gate under a policy.
+// NewGate returns a gate with a policy.
 func NewGate(po Policy) *Gate {
 	return &Gate{
 		changed: make(chan struct{}),
@@ -29,17 +28,16 @@
 	}
 }
 
-// Acquire waits until the request may be written to the endpoint. Its error is
-// a *fate.Refusal that says not-run. A caller that goes away while its request
-// waits ends ctx: the request is taken out and never runs.
+// Acquire waits until the request may be sent to the endpoint. Its error is a *outcome.Refusal with
+// outcome not-run. When ctx ends, the request leaves the queue and never runs.
 func (ga *Gate) Acquire(ctx context.Context, req Request) (*Ticket, error) {
-	decided, giveUp, re := ga.add(req)
+	decided, expireAt, re := ga.add(req)
 	if re != nil {
 		return nil, re
 	}
 	var expired <-chan time.Time
-	if !giveUp.IsZero() {
-		ti := time.NewTimer(time.Until(giveUp))
+	if !expireAt.IsZero() {
+		ti := time.NewTimer(time.Until(expireAt))
 		defer ti.Stop()
 		expired = ti.C
 	}
@@ -54,13 +52,13 @@
 			ga.Tick(now)
 		case <-ctx.Done():
 			ga.remove(req.ID, NotSent)
-			return nil, outcome.NewRefusal(outcome.Refused, req.ID, "caller went away before the request started")
+			return nil, outcome.NewRefusal(outcome.Refused, req.ID, "caller disconnected before the request started")
 		}
 	}
 }
 
-// add puts a request into the table and returns the channel on which its
-// decision comes.
+// add queues a request. It returns the channel of its decision and the time at which it expires, if
+// any.
 func (ga *Gate) add(req Request) (<-chan Decision, time.Time, *outcome.Refusal) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -70,12 +68,12 @@
 	}
 	decided := make(chan Decision, 1)
 	ga.waiters[req.ID] = decided
-	giveUp := ga.table.rows[req.ID].giveUp
+	expireAt := ga.table.rows[req.ID].expireAt
 	ga.run(now)
-	return decided, giveUp, nil
+	return decided, expireAt, nil
 }
 
-// remove takes a request out and lets others start.
+// remove removes a request and starts waiting ones.
 func (ga *Gate) remove(id string, out Result) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -85,7 +83,7 @@
 	ga.run(now)
 }
 
-// run tells those that wait what the table decides. The caller holds mu.
+// run delivers the table's decisions to the waiting callers. The caller holds mu.
 func (ga *Gate) run(now time.Time) {
 	for _, de := range ga.table.Dispatch(now) {
 		ga.waiters[de.ID] <- de
@@ -95,16 +93,15 @@
 	ga.changed = make(chan struct{})
 }
 
-// Tick gives up on the requests that can't start in time. Those that wait in
-// Enter see to it themselves; a tick loop may call it too.
+// Tick refuses requests that can't start in time. Acquire calls it when its own request expires; a
+// tick loop may call it too.
 func (ga *Gate) Tick(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.run(now)
 }
 
-// Close refuses new requests with leaving. Those that wait may still start
-// until the grace ends.
+// Close refuses new requests as leaving. Waiting requests may start until grace has passed.
 func (ga *Gate) Close(now time.Time, grace time.Duration) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -112,7 +109,7 @@
 	time.AfterFunc(grace, func() { ga.Tick(time.Now()) })
 }
 
-// Drained waits until no request runs or waits, or until ctx ends.
+// Drained waits until no request is running or waiting, or until ctx ends.
 func (ga *Gate) Drained(ctx context.Context) error {
 	for {
 		ga.mu.Lock()
@@ -129,14 +126,14 @@
 	}
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and waiting requests.
 func (ga *Gate) Load() Load {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.table.Load()
 }
 
-// Observe takes in what the endpoint reports of itself, with a lag.
+// Observe processes a load report of the endpoint, which may be delayed.
 func (ga *Gate) Observe(now time.Time, reported Load) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -144,7 +141,7 @@
 	ga.run(now)
 }
 
-// SetPolicy puts another policy in force for all decisions from now on.
+// SetPolicy replaces the policy.
 func (ga *Gate) SetPolicy(now time.Time, po Policy) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/gate/limit.go
+++ b/gate/limit.go
@@ -3,59 +3,53 @@
 import "time"
 
 const (
-	// adjustEvery is the least time between two changes of the learned
-	// limit. The endpoint's report lags, so a change must first show in it.
+	// adjustEvery is the minimum time between two changes of the limit. Reports are delayed, so
+	// each change must first take effect in them.
 	adjustEvery = time.Second
-	// peakFade is how long the highest number of live calls is remembered.
-	peakFade = 10 * time.Second
-	// peakPart is the part of the highest number of live calls for which
-	// places are kept. With the whole of it live calls fare no better and samples worse, with none
-	// the p99 of live calls beside samples is a quarter higher
-	// (docs/design/live-calls.md has the figures).
-	peakPart = 0.75
-	// queueLasts is for how long an endpoint must report a queue of its own
-	// before the limit falls. It is longer than an engine loads weights.
-	queueLasts = 10 * time.Second
+	// peakDecay is the time after which the peak of live calls starts to decay.
+	peakDecay = 10 * time.Second
+	// reservedFraction is the fraction of the peak of live calls for which slots are reserved.
+	reservedFraction = 0.75
+	// minQueueTime is how long an endpoint must report a queue before the limit falls. It is longer
+	// than an engine takes to load weights.
+	minQueueTime = 10 * time.Second
 )
 
-// free returns how many places a class may take now.
+// free returns the number of slots that a class may occupy now.
 func (ta *Table) free(cl Class) int {
 	free := ta.limit - ta.running[Live] - ta.running[Sample]
 	if cl == Sample && ta.policy.Order == LiveFirst {
-		free = min(free, ta.samplePlaces()-ta.running[Sample])
+		free = min(free, ta.sampleSlots()-ta.running[Sample])
 	}
 	return free
 }
 
-// samplePlaces returns how many samples may run at once. The reserve follows
-// the highest recent number of live calls, up to half the limit: samples run
-// so long that a live call that waits for one to end has already failed.
-func (ta *Table) samplePlaces() int {
-	reserve := max(ta.policy.LiveReserve, min(int(peakPart*float64(ta.peak)), ta.limit/2))
+// sampleSlots returns the maximum number of running samples. The reserve follows the recent peak
+// of live calls, up to half the limit: a live call can't wait for a sample to end.
+func (ta *Table) sampleSlots() int {
+	reserve := max(ta.policy.LiveReserve, min(int(reservedFraction*float64(ta.peak)), ta.limit/2))
 	return max(1, ta.limit-reserve)
 }
 
-// notePeak remembers the highest recent number of live calls.
-func (ta *Table) notePeak(now time.Time) {
+// updatePeak updates the recent peak of live calls.
+func (ta *Table) updatePeak(now time.Time) {
 	live := ta.running[Live] + len(ta.waiting[Live])
 	if live >= ta.peak {
 		ta.peak, ta.peakAt = live, now
 		return
 	}
-	if now.Sub(ta.peakAt) >= peakFade {
+	if now.Sub(ta.peakAt) >= peakDecay {
 		ta.peak, ta.peakAt = ta.peak-1, now
 	}
 }
 
-// Observe takes in the load that the endpoint reports of itself, with a lag.
-// An endpoint that holds a queue of its own has been given too much: what
-// waits there is out of reach of every priority. The limit then falls, and
-// rises by one at a time while requests wait here and none there.
+// Observe adapts the limit to a load report of the endpoint. Requests that queue in the endpoint
+// can't be prioritized, so a queue that lasts for queueLasts lowers the limit. The limit rises by
+// one at a time while requests wait here and none in the endpoint.
 //
-// A healthy engine too shows as waiting what came since its last step, and all
-// that comes while it loads weights. Were the limit cut for that, it would fall
-// to one: engines idle before full queues. So only a queue that lasts counts,
-// and the limit stays above the most that the endpoint ran meanwhile.
+// Short queues are ignored, and the limit stays at or above the most requests that ran meanwhile: a
+// healthy engine queues requests between steps and while it loads weights, and would otherwise be
+// throttled until it idles.
 func (ta *Table) Observe(now time.Time, reported Load) {
 	if reported.Waiting == 0 {
 		ta.queuedSince, ta.queuedRunning = time.Time{}, 0
@@ -68,7 +62,7 @@
 	}
 	held := len(ta.waiting[Live])+len(ta.waiting[Sample]) > 0
 	switch {
-	case reported.Waiting > 0 && now.Sub(ta.queuedSince) >= queueLasts:
+	case reported.Waiting > 0 && now.Sub(ta.queuedSince) >= minQueueTime:
 		drop := min(reported.Waiting, max(1, ta.limit/4))
 		ta.limit = max(ta.policy.MinRunning, min(ta.limit, ta.queuedRunning), ta.limit-drop)
 	case reported.Waiting == 0 && held && ta.limit < ta.policy.MaxRunning:
--- a/gate/overload_test.go
+++ b/gate/overload_test.go
@@ -21,9 +21,9 @@
 // An endpointModel runs up to full requests at their normal speed; with more requests it slows all
 // of them down in proportion.
 type endpointModel struct {
-	full    int
-	mu      sync.Mutex
-	running int
+	capacity int
+	mu       sync.Mutex
+	running  int
 }
 
 // add adds n to the number of running requests and returns the sum.
@@ -36,36 +36,36 @@
 
 func (en *endpointModel) serve(work time.Duration) {
 	running := en.add(1)
-	time.Sleep(time.Duration(float64(work) * max(1, float64(running)/float64(en.full))))
+	time.Sleep(time.Duration(float64(work) * max(1, float64(running)/float64(en.capacity))))
 	en.add(-1)
 }
 
 // A load generates requests for a gate and counts their outcomes.
 type load struct {
-	admit    func(ctx context.Context, req Request) (*Ticket, error)
-	endpoint endpointModel
-	every    time.Duration // mean time between arrivals
-	good     int           // answered before the deadline
-	held     int           // refused after a wait in the queue
-	late     int           // answered after the deadline
-	mu       sync.Mutex    // guards the counters and histograms
-	refused  int
-	rng      *rand.Rand
-	slowest  time.Duration // slowest refusal
-	timeout  time.Duration
-	waits    *hdrhistogram.Histogram // answer times in microseconds
-	waitSum  time.Duration           // sum of the Retry-After times of refusals
-	work     time.Duration           // mean service time
+	admit         func(ctx context.Context, req Request) (*Ticket, error)
+	endpoint      endpointModel
+	every         time.Duration // mean time between arrivals
+	inTime        int           // answered before the deadline
+	expired       int           // refused after a wait in the queue
+	late          int           // answered after the deadline
+	mu            sync.Mutex    // guards the counters and histograms
+	refused       int
+	rng           *rand.Rand
+	slowest       time.Duration // slowest refusal
+	timeout       time.Duration
+	answerTimes   *hdrhistogram.Histogram // in microseconds
+	retryAfterSum time.Duration           // sum of the Retry-After times of refusals
+	work          time.Duration           // mean service time
 }
 
 func newLoad(ga *Gate, seed uint64) *load {
 	return &load{
-		admit:    ga.Acquire,
-		endpoint: endpointModel{full: 8},
-		rng:      rand.New(rand.NewPCG(seed, 1)),
-		timeout:  time.Second,
-		waits:    hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
-		work:     100 * time.Millisecond,
+		admit:       ga.Acquire,
+		endpoint:    endpointModel{capacity: 8},
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		timeout:     time.Second,
+		answerTimes: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
+		work:        100 * time.Millisecond,
 	}
 }
 
@@ -82,12 +82,12 @@
 			ID:       fmt.Sprintf("%s-%d", name, i),
 			Profile:  name,
 		}
-		wg.Go(func() { lo.one(req, work) })
+		wg.Go(func() { lo.send(req, work) })
 	}
 	wg.Wait()
 }
 
-func (lo *load) one(req Request, work time.Duration) {
+func (lo *load) send(req Request, work time.Duration) {
 	begun := time.Now()
 	ti, err := lo.admit(context.Background(), req)
 	if err == nil {
@@ -99,29 +99,29 @@
 	defer lo.mu.Unlock()
 	if err != nil {
 		if time.Since(begun) > 0 {
-			lo.held++
+			lo.expired++
 		}
 		lo.refused++
 		lo.slowest = max(lo.slowest, time.Since(begun))
 		var re *outcome.Refusal
 		if errors.As(err, &re) {
-			lo.waitSum += re.RetryDelay()
+			lo.retryAfterSum += re.RetryDelay()
 		}
 		return
 	}
-	lo.waits.RecordValue(time.Since(begun).Microseconds())
+	lo.answerTimes.RecordValue(time.Since(begun).Microseconds())
 	if time.Now().After(req.Deadline) {
 		lo.late++
 		return
 	}
-	lo.good++
+	lo.inTime++
 }
 
-// done returns the number of requests answered before their deadline.
-func (lo *load) done() int {
+// answeredInTime returns the number of requests answered before their deadline.
+func (lo *load) answeredInTime() int {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
-	return lo.good
+	return lo.inTime
 }
 
 // Guards against goodput that collapses under overload because the endpoint works on requests whose
@@ -130,7 +130,7 @@
 	const lasts = 2 * time.Minute
 	var sb strings.Builder
 	good := map[string]int{}
-	fmt.Fprintln(&sb, "gate  load  good/s  late/s  refused/s  held/s  slowest-refusal  mean-retry-after  answer-p99")
+	fmt.Fprintln(&sb, "gate  load  in-time/s  late/s  refused/s  expired/s  slowest-refusal  mean-retry-after  answer-p99")
 	for _, gated := range []bool{true, false} {
 		for _, times := range []float64{1, 2, 4} {
 			synctest.Test(t, func(*testing.T) {
@@ -143,11 +143,11 @@
 				}
 				lo.run(Live, "call", lasts)
 				key := fmt.Sprintf("%-5t %gx", gated, times)
-				good[key] = lo.good
+				good[key] = lo.inTime
 				secs := lasts.Seconds()
-				fmt.Fprintf(&sb, "%s    %.1f  %.1f  %.1f  %.2f  %s  %s  %s\n", key, float64(lo.good)/secs, float64(lo.late)/secs,
-					float64(lo.refused)/secs, float64(lo.held)/secs, lo.slowest, (lo.waitSum / time.Duration(max(1, lo.refused))).Round(time.Millisecond),
-					time.Duration(lo.waits.ValueAtQuantile(99))*time.Microsecond)
+				fmt.Fprintf(&sb, "%s    %.1f  %.1f  %.1f  %.2f  %s  %s  %s\n", key, float64(lo.inTime)/secs, float64(lo.late)/secs,
+					float64(lo.refused)/secs, float64(lo.expired)/secs, lo.slowest, (lo.retryAfterSum / time.Duration(max(1, lo.refused))).Round(time.Millisecond),
+					time.Duration(lo.answerTimes.ValueAtQuantile(99))*time.Microsecond)
 			})
 		}
 	}
@@ -168,16 +168,16 @@
 				live.every, live.timeout = 50*time.Millisecond, 10*time.Second
 				others := newLoad(ga, 2)
 				others.every, others.timeout, others.work = 500*time.Millisecond, time.Hour, 10*time.Second
-				others.endpoint.full = 16
+				others.endpoint.capacity = 16
 				if samples {
 					go others.run(Sample, "sample", 3*time.Minute)
 					time.Sleep(30 * time.Second)
 				}
 				live.run(Live, "call", 2*time.Minute)
 				key := fmt.Sprintf("%s  %t", order, samples)
-				p99[key] = live.waits.ValueAtQuantile(99)
-				fmt.Fprintf(&sb, "%s  %s  %s  %d\n", key, time.Duration(live.waits.ValueAtQuantile(50))*time.Microsecond,
-					time.Duration(p99[key])*time.Microsecond, others.done())
+				p99[key] = live.answerTimes.ValueAtQuantile(99)
+				fmt.Fprintf(&sb, "%s  %s  %s  %d\n", key, time.Duration(live.answerTimes.ValueAtQuantile(50))*time.Microsecond,
+					time.Duration(p99[key])*time.Microsecond, others.answeredInTime())
 				time.Sleep(2 * time.Hour)
 			})
 		}
--- a/gate/policy.go
+++ b/gate/policy.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// A Discipline says which waiting request starts first.
+// A Discipline is the order in which waiting requests start.
 type Discipline string
 
 // The orders.
 const (
-	// FirstInFirstOut is the baseline: the order of arrival, whatever the
-	// class, with no share and no reserve.
+	// FirstInFirstOut starts requests in order of arrival, without classes, shares or a reserve.
 	FirstInFirstOut Discipline = "first-in-first-out"
-	// LiveFirst starts live calls before samples and shares what is left
-	// between trainers and profiles by weight.
+	// LiveFirst starts live calls before samples. Trainers and profiles share the remaining slots
+	// by weight.
 	LiveFirst Discipline = "live-first"
 )
 
@@ -23,40 +22,38 @@
 	defaultGiveUp      = 0.5
 	defaultMaxRetry    = 10 * time.Second
 	defaultMaxRunning  = 16
-	reserveDivisor     = 4 // the default reserve is MaxRunning divided by this
-	waitingPerRunning  = 4 // the default MaxWaiting is this times MaxRunning
+	reserveDivisor     = 4 // default LiveReserve is MaxRunning divided by this
+	waitingPerRunning  = 4 // default MaxWaiting is MaxRunning times this
 	defaultShareWeight = 1
 )
 
-// A Share is the weight of a trainer or, for requests that name no trainer,
-// of a profile.
+// A Share is the weight of a trainer, or of a profile for requests without a trainer.
 type Share struct {
 	Name   string
 	Weight int
 }
 
-// A ProfileLimit bounds what one profile may run and hold. 0 means no bound
-// of its own.
+// A ProfileLimit bounds the running and waiting requests of a profile. 0 means no bound.
 type ProfileLimit struct {
 	MaxRunning int
 	MaxWaiting int
 	Name       string
 }
 
-// A Policy says how a gate decides. The zero Policy has usable defaults.
+// A Policy configures a gate. The zero Policy has usable defaults.
 type Policy struct {
-	GiveUp      float64       // part of the time to the deadline that a request may wait; default 0.5
-	LiveReserve int           // places that samples may not take; default a quarter of MaxRunning, negative none
-	MaxRetry    time.Duration // longest time to come back; default 10s
+	GiveUp      float64       // fraction of the time to the deadline that a request may wait; default 0.5
+	LiveReserve int           // slots that samples may not occupy; default a quarter of MaxRunning, none if negative
+	MaxRetry    time.Duration // longest Retry-After time; default 10s
 	MaxRunning  int           // default 16
-	MaxWaiting  int           // for each class; default 4 times MaxRunning
-	MinRunning  int           // floor of the learned limit; default 1
+	MaxWaiting  int           // per class; default 4 times MaxRunning
+	MinRunning  int           // minimum of the adaptive limit; default 1
 	Order       Discipline    // default LiveFirst
 	Profiles    []ProfileLimit
 	Shares      []Share // default weight is 1
 }
 
-// withDefaults returns the policy with its defaults filled in.
+// withDefaults returns the policy with zero fields set to their defaults.
 func (po Policy) withDefaults() Policy {
 	po.GiveUp = cmp.Or(po.GiveUp, defaultGiveUp)
 	po.MaxRetry = cmp.Or(po.MaxRetry, defaultMaxRetry)
@@ -71,7 +68,6 @@
 	return po
 }
 
-// profile returns the limits of a profile.
 func (po Policy) profile(name string) ProfileLimit {
 	for _, li := range po.Profiles {
 		if li.Name == name {
@@ -81,7 +77,7 @@
 	return ProfileLimit{Name: name}
 }
 
-// weight returns the weight of a share.
+// weight returns the weight of a trainer or profile.
 func (po Policy) weight(name string) float64 {
 	for _, sh := range po.Shares {
 		if sh.Name == name && sh.Weight > 0 {
--- a/gate/request.go
+++ b/gate/request.go
@@ -10,15 +10,14 @@
 // A Class is the kind of work of a request.
 type Class int
 
-// The classes. The zero Class is Live, so that whoever forgets to set it
-// makes no caller wait behind samples.
+// The classCount. The zero Class is Live, the one that is never delayed by the other.
 const (
 	Live Class = iota
 	Sample
-	classes // how many there are
+	classCount // number of classes
 )
 
-// String returns the class's name.
+// String returns the name of the class.
 func (cl Class) String() string {
 	if cl == Sample {
 		return "sample"
@@ -26,17 +25,17 @@
 	return "live"
 }
 
-// A Request asks to be written to the endpoint.
+// A Request is a request for admission to the endpoint.
 type Request struct {
 	Class    Class
 	Deadline time.Time // zero means none
-	ID       string    // unique among those that wait and run
-	Priority int       // higher starts first within its share
+	ID       string    // unique among waiting and running requests
+	Priority int       // within its share, higher starts first
 	Profile  string
 	Trainer  string
 }
 
-// share returns the name under which the request gets its fair share.
+// share returns the name of the trainer or profile whose share the request uses.
 func (req Request) share() string {
 	if req.Trainer != "" {
 		return req.Trainer
@@ -44,32 +43,32 @@
 	return req.Profile
 }
 
-// A Load is how many requests run at an endpoint and wait before it.
+// A Load is the number of running and waiting requests of an endpoint.
 type Load struct {
-	Limit   int // how many may run; 0 if not known
+	Limit   int // maximum of running requests; 0 if unknown
 	Running int
 	Waiting int
 }
 
-// String returns the load in its form in message.LoadHeader.
+// String formats the load for message.LoadHeader.
 func (lo Load) String() string {
 	return fmt.Sprintf("%d/%d/%d", lo.Running, lo.Waiting, lo.Limit)
 }
 
-// ParseLoad reads a load from message.LoadHeader.
+// ParseLoad parses the value of message.LoadHeader.
 func ParseLoad(text string) (Load, error) {
 	var lo Load
 	_, err := fmt.Sscanf(text, "%d/%d/%d", &lo.Running, &lo.Waiting, &lo.Limit)
 	return lo, errors.Wrapf(err, "load %q", text)
 }
 
-// A Result is how a request left the endpoint.
+// A Result is how a request ended.
 type Result int
 
 // The outcomes.
 const (
-	Broken   Result = iota // written, but the answer is not whole
-	Canceled               // written, then given up on
-	NotSent                // no byte was written: it did not run
-	Whole                  // answered whole
+	Broken   Result = iota // sent, but the answer is incomplete
+	Canceled               // sent, then canceled
+	NotSent                // no byte was sent, so it did not run
+	Whole                  // answered completely
 )
--- a/gate/share.go
+++ b/gate/share.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// A share is what one trainer or profile has had of the endpoint: how long its
-// requests ran, divided by its weight, as a virtual time (start-time fair
-// queueing).
+// A share is the usage of a trainer or profile: the total run time of its requests divided by its
+// weight, as virtual time in seconds (start-time fair queueing).
 type share struct {
-	rows    int // that wait or run
+	rows    int // waiting and running
 	virtual float64
 }
 
-// joinShare counts a row to its share. A share that comes back from idleness
-// starts at the present virtual time: it can't save up for later.
+// joinShare adds a request to its share. A share that was idle starts at the current virtual time,
+// so that it can't accumulate credit.
 func (ta *Table) joinShare(name string) {
 	sh := ta.shares[name]
 	if sh == nil {
@@ -24,7 +23,7 @@
 	sh.rows++
 }
 
-// charge books the expected time of a row that starts to its share.
+// charge adds the expected run time of a starting request to its share.
 func (ta *Table) charge(ro *row) {
 	name := ro.request.share()
 	sh := ta.shares[name]
@@ -33,9 +32,8 @@
 	sh.virtual += ro.charged.Seconds() / ta.policy.weight(name)
 }
 
-// settleShare corrects the charge by how long the row really ran, and takes
-// the row out of its share.
-func (ta *Table) settleShare(ro *row, ran time.Duration) {
+// leaveShare replaces the charge by the actual run time and removes the request from its share.
+func (ta *Table) leaveShare(ro *row, ran time.Duration) {
 	name := ro.request.share()
 	sh := ta.shares[name]
 	if ro.running {
@@ -47,24 +45,22 @@
 	}
 }
 
-// next returns the index of the waiting row of a class that starts first, or
-// -1.
+// next returns the index of the waiting request of a class that starts first, or -1.
 func (ta *Table) next(cl Class) int {
 	best := -1
 	for i, ro := range ta.waiting[cl] {
 		if ta.profileFull(ro.request.Profile) {
 			continue
 		}
-		if best < 0 || ta.before(ro, ta.waiting[cl][best]) {
+		if best < 0 || ta.startsBefore(ro, ta.waiting[cl][best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// before reports whether one waiting row starts before another: the share
-// that has had least first, then by priority, then in order of arrival.
-func (ta *Table) before(ro, other *row) bool {
+// startsBefore reports whether ro starts startsBefore other: by least used share, then priority, then arrival.
+func (ta *Table) startsBefore(ro, other *row) bool {
 	if ta.policy.Order == LiveFirst {
 		mine, its := ta.shares[ro.request.share()], ta.shares[other.request.share()]
 		if mine.virtual != its.virtual {
--- a/gate/table.go
+++ b/gate/table.go
@@ -7,50 +7,50 @@
 	"wisteriacroft/outcome"
 )
 
-// A Decision starts a waiting request, or refuses it.
+// A Decision starts or refuses a waiting request.
 type Decision struct {
 	ID      string
-	Refusal *outcome.Refusal // nil: start it
+	Refusal *outcome.Refusal // nil if the request starts
 }
 
-// A row is one request that waits or runs.
+// A row is a waiting or running request.
 type row struct {
-	charged  time.Duration // booked to its share when it started
-	giveUp   time.Time     // refused if it has not started by then; zero means never
+	charged  time.Duration // run time charged to its share at the start
+	expireAt time.Time     // refused if not started by then; zero means never
 	request  Request
 	running  bool
 	sequence uint64
-	since    time.Time // when it started
+	since    time.Time // start time
 }
 
-// A Table holds the requests of one endpoint and decides over them. It does
-// no I/O, reads no clock and isn't safe for concurrent use: a Gate wraps it.
+// A Table holds the requests of one endpoint and decides which start. It does no I/O, reads no
+// clock and is not safe for concurrent use; a Gate wraps it.
 type Table struct {
 	adjusted      time.Time
 	closed        bool
-	closeAt       time.Time // end of the grace
+	closeAt       time.Time // end of the grace period
 	estimate      estimate
-	limit         int // how many may run, learned
-	peak          int // highest recent number of live calls
+	limit         int // current maximum of running requests
+	peak          int // recent peak of live calls
 	peakAt        time.Time
 	policy        Policy
-	profiles      map[string]*tally
-	queuedRunning int // most that the endpoint ran since queuedSince
-	// queuedSince is since when the endpoint reports a queue of its own, or zero.
+	profiles      map[string]*profileCounts
+	queuedRunning int // maximum of running requests reported since queuedSince
+	// queuedSince is the time since which the endpoint has reported a queue, or zero.
 	queuedSince time.Time
-	returns     [classes]time.Time // when the last refused caller was told to return
+	retryAt     [classCount]time.Time // latest return time given to a refused caller
 	rows        map[string]*row
-	running     [classes]int
+	running     [classCount]int
 	sequence    uint64
-	shares      map[string]*share // by trainer, or by profile where none is named
-	virtual     float64           // highest virtual time of a share that started a request, in seconds
-	waiting     [classes][]*row   // in order of arrival
+	shares      map[string]*share  // by trainer, or by profile for requests without a trainer
+	virtual     float64            // highest virtual time at the start of a request, in seconds
+	waiting     [classCount][]*row // in order of arrival
 }
 
-// NewTable returns a table under a policy.
+// NewTable returns a table with a policy.
 func NewTable(po Policy) *Table {
 	ta := &Table{
-		profiles: make(map[string]*tally),
+		profiles: make(map[string]*profileCounts),
 		rows:     make(map[string]*row),
 		shares:   make(map[string]*share),
 	}
@@ -59,76 +59,71 @@
 	return ta
 }
 
-// Add puts a request into the table, to be started by a Decision of Run, or
-// refuses it at once.
+// Add queues a request, to be started or refused by Dispatch, or refuses it at once.
 func (ta *Table) Add(now time.Time, req Request) *outcome.Refusal {
 	if ta.closed {
 		return outcome.NewRefusal(outcome.Leaving, req.ID, "endpoint is leaving")
 	}
 	if _, ok := ta.rows[req.ID]; ok {
-		return outcome.NewRefusal(outcome.InProgress, req.ID, "a request with this id waits or runs")
+		return outcome.NewRefusal(outcome.InProgress, req.ID, "a request with this id is waiting or running")
 	}
-	if re := ta.overload(now, req); re != nil {
+	if re := ta.checkOverload(now, req); re != nil {
 		return re
 	}
-	ro := &row{request: req, sequence: ta.sequence, giveUp: ta.giveUpAt(now, req)}
+	ro := &row{request: req, sequence: ta.sequence, expireAt: ta.expiry(now, req)}
 	ta.sequence++
 	ta.rows[req.ID] = ro
 	ta.joinShare(req.share())
-	ta.tally(req.Profile).waiting++
+	ta.counts(req.Profile).waiting++
 	ta.waiting[req.Class] = append(ta.waiting[req.Class], ro)
-	ta.notePeak(now)
+	ta.updatePeak(now)
 	return nil
 }
 
-// overload refuses a request that has no place to wait or that, by what is
-// known, would wait until it can no longer be answered in time. Without this
-// the endpoint spends its time on answers that come too late for their
-// callers, which shows as goodput that falls while load rises.
-func (ta *Table) overload(now time.Time, req Request) *outcome.Refusal {
+// checkOverload refuses a request for which the queue is full, or which would not be answered before its
+// deadline. Otherwise goodput collapses under load: the endpoint spends its time on answers that
+// arrive too late.
+func (ta *Table) checkOverload(now time.Time, req Request) *outcome.Refusal {
 	if ta.free(req.Class) > len(ta.waiting[req.Class]) && ta.canFinish(now, req) {
 		return nil
 	}
 	switch {
 	case len(ta.waiting[req.Class]) >= ta.policy.MaxWaiting:
-		return ta.refuse(now, req, fmt.Sprintf("%d %s requests wait already", ta.policy.MaxWaiting, req.Class))
-	case ta.profileCrowded(req.Profile):
-		return ta.refuse(now, req, fmt.Sprintf("profile %q has as many waiting as it may", req.Profile))
+		return ta.refuse(now, req, fmt.Sprintf("%d %s requests are already waiting", ta.policy.MaxWaiting, req.Class))
+	case ta.profileQueueFull(req.Profile):
+		return ta.refuse(now, req, fmt.Sprintf("queue of profile %q is full", req.Profile))
 	case !ta.canFinish(now, req):
-		return ta.refuse(now, req, "deadline is shorter than requests take here")
-	case ta.tooLate(now, req):
+		return ta.refuse(now, req, "deadline is shorter than the mean service time")
+	case ta.waitsTooLong(now, req):
 		return ta.refuse(now, req, "would wait too long to be answered before its deadline")
 	}
 	return nil
 }
 
-// tooLate reports whether a request would, by what is known, wait until it is
-// given up on. Service times vary, so that a wait may turn out longer: the
-// mean time of one request is left for that, so that nearly all refusals come
-// at once and not after half the time is gone.
-func (ta *Table) tooLate(now time.Time, req Request) bool {
+// waitsTooLong reports whether a request would probably expire in the queue. The margin of one mean
+// service time covers variance, so that most refusals are immediate instead of after the wait.
+func (ta *Table) waitsTooLong(now time.Time, req Request) bool {
 	if req.Deadline.IsZero() {
 		return false
 	}
 	starts := now.Add(ta.wait(req.Class) + ta.estimate.mean[req.Class])
-	return starts.After(ta.giveUpAt(now, req))
+	return starts.After(ta.expiry(now, req))
 }
 
-// canFinish reports whether a request could end in time if it started now.
-// When there was no answer for a while, one at a time is let in all the same:
-// were an endpoint that was slow given nothing more, nothing would show that it
-// is fast again, and it would stand idle for good.
+// canFinish reports whether a request would end in time if it started now. After probeAfter without
+// an answer one request is admitted regardless, to measure again: an endpoint that was slow once
+// would otherwise get no requests for good.
 func (ta *Table) canFinish(now time.Time, req Request) bool {
 	cl := req.Class
-	if ta.running[cl]+len(ta.waiting[cl]) == 0 && now.Sub(ta.estimate.at[cl]) >= probeAfter {
+	if ta.running[cl]+len(ta.waiting[cl]) == 0 && now.Sub(ta.estimate.at[cl]) >= estimateLifetime {
 		return true
 	}
 	return req.Deadline.IsZero() || req.Deadline.Sub(now) > ta.estimate.mean[req.Class]
 }
 
-// giveUpAt returns when a waiting request is given up on, early enough for its
-// caller to go elsewhere, or zero.
-func (ta *Table) giveUpAt(now time.Time, req Request) time.Time {
+// expiry returns the time at which a waiting request expires, early enough for its caller to
+// retry elsewhere, or zero.
+func (ta *Table) expiry(now time.Time, req Request) time.Time {
 	if req.Deadline.IsZero() {
 		return time.Time{}
 	}
@@ -136,32 +131,32 @@
 	return now.Add(time.Duration(ta.policy.GiveUp * float64(spare)))
 }
 
-// refuse returns a refusal with a time to come back.
+// refuse returns an overloaded refusal with a Retry-After time.
 func (ta *Table) refuse(now time.Time, req Request, why string) *outcome.Refusal {
 	re := outcome.NewRefusal(outcome.Overloaded, req.ID, why)
-	re.RetryAfter = ta.comeBack(now, req.Class).String()
+	re.RetryAfter = ta.retryAfter(now, req.Class).String()
 	return re
 }
 
-// Dispatch starts what may start and refuses what can't start in time.
+// Dispatch starts waiting requests while slots are free and refuses those that can't start in time.
 func (ta *Table) Dispatch(now time.Time) []Decision {
 	var des []Decision
 	for {
-		ro := ta.take()
+		ro := ta.dequeue()
 		if ro == nil {
 			break
 		}
 		ta.start(now, ro)
 		des = append(des, Decision{ID: ro.request.ID})
 	}
-	for cl := range classes {
+	for cl := range classCount {
 		des = append(des, ta.expire(now, cl)...)
 	}
-	ta.notePeak(now)
+	ta.updatePeak(now)
 	return des
 }
 
-// expire refuses the waiting rows of a class that are given up on.
+// expire refuses the expired waiting requests of a class.
 func (ta *Table) expire(now time.Time, cl Class) []Decision {
 	var des []Decision
 	kept := ta.waiting[cl][:0]
@@ -171,7 +166,7 @@
 			kept = append(kept, ro)
 			continue
 		}
-		ta.forget(ro, 0)
+		ta.deleteRow(ro, 0)
 		des = append(des, Decision{ID: ro.request.ID, Refusal: re})
 	}
 	clear(ta.waiting[cl][len(kept):])
@@ -179,19 +174,19 @@
 	return des
 }
 
-// expired returns the refusal of a waiting row that is given up on, or nil.
+// expired returns the refusal of a waiting request that has expired, or nil.
 func (ta *Table) expired(now time.Time, ro *row) *outcome.Refusal {
 	if ta.closed && !now.Before(ta.closeAt) {
-		return outcome.NewRefusal(outcome.Leaving, ro.request.ID, "endpoint has left before the request could start")
+		return outcome.NewRefusal(outcome.Leaving, ro.request.ID, "endpoint left before the request started")
 	}
-	if !ro.giveUp.IsZero() && !now.Before(ro.giveUp) {
+	if !ro.expireAt.IsZero() && !now.Before(ro.expireAt) {
 		return ta.refuse(now, ro.request, "waited too long to be answered before its deadline")
 	}
 	return nil
 }
 
-// take takes the row that starts next out of those that wait, or returns nil.
-func (ta *Table) take() *row {
+// dequeue removes and returns the waiting request that starts next, or nil.
+func (ta *Table) dequeue() *row {
 	cl, best := Live, -1
 	if ta.free(Live) > 0 {
 		best = ta.next(Live)
@@ -206,22 +201,22 @@
 		return nil
 	}
 	ro := ta.waiting[cl][best]
-	ta.unwait(cl, best)
+	ta.removeWaiting(cl, best)
 	return ro
 }
 
-// start lets a row run.
+// start marks a request as running.
 func (ta *Table) start(now time.Time, ro *row) {
 	ta.charge(ro)
 	ro.running = true
 	ro.since = now
 	ta.running[ro.request.Class]++
-	tl := ta.tally(ro.request.Profile)
+	tl := ta.counts(ro.request.Profile)
 	tl.waiting--
 	tl.running++
 }
 
-// Remove takes a request out, waiting or running.
+// Remove removes a waiting or running request.
 func (ta *Table) Remove(now time.Time, id string, out Result) {
 	ro := ta.rows[id]
 	if ro == nil {
@@ -231,44 +226,43 @@
 	if !ro.running {
 		for i, other := range ta.waiting[cl] {
 			if other == ro {
-				ta.unwait(cl, i)
+				ta.removeWaiting(cl, i)
 				break
 			}
 		}
-		ta.forget(ro, 0)
+		ta.deleteRow(ro, 0)
 		return
 	}
 	ran := now.Sub(ro.since)
 	ta.running[cl]--
 	if out == Whole {
-		ta.estimate.learn(now, cl, ran)
+		ta.estimate.record(now, cl, ran)
 	}
-	ta.forget(ro, ran)
+	ta.deleteRow(ro, ran)
 }
 
-// unwait takes the row at an index out of those that wait.
-func (ta *Table) unwait(cl Class, i int) {
+// removeWaiting removes the waiting request at an index.
+func (ta *Table) removeWaiting(cl Class, i int) {
 	wa := ta.waiting[cl]
 	copy(wa[i:], wa[i+1:])
 	wa[len(wa)-1] = nil
 	ta.waiting[cl] = wa[:len(wa)-1]
 }
 
-// forget drops a row that waits and runs no longer.
-func (ta *Table) forget(ro *row, ran time.Duration) {
-	ta.settleShare(ro, ran)
-	ta.untally(ro)
+// deleteRow deletes a request that is no longer in a queue and no longer runs.
+func (ta *Table) deleteRow(ro *row, ran time.Duration) {
+	ta.leaveShare(ro, ran)
+	ta.uncount(ro)
 	delete(ta.rows, ro.request.ID)
 }
 
-// Close refuses new requests with leaving. Those that wait may start until
-// the grace ends.
+// Close refuses new requests as leaving. Waiting requests may start until grace has passed.
 func (ta *Table) Close(now time.Time, grace time.Duration) {
 	ta.closed = true
 	ta.closeAt = now.Add(grace)
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and waiting requests.
 func (ta *Table) Load() Load {
 	return Load{
 		Limit:   ta.limit,
@@ -277,8 +271,7 @@
 	}
 }
 
-// SetPolicy puts another policy in force for all decisions from now on. What
-// runs goes on, also above a lower limit.
+// SetPolicy replaces the policy. Running requests continue even above a lower limit.
 func (ta *Table) SetPolicy(po Policy) {
 	before := ta.policy.MaxRunning
 	ta.policy = po.withDefaults()
--- a/gate/table_test.go
+++ b/gate/table_test.go
@@ -122,7 +122,7 @@
 			sc.add(call("c2", time.Minute), call("c3", 1900*time.Millisecond), call("c4", 4*time.Second), call("c5", 6*time.Second))
 			sc.add(call("c6", 6*time.Second), call("c7", 6*time.Second))
 		}},
-		{"slow for a while: one at a time is let in", Policy{}, func(sc *script) {
+		{"estimate expired: one request at a time is admitted", Policy{}, func(sc *script) {
 			sc.add(call("c1", time.Minute))
 			sc.after(10*time.Second, Whole, "c1")
 			sc.add(call("c2", 12*time.Second))
@@ -130,7 +130,7 @@
 			sc.add(call("c3", 12*time.Second), call("c4", 12*time.Second))
 			sc.after(500*time.Millisecond, Whole, "c3")
 		}},
-		{"given up on at half its time", Policy{LiveReserve: -1, MaxRunning: 1}, func(sc *script) {
+		{"expires after half of its time", Policy{LiveReserve: -1, MaxRunning: 1}, func(sc *script) {
 			sc.add(call("c1", time.Minute), call("c2", 10*time.Second))
 			sc.after(4999*time.Millisecond, Whole)
 			sc.after(time.Millisecond, Whole)
@@ -142,15 +142,15 @@
 			sc.after(time.Second, Whole, "c1")
 			sc.after(9*time.Second, Whole)
 		}},
-		{"one id twice", Policy{}, func(sc *script) { sc.add(call("c1", time.Hour), call("c1", time.Hour)) }},
-		{"an endpoint that queues itself is given less, then more", Policy{LiveReserve: -1, MaxRunning: 4}, func(sc *script) {
+		{"duplicate id", Policy{}, func(sc *script) { sc.add(call("c1", time.Hour), call("c1", time.Hour)) }},
+		{"limit falls while the endpoint queues, then rises", Policy{LiveReserve: -1, MaxRunning: 4}, func(sc *script) {
 			sc.observe(15, Load{Running: 2, Waiting: 2})
 			sc.add(samples("ann", 3)...)
 			sc.now = sc.now.Add(time.Second)
 			sc.table.Observe(sc.now, Load{})
 			sc.run()
 		}},
-		{"an endpoint between two steps keeps its limit", Policy{MaxRunning: 4}, func(sc *script) {
+		{"short queues in the endpoint keep the limit", Policy{MaxRunning: 4}, func(sc *script) {
 			for range 5 {
 				sc.observe(8, Load{Running: 1, Waiting: 3})
 				sc.observe(1, Load{Running: 4})
@@ -167,7 +167,7 @@
 }
 
 // Guards against a request that runs, or keeps its slot, after its caller has disconnected.
-func TestCallerGoes(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := NewGate(Policy{MaxRunning: 1})
 		first, err := ga.Acquire(t.Context(), Request{ID: "first"})
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -7,8 +7,7 @@
 	"wisteriacroft/outcome"
 )
 
-// A Ticket is the right to write one request to the endpoint. It knows what
-// may truly be said of the request.
+// A Ticket is the permission to send one request to the endpoint. It tracks the request's outcome.
 type Ticket struct {
 	gate    *Gate
 	id      string
@@ -18,15 +17,15 @@
 	started bool
 }
 
-// Started marks that writing to the endpoint begins. From here on only an
-// endpoint's client that knows that no byte was written may say not-run.
+// Started marks the start of sending. After it only the result NotSent proves that the request has
+// not run.
 func (ti *Ticket) Started() {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
 	ti.started = true
 }
 
-// Outcome returns what is known of the request now.
+// Outcome returns the current outcome of the request.
 func (ti *Ticket) Outcome() outcome.Outcome {
 	ti.mu.Lock()
 	defer ti.mu.Unlock()
@@ -40,8 +39,7 @@
 	}
 }
 
-// Release gives the place back and returns the request's fate. Only the first
-// call counts.
+// Release frees the slot and returns the request's outcome. Only the first call has an effect.
 func (ti *Ticket) Release(out Result) outcome.Outcome {
 	ti.mu.Lock()
 	first := !ti.left
@@ -55,10 +53,9 @@
 	return ti.Outcome()
 }
 
-// WorkContext returns the context for the call of the endpoint. When the
-// caller goes away, a repeatable request is canceled; one that is not
-// repeatable goes on, so that its answer can be recorded for a repeat. The
-// attendant bounds it by a timeout of its own.
+// WorkContext returns the context of the call to the endpoint. A repeatable request is canceled
+// with ctx. Any other continues without its caller, so that its answer can be recorded for a
+// repeat; the caller of WorkContext must set a timeout.
 func WorkContext(ctx context.Context, repeatable bool) (context.Context, context.CancelFunc) {
 	if repeatable {
 		return context.WithCancel(ctx)
