--- a/idempotency/check.go
+++ b/idempotency/check.go
@@ -7,24 +7,20 @@
 	"wisteriacroft/outcome"
 )
 
-// settleWait is when a caller should ask again while a former home has not
-// yet given its keys up.
+// settleWait is the Retry-After time while a former home has not yet yielded its keys.
 const settleWait = time.Second
 
-// check refuses a caller's key that is new here and may have run elsewhere,
-// or here in an earlier life of the attendant. It returns nil if the key
-// surely has not run.
+// check refuses a caller's key without a row that may have run at another home, or here before a
+// restart. It returns nil only if the key cannot have run.
 //
-// Let s be the skew. A home runs a key minted at m only once its own clock
-// says m-s or later. So whatever a former home ran before it stopped, at time
-// t by its clock, was minted no later than t+s. When this home learned of the
-// stop, its clock showed t-s or later. A key minted 2s after that can't have
-// run there. The same holds for an earlier life of this home, which ended
-// before Started. The minter's clock has no part in this.
+// Let s be the skew. A home runs a key minted at m only when its own clock shows m-s or later. So
+// all keys that a former home ran before it stopped, at time t by its clock, were minted at t+s or
+// earlier. When this home was notified of the stop, its clock showed t-s or later. A key minted
+// more than 2s after that cannot have run there. The same holds for this home before its restart,
+// with Started in place of t. The clock of the minter is irrelevant.
 //
-// A key that an entry minted comes from nowhere else, so it has not run; but
-// it may come so late, over a slow connection, that the row which bars it has
-// expired.
+// A key minted by an entry is sent only by that entry, so it has not run. But it may arrive after
+// the row that bars it has expired.
 func (ta *Table) check(now time.Time, req Request) *outcome.Refusal {
 	if req.Minted {
 		return ta.checkAge(req)
@@ -38,14 +34,14 @@
 	return ta.checkFormer(req, req.Key.MintedAt())
 }
 
-// checkTime refuses a key that is too old or too new for its row, if it ever
-// had one, to be still here.
+// checkTime refuses a key whose row, if there was one, may have been lost: minted before the start
+// of the home, too long ago, or in the future.
 func (ta *Table) checkTime(now time.Time, req Request) *outcome.Refusal {
 	at := req.Key.MintedAt()
 	skew := ta.options.Skew
 	switch {
 	case at.After(now.Add(skew)):
-		re := refuse(outcome.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its minter").Refusal
+		re := refuse(outcome.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its client").Refusal
 		re.RetryAfter = at.Sub(now.Add(skew)).Round(time.Millisecond).String()
 		return re
 	case !at.After(ta.options.Started.Add(2 * skew)):
@@ -55,7 +51,7 @@
 	return ta.checkAge(req)
 }
 
-// checkAge refuses a key that is so old that its row may have expired.
+// checkAge refuses a key whose row may have expired.
 func (ta *Table) checkAge(req Request) *outcome.Refusal {
 	if at := req.Key.MintedAt(); at.After(ta.latest.Add(-ta.options.Keep)) && at.After(ta.floor) {
 		return nil
@@ -64,7 +60,7 @@
 		"idempotency key is older than %s: whether it ran is no longer known", ta.options.Keep)).Refusal
 }
 
-// checkHome refuses a key whose home is not here.
+// checkHome refuses a key whose home is another endpoint.
 func (ta *Table) checkHome(req Request) *outcome.Refusal {
 	home := req.Key.Home(ta.homes.current())
 	if home == ta.options.Endpoint && home != "" {
@@ -77,22 +73,20 @@
 	return re
 }
 
-// checkFormer refuses a key that may have run at a home that it had under an
-// earlier set.
+// checkFormer refuses a key that may have run at a former home.
 //
-// For some seconds two revisions are in force, and they may name different
-// homes for a key. Were the new home to run it while the old one still may,
-// two repeats that come by different entries would both run. So the new home
-// waits for the old one's word, and then takes only keys minted after it.
+// While entries hold different revisions, a key may have two homes. If both ran it, two repeats by
+// different entries would run twice. So the new home waits until the former one has yielded, and
+// then accepts only keys minted later.
 func (ta *Table) checkFormer(req Request, at time.Time) *outcome.Refusal {
-	ha := ta.homes.handOver(req.Key, ta.options.Endpoint)
-	if ha.missing != "" {
+	ys := ta.homes.yieldStateOf(req.Key, ta.options.Endpoint)
+	if ys.unyielded != "" {
 		re := refuse(outcome.OutcomeUnknown, req, fmt.Sprintf(
-			"former home %q has not yet given up the idempotency key", ha.missing)).Refusal
+			"former home %q has not yet yielded the idempotency key", ys.unyielded)).Refusal
 		re.RetryAfter = settleWait.String()
 		return re
 	}
-	if !ha.at.IsZero() && !at.After(ha.at.Add(2*ta.options.Skew)) {
+	if !ys.at.IsZero() && !at.After(ys.at.Add(2*ta.options.Skew)) {
 		return refuse(outcome.OutcomeUnknown, req,
 			"idempotency key was minted before its home moved here: whether it ran is not known").Refusal
 	}
--- a/idempotency/homes.go
+++ b/idempotency/homes.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// RevisionGone is the revision of a former home whose instance is no longer in the
-// platform's list: it runs nothing more under any set.
+// RevisionGone is the revision recorded for a former home whose instance is no longer in the
+// platform's instance list: it runs nothing under any set.
 const RevisionGone uint64 = math.MaxUint64
 
-// An EndpointSet names the endpoints of a service that may be homes, and the revision
-// that set them so.
+// An EndpointSet is the endpoints of a service that may be homes, and the revision of the
+// configuration that defines them.
 type EndpointSet struct {
 	Endpoints []string
 	Revision  uint64
 }
 
-// A period is a set and what is known of its end.
+// A period is a set and the times at which its endpoints stopped using it.
 type period struct {
 	set     EndpointSet
-	settled map[string]time.Time // when each endpoint was known to have left it
+	settled map[string]time.Time // by endpoint; absent if not confirmed
 }
 
-// homes are the sets that a home has to reckon with, oldest first; the last
-// one is in force.
+// homes holds the sets under which a key may have run, oldest first. The last one is active.
 type homes struct {
 	periods  []*period
-	revision uint64 // highest that the attendant was given
-	yielded  uint64 // runs nothing under sets older than this
+	revision uint64 // highest received
+	yielded  uint64 // no key runs under older sets
 }
 
-// take takes in the set of a revision, and the sets before it that may still
-// be believed in somewhere. A lower revision than one held is passed over.
-func (ho *homes) take(set EndpointSet, former []EndpointSet) {
+// update adds former sets and the set of a revision. A revision lower than the current one is
+// ignored.
+func (ho *homes) update(set EndpointSet, former []EndpointSet) {
 	if set.Revision < ho.revision {
 		return
 	}
@@ -44,7 +43,7 @@
 	ho.revision = set.Revision
 }
 
-// append puts a set at the end, if it is newer than the last one and differs.
+// append adds a set if it is newer than the last one and its endpoints differ.
 func (ho *homes) append(set EndpointSet) {
 	if n := len(ho.periods); n > 0 {
 		last := ho.periods[n-1].set
@@ -56,13 +55,12 @@
 	ho.periods = append(ho.periods, &period{set: set, settled: make(map[string]time.Time)})
 }
 
-// sameNames reports whether two lists hold the same names in any order.
 func sameNames(a, b []string) bool {
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// current returns the endpoints of the set in force, or nil if nothing may run
-// under it.
+// current returns the endpoints of the active set, or nil if there is none or the home has yielded
+// to a newer revision.
 func (ho *homes) current() []string {
 	if len(ho.periods) == 0 || ho.revision < ho.yielded {
 		return nil
@@ -70,7 +68,7 @@
 	return ho.periods[len(ho.periods)-1].set.Endpoints
 }
 
-// former returns the periods that have ended.
+// former returns all periods but the active one.
 func (ho *homes) former() []*period {
 	if len(ho.periods) == 0 {
 		return nil
@@ -78,8 +76,7 @@
 	return ho.periods[:len(ho.periods)-1]
 }
 
-// settle records that an endpoint runs nothing under sets older than a
-// revision.
+// settle records that an endpoint runs nothing under sets older than a revision.
 func (ho *homes) settle(now time.Time, endpoint string, revision uint64) {
 	for i, pe := range ho.former() {
 		if ho.periods[i+1].set.Revision > revision {
@@ -91,16 +88,15 @@
 	}
 }
 
-// A handOver says since when a key's former homes are known to have given it
-// up.
-type handOver struct {
-	at      time.Time // latest; zero if the key had no other home
-	missing string    // a former home that has not given it up
+// A yieldState tells when the former homes of a key yielded it.
+type yieldState struct {
+	at        time.Time // latest time; zero if the key had no other home
+	unyielded string    // a former home that has not yielded
 }
 
-// handOver returns what is known of a key's former homes.
-func (ho *homes) handOver(ke Key, endpoint string) handOver {
-	var ha handOver
+// yieldStateOf returns the state of a key's former homes.
+func (ho *homes) yieldStateOf(ke Key, endpoint string) yieldState {
+	var ys yieldState
 	for _, pe := range ho.former() {
 		home := ke.Home(pe.set.Endpoints)
 		if home == "" || home == endpoint {
@@ -108,16 +104,16 @@
 		}
 		at, ok := pe.settled[home]
 		if !ok {
-			return handOver{missing: home}
+			return yieldState{unyielded: home}
 		}
-		if at.After(ha.at) {
-			ha.at = at
+		if at.After(ys.at) {
+			ys.at = at
 		}
 	}
-	return ha
+	return ys
 }
 
-// unsettled returns the former homes whose word is missing, by name.
+// unsettled returns the names of former homes that have not yielded, sorted.
 func (ho *homes) unsettled(endpoint string) []string {
 	var names []string
 	for _, pe := range ho.former() {
@@ -131,14 +127,14 @@
 	return slices.Compact(names)
 }
 
-// forget drops the oldest periods that all endpoints had left before a time.
+// forget drops the oldest periods that all other endpoints left before a time.
 func (ho *homes) forget(endpoint string, before time.Time) {
 	for len(ho.periods) > 1 && ho.periods[0].leftBefore(endpoint, before) {
 		ho.periods = ho.periods[1:]
 	}
 }
 
-// leftBefore reports whether all endpoints but one's own left before a time.
+// leftBefore reports whether all endpoints except own left the period before a time.
 func (pe *period) leftBefore(own string, before time.Time) bool {
 	for _, name := range pe.set.Endpoints {
 		at, ok := pe.settled[name]
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -10,28 +10,25 @@
 
 const (
 	keySize    = 36 // characters
-	timeSize   = 6  // bytes: RFC 9562 begins with the milliseconds since 1970
+	timeSize   = 6  // bytes: RFC 9562 starts with the Unix time in milliseconds
 	keyVersion = 7
 )
 
-// ErrBadKey means that a key is no UUID of version 7 in its usual form. Such
-// a key tells no mint time, so that nothing could tell a new request from one
-// that ran before the home started.
+// ErrBadKey means that a key is not a UUID of version 7 in its standard form. Other keys have no
+// mint time, so they can't be told from keys that ran before the home started.
 var ErrBadKey = errors.New("idempotency key must be a UUID of version 7, such as 01976a5e-2f0b-7cc3-98c4-dc0c0c07398f")
 
-// A Key is an idempotency key: a UUID of version 7, which holds the time at
-// which it was minted.
+// A Key is an idempotency key, a UUID of version 7 that contains its mint time.
 type Key struct {
 	id uuid.UUID
 }
 
-// NewKey returns a new key that is minted at a time. The library's own way to
-// mint one reads its clock and never goes back, so that after a clock was set
-// back its keys would lie in the future.
+// NewKey returns a new key minted at now. The library's generator is monotonic: after the clock is
+// set back, its keys would lie in the future.
 func NewKey(now time.Time) (Key, error) {
 	id, err := uuid.NewRandom()
 	if err != nil {
-		return Key{}, errors.Wrap(err, "mint a key")
+		return Key{}, errors.Wrap(err, "generate idempotency key")
 	}
 	ms := now.UnixMilli()
 	for i := timeSize - 1; i >= 0; i-- {
@@ -42,7 +39,7 @@
 	return Key{id: id}, nil
 }
 
-// ParseKey reads a key in its form of 36 characters.
+// ParseKey parses the 36-character form of a key.
 func ParseKey(text string) (Key, error) {
 	if len(text) != keySize {
 		return Key{}, errors.Wrapf(ErrBadKey, "%.40q", text)
@@ -54,8 +51,7 @@
 	return Key{id: id}, nil
 }
 
-// MintedAt returns the time that the key holds, by its minter's clock, in
-// whole milliseconds.
+// MintedAt returns the mint time by the minter's clock, in whole milliseconds.
 func (ke Key) MintedAt() time.Time {
 	var ms int64
 	for _, by := range ke.id[:timeSize] {
@@ -64,13 +60,12 @@
 	return time.UnixMilli(ms)
 }
 
-// String returns the key's 36 characters.
+// String returns the 36-character form of the key.
 func (ke Key) String() string { return ke.id.String() }
 
-// Home returns the endpoint that may run the key, or "" if there is none, by
-// rendezvous hashing: the endpoint whose name and the key together hash
-// highest. The order of endpoints doesn't matter, and a change of the set
-// moves only the keys of the endpoints that it adds or removes.
+// Home returns the endpoint that may run the key, or "" if endpoints is empty. It uses rendezvous
+// hashing: the order of endpoints is irrelevant, and a change of the set moves only keys of the
+// endpoints that it adds or removes.
 func (ke Key) Home(endpoints []string) string {
 	var home string
 	var highest uint64
--- a/idempotency/options.go
+++ b/idempotency/options.go
@@ -14,19 +14,18 @@
 	defaultSkew           = 2 * time.Second
 )
 
-// Options are the fixed settings of a Table. The zero value has usable
-// defaults.
+// Options configure a Table. The zero value has usable defaults.
 type Options struct {
-	Endpoint       string        // the endpoint that the table stands before
-	Keep           time.Duration // how long after its mint time a key is served; default 10m
-	MaxAnswerSize  int           // bytes of one recorded answer; default 64 KB
-	MaxAnswersSize int           // bytes of all recorded answers; default 16 MB
+	Endpoint       string        // endpoint whose keys the table holds
+	Keep           time.Duration // how long a key is valid after its mint time; default 10m
+	MaxAnswerSize  int           // bytes per recorded answer; default 64 KiB
+	MaxAnswersSize int           // bytes of all recorded answers; default 16 MiB
 	MaxKeys        int           // default 65,536
-	Skew           time.Duration // how far two clocks may be apart; default 2s
-	Started        time.Time     // when the attendant started; default when the table was made
+	Skew           time.Duration // maximum difference between two clocks; default 2s
+	Started        time.Time     // start of the attendant; default the time of NewTable
 }
 
-// withDefaults returns the options with their defaults filled in.
+// withDefaults returns the options with zero fields set to their defaults.
 func (op Options) withDefaults() Options {
 	op.Keep = cmp.Or(op.Keep, defaultKeep)
 	op.MaxAnswerSize = cmp.Or(op.MaxAnswerSize, defaultMaxAnswerSize)
--- a/idempotency/property_test.go
+++ b/idempotency/property_test.go
@@ -17,7 +17,7 @@
 // A world is three homes with skewed clocks, two entries, callers with arbitrary clocks, and a
 // configuration that each process receives at a different time.
 type world struct {
-	claimed map[Key]bool // permanently refused as not run
+	barred  map[Key]bool // permanently refused as not run
 	entries [2]int       // index into sets of the set by which each entry routes
 	homes   map[string]*home
 	keys    []Key // keys minted by callers
@@ -39,12 +39,12 @@
 
 func newWorld() *world {
 	wo := &world{
-		claimed: map[Key]bool{},
-		homes:   map[string]*home{},
-		minted:  map[Key]string{},
-		now:     time.UnixMilli(1_700_000_000_000),
-		runs:    map[Key]int{},
-		sets:    []EndpointSet{{Endpoints: []string{"a", "b"}, Revision: 1}},
+		barred: map[Key]bool{},
+		homes:  map[string]*home{},
+		minted: map[Key]string{},
+		now:    time.UnixMilli(1_700_000_000_000),
+		runs:   map[Key]int{},
+		sets:   []EndpointSet{{Endpoints: []string{"a", "b"}, Revision: 1}},
 	}
 	for i, name := range []string{"a", "b", "c"} {
 		wo.homes[name] = &home{offset: time.Duration(i-1) * skew / 2}
@@ -76,10 +76,10 @@
 	ho := wo.homes[name]
 	ho.admitted, ho.started = map[Key]bool{}, map[Key]bool{}
 	ho.table = NewTable(Options{Endpoint: name, Keep: time.Minute, MaxKeys: 8, Skew: skew, Started: wo.clock(name)})
-	wo.learn(name, set)
+	wo.setHomes(name, set)
 }
 
-func (wo *world) learn(name string, set int) {
+func (wo *world) setHomes(name string, set int) {
 	ho := wo.homes[name]
 	ho.set = set
 	ho.table.SetHomes(wo.clock(name), wo.sets[set], wo.sets[:set])
@@ -94,9 +94,9 @@
 		ho.admitted[req.Key] = true
 	case de.Refusal != nil && de.Refusal.Outcome() == outcome.NotRun:
 		if wo.runs[req.Key] > 0 {
-			t.Fatalf("%s is said not to have run (%s), and has", req.Key, de.Refusal)
+			t.Fatalf("%s was refused as not run (%s) but has run", req.Key, de.Refusal)
 		}
-		wo.claimed[req.Key] = wo.claimed[req.Key] || req.Ask
+		wo.barred[req.Key] = wo.barred[req.Key] || req.Ask
 	}
 }
 
@@ -105,8 +105,8 @@
 	delete(ho.admitted, ke)
 	ho.started[ke] = true
 	wo.runs[ke]++
-	if wo.runs[ke] > 1 || wo.claimed[ke] {
-		t.Fatalf("%s has run %d times; said not to run: %t", ke, wo.runs[ke], wo.claimed[ke])
+	if wo.runs[ke] > 1 || wo.barred[ke] {
+		t.Fatalf("%s has run %d times; refused as not run: %t", ke, wo.runs[ke], wo.barred[ke])
 	}
 }
 
@@ -197,7 +197,7 @@
 				delete(ho.admitted, ke)
 				ho.table.Release(wo.clock(name), ke)
 				if wo.runs[ke] > 0 {
-					t.Fatalf("%s is given back as not run, and has run", ke)
+					t.Fatalf("%s was released as not run but has run", ke)
 				}
 			}
 		},
@@ -223,7 +223,7 @@
 			names := rapid.SampledFrom(sets).Draw(t, "set")
 			wo.sets = append(wo.sets, EndpointSet{Endpoints: names, Revision: uint64(len(wo.sets) + 1)})
 		},
-		"home learns":  func(t *rapid.T) { name, _ := wo.draw(t); wo.learn(name, len(wo.sets)-1) },
+		"home learns":  func(t *rapid.T) { name, _ := wo.draw(t); wo.setHomes(name, len(wo.sets)-1) },
 		"entry learns": func(t *rapid.T) { wo.entries[rapid.IntRange(0, 1).Draw(t, "entry")] = len(wo.sets) - 1 },
 		"restart": func(t *rapid.T) {
 			name, ho := wo.draw(t)
@@ -267,7 +267,7 @@
 		ran += len(wo.runs)
 	})
 	if ran < 3000 {
-		t.Fatalf("only %d keys ran: the rules refuse nearly all, and prove nothing", ran)
+		t.Fatalf("only %d keys ran: too few to verify the rules", ran)
 	}
 	t.Logf("%d keys ran", ran)
 }
--- a/idempotency/row.go
+++ b/idempotency/row.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// A state is what is known of a key.
+// A state is the state of a key.
 type state int
 
 const (
 	running state = iota
-	ran           // whether or not its answer is still held
-	lost          // its fate is unknown
-	never         // it has not run since the home started, and won't
+	ran           // its answer may have been evicted
+	lost          // outcome unknown
+	barred        // has not run since the home started, and must not
 )
 
 // A Response is a recorded answer of the endpoint.
@@ -22,7 +22,7 @@
 	Status int
 }
 
-// size returns about how many bytes the answer takes.
+// size returns the approximate size of the answer in bytes.
 func (an *Response) size() int {
 	size := len(an.Body)
 	for name, values := range an.Header {
@@ -34,10 +34,10 @@
 	return size
 }
 
-// A row is one key that came.
+// A row is a received key.
 type row struct {
-	answer *Response // nil if none is held
+	answer *Response // nil if not kept
 	digest uint64
-	expire time.Time // when the key is too old to be served
+	expire time.Time // end of the key's validity
 	state  state
 }
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -7,54 +7,54 @@
 	"wisteriacroft/outcome"
 )
 
-// sweepEvery is the least time between two searches for expired keys.
+// sweepEvery is the minimum time between two searches for expired keys.
 const sweepEvery = time.Second
 
-// A Request is one arrival of a key at the attendant.
+// A Request is one arrival of a request with a key.
 type Request struct {
-	Ask      bool   // don't run it, and never after this: only say what became of it
-	Digest   uint64 // of method, path and body: a key names one request only
-	ID       string // request id, for refusals
+	Ask      bool   // only query the outcome; the request must not run from now on
+	Digest   uint64 // hash of method, path and body; a key identifies a single request
+	ID       string // request id for refusals
 	Key      Key
-	Minted   bool   // by the entry, for a caller that gave no key: only that entry ever sends it, one attempt at a time
-	Revision uint64 // by which the requester chose this home
+	Minted   bool   // by the entry, for a caller without a key; only that entry sends it, one attempt at a time
+	Revision uint64 // revision by which the sender chose this home
 }
 
-// A Decision says what to do with a request.
+// A Decision is what to do with a request.
 type Decision struct {
-	Answer  *Response        // recorded: hand it out again
-	Refusal *outcome.Refusal // with its true fate
-	Run     bool             // run it, then call Finish, Lose or Release
+	Answer  *Response        // recorded answer, to be returned again
+	Refusal *outcome.Refusal // nil if the request runs or has an answer
+	Run     bool             // run the request, then call Finish, MarkUnknown or Release
 }
 
-// A Table holds the keys that came to one endpoint. It is safe for concurrent
-// use, does no I/O and reads no clock after NewTable.
+// A Table holds the keys received by one endpoint. It is safe for concurrent use, does no I/O and
+// reads no clock after NewTable.
 type Table struct {
-	answered []Key     // whose answers are held, oldest first
-	floor    time.Time // rows of keys minted until then may have expired
+	answered []Key     // keys with a recorded answer, oldest first
+	floor    time.Time // rows of keys minted up to this time may have expired
 	homes    homes
-	latest   time.Time // highest time seen
+	latest   time.Time // highest time passed to Begin or Expire
 	mu       sync.Mutex
 	options  Options
 	rows     map[Key]*row
-	size     int // bytes of the answers held
+	size     int // bytes of recorded answers
 	swept    time.Time
 }
 
-// NewTable returns an empty table. It runs no caller's key before SetHomes.
+// NewTable returns an empty table. It refuses callers' keys until SetHomes is called.
 func NewTable(op Options) *Table {
 	return &Table{options: op.withDefaults(), rows: make(map[Key]*row)}
 }
 
-// Begin decides over one arrival of a key. A key that it lets run is in
-// progress until Finish, Lose or Release.
+// Begin decides on the arrival of a key. After a decision to run, the key is in progress until
+// Finish, MarkUnknown or Release.
 //
-// Call it before all other reasons to refuse: a repeat that is told not-run
-// for want of a place, though the first one ran, would be told an untruth.
+// Call it before any other check that may refuse the request: otherwise a repeat could be refused
+// as not run although the first request ran.
 func (ta *Table) Begin(now time.Time, req Request) Decision {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.see(now)
+	ta.observeTime(now)
 	if ro := ta.rows[req.Key]; ro != nil {
 		return ta.repeat(ro, req)
 	}
@@ -77,8 +77,8 @@
 	return Decision{Run: true}
 }
 
-// refuseFull refuses a key for which there is no row. A key that is asked
-// about can't be kept from running later without one, so its fate is unknown.
+// refuseFull refuses a key without a row when the table is full. A query can't bar its key from
+// running then, so the outcome is unknown.
 func (ta *Table) refuseFull(req Request) Decision {
 	const message = "table of idempotency keys is full"
 	de := refuse(outcome.OutcomeUnknown, req, message)
@@ -89,15 +89,14 @@
 	return de
 }
 
-// bar answers the question for a key that isn't known here, and keeps the key
-// from running. The request that is asked about may still be on its way over a
-// connection that fell silent: without the row it would run after the answer
-// has said that it did not.
+// bar answers a query for an unknown key and records that the key must not run. The request may
+// still arrive over a stalled connection; without the row it would run after it was reported as not
+// run.
 func (ta *Table) bar(now time.Time, req Request) Decision {
 	ro := &row{
 		digest: req.Digest,
 		expire: req.Key.MintedAt().Add(ta.options.Keep),
-		state:  never,
+		state:  barred,
 	}
 	if ta.checkTime(now, req) != nil {
 		ro.state = lost
@@ -106,13 +105,13 @@
 	return ta.repeat(ro, req)
 }
 
-// repeat decides over a key that came before.
+// repeat decides on the arrival of a key that has a row.
 func (ta *Table) repeat(ro *row, req Request) Decision {
 	switch {
 	case ro.digest != req.Digest:
-		return refuse(outcome.BadRequest, req, "idempotency key came before with another request")
-	case ro.state == never:
-		return Decision{Refusal: outcome.NewRefusal(outcome.Refused, req.ID, "the request was given up before it came, and won't run")}
+		return refuse(outcome.BadRequest, req, "idempotency key was used before for another request")
+	case ro.state == barred:
+		return Decision{Refusal: outcome.NewRefusal(outcome.Refused, req.ID, "the request was barred before it arrived and will not run")}
 	case ro.state == running:
 		re := refuse(outcome.InProgress, req, "the request with this idempotency key is running")
 		re.Refusal.RetryAfter = time.Second.String()
@@ -124,29 +123,29 @@
 			Status: ro.answer.Status,
 		}}
 	case ro.state == ran:
-		return refuse(outcome.OutcomeUnknown, req, "the request ran; its answer is no longer kept")
+		return refuse(outcome.OutcomeUnknown, req, "the request ran; its answer is no longer available")
 	default:
-		return refuse(outcome.OutcomeUnknown, req, "the request may have run; no answer to it is at hand")
+		return refuse(outcome.OutcomeUnknown, req, "the request may have run; its answer is not available")
 	}
 }
 
-// refuse returns a refusal that claims nothing of the key.
+// refuse returns a refusal with outcome unknown.
 func refuse(code outcome.Code, req Request, message string) Decision {
 	re := outcome.NewRefusal(code, req.ID, message)
 	re.Fate = outcome.Unknown.String()
 	return Decision{Refusal: re}
 }
 
-// see notes the highest time seen. Were the clock to jump ahead and back, a
-// key whose row was dropped at the high time would look young again.
-func (ta *Table) see(now time.Time) {
+// observeTime updates the highest time. If the clock jumped ahead and back, a key whose row expired at the
+// later time would otherwise count as new.
+func (ta *Table) observeTime(now time.Time) {
 	if now.After(ta.latest) {
 		ta.latest = now
 	}
 }
 
-// Finish records the whole answer of a key that ran. With nil, the key ran
-// but the answer can't be handed out again.
+// Finish records the answer of a key that ran. With nil, the key ran but its answer can't be
+// repeated.
 func (ta *Table) Finish(_ time.Time, ke Key, an *Response) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -164,8 +163,8 @@
 	ta.evict()
 }
 
-// evict drops the oldest answers while all of them take too much. Their keys
-// stay, so that a repeat still doesn't run.
+// evict drops the oldest answers until the rest fits the limit. Their keys stay, so that a repeat
+// does not run.
 func (ta *Table) evict() {
 	for ta.size > ta.options.MaxAnswersSize {
 		ta.drop(ta.rows[ta.answered[0]])
@@ -173,7 +172,7 @@
 	}
 }
 
-// drop forgets the answer of a row, if there is one.
+// drop deletes the answer of a row, if any.
 func (ta *Table) drop(ro *row) {
 	if ro == nil || ro.answer == nil {
 		return
@@ -182,7 +181,7 @@
 	ro.answer = nil
 }
 
-// MarkUnknown records that the fate of a key is unknown: it never runs again here.
+// MarkUnknown records that the outcome of a key is unknown. It never runs again here.
 func (ta *Table) MarkUnknown(_ time.Time, ke Key) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -193,8 +192,7 @@
 	ro.state = lost
 }
 
-// Release records that a key was never written to the endpoint, so that a
-// repeat may run.
+// Release records that a key was never sent to the endpoint, so that a repeat may run.
 func (ta *Table) Release(_ time.Time, ke Key) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -203,45 +201,41 @@
 	}
 }
 
-// SetHomes takes in the set of the revision in force, and the sets before it
-// that may still be believed in somewhere, oldest first. A set with the same
-// endpoints as the one before it is no change.
+// SetHomes sets the active set and the earlier sets that other processes may still use, oldest
+// first. A set with the same endpoints as the previous one is ignored.
 func (ta *Table) SetHomes(_ time.Time, set EndpointSet, former []EndpointSet) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.homes.take(set, former)
+	ta.homes.update(set, former)
 }
 
-// RecordYield records that an endpoint's attendant has promised, by Yield, to run
-// nothing under sets older than the revision, or that its instance is Gone.
-// The time is when this was learned.
+// RecordYield records at time now that an endpoint's attendant has confirmed by Yield that it runs
+// nothing under sets older than the revision, or that its instance is gone (RevisionGone).
 func (ta *Table) RecordYield(now time.Time, endpoint string, revision uint64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.homes.settle(now, endpoint, revision)
 }
 
-// Yield promises to run no key under a set older than the revision, from now
-// on. What runs already ends, and its key can't be minted again.
+// Yield stops running keys under sets older than the revision. Requests that are running continue.
 func (ta *Table) Yield(revision uint64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.homes.yielded = max(ta.homes.yielded, revision)
 }
 
-// PendingYields returns the former homes whose word is missing, by name, so that
-// the attendant asks them to Yield to the revision that it holds.
+// PendingYields returns the names of former homes that have not yielded, sorted. The attendant asks
+// each to Yield to its own revision.
 func (ta *Table) PendingYields() []string {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return ta.homes.unsettled(ta.options.Endpoint)
 }
 
-// SetRetention changes how long after its mint time a key is served. With 0, it
-// stays as it is.
+// SetRetention changes how long a key is valid after its mint time. 0 keeps the current value.
 //
-// Were the time just raised, a key that ran and expired under the shorter one
-// would seem new, and run twice. So what may have expired before stays too old.
+// A longer time must not make keys valid again whose rows have expired: they would count as new and
+// run twice. So keys that may have expired stay invalid.
 func (ta *Table) SetRetention(keep time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -254,23 +248,23 @@
 	ta.options.Keep = keep
 }
 
-// Len returns how many keys the table holds.
+// Len returns the number of keys in the table.
 func (ta *Table) Len() int {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return len(ta.rows)
 }
 
-// Expire drops what has expired.
+// Expire drops expired keys and periods.
 func (ta *Table) Expire(now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.see(now)
+	ta.observeTime(now)
 	ta.sweep(now)
 	ta.homes.forget(ta.options.Endpoint, ta.latest.Add(-ta.options.Keep))
 }
 
-// sweep drops the keys that are too old to be served. What runs stays.
+// sweep drops expired keys that are not running.
 func (ta *Table) sweep(now time.Time) {
 	if since := now.Sub(ta.swept); since >= 0 && since < sweepEvery {
 		return
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// show formats a decision in one line.
-func show(de Decision) string {
+// formatDecision formats a decision in one line.
+func formatDecision(de Decision) string {
 	switch {
 	case de.Run:
 		return "run"
@@ -58,7 +58,7 @@
 	noon := at("1m")
 	key := keyOf(noon, "a", "a", "b")
 	req := Request{Key: key}
-	begin := func(ta *Table, now string, req Request) string { return show(ta.Begin(at(now), req)) }
+	begin := func(ta *Table, now string, req Request) string { return formatDecision(ta.Begin(at(now), req)) }
 	minted := func(at time.Time) Request { return Request{Key: keyOf(at, "a", "a", "b")} }
 	cases := []struct {
 		name string
@@ -76,7 +76,7 @@
 			ta.MarkUnknown(at("1m1s"), key)
 			return begin(ta, "1m2s", req)
 		}},
-		{"repeat after a true not-run", func(ta *Table) string {
+		{"repeat after not-run", func(ta *Table) string {
 			begin(ta, "1m", req)
 			ta.Release(at("1m1s"), key)
 			return begin(ta, "1m2s", req)
@@ -110,51 +110,51 @@
 			}
 			return begin(ta, "12m", minted(at("12m")))
 		}},
-		{"older than the table remembers", func(ta *Table) string { return begin(ta, "11m", req) }},
+		{"older than the retention time", func(ta *Table) string { return begin(ta, "11m", req) }},
 		{"clock jumped ahead and back", func(ta *Table) string {
 			begin(ta, "1m", req)
 			ta.Finish(at("1m"), key, nil)
 			ta.Expire(at("2h"))
 			return begin(ta, "2m", req)
 		}},
-		{"minted ahead by the allowance", func(ta *Table) string { return begin(ta, "58s", req) }},
-		{"minted ahead by more", func(ta *Table) string { return begin(ta, "57s", req) }},
-		{"minted behind, after the start", func(ta *Table) string { return begin(ta, "1m", minted(at("4001ms"))) }},
+		{"minted in the future, by the skew", func(ta *Table) string { return begin(ta, "58s", req) }},
+		{"minted in the future, by more than the skew", func(ta *Table) string { return begin(ta, "57s", req) }},
+		{"minted in the past, after the start", func(ta *Table) string { return begin(ta, "1m", minted(at("4001ms"))) }},
 		{"minted within twice the skew of the start", func(ta *Table) string { return begin(ta, "1m", minted(at("4s"))) }},
-		{"home elsewhere", func(ta *Table) string {
+		{"home is another endpoint", func(ta *Table) string {
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b"), Revision: 1})
 		}},
-		{"no set yet", func(*Table) string { return begin(NewTable(Options{Endpoint: "a", Started: start}), "1m", req) }},
-		{"home moved here, old home not asked", func(ta *Table) string {
+		{"no set received", func(*Table) string { return begin(NewTable(Options{Endpoint: "a", Started: start}), "1m", req) }},
+		{"home moved here, former home has not yielded", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
-		{"home moved here, minted 2 skews after the old home's word", func(ta *Table) string {
+		{"home moved here, minted 2 skews after the former home yielded", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			ta.RecordYield(at("56s"), "b", 2)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
-		{"home moved here, minted later", func(ta *Table) string {
+		{"home moved here, minted more than 2 skews after the former home yielded", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			ta.RecordYield(at("55999ms"), "b", 2)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
-		{"home moved here, old home's word for an older set", func(ta *Table) string {
+		{"home moved here, former home yielded to an older revision", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			ta.RecordYield(at("31s"), "b", 1)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
-		{"home moved here, old home's instance gone", func(ta *Table) string {
+		{"home moved here, instance of the former home is gone", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			ta.RecordYield(at("31s"), "b", RevisionGone)
 			return begin(ta, "1m", Request{Key: keyOf(noon, "b", "a", "b")})
 		}},
-		{"home never moved: nobody is asked", func(ta *Table) string {
+		{"home did not move: no yield needed", func(ta *Table) string {
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"a"}, Revision: 2}, nil)
 			return begin(ta, "1m", req)
 		}},
-		{"yielded to a revision not yet learned", func(ta *Table) string { ta.Yield(2); return begin(ta, "1m", req) }},
-		{"yielded, then learned a revision that moves nothing", func(ta *Table) string {
+		{"yielded to a revision not yet received", func(ta *Table) string { ta.Yield(2); return begin(ta, "1m", req) }},
+		{"yielded, then received a revision that moves no key", func(ta *Table) string {
 			ta.Yield(2)
 			ta.SetHomes(at("30s"), EndpointSet{Endpoints: []string{"b", "a"}, Revision: 2}, nil)
 			return begin(ta, "1m", req)
@@ -167,14 +167,14 @@
 		{"an hour's outage of the key-value service", func(ta *Table) string {
 			return begin(ta, "1h", minted(at("1h")))
 		}},
-		{"asked about a key that never came", func(ta *Table) string {
+		{"query of an unknown key", func(ta *Table) string {
 			return begin(ta, "1m", Request{Ask: true, Key: key, Minted: true})
 		}},
-		{"comes after it was asked about", func(ta *Table) string {
+		{"request arrives after its query", func(ta *Table) string {
 			begin(ta, "1m", Request{Ask: true, Key: key, Minted: true})
 			return begin(ta, "1m1s", Request{Key: key, Minted: true})
 		}},
-		{"asked about a key from before the start", func(ta *Table) string {
+		{"query of a key from before the start", func(ta *Table) string {
 			return begin(ta, "5s", Request{Ask: true, Key: minted(at("3s")).Key, Minted: true})
 		}},
 		{"minted by an entry, right after the start", func(ta *Table) string {
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestLongerKeepRevivesNoKey(t *testing.T) {
+func TestSetKeepLeavesExpiredKeysInvalid(t *testing.T) {
 	// A longer retention time must not make a key that has already expired count as new.
 	ta := newHome(Options{Keep: time.Minute})
 	key := keyOf(at("1m"), "a", "a", "b")
@@ -217,19 +217,19 @@
 	assert.Equal(t, ta.Len(), 0)
 	ta.SetRetention(10 * time.Minute)
 	de := ta.Begin(at("3m"), Request{Key: key})
-	assert.Assert(t, !de.Run && de.Refusal.Outcome() == outcome.Unknown, show(de))
+	assert.Assert(t, !de.Run && de.Refusal.Outcome() == outcome.Unknown, formatDecision(de))
 	young := keyOf(at("2m30s"), "a", "a", "b")
 	assert.Assert(t, ta.Begin(at("3m"), Request{Key: young}).Run)
 }
 
-func TestQuestionsDoNotOutgrowTheTable(t *testing.T) {
+func TestQueriesRespectMaxKeys(t *testing.T) {
 	// Queries about unknown keys must not grow the table beyond MaxKeys.
 	ta := newHome(Options{MaxKeys: 2})
 	for n := range 5 {
 		de := ta.Begin(at("1m"), Request{Ask: true, Key: testKey(at("1m"), n), Minted: true})
 		assert.Assert(t, !de.Run)
 		full := n >= 2
-		assert.Equal(t, de.Refusal.Outcome() == outcome.Unknown, full, show(de))
+		assert.Equal(t, de.Refusal.Outcome() == outcome.Unknown, full, formatDecision(de))
 	}
 	assert.Equal(t, ta.Len(), 2)
 }
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,5 +1,4 @@
-// Package outcome says what became of a request, truthfully: whether it ran, did
-// not run, or cannot be known to have run.
+// Package outcome defines whether a request has run: yes, no, or unknown.
 package outcome
 
 import (
@@ -8,30 +7,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// An Outcome is what became of a request that got no whole answer. The zero Outcome
-// is Unknown, so that whoever forgets to set it claims nothing.
+// An Outcome tells whether a request without a whole answer has run. The zero Outcome is Unknown,
+// which claims nothing.
 type Outcome int
 
-// The fates.
+// The outcomes.
 const (
 	// Unknown means that the request may or may not have run.
 	Unknown Outcome = iota
-	// NotRun means that the request was never written to an endpoint.
+	// NotRun means that no byte of the request was sent to an endpoint.
 	NotRun
-	// Ran means that the request ran and that its answer is at hand.
+	// Ran means that the request ran and its answer is available.
 	Ran
 )
 
 var names = [...]string{Unknown: "fate-unknown", NotRun: "not-run", Ran: "ran"}
 
-// String returns the fate's name on the wire.
-func (fa Outcome) String() string { return names[fa] }
+// String returns the name of the outcome on the wire.
+func (ou Outcome) String() string { return names[ou] }
 
-// Parse returns the fate of a name on the wire; any other name is Unknown.
+// Parse returns the outcome with a name on the wire, or Unknown for any other name.
 func Parse(name string) Outcome {
-	for fa, na := range names {
+	for ou, na := range names {
 		if na == name {
-			return Outcome(fa)
+			return Outcome(ou)
 		}
 	}
 	return Unknown
@@ -42,19 +41,19 @@
 
 // The kinds of refusals.
 const (
-	BadRequest       Code = "bad-request"       // not run: the request itself is wrong
-	DeadlineExceeded Code = "deadline-exceeded" // see the refusal's fate
-	OutcomeUnknown   Code = "fate-unknown"      // may have run; the caller must look before repeating
-	InProgress       Code = "in-progress"       // the same idempotency key is running now
-	Leaving          Code = "leaving"           // not run: the endpoint or process is draining
-	NotHome          Code = "not-home"          // not run: this endpoint may not run the key
-	Refused          Code = "not-run"           // not run, for a reason that the message gives
-	Overloaded       Code = "overloaded"        // not run: come back after RetryAfter
-	UnknownProfile   Code = "unknown-profile"   // not run: no such profile is in force
+	BadRequest       Code = "bad-request"       // not run: the request is invalid
+	DeadlineExceeded Code = "deadline-exceeded" // Refusal.Fate tells whether it ran
+	OutcomeUnknown   Code = "fate-unknown"      // may have run; the caller must check before it repeats
+	InProgress       Code = "in-progress"       // a request with the same idempotency key is running
+	Leaving          Code = "leaving"           // not run: the endpoint or process is shutting down
+	NotHome          Code = "not-home"          // not run: the endpoint is not the home of the key
+	Refused          Code = "not-run"           // not run, for the reason in the message
+	Overloaded       Code = "overloaded"        // not run: retry after RetryAfter
+	UnknownProfile   Code = "unknown-profile"   // not run: no such profile in the active configuration
 )
 
-// A Refusal is the typed answer to a request that got no whole answer. It is
-// an error, and its exported fields are its form on the wire.
+// A Refusal is the error returned for a request without a whole answer. Its exported fields are its
+// wire format.
 type Refusal struct {
 	Code Code `json:"code"`
 	// EndpointEnded means that the endpoint's process ended while it ran the request.
@@ -62,10 +61,10 @@
 	Fate          string `json:"fate"`
 	Message       string `json:"message"`
 	RequestID     string `json:"request-id"`
-	RetryAfter    string `json:"retry-after,omitempty"` // a Go duration, such as "250ms"
+	RetryAfter    string `json:"retry-after,omitempty"` // a Go duration such as "250ms"
 }
 
-// NewRefusal returns a refusal of a code with the fate that it implies.
+// NewRefusal returns a refusal with the outcome implied by its code.
 func NewRefusal(code Code, requestID, message string) *Refusal {
 	return &Refusal{
 		Code:      code,
@@ -75,8 +74,8 @@
 	}
 }
 
-// implied returns the fate of a code. A deadline may pass before or after the
-// request was written, so whoever knows better sets the fate itself.
+// implied returns the outcome implied by a code. For DeadlineExceeded the caller sets the outcome
+// if it is known.
 func implied(code Code) Outcome {
 	switch code {
 	case DeadlineExceeded, OutcomeUnknown, InProgress:
@@ -89,10 +88,10 @@
 // Error implements error.
 func (re *Refusal) Error() string { return string(re.Code) + ": " + re.Message }
 
-// Outcome returns the refusal's fate.
+// Outcome returns the refusal's outcome.
 func (re *Refusal) Outcome() Outcome { return Parse(re.Fate) }
 
-// RetryDelay returns how long the caller should wait before it asks again, or 0.
+// RetryDelay returns the time to wait before a retry, or 0 if there is none.
 func (re *Refusal) RetryDelay() time.Duration {
 	wait, err := time.ParseDuration(re.RetryAfter)
 	if err != nil {
@@ -101,8 +100,7 @@
 	return wait
 }
 
-// FromError returns the fate that err tells: that of the Refusal it wraps, or
-// Unknown.
+// FromError returns the outcome of the Refusal wrapped by err, or Unknown.
 func FromError(err error) Outcome {
 	var re *Refusal
 	if errors.As(err, &re) {
