--- a/rollout/edge.go
+++ b/rollout/edge.go
@@ -8,11 +8,11 @@
 	"wisteriacroft/peer"
 )
 
-// callTimeout bounds a call between an owner and an attendant. It is longer
-// than an attendant takes to pass an order on.
+// callTimeout is the timeout of calls between owners and attendants. It is longer than PassFunc may
+// take.
 const callTimeout = DefaultPassTimeout + time.Second
 
-// RegisterFence makes an attendant's server answer owners of rollouts.
+// RegisterFence registers a fence's RPC methods on an attendant's server.
 func RegisterFence(sv *peer.Server, fe *Fence) {
 	peer.Handle(sv, OrderMethod, func(ctx context.Context, _ message.Header, rq Request) (Response, error) {
 		return fe.Order(ctx, rq)
@@ -22,14 +22,13 @@
 	})
 }
 
-// ConnectFence makes a fence tell owners through a pool, until ctx ends.
+// ConnectFence makes a fence send its notices through a pool until ctx ends.
 func ConnectFence(ctx context.Context, po *peer.Pool, fe *Fence) {
 	send := peer.Sender[Status, struct{}](ctx, po, SettleMethod, callTimeout)
 	fe.NotifyFunc = func(address string, st Status) { send(address, st, func(struct{}, error) {}) }
 }
 
-// RegisterRollouts makes an entry's server take the word of attendants, for each
-// rollout that it may own.
+// RegisterRollouts registers the RPC method that receives settle notices for an entry's rollouts.
 func RegisterRollouts(sv *peer.Server, rollouts func() []*Rollout) {
 	peer.Handle(sv, SettleMethod, func(_ context.Context, _ message.Header, st Status) (struct{}, error) {
 		for _, ro := range rollouts() {
@@ -39,7 +38,7 @@
 	})
 }
 
-// Connect makes a rollout send through a pool, until ctx ends.
+// Connect makes a rollout send its calls through a pool until ctx ends.
 func Connect(ctx context.Context, po *peer.Pool, ro *Rollout) {
 	ro.SendOrderFunc = peer.Sender[Request, Response](ctx, po, OrderMethod, callTimeout)
 	ro.SendProbeFunc = peer.Sender[ProbeRequest, Status](ctx, po, ProbeMethod, callTimeout)
--- a/rollout/fence.go
+++ b/rollout/fence.go
@@ -12,46 +12,46 @@
 	"wisteriacroft/engine"
 )
 
-// A Fence stands between owners of rollouts and the engines of an attendant.
-// Set its fields and add the endpoints before the first call. Its methods may
-// be called from several goroutines.
+// A Fence passes the orders of rollout owners to the engines of an attendant and refuses those of
+// replaced owners. Set its fields and add the endpoints before the first call. Its methods are safe
+// for concurrent use.
 type Fence struct {
-	// Incarnation is that of the attendant.
+	// Incarnation is the incarnation of the attendant.
 	Incarnation uint64
-	// NotifyFunc tells the owner at address what became of its order. It
-	// returns at once; a word that is lost is asked for again.
+	// NotifyFunc reports the outcome of an order to the owner at address. It must not block. A lost
+	// notice is replaced by the owner's next probe.
 	NotifyFunc func(address string, st Status)
-	// PassFunc passes an order to an engine, as engine.Client.OrderFunc does.
+	// PassFunc sends an order to an engine, like engine.Client.OrderFunc.
 	PassFunc func(ctx context.Context, endpoint string, or engine.Order) error
-	// PassTimeout bounds PassFunc.
+	// PassTimeout is the timeout of PassFunc.
 	PassTimeout time.Duration
-	// Rand makes tokens; may be nil.
+	// Rand generates tokens; may be nil.
 	Rand *rand.Rand
-	// SettleLag is by how much an engine's report may lag behind an order that
-	// the engine has taken.
+	// SettleLag is the maximum delay between an engine's acceptance of an order and a report that
+	// shows it.
 	SettleLag time.Duration
-	// TokenLife is how long a token holds. It must be shorter than the margin
-	// by which a lease holder stops acting before its lease ends.
+	// TokenLife is how long a token is valid. It must be shorter than the margin by which a lease
+	// holder stops acting before its lease expires.
 	TokenLife time.Duration
 
 	mu   sync.Mutex
 	rows map[string]*fenceRow
 }
 
-// A fenceRow is an engine in a Fence.
+// A fenceRow is the state of an engine in a Fence.
 type fenceRow struct {
-	confirmed  uint64       // epoch of the last order that was admitted
-	notify     string       // address of the last order's owner
-	order      engine.Order // the last that was admitted
-	passed     time.Time    // when passing it ended
+	confirmed  uint64       // epoch of the last admitted order
+	notify     string       // address of the owner of the last admitted order
+	order      engine.Order // last admitted order
+	passedAt   time.Time    // when PassFunc returned
 	report     engine.Report
-	reported   bool
+	hasReport  bool
 	status     Status
 	tokenUntil time.Time
 }
 
-// Add adds an endpoint. What its engine does is unknown until it reports: an
-// order from before the attendant's start may still be running.
+// Add adds an endpoint. Its phase is Unknown until its first report: an order from before the
+// attendant's start may still be in progress.
 func (fe *Fence) Add(endpoint string) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -61,8 +61,8 @@
 	fe.rows[endpoint] = &fenceRow{status: Status{Endpoint: endpoint, Incarnation: fe.Incarnation}}
 }
 
-// VersionStable reports whether work that is bound to a weight version may start at
-// the endpoint.
+// VersionStable reports whether the weight version of the endpoint is settled, so that requests
+// that need a certain version may start.
 func (fe *Fence) VersionStable(endpoint string) bool {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -70,7 +70,7 @@
 	return ok && fr.status.Phase.settled() && !fr.report.Loading
 }
 
-// Status returns what is known of an endpoint's engine.
+// Status returns the status of an endpoint.
 func (fe *Fence) Status(endpoint string) (Status, error) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -81,7 +81,7 @@
 	return fr.status, nil
 }
 
-// Probe answers an owner that asks for a status. It returns a token.
+// Probe returns the status of an endpoint with a new token, and fences owners with lower epochs.
 func (fe *Fence) Probe(rq ProbeRequest) (Status, error) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -90,7 +90,7 @@
 		return Status{}, errors.Wrapf(ErrUnknownEndpoint, "%s", rq.Endpoint)
 	}
 	if rq.Epoch < fr.status.Epoch {
-		// A replaced owner's question must not take the owner's token away.
+		// A probe of a replaced owner must not invalidate the current owner's token.
 		st := fr.status
 		st.Token = 0
 		return st, nil
@@ -100,40 +100,36 @@
 	return fr.status, nil
 }
 
-// Order passes an order to its engine, if it may, and says what is known then.
+// Order passes an order to its engine if it is admitted, and returns the resulting status.
 func (fe *Fence) Order(ctx context.Context, rq Request) (Response, error) {
 	ve, err := fe.admit(rq, time.Now())
 	if err != nil {
 		return Response{}, err
 	}
 	if ve == Accepted {
-		// The owner may hang up; the engine may load all the same, so passing
-		// goes on to an outcome.
+		// The engine may load the weights even if the owner disconnects, so the call continues
+		// until its outcome is known.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(fe.PassTimeout, DefaultPassTimeout))
 		defer cancel()
-		ve = fe.pass(rq.Endpoint, fe.PassFunc(ctx, rq.Endpoint, rq.Order), time.Now())
+		ve = fe.recordPassed(rq.Endpoint, fe.PassFunc(ctx, rq.Endpoint, rq.Order), time.Now())
 	}
 	st, err := fe.Status(rq.Endpoint)
 	return Response{Status: st, Verdict: ve}, err
 }
 
-// admit decides whether an order is passed on.
+// admit decides whether an order is passed to the engine.
 //
-// An owner that was paused can wake and still believe that it owns the
-// rollout. Its late order would put old weights onto an engine after the
-// next owner's, and an engine that ignores epochs would take it; the engine
-// would then report a version that nobody wants. So this side refuses:
+// An owner that was paused may resume and order old weights after its successor has ordered new
+// ones. An engine that ignores epochs would load them. So the fence refuses:
 //   - an epoch below the highest seen;
-//   - an order meant for an earlier start of this attendant, which has
-//     forgotten the epochs that it saw;
-//   - an order without the latest token that was made here. Each probe and
-//     each order makes a new one, so that an order that was given up on can't
-//     arrive after its owner asked what became of it and was told "idle";
-//   - the first order under an epoch, if the token is older than TokenLife.
-//     Whoever got a fresh one has checked its lease since, so that a woken
-//     owner can't evade the rules above by learning the new incarnation;
-//   - an order while another isn't settled: the two could overtake each other
-//     on their way to the engine.
+//   - an order for an earlier incarnation of this attendant, whose epochs are lost;
+//   - an order without the latest token. Each probe and each order generates a new one, so that a
+//     delayed order can't arrive after its owner has been told that the engine is idle;
+//   - the first order of an epoch if its token is older than TokenLife. An owner with a fresh token
+//     has checked its lease since, so that a paused owner can't get past the rules above by
+//     learning the new incarnation;
+//   - an order while another one is not settled: the engine could receive the two in the wrong
+//     order.
 func (fe *Fence) admit(rq Request, now time.Time) (Verdict, error) {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
@@ -148,7 +144,7 @@
 		return Fenced, nil
 	case !fr.status.Phase.settled():
 		return Busy, nil
-	case !fr.confirms(rq, now):
+	case !fr.hasValidToken(rq, now):
 		fe.renewToken(fr, now)
 		return Unconfirmed, nil
 	}
@@ -162,12 +158,12 @@
 	return Accepted, nil
 }
 
-// pass notes the outcome of passing an order on.
-func (fe *Fence) pass(endpoint string, err error, now time.Time) Verdict {
+// recordPassed records the outcome of PassFunc.
+func (fe *Fence) recordPassed(endpoint string, err error, now time.Time) Verdict {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 	fr := fe.rows[endpoint]
-	fr.passed = now
+	fr.passedAt = now
 	switch {
 	case err == nil:
 		fr.enter(Settling)
@@ -178,20 +174,20 @@
 		fr.enter(Idle)
 		return NotSent
 	default:
-		fr.enter(Unknown) // it may have been taken: only the report tells
+		fr.enter(Unknown) // may have been accepted; only a report can tell
 	}
 	return Accepted
 }
 
-// Observe takes an engine's own report, which alone settles an order.
+// Observe processes an engine's report. Only a report settles an order.
 func (fe *Fence) Observe(endpoint string, re engine.Report) {
 	fe.mu.Lock()
 	fr, ok := fe.rows[endpoint]
-	if !ok || fr.reported && re.At.Before(fr.report.At) {
+	if !ok || fr.hasReport && re.At.Before(fr.report.At) {
 		fe.mu.Unlock()
 		return
 	}
-	fr.report, fr.reported = re, true
+	fr.report, fr.hasReport = re, true
 	before := fr.status
 	fr.status.Version = re.Version
 	settled := fe.settle(fr)
@@ -206,15 +202,15 @@
 	}
 }
 
-// settle ends an order once a report shows what became of it. A report that
-// may be from before the engine took the order shows nothing.
+// settle ends an order if the report shows its outcome. A report that may have been made before the
+// engine accepted the order is ignored.
 func (fe *Fence) settle(fr *fenceRow) bool {
 	re := fr.report
 	if fr.status.Phase.settled() || fr.status.Phase == Sending {
 		return false
 	}
 	named := fr.order.Version != 0 && re.Version == fr.order.Version
-	if re.Loading || !named && re.At.Before(fr.passed.Add(cmp.Or(fe.SettleLag, DefaultSettleLag))) {
+	if re.Loading || !named && re.At.Before(fr.passedAt.Add(cmp.Or(fe.SettleLag, DefaultSettleLag))) {
 		return false
 	}
 	switch {
@@ -228,21 +224,20 @@
 	return true
 }
 
-// enter begins a phase, which is a change of the status.
+// enter starts a phase and increases the status' sequence number.
 func (fr *fenceRow) enter(ph Phase) {
 	fr.status.Phase = ph
 	fr.status.Sequence++
 }
 
-// confirms reports whether a request shows the latest token, and one that is
-// fresh enough if its epoch is new here.
-func (fr *fenceRow) confirms(rq Request, now time.Time) bool {
+// hasValidToken reports whether a request has the latest token and, for a new epoch, whether the token
+// is still valid.
+func (fr *fenceRow) hasValidToken(rq Request, now time.Time) bool {
 	fresh := rq.Order.Epoch == fr.confirmed || now.Before(fr.tokenUntil)
 	return rq.Token != 0 && rq.Token == fr.status.Token && fresh
 }
 
-// renewToken makes a new token, so that one that has been shown cannot be
-// shown again.
+// renewToken replaces the token, which invalidates the previous one.
 func (fe *Fence) renewToken(fr *fenceRow, now time.Time) {
 	random := rand.Uint64
 	if fe.Rand != nil {
--- a/rollout/harness_test.go
+++ b/rollout/harness_test.go
@@ -19,21 +19,21 @@
 
 // A machine is an attendant and its fake engine, which ignores epochs.
 type machine struct {
-	beat        uint64
-	broken      bool // the next load fails and keeps the old version
-	crashed     bool
-	fence       *rollout.Fence
-	id          string
-	incarnation uint64
-	loading     engine.Version
-	until       time.Time
-	version     engine.Version
+	beat         uint64
+	failNextLoad bool // the next load fails and keeps the old version
+	crashed      bool
+	fence        *rollout.Fence
+	id           string
+	incarnation  uint64
+	loading      engine.Version
+	until        time.Time
+	version      engine.Version
 }
 
 // A site is a set of machines, the roster of an entry, and the owners of their rollout. It runs in
 // a single goroutine. A lost message is lost in one direction only.
 type site struct {
-	late     []late
+	pending  []delayed
 	load     time.Duration
 	log      strings.Builder
 	lose     func(what string) bool // what is one of "order", "order-answer", "probe", "settle"
@@ -44,11 +44,11 @@
 	start    time.Time
 	table    membership.Table
 	t        *testing.T
-	took     func(ma *machine) // called for each order that an engine accepts
+	onOrder  func(ma *machine) // called for each order that an engine accepts
 }
 
-// A late is a delayed message.
-type late struct {
+// A delayed is a delayed message.
+type delayed struct {
 	at time.Time
 	fn func()
 }
@@ -56,7 +56,7 @@
 func newSite(t *testing.T, engines, domains int, version engine.Version) *site {
 	si := &site{
 		load: 5 * time.Second, lose: func(string) bool { return false }, rand: rand.New(rand.NewPCG(1, 2)),
-		paused: map[*rollout.Rollout]bool{}, start: time.Now(), t: t, took: func(*machine) {},
+		paused: map[*rollout.Rollout]bool{}, start: time.Now(), t: t, onOrder: func(*machine) {},
 	}
 	for i := range engines {
 		ma := &machine{id: fmt.Sprintf("e%04d", i), version: version}
@@ -76,9 +76,9 @@
 		if ma.crashed {
 			return engine.ErrNotSent
 		}
-		si.took(ma)
+		si.onOrder(ma)
 		ma.loading, ma.until = or.Version, time.Now().Add(si.load)
-		si.say("%s takes version %d under epoch %d", ma.id, or.Version, or.Epoch)
+		si.logf("%s accepts version %d under epoch %d", ma.id, or.Version, or.Epoch)
 		return nil
 	}
 	fe.NotifyFunc = func(address string, st rollout.Status) {
@@ -108,14 +108,14 @@
 	return nil
 }
 
-// A holding is the state of an owner's lease.
-type holding struct {
+// A leaseState is the state of an owner's lease.
+type leaseState struct {
 	epoch uint64
 	held  bool
 }
 
-// own adds an owner of the rollout.
-func (si *site) own(name string, limit, floor int, ho *holding) *rollout.Rollout {
+// addOwner adds an owner of the rollout.
+func (si *site) addOwner(name string, limit, floor int, ho *leaseState) *rollout.Rollout {
 	ro := &rollout.Rollout{
 		Address:   name,
 		FloorFunc: func(int) int { return floor },
@@ -137,10 +137,10 @@
 			}
 			an, err := si.find(id).fence.Order(si.t.Context(), rq)
 			if an.Verdict != rollout.Accepted {
-				si.say("%s refuses version %d under epoch %d: %v", rq.Endpoint, rq.Order.Version, rq.Order.Epoch, an.Verdict)
+				si.logf("%s refuses version %d under epoch %d: %v", rq.Endpoint, rq.Order.Version, rq.Order.Epoch, an.Verdict)
 			}
 			if si.lose("order-answer") {
-				si.say("the answer of %s is lost", rq.Endpoint)
+				si.logf("the answer of %s is lost", rq.Endpoint)
 				err = peer.ErrSilent
 			}
 			done(an, err)
@@ -176,15 +176,15 @@
 
 // after runs fn in the first step after d has passed.
 func (si *site) after(d time.Duration, fn func()) {
-	si.late = append(si.late, late{at: time.Now().Add(d), fn: fn})
+	si.pending = append(si.pending, delayed{at: time.Now().Add(d), fn: fn})
 }
 
 func (si *site) deliver() {
-	due := si.late
-	si.late = nil
+	due := si.pending
+	si.pending = nil
 	for _, la := range due {
 		if time.Now().Before(la.at) {
-			si.late = append(si.late, la)
+			si.pending = append(si.pending, la)
 			continue
 		}
 		la.fn()
@@ -196,11 +196,11 @@
 func (si *site) advance(ma *machine, i int) {
 	now := time.Now()
 	if ma.loading != 0 && !now.Before(ma.until) {
-		if !ma.broken {
+		if !ma.failNextLoad {
 			ma.version = ma.loading
 		}
-		si.say("%s ends loading at version %d", ma.id, ma.version)
-		ma.loading, ma.broken = 0, false
+		si.logf("%s ends loading at version %d", ma.id, ma.version)
+		ma.loading, ma.failNextLoad = 0, false
 	}
 	if tenths := int(now.Sub(si.start) / step); (tenths+i)%5 == 0 && !ma.crashed {
 		re := engine.Report{At: now, Loading: ma.loading != 0, Version: ma.version}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (si *site) say(format string, args ...any) {
+func (si *site) logf(format string, args ...any) {
 	fmt.Fprintf(&si.log, "%6.1fs ", time.Since(si.start).Seconds())
 	fmt.Fprintf(&si.log, format+"\n", args...)
 }
--- a/rollout/message.go
+++ b/rollout/message.go
@@ -2,39 +2,38 @@
 
 import "wisteriacroft/engine"
 
-// Methods of the calls between the owner of a rollout and attendants.
+// RPC methods of attendants and of rollout owners.
 const (
 	OrderMethod  = "order.order"
 	ProbeMethod  = "order.probe"
-	SettleMethod = "order.settle" // to the owner
+	SettleMethod = "order.settle" // served by the owner
 )
 
-// A Request is an order on its way to an attendant.
+// A Request is an order sent to an attendant.
 type Request struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    string
-	Incarnation uint64 // of the attendant that it is meant for
-	Notify      string // address of the owner, to be told when it is settled
+	Incarnation uint64 // expected incarnation of the attendant
+	Notify      string // address of the owner, for the settle notice
 	Order       engine.Order
-	Token       uint64 // the attendant's latest, or 0
+	Token       uint64 // latest token of the attendant, or 0
 }
 
-// A Response says what became of a Request.
+// A Response is the response to a Request.
 type Response struct {
 	_       struct{} `cbor:",toarray"`
 	Status  Status
 	Verdict Verdict
 }
 
-// A ProbeRequest asks for an endpoint's status, and tells the epoch of whoever
-// asks: earlier owners are fenced off from then on.
+// A ProbeRequest requests the status of an endpoint. It fences owners with lower epochs.
 type ProbeRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
 	Epoch    uint64
 }
 
-// A Status is what an attendant knows of an engine.
+// A Status is an attendant's view of an engine.
 type Status struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    string
@@ -42,7 +41,7 @@
 	Incarnation uint64 // of the attendant
 	Ordered     engine.Version
 	Phase       Phase
-	Sequence    uint64 // grows with each change, within an incarnation
-	Token       uint64 // to be shown by the next order; 0 tells nothing
+	Sequence    uint64 // increases with each change within an incarnation
+	Token       uint64 // required by the next order; 0 if none
 	Version     engine.Version
 }
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,6 +1,5 @@
-// Package rollout rolls new weights out over the engines of a service: one
-// owner, an entry, decides which engine loads next, and the attendant beside
-// each engine refuses orders of owners that have been replaced.
+// Package rollout rolls out new weights to the engines of a service. One owner, an entry, decides
+// which engine loads next. The attendant of each engine refuses orders of replaced owners.
 package rollout
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults of the zero Rollout and the zero Fence.
+// Defaults of Rollout and Fence.
 const (
 	DefaultBackoffLongest = time.Minute
 	DefaultBackoffFirst   = 2 * time.Second
@@ -20,17 +19,14 @@
 	DefaultTokenLife      = time.Second
 )
 
-// maxCalls is how many probes may be on their way at once: a new owner has to
-// ask every engine, but not all in one moment.
-const maxCalls = 64
+// maxProbes bounds concurrent probes. A new owner probes all engines.
+const maxProbes = 64
 
-// maxBackoffShift bounds the doublings of BackoffFirst, so that they don't
-// overflow.
+// maxBackoffShift bounds the exponent of the backoff against overflow.
 const maxBackoffShift = 10
 
-// settleProbe is how long after an order that failed without a status its
-// engine is asked what became of it.
-const settleProbe = time.Second
+// reprobeDelay is the delay before a probe after an order without a usable status.
+const reprobeDelay = time.Second
 
 // ErrUnknownEndpoint means that the attendant does not serve the endpoint.
 var ErrUnknownEndpoint = errors.New("unknown endpoint")
--- a/rollout/phase.go
+++ b/rollout/phase.go
@@ -1,17 +1,16 @@
 package rollout
 
-// A Phase is what an attendant knows of the last order to an engine.
+// A Phase is the state of the last order to an engine, as its attendant sees it.
 type Phase uint8
 
-// The phases. The zero Phase is Unknown, so that whoever knows nothing claims
-// nothing.
+// The phases. The zero Phase is Unknown.
 const (
-	Unknown  Phase = iota // the engine may be loading or may load yet
-	Idle                  // no order under way: none came, or the last one was not taken
-	Sending               // on its way to the engine
-	Settling              // taken by the engine, which loads
-	Loaded                // the engine's report names the ordered version
-	Failed                // the engine's report names another version
+	Unknown  Phase = iota // the engine may be loading, or may start to
+	Idle                  // no order in progress: none was sent, or the last one was not accepted
+	Sending               // being sent to the engine
+	Settling              // accepted by the engine, which is loading
+	Loaded                // the engine's report shows the ordered version
+	Failed                // the engine's report shows another version
 )
 
 var phaseNames = [...]string{
@@ -19,25 +18,24 @@
 	Settling: "settling", Loaded: "loaded", Failed: "failed",
 }
 
-// String returns the phase's name.
+// String returns the name of the phase.
 func (ph Phase) String() string { return phaseNames[ph] }
 
-// settled reports whether no order is under way, so that the engine's report
-// tells its version.
+// settled reports whether no order is in progress, so that the engine's report shows its version.
 func (ph Phase) settled() bool { return ph == Idle || ph == Loaded || ph == Failed }
 
-// A Verdict is what an attendant did with an order.
+// A Verdict is an attendant's decision on an order.
 type Verdict uint8
 
-// The verdicts. After any but Accepted the engine did not act on the order.
+// The verdicts. The engine has acted on the order only after Accepted.
 const (
-	Accepted         Verdict = iota // passed to the engine; see the status
-	Busy                            // another order is not settled yet
-	EngineFenced                    // the engine itself refused the epoch
-	Fenced                          // an order or a probe of a later owner came before
-	NotSent                         // the engine could not be reached
-	Unconfirmed                     // repeat it with the status' token, if the lease still holds
-	WrongIncarnation                // the attendant has started anew since
+	Accepted         Verdict = iota // passed to the engine; the status has the outcome
+	Busy                            // another order is not settled
+	EngineFenced                    // the engine refused the epoch
+	Fenced                          // a later owner has sent an order or a probe
+	NotSent                         // the engine was not reached
+	Unconfirmed                     // repeat with the status' token, if the lease is still held
+	WrongIncarnation                // the attendant has restarted since
 )
 
 var verdictNames = [...]string{
@@ -45,5 +43,5 @@
 	Unconfirmed: "unconfirmed", WrongIncarnation: "wrong-incarnation",
 }
 
-// String returns the verdict's name.
+// String returns the name of the verdict.
 func (ve Verdict) String() string { return verdictNames[ve] }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -13,36 +13,36 @@
 	"wisteriacroft/peer"
 )
 
-// own reports whether this process may act now. Whoever owns the rollout anew
-// knows of no order: it asks every engine before it orders anything of it.
-func (ro *Rollout) own(now time.Time) bool {
+// active reports whether this process may act now. Under a new epoch it resets all rows to Unknown, so
+// that each engine is probed before it gets an order.
+func (ro *Rollout) active(now time.Time) bool {
 	epoch, ok := ro.HeldFunc(now)
-	if !ok || epoch <= ro.fenced {
+	if !ok || epoch <= ro.fencedEpoch {
 		return false
 	}
 	if epoch != ro.epoch {
 		ro.epoch = epoch
 		for _, rw := range ro.rows {
 			rw.enter(Unknown, now)
-			rw.probe = time.Time{}
+			rw.nextProbeAt = time.Time{}
 		}
 	}
 	return true
 }
 
-// ask probes engines whose order is not settled.
-func (ro *Rollout) ask(now time.Time) {
+// probeUnsettled probes engines whose order is not settled.
+func (ro *Rollout) probeUnsettled(now time.Time) {
 	calls := 0
 	for _, rw := range ro.rows {
-		if rw.calling {
+		if rw.callPending {
 			calls++
 		}
 	}
 	for _, rw := range ro.rows {
-		if calls >= maxCalls {
+		if calls >= maxProbes {
 			return
 		}
-		if rw.calling || rw.phase.settled() || now.Before(rw.probe) {
+		if rw.callPending || rw.phase.settled() || now.Before(rw.nextProbeAt) {
 			continue
 		}
 		calls++
@@ -50,29 +50,28 @@
 	}
 }
 
-// sendProbe queues a probe of an engine's attendant.
+// sendProbe queues a probe of an engine.
 func (ro *Rollout) sendProbe(rw *row, now time.Time) {
-	rw.calling = true
-	rw.probe = now.Add(cmp.Or(ro.ProbeInterval, DefaultProbeInterval))
+	rw.callPending = true
+	rw.nextProbeAt = now.Add(cmp.Or(ro.ProbeInterval, DefaultProbeInterval))
 	address, epoch := rw.view.Address(), ro.epoch
 	rq := ProbeRequest{Endpoint: rw.view.ID(), Epoch: epoch}
 	ro.sends = append(ro.sends, func() {
 		ro.SendProbeFunc(address, rq, func(st Status, err error) {
 			ro.mu.Lock()
 			defer ro.mu.Unlock()
-			rw.calling = false
+			rw.callPending = false
 			if err != nil {
-				return // the engine's fate stays unknown: ask again
+				return // still unknown; probe again
 			}
-			ro.take(rw, st, time.Now())
+			ro.applyStatus(rw, st, time.Now())
 		})
 	})
 }
 
-// plan orders engines to load the wanted version, within the weight store's
-// limit and above the floor. Engines that serve nothing come first, since they
-// cost the floor nothing; then those whose failure domain has the fewest
-// swaps under way, so that no domain stops serving as a whole.
+// plan orders engines to load the wanted version, within the fetch limit and the serving floor.
+// Engines that serve nothing come first, then those whose failure domain has the fewest swaps in
+// progress, so that no failure domain stops serving as a whole.
 func (ro *Rollout) plan(now time.Time) {
 	if ro.wanted == 0 {
 		return
@@ -101,8 +100,7 @@
 	}
 }
 
-// swaps counts the engines of each failure domain that are out of work for an
-// order.
+// swaps counts the engines with an unsettled order by failure domain.
 func (ro *Rollout) swaps() map[string]int {
 	swaps := map[string]int{}
 	for _, rw := range ro.rows {
@@ -113,24 +111,24 @@
 	return swaps
 }
 
-// candidates returns the engines that may be ordered now, but for the floor.
+// candidates returns the engines that may be ordered now, regardless of the floor.
 func (ro *Rollout) candidates(now time.Time) []*row {
 	var rws []*row
 	for _, rw := range ro.rows {
-		ready := rw.phase.settled() && !rw.calling && rw.reachable()
-		if ready && rw.version < ro.wanted && !now.Before(rw.next) {
+		ready := rw.phase.settled() && !rw.callPending && rw.reachable()
+		if ready && rw.version < ro.wanted && !now.Before(rw.nextOrderAt) {
 			rws = append(rws, rw)
 		}
 	}
 	return rws
 }
 
-// best returns the engine to order next, or nil, if spare engines serve above
+// best returns the next engine to order, or nil. spare is the number of engines that serve above
 // the floor.
 func best(rws []*row, swaps map[string]int, spare int) *row {
 	var found *row
 	for _, rw := range rws {
-		if rw.cost() > spare {
+		if rw.requiredSpare() > spare {
 			continue
 		}
 		if found == nil || compare(rw, found, swaps) < 0 {
@@ -140,21 +138,20 @@
 	return found
 }
 
-// compare orders candidates, the one to be ordered first being the least.
+// compare sorts candidates; the least is ordered first.
 func compare(a, b *row, swaps map[string]int) int {
 	return cmp.Or(
-		cmp.Compare(a.cost(), b.cost()),
+		cmp.Compare(a.requiredSpare(), b.requiredSpare()),
 		cmp.Compare(swaps[a.view.FailureDomain()], swaps[b.view.FailureDomain()]),
 		cmp.Compare(a.attempts, b.attempts),
 	)
 }
 
-// cost returns the least spare that an order to the engine asks for.
+// requiredSpare returns the least spare that an order to the engine requires.
 //
-// An engine that has just swapped serves again before the roster says so. It
-// isn't counted as serving then, but it would be missed: an order to it has to
-// leave the floor to the others. Only an engine without weights costs nothing.
-func (rw *row) cost() int {
+// An engine that has just swapped serves before the roster shows it. It does not count as serving
+// yet, so its order requires a spare of 0. Only an engine without weights has no such requirement.
+func (rw *row) requiredSpare() int {
 	switch {
 	case rw.serving():
 		return 1
@@ -165,11 +162,11 @@
 	}
 }
 
-// sendOrder queues the order to load the wanted version.
+// sendOrder queues an order to load the wanted version.
 func (ro *Rollout) sendOrder(rw *row, now time.Time) {
-	rw.calling = true
+	rw.callPending = true
 	rw.enter(Sending, now)
-	rw.probe = now.Add(cmp.Or(ro.ProbeInterval, DefaultProbeInterval))
+	rw.nextProbeAt = now.Add(cmp.Or(ro.ProbeInterval, DefaultProbeInterval))
 	address := rw.view.Address()
 	rq := Request{
 		Endpoint:    rw.view.ID(),
@@ -183,48 +180,48 @@
 		ro.SendOrderFunc(address, rq, func(an Response, err error) {
 			ro.mu.Lock()
 			defer ro.mu.Unlock()
-			rw.calling = false
-			ro.answered(rw, rq, an, err, time.Now())
+			rw.callPending = false
+			ro.applyAnswer(rw, rq, an, err, time.Now())
 		})
 	})
 }
 
-// answered takes the outcome of an order.
-func (ro *Rollout) answered(rw *row, rq Request, an Response, err error, now time.Time) {
+// applyAnswer processes the outcome of an order.
+func (ro *Rollout) applyAnswer(rw *row, rq Request, an Response, err error, now time.Time) {
 	if rq.Order.Epoch != ro.epoch || rq.Incarnation != rw.incarnation() {
-		return // the engine has become unknown meanwhile, and is asked
+		return // the engine has been reset to Unknown and will be probed
 	}
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		rw.enter(Idle, now)
-		ro.rest(rw, now)
+		ro.backOff(rw, now)
 	case err != nil:
-		rw.enter(Unknown, rw.since) // taken or not: only a report tells
-		rw.probe = now.Add(settleProbe)
+		rw.enter(Unknown, rw.since) // may have been accepted; only a report can tell
+		rw.nextProbeAt = now.Add(reprobeDelay)
 	case an.Verdict == Fenced:
-		ro.fenced = max(ro.fenced, rq.Order.Epoch)
+		ro.fencedEpoch = max(ro.fencedEpoch, rq.Order.Epoch)
 	case an.Verdict == WrongIncarnation:
-		rw.enter(Unknown, now) // the roster will name the new one
-		rw.probe = now.Add(settleProbe)
+		rw.enter(Unknown, now) // the roster will report the new incarnation
+		rw.nextProbeAt = now.Add(reprobeDelay)
 	case an.Verdict == NotSent, an.Verdict == EngineFenced:
-		ro.take(rw, an.Status, now)
-		ro.rest(rw, now)
+		ro.applyStatus(rw, an.Status, now)
+		ro.backOff(rw, now)
 	default:
-		ro.take(rw, an.Status, now)
+		ro.applyStatus(rw, an.Status, now)
 	}
 }
 
-// take takes a status unless a later one was taken before.
-func (ro *Rollout) take(rw *row, st Status, now time.Time) {
+// applyStatus processes a status unless a later one has been processed.
+func (ro *Rollout) applyStatus(rw *row, st Status, now time.Time) {
 	if st.Epoch > ro.epoch {
-		ro.fenced = max(ro.fenced, st.Epoch-1)
+		ro.fencedEpoch = max(ro.fencedEpoch, st.Epoch-1)
 	}
-	late := st.Incarnation == rw.started && st.Sequence < rw.sequence
-	repeated := st.Incarnation == rw.started && st.Sequence == rw.sequence
+	late := st.Incarnation == rw.statusIncarnation && st.Sequence < rw.statusSequence
+	repeated := st.Incarnation == rw.statusIncarnation && st.Sequence == rw.statusSequence
 	if st.Incarnation < rw.incarnation() || late {
 		return
 	}
-	rw.started, rw.sequence = st.Incarnation, st.Sequence
+	rw.statusIncarnation, rw.statusSequence = st.Incarnation, st.Sequence
 	rw.version = st.Version
 	if st.Token != 0 {
 		rw.token = st.Token
@@ -237,12 +234,12 @@
 		rw.enter(st.Phase, since)
 	}
 	if st.Phase == Failed && st.Ordered == ro.wanted && !repeated {
-		ro.rest(rw, now)
+		ro.backOff(rw, now)
 	}
 }
 
-// rest makes an engine that failed wait, longer each time.
-func (ro *Rollout) rest(rw *row, now time.Time) {
+// backOff sets the backoff of an engine after a failure.
+func (ro *Rollout) backOff(rw *row, now time.Time) {
 	shift := min(rw.attempts, maxBackoffShift)
 	rw.attempts++
 	wait := min(cmp.Or(ro.BackoffFirst, DefaultBackoffFirst)<<shift, cmp.Or(ro.BackoffLongest, DefaultBackoffLongest))
@@ -251,5 +248,5 @@
 		random = ro.Rand.Int64N
 	}
 	half := int64(wait) / 2
-	rw.next = now.Add(time.Duration(half + random(half+1)))
+	rw.nextOrderAt = now.Add(time.Duration(half + random(half+1)))
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -13,67 +13,63 @@
 	"wisteriacroft/tick"
 )
 
-// A Rollout brings the newest weights to the engines of one service, while
-// this process owns that. Set its fields before the first call. Its methods
-// may be called from several goroutines.
+// A Rollout orders the engines of one service to load the newest weights while this process owns
+// the rollout. Set its fields before the first call. Its methods are safe for concurrent use.
 type Rollout struct {
-	// Address is where attendants tell this process what became of orders.
+	// Address is the address to which attendants send settle notices.
 	Address string
-	// BackoffFirst and BackoffLongest bound how long an engine that failed rests.
+	// BackoffFirst and BackoffLongest bound the backoff after a failed order.
 	BackoffFirst   time.Duration
 	BackoffLongest time.Duration
-	// FloorFunc returns how many of the service's endpoints must go on
-	// serving, given how many there are.
+	// FloorFunc returns the minimum number of serving endpoints, given the number of all.
 	FloorFunc func(endpoints int) int
-	// HeldFunc returns the epoch under which this process owns the rollout.
+	// HeldFunc returns the epoch of the held lease, or false if the lease is not held.
 	HeldFunc func(now time.Time) (epoch uint64, ok bool)
-	// LoadTimeout is how long an order of unknown fate counts as a fetch from
-	// the weight store.
+	// LoadTimeout is how long an unsettled order counts as a fetch from the weight store.
 	LoadTimeout time.Duration
-	// ProbeInterval is how often an engine is asked whose order isn't settled.
+	// ProbeInterval is the interval between probes of an engine with an unsettled order.
 	ProbeInterval time.Duration
-	// Rand spreads the rests of engines that failed together; may be nil.
+	// Rand generates the jitter of backoffs; may be nil.
 	Rand *rand.Rand
-	// SendOrderFunc sends to an attendant and returns at once; it calls done
-	// later, exactly once.
+	// SendOrderFunc sends an order without blocking and calls done exactly once, later.
 	SendOrderFunc func(address string, rq Request, done func(Response, error))
-	// SendProbeFunc sends to an attendant as SendOrderFunc does.
+	// SendProbeFunc sends a probe in the same way.
 	SendProbeFunc func(address string, rq ProbeRequest, done func(Status, error))
 
-	epoch  uint64 // under which the rows are known; 0 is none
-	fenced uint64 // epoch that an attendant refused; no order under it or a lower one
-	limit  int
-	mu     sync.Mutex
-	rows   []*row // by endpoint
-	sends  []func()
-	wanted engine.Version
+	epoch       uint64 // epoch that the rows belong to; 0 if none
+	fencedEpoch uint64 // highest epoch that was refused; no orders with it or a lower one
+	limit       int
+	mu          sync.Mutex
+	rows        []*row // sorted by endpoint
+	sends       []func()
+	wanted      engine.Version
 }
 
-// A row is an engine in a Rollout.
+// A row is the state of an engine in a Rollout.
 type row struct {
-	attempts int // orders of the wanted version that failed
-	calling  bool
-	next     time.Time // no order to the engine before then
-	phase    Phase
-	probe    time.Time // next probe, unless settled
-	sequence uint64    // of the last status taken
-	since    time.Time // when the phase began
-	started  uint64    // incarnation of the last status taken
-	token    uint64
-	version  engine.Version // by the engine's own report
-	view     membership.Endpoint
-}
-
-// A Progress counts the engines of a rollout.
+	attempts          int // failed orders of the wanted version
+	callPending       bool
+	nextOrderAt       time.Time // earliest time of the next order
+	phase             Phase
+	nextProbeAt       time.Time // time of the next probe, unless settled
+	statusSequence    uint64    // sequence number of the latest status
+	since             time.Time // start of the phase
+	statusIncarnation uint64    // incarnation of the latest status
+	token             uint64
+	version           engine.Version // from the engine's report
+	view              membership.Endpoint
+}
+
+// A Progress counts the engines of a rollout by state.
 type Progress struct {
-	Engines   int // all that are known
-	Fetching  int // that may be fetching weights now
+	Engines   int // all
+	Fetching  int // may be fetching weights
 	Serving   int
 	Unsettled int
-	Updated   int // whose report names the wanted version
+	Updated   int // report the wanted version
 }
 
-// Observe takes an endpoint of the service from the roster.
+// Observe adds or updates an endpoint from the roster.
 func (ro *Rollout) Observe(en membership.Endpoint) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -87,16 +83,16 @@
 	moved := en.Version() != rw.view.Version() && en.Version() != rw.version
 	rw.view = en
 	if restarted || moved && rw.phase.settled() {
-		// The engine or its attendant is not what it was: ask.
+		// Probe, since the engine or its attendant has changed.
 		rw.enter(Unknown, time.Now())
-		rw.probe = time.Time{}
+		rw.nextProbeAt = time.Time{}
 	}
 	if en.Version() == ro.wanted && rw.phase == Settling {
-		rw.probe = time.Time{}
+		rw.nextProbeAt = time.Time{}
 	}
 }
 
-// Remove forgets an endpoint that is no more.
+// Remove removes an endpoint.
 func (ro *Rollout) Remove(endpoint string) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -105,15 +101,15 @@
 	}
 }
 
-// SetLimit sets how many engines of this service may fetch weights at once.
+// SetLimit sets how many engines of this service may fetch weights at the same time.
 func (ro *Rollout) SetLimit(limit int) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	ro.limit = limit
 }
 
-// SetWanted sets the version that all engines are to load. A lower one than
-// before is ignored: a late answer of the store names it.
+// SetWanted sets the version for all engines. Lower versions are ignored, since answers of the
+// store may arrive late.
 func (ro *Rollout) SetWanted(ve engine.Version) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -123,27 +119,27 @@
 	ro.wanted = ve
 	for _, rw := range ro.rows {
 		rw.attempts = 0
-		rw.next = time.Time{}
+		rw.nextOrderAt = time.Time{}
 	}
 }
 
-// Settled takes an attendant's word that an order is settled.
+// Settled processes a settle notice from an attendant.
 func (ro *Rollout) Settled(st Status) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	if at, ok := ro.find(st.Endpoint); ok {
-		ro.take(ro.rows[at], st, time.Now())
+		ro.applyStatus(ro.rows[at], st, time.Now())
 	}
 }
 
-// Progress returns how far the rollout is.
+// Progress returns the progress of the rollout.
 func (ro *Rollout) Progress() Progress {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.progress(time.Now())
 }
 
-// progress is Progress for callers that hold mu.
+// progress implements Progress. The caller holds mu.
 func (ro *Rollout) progress(now time.Time) Progress {
 	pr := Progress{Engines: len(ro.rows)}
 	for _, rw := range ro.rows {
@@ -163,16 +159,16 @@
 	return pr
 }
 
-// Systems returns the systems that run for the rollout, in order.
+// Systems returns the systems of the rollout.
 func (ro *Rollout) Systems() []tick.System {
 	return []tick.System{{Name: "order-rollout", Run: ro.run}}
 }
 
-// run decides under the lock and sends after it. It is a system.
+// run plans under the lock and sends after releasing it. It is a system.
 func (ro *Rollout) run(now time.Time) {
 	ro.mu.Lock()
-	if ro.own(now) {
-		ro.ask(now)
+	if ro.active(now) {
+		ro.probeUnsettled(now)
 		ro.plan(now)
 	}
 	sends := ro.sends
@@ -183,33 +179,33 @@
 	}
 }
 
-// find returns the index of an endpoint's row or, with false, its place.
+// find returns the index of an endpoint's row or, with false, its insertion index.
 func (ro *Rollout) find(endpoint string) (int, bool) {
 	return slices.BinarySearchFunc(ro.rows, endpoint, func(rw *row, id string) int {
 		return strings.Compare(rw.view.ID(), id)
 	})
 }
 
-// serving reports whether the engine takes work that is bound to a version.
+// serving reports whether the engine accepts requests that need a certain version.
 func (rw *row) serving() bool {
 	return rw.view.State() == membership.Ready && rw.phase.settled() && rw.version > 0
 }
 
-// incarnation returns the latest of the engine's attendant that is known, be
-// it from the roster or from a status.
-func (rw *row) incarnation() uint64 { return max(rw.started, rw.view.Incarnation()) }
+// incarnation returns the latest incarnation of the engine's attendant known from the roster or a
+// status.
+func (rw *row) incarnation() uint64 { return max(rw.statusIncarnation, rw.view.Incarnation()) }
 
-// reachable reports whether an order may be sent to the engine at all.
+// reachable reports whether an order may be sent to the engine.
 func (rw *row) reachable() bool {
 	return rw.view.State() == membership.Ready || rw.view.State() == membership.Loading
 }
 
-// fetching reports whether the engine may be fetching weights now.
+// fetching reports whether the engine may be fetching weights.
 func (ro *Rollout) fetching(rw *row, now time.Time) bool {
 	return !rw.phase.settled() && now.Sub(rw.since) < cmp.Or(ro.LoadTimeout, DefaultLoadTimeout)
 }
 
-// enter begins a phase.
+// enter starts a phase.
 func (rw *row) enter(ph Phase, now time.Time) {
 	rw.phase = ph
 	rw.since = now
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -34,37 +34,37 @@
 // attendant has restarted and lost its epochs.
 func TestPausedOwner(t *testing.T) {
 	session(t, 2, func(si *site) {
-		si.own("first", 1, 0, &holding{1, true}).SetWanted(7)
+		si.addOwner("first", 1, 0, &leaseState{1, true}).SetWanted(7)
 		si.run(20*time.Second, nil)
 		before, err := si.machines[0].fence.Probe(rollout.ProbeRequest{Endpoint: "e0000", Epoch: 1})
 		assert.NilError(t, err)
-		si.say("the first owner is paused")
+		si.logf("the first owner is paused")
 		first := si.owners[0]
 		si.paused[first] = true
-		second := si.own("second", 1, 0, &holding{2, true})
+		second := si.addOwner("second", 1, 0, &leaseState{2, true})
 		second.SetWanted(8)
 		si.run(20*time.Second, nil)
-		si.say("the attendant of e0000 restarts, and the first owner wakes")
+		si.logf("the attendant of e0000 restarts, and the first owner resumes")
 		si.restart(si.machines[0])
 		si.paused[second] = true
 		si.run(time.Second, nil)
 		order7 := func(what string, incarnation, token uint64) {
-			si.say("it orders %s", what)
+			si.logf("it sends an order %s", what)
 			first.SendOrderFunc("e0000", rollout.Request{
 				Endpoint: "e0000", Incarnation: incarnation, Token: token,
 				Order: engine.Order{Epoch: 1, Kind: engine.LoadVersion, Version: 7},
 			}, func(rollout.Response, error) {})
 		}
-		order7("as it last knew it", 1, 0)
+		order7("with its last known incarnation", 1, 0)
 		order7("with the new incarnation", 2, 0)
-		order7("with a token from before", 2, before.Token)
+		order7("with an old token", 2, before.Token)
 		late, err := si.machines[0].fence.Probe(rollout.ProbeRequest{Endpoint: "e0000", Epoch: 1})
 		assert.NilError(t, err)
 		si.run(rollout.DefaultTokenLife, nil)
-		order7("with a token that it got, paused again since", 2, late.Token)
+		order7("with a token that has expired", 2, late.Token)
 		si.paused[second] = false
 		si.run(5*time.Second, nil)
-		si.say("it goes on with its stale lease")
+		si.logf("it continues with its stale lease")
 		first.SetWanted(9)
 		si.paused[first] = false
 		si.run(20*time.Second, nil)
@@ -76,8 +76,8 @@
 // Guards against counting an engine as updated after a load that failed partway.
 func TestSwapFailsPartway(t *testing.T) {
 	session(t, 2, func(si *site) {
-		ro := si.own("owner", 1, 1, &holding{1, true})
-		si.machines[0].broken = true
+		ro := si.addOwner("owner", 1, 1, &leaseState{1, true})
+		si.machines[0].failNextLoad = true
 		ro.SetWanted(7)
 		si.run(8*time.Second, func() {
 			assert.Assert(t, ro.Progress().Updated == 0 || si.machines[1].version == 7)
@@ -99,7 +99,7 @@
 			lost++
 			return lost <= 2
 		}
-		ro := si.own("owner", 1, 0, &holding{1, true})
+		ro := si.addOwner("owner", 1, 0, &leaseState{1, true})
 		ro.SetWanted(7)
 		si.run(40*time.Second, func() { assert.Assert(t, si.count(fetching) <= 1) })
 		assert.Equal(t, ro.Progress().Updated, 2)
@@ -110,18 +110,18 @@
 // outdated state.
 func TestOwnerReturns(t *testing.T) {
 	session(t, 4, func(si *site) {
-		hos := [2]holding{{1, true}, {2, false}}
-		first, second := si.own("first", 2, 0, &hos[0]), si.own("second", 2, 0, &hos[1])
-		si.machines[0].broken = true
+		hos := [2]leaseState{{1, true}, {2, false}}
+		first, second := si.addOwner("first", 2, 0, &hos[0]), si.addOwner("second", 2, 0, &hos[1])
+		si.machines[0].failNextLoad = true
 		first.SetWanted(7)
 		check := func() { assert.Assert(t, si.count(fetching) <= 2) }
 		si.run(11*time.Second, check)
-		si.say("the second owner takes over")
+		si.logf("the second owner takes over")
 		hos[0].held, hos[1].held = false, true
 		second.SetWanted(7)
 		si.run(7*time.Second, check)
-		si.say("the first owner is back")
-		hos[0], hos[1] = holding{3, true}, holding{2, false}
+		si.logf("the first owner is back")
+		hos[0], hos[1] = leaseState{3, true}, leaseState{2, false}
 		si.run(30*time.Second, check)
 		assert.Equal(t, first.Progress().Updated, 4)
 	})
@@ -135,7 +135,7 @@
 		losses := rapid.IntRange(0, 30).Draw(rt, "losses")
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 1, 12).Draw(rt, "events")
 		var broken string
-		synctest.Test(t, func(t *testing.T) { broken = faults(t, losses, events) })
+		synctest.Test(t, func(t *testing.T) { broken = runIncidents(t, losses, events) })
 		if broken != "" {
 			rt.Fatal(broken)
 		}
@@ -159,8 +159,8 @@
 	}
 }
 
-// faults runs a rollout through incidents and returns the first violated invariant, or "".
-func faults(t *testing.T, losses int, ins []incident) (broken string) {
+// runIncidents runs a rollout through incidents and returns the first violated invariant, or "".
+func runIncidents(t *testing.T, losses int, ins []incident) (broken string) {
 	si := newSite(t, engines, 3, 6)
 	note := func(format string, args ...any) {
 		if broken == "" {
@@ -173,12 +173,12 @@
 		}
 	}
 	epoch, wanted := uint64(1), engine.Version(7)
-	hos := [2]holding{{epoch, true}}
-	si.own("owner-0", limit, floor, &hos[0])
-	si.own("owner-1", limit, floor, &hos[1])
+	hos := [2]leaseState{{epoch, true}}
+	si.addOwner("owner-0", limit, floor, &hos[0])
+	si.addOwner("owner-1", limit, floor, &hos[1])
 	owner := si.owners[0]
 	owner.SetWanted(wanted)
-	si.took = func(ma *machine) {
+	si.onOrder = func(ma *machine) {
 		// A recent crash that the owner can't have observed yet is not counted as a violation.
 		if pr := owner.Progress(); ma.version > 0 && pr.Unsettled < engines && pr.Serving < floor {
 			note("%s is ordered, which leaves %+v", ma.id, pr)
@@ -192,16 +192,16 @@
 		ma := si.machines[in.Engine]
 		switch in.What {
 		case "crash":
-			si.say("%s crashes", ma.id)
+			si.logf("%s crashes", ma.id)
 			ma.crashed, ma.loading, ma.version = true, 0, 0
 		case "recover":
 			ma.crashed = false
 		case "restart":
-			si.say("the attendant of %s restarts", ma.id)
+			si.logf("the attendant of %s restarts", ma.id)
 			si.restart(ma)
 		case "owner":
 			epoch++
-			si.say("epoch %d", epoch)
+			si.logf("epoch %d", epoch)
 			hos[0].held, hos[1].held = hos[1].held, hos[0].held
 			hos[epoch%2^1].epoch = epoch
 			owner = si.owners[epoch%2^1]
@@ -235,7 +235,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		si := newSite(t, engines, 9, from)
 		si.load = load
-		ro := si.own("owner", limit, floor, &holding{1, true})
+		ro := si.addOwner("owner", limit, floor, &leaseState{1, true})
 		si.run(10*time.Second, nil)
 		start := time.Now()
 		ro.SetWanted(7)
--- a/rollout/share.go
+++ b/rollout/share.go
@@ -1,9 +1,8 @@
 package rollout
 
-// Share returns which part of the weight store's limit is for the service at
-// index, given the numbers of engines of all services. Each owner works out
-// the same shares, so that their sum keeps to the limit without any exchange:
-// largest remainders first.
+// Share returns the part of the weight store's limit for the service at index, given the numbers of
+// engines of all services. The shares add up to the limit by the largest remainder method, so that
+// owners need no coordination.
 func Share(limit int, engines []int, index int) int {
 	sum := 0
 	for _, n := range engines {
