--- a/call/attempt.go
+++ b/call/attempt.go
@@ -22,32 +22,32 @@
 
 const (
 	maxRefusalSize = 64 << 10 // bytes
-	// answerMargin is the part of the time left that an attendant is not
-	// given, so that its answer, which knows the request's fate, comes before
-	// the entry gives the request up without knowing it.
+	// answerMargin is the fraction of the remaining time that is withheld from the attendant's
+	// deadline, so that its answer arrives before the entry's own deadline, which leaves the
+	// outcome unknown.
 	answerMargin    = 0.05
 	maxAnswerMargin = 50 * time.Millisecond
 )
 
 // An attempt is one try of a call at an endpoint.
 type attempt struct {
-	ask      bool // don't run it: only ask what became of its key
-	call     *request
-	endpoint route.Endpoint
-	id       string // unique; the attendant echoes it
-	key      string // idempotency key, or ""
-	lines    bool   // each line of the answer carries the echo
-	minted   bool   // this entry made the key
+	query       bool // only query the outcome of the key
+	call        *request
+	endpoint    route.Endpoint
+	id          string // unique; echoed by the attendant
+	key         string // idempotency key, or ""
+	echoPerLine bool   // the id is echoed in each line of the answer
+	minted      bool   // this entry minted the key
 }
 
-// newAttempt returns an attempt with an id of its own. Two callers may choose
-// one request id, so that only an id of the entry's can tell answers apart.
+// newAttempt returns an attempt with a unique id. Callers may use the same request id, so it can't
+// identify answers.
 func newAttempt(req *request, en route.Endpoint) *attempt {
 	return &attempt{call: req, endpoint: en, id: req.id + "/" + uuid.NewString()}
 }
 
-// send sends the attempt and returns once the answer's head is there and its
-// echo is checked. The caller closes the exchange unless there is an error.
+// send sends the attempt and returns after it has checked the id in the answer's header. The caller
+// closes the exchange unless there is an error.
 func (se *Server) send(ctx context.Context, at *attempt, method, path string, body []byte, header http.Header) (*exchange, error) {
 	target := "http://" + at.endpoint.Address + path
 	rq, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
@@ -55,14 +55,14 @@
 		return nil, errors.Wrapf(errNotSent, "%v", err)
 	}
 	rq.Header = header
-	at.mark(rq.Header)
+	at.setHeaders(rq.Header)
 	attempts(at.call.policy.Service).Inc()
-	ex, err := se.work.do(ctx, rq)
+	ex, err := se.attendants.do(ctx, rq)
 	if err != nil {
 		return nil, err
 	}
 	echo := ex.answer.Header.Get(message.RequestIDHeader)
-	if echo != at.id && (echo != "" || !at.lines) {
+	if echo != at.id && (echo != "" || !at.echoPerLine) {
 		ex.close()
 		crossed(at.call.policy.Service).Inc()
 		return nil, errors.Wrapf(errCrossed, "answer of %q", echo)
@@ -71,8 +71,8 @@
 	return ex, nil
 }
 
-// mark writes the project's own headers.
-func (at *attempt) mark(he http.Header) {
+// setHeaders sets the headers of the protocol between entry and attendant.
+func (at *attempt) setHeaders(he http.Header) {
 	left := time.Until(at.call.deadline)
 	left -= min(time.Duration(answerMargin*float64(left)), maxAnswerMargin)
 	he.Set(message.DeadlineHeader, left.String())
@@ -85,10 +85,10 @@
 	}
 	he.Set(message.KeyHeader, at.key)
 	he.Set(message.KeyGeneratedHeader, yesNo(at.minted))
-	he.Set(message.KeyQueryHeader, yesNo(at.ask))
+	he.Set(message.KeyQueryHeader, yesNo(at.query))
 }
 
-// yesNo returns a flag's value in a header.
+// yesNo returns the header value of a flag.
 func yesNo(is bool) string {
 	if is {
 		return yes
@@ -96,22 +96,22 @@
 	return no
 }
 
-// observe takes in the load that an answer carries.
+// observe records the load reported in an answer's header.
 func (se *Server) observe(at *attempt, he http.Header) {
 	lo, err := gate.ParseLoad(he.Get(message.LoadHeader))
 	if err != nil {
-		return // the load is advice: an answer without it is as good
+		return // the load is optional
 	}
 	se.Routes.Observe(at.endpoint.ID, route.Load(lo))
 }
 
-// path returns the attempt's path at the attendant.
+// path returns the attempt's URL path at the attendant.
 func (at *attempt) path(pattern, rest string) string {
 	path := strings.TrimSuffix(pattern, "{path:.*}")
 	return strings.Replace(path, "{endpoint}", url.PathEscape(at.endpoint.ID), 1) + rest
 }
 
-// readRefusal reads the refusal in an answer that is none of the endpoint's.
+// readRefusal returns the refusal in an answer that is not the endpoint's.
 func (ex *exchange) readRefusal() error {
 	var re outcome.Refusal
 	err := json.NewDecoder(io.LimitReader(ex, maxRefusalSize)).Decode(&re)
@@ -121,19 +121,19 @@
 	return &re
 }
 
-// settle tells the routes how an attempt ended.
+// settle reports the outcome of an attempt to the routes.
 func (se *Server) settle(ctx context.Context, at *attempt, err error) {
 	now := time.Now()
 	id := at.endpoint.ID
 	var re *outcome.Refusal
 	switch {
-	case err == nil, errors.Is(err, errCallerGone), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
+	case err == nil, errors.Is(err, errCallerDisconnected), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		se.Routes.Succeeded(now, id)
 	case errors.As(err, &re) && re.Outcome() == outcome.NotRun && re.Code != outcome.BadRequest:
 		se.Routes.Refused(now, id, re.RetryDelay())
 	case errors.As(err, &re):
 		se.Routes.Succeeded(now, id)
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errStalled):
 		silent(at.call.policy.Service).Inc()
 		go se.diagnose(context.WithoutCancel(ctx), at)
 	default:
@@ -141,11 +141,11 @@
 	}
 }
 
-// diagnose tells a connection that was lost from an attendant that is: only
-// the latter counts against the endpoint.
+// diagnose pings the attendant after a stalled connection. The endpoint is marked as failed only if
+// the ping fails.
 func (se *Server) diagnose(ctx context.Context, at *attempt) {
-	pong := se.work.ping(ctx, at.endpoint.Address)
-	se.Log.WithField("endpoint", at.endpoint.ID).WithField("pong", pong).Warn("connection fell silent")
+	pong := se.attendants.ping(ctx, at.endpoint.Address)
+	se.Log.WithField("endpoint", at.endpoint.ID).WithField("pong", pong).Warn("connection stalled")
 	if pong {
 		se.Routes.Succeeded(time.Now(), at.endpoint.ID)
 		return
@@ -153,8 +153,8 @@
 	se.Routes.Failed(time.Now(), at.endpoint.ID)
 }
 
-// fateOf returns what is known of a request after an attempt that failed.
-func fateOf(err error) outcome.Outcome {
+// outcomeOf returns the outcome of a request after a failed attempt.
+func outcomeOf(err error) outcome.Outcome {
 	if errors.Is(err, errNotSent) {
 		return outcome.NotRun
 	}
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -70,42 +70,42 @@
 		{"no connection: tried elsewhere, not run", map[string][]http.HandlerFunc{"a": nil, "b": nil, "c": {ok}}, Policy{}, do()},
 		{"no connection anywhere", map[string][]http.HandlerFunc{"a": nil}, Policy{}, do()},
 		{"no endpoint", nil, Policy{}, do()},
-		{"broken, repeatable: tried elsewhere", two(breaks, ok), repeatable, do()},
-		{"broken, not repeatable: the answer is asked for", one(breaks, ok), Policy{}, do()},
-		{"broken while it runs: asked until it ends", one(breaks, refuses(outcome.InProgress, ""), refuses(outcome.InProgress, ""), ok), Policy{}, do()},
-		{"broken before it came: barred, then run elsewhere", map[string][]http.HandlerFunc{
-			"a": {ok}, "b": {breaks, refuses(outcome.Refused, "")},
+		{"broken, repeatable: tried elsewhere", two(abortConnection, ok), repeatable, do()},
+		{"broken, not repeatable: the answer is queried", one(abortConnection, ok), Policy{}, do()},
+		{"broken while it runs: queried until it ends", one(abortConnection, refuses(outcome.InProgress, ""), refuses(outcome.InProgress, ""), ok), Policy{}, do()},
+		{"broken before it arrived: barred, then run elsewhere", map[string][]http.HandlerFunc{
+			"a": {ok}, "b": {abortConnection, refuses(outcome.Refused, "")},
 		}, Policy{}, do()},
-		{"broken, and its attendant restarted", one(breaks, refuses(outcome.OutcomeUnknown, "")), Policy{}, do()},
-		{"broken, and its attendant says not-run of what it doesn't know", one(breaks, refuses(outcome.BadRequest, "")), Policy{}, do()},
-		{"broken, and its attendant is gone", one(breaks), Policy{}, do()},
-		{"crossed, repeatable", two(crosses, ok), repeatable, do()},
-		{"crossed, not repeatable", one(crosses, ok), Policy{}, do()},
-		{"cut short", two(cuts, ok), repeatable, do()},
+		{"broken, and its attendant restarted", one(abortConnection, refuses(outcome.OutcomeUnknown, "")), Policy{}, do()},
+		{"broken, and its attendant refuses the query as bad-request", one(abortConnection, refuses(outcome.BadRequest, "")), Policy{}, do()},
+		{"broken, and its attendant is unreachable", one(abortConnection), Policy{}, do()},
+		{"crossed, repeatable", two(answerOther, ok), repeatable, do()},
+		{"crossed, not repeatable", one(answerOther, ok), Policy{}, do()},
+		{"cut short", two(truncate, ok), repeatable, do()},
 		{"all overloaded: refused at once", all(refuses(outcome.Overloaded, "1.5s")), repeatable, do()},
 		{"one overloaded", map[string][]http.HandlerFunc{"a": {refuses(outcome.Overloaded, "1.5s")}, "b": {ok}}, repeatable, do()},
 		{"broken once, then overloaded: no not-run", map[string][]http.HandlerFunc{
-			"a": {refuses(outcome.Overloaded, "")}, "b": {breaks}, "c": {refuses(outcome.Overloaded, "")},
+			"a": {refuses(outcome.Overloaded, "")}, "b": {abortConnection}, "c": {refuses(outcome.Overloaded, "")},
 		}, repeatable, do()},
 		{"caller's key", all(ok), Policy{}, keyed},
 		{"caller's key, home overloaded", all(refuses(outcome.Overloaded, "2s")), Policy{}, keyed},
-		{"caller's key, connection broken: sent to its home again", all(breaks, ok), Policy{}, keyed},
+		{"caller's key, connection broken: sent to its home again", all(abortConnection, ok), Policy{}, keyed},
 		{"caller's key, no connection to its home", map[string][]http.HandlerFunc{"a": {ok}, "b": nil, "c": {ok}}, Policy{}, keyed},
-		{"caller's key, home not known", one(ok), Policy{Homes: homesOf("a", "b", "c")}, keyed},
-		{"silent for good, repeatable", two(silentFor(30*time.Second), ok), repeatable, do()},
-		{"silent for good, not repeatable", one(silentFor(30*time.Second), ok, ok), Policy{}, do()},
-		{"slow but alive", all(slow(8 * time.Second)), repeatable, do()},
-		{"deadline passes", all(slow(8 * time.Second)), Policy{}, do(message.DeadlineHeader, "3s")},
-		{"attempt takes too long", two(slow(8*time.Second), ok), Policy{AttemptTimeout: time.Second, Repeatable: true}, do()},
-		{"larger than may be held", all(large(3000, 3000)), Policy{MaxAnswerHeld: 1000, Repeatable: true}, do()},
-		{"larger than may be held, then cut", all(large(3000, 4000)), Policy{MaxAnswerHeld: 1000, Repeatable: true}, do()},
-		{"caller goes", all(slow(8 * time.Second)), Policy{}, func(se *session) {
+		{"caller's key, home unknown", one(ok), Policy{Homes: homesOf("a", "b", "c")}, keyed},
+		{"stalled, repeatable", two(silentFor(30*time.Second), ok), repeatable, do()},
+		{"stalled, not repeatable", one(silentFor(30*time.Second), ok, ok), Policy{}, do()},
+		{"slow, with progress", all(slowOK(8 * time.Second)), repeatable, do()},
+		{"deadline passes", all(slowOK(8 * time.Second)), Policy{}, do(message.DeadlineHeader, "3s")},
+		{"attempt takes too long", two(slowOK(8*time.Second), ok), Policy{AttemptTimeout: time.Second, Repeatable: true}, do()},
+		{"larger than the buffer", all(large(3000, 3000)), Policy{MaxAnswerHeld: 1000, Repeatable: true}, do()},
+		{"larger than the buffer, then truncated", all(large(3000, 4000)), Policy{MaxAnswerHeld: 1000, Repeatable: true}, do()},
+		{"caller disconnects", all(slowOK(8 * time.Second)), Policy{}, func(se *session) {
 			rq := order()
 			ctx, cancel := context.WithTimeout(rq.Context(), time.Second)
 			defer cancel()
 			se.do(rq.WithContext(ctx))
 		}},
-		{"reused connection breaks: not sent twice", one(ok, breaks, refuses(outcome.OutcomeUnknown, "")), Policy{}, func(se *session) {
+		{"reused connection breaks: not sent twice", one(ok, abortConnection, refuses(outcome.OutcomeUnknown, "")), Policy{}, func(se *session) {
 			for range 2 {
 				se.do(newCall(http.MethodGet, "/v1/services/desk/call/next", "", message.RepeatableHeader, no))
 			}
@@ -138,7 +138,7 @@
 		{name: "unknown profile", run: do(message.ProfileHeader, "lunch")},
 		{name: "unknown profile, with a key", run: do(message.ProfileHeader, "lunch", message.IdempotencyKeyHeader, "k")},
 		{name: "oversized body", policy: Policy{MaxBodySize: 4}, run: do()},
-		{name: "body cut short", run: func(se *session) {
+		{name: "body truncated", run: func(se *session) {
 			rq := order()
 			rq.Body = io.NopCloser(io.MultiReader(strings.NewReader("fl"), iotest.ErrReader(io.ErrUnexpectedEOF)))
 			se.do(rq)
@@ -195,7 +195,7 @@
 		{"crash, resumed elsewhere with newer weights", two(chunks(4, 1, abort), chunks(6, 2, nil)), po, stream},
 		{"crash, whole answer by two versions", two(chunks(4, 1, abort), chunks(6, 2, nil)), po, generate},
 		{"ends without its last chunk", two(chunks(4, 1, func() {}), chunks(6, 1, nil)), po, stream},
-		{"silent for good", two(chunks(2, 1, func() { time.Sleep(30 * time.Second) }), chunks(6, 1, nil)), po, stream},
+		{"stalled stream", two(chunks(2, 1, func() { time.Sleep(30 * time.Second) }), chunks(6, 1, nil)), po, stream},
 		{"chunk twice", all(odd(func(li *testLines) {
 			li.chunk(0, 2, 1, false)
 			li.chunk(1, 5, 1, true)
--- a/call/client.go
+++ b/call/client.go
@@ -15,30 +15,29 @@
 	"wisteriacroft/telemetry"
 )
 
-// Errors of an exchange with an attendant, to be matched with errors.Is.
+// Errors of an exchange with an attendant.
 var (
 	errBroken  = errors.New("connection to the attendant broke")
 	errCrossed = errors.New("answer belongs to another request")
 	errNotSent = errors.New("no connection to the attendant")
-	errSilent  = errors.New("connection to the attendant fell silent")
+	errStalled = errors.New("connection to the attendant stalled")
 )
 
 const (
 	dialTimeout     = time.Second
 	idleTimeout     = 30 * time.Second
-	maxIdle         = 64       // connections to one attendant that are kept without a request
+	maxIdle         = 64       // idle connections per attendant
 	maxAnswerHeader = 64 << 10 // bytes
 	pingPath        = "/healthz"
 )
 
-// A client makes exchanges with attendants. The transport never sends a
-// request again by itself.
+// A client sends requests to attendants. Its transport never repeats a request.
 type client struct {
-	http     *http.Client
-	progress time.Duration // longest silence of a connection that counts as alive
+	http         *http.Client
+	stallTimeout time.Duration // maximum time without progress on a connection
 }
 
-// newClient returns a client whose connections come from dial.
+// newClient returns a client that connects with dial, or over TCP if dial is nil.
 func newClient(dial func(context.Context, string, string) (net.Conn, error), progress time.Duration) client {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -54,42 +53,39 @@
 				MaxResponseHeaderBytes: maxAnswerHeader,
 			},
 		},
-		progress: progress,
+		stallTimeout: progress,
 	}
 }
 
-// An exchange is one request to an attendant, and the watch over its
-// connection.
+// An exchange is one request to an attendant, with a timer for its progress.
 type exchange struct {
-	answer *http.Response
-	cancel context.CancelCauseFunc
-	cause  func() error  // why the exchange was ended from this side, or nil
-	sent   bool          // a connection was had: bytes may have been written
-	silent *time.Timer   // ends the exchange unless there is a sign of life before
-	wait   time.Duration // between two signs of life, at most
+	answer       *http.Response
+	cancel       context.CancelCauseFunc
+	cause        func() error  // why this side canceled the exchange, or nil
+	sent         bool          // there was a connection, so bytes may have been sent
+	stallTimer   *time.Timer   // cancels the exchange unless reset by progress
+	stallTimeout time.Duration // progress timeout
 }
 
-// do sends a request and returns once the answer's head is there. Any error
-// but errNotSent means that the request may have run. The caller closes the
-// exchange, unless there is an error.
+// do sends a request and returns after the header of its answer. After any error except errNotSent
+// the request may have run. The caller closes the exchange unless there is an error.
 //
-// A connection can go silent for good, because something between its ends has
-// lost track of it, while new ones work; TCP takes many minutes to notice.
-// Attendants show a sign of life each half second, so a connection that shows
-// none for the progress bound is abandoned, and a slow answer is not.
+// A connection can stall for good, for example when a device between its ends has lost its state,
+// and TCP takes minutes to detect it. Attendants send progress every half second, so a connection
+// without any for the progress timeout is abandoned, but a slow answer is not.
 func (cl client) do(ctx context.Context, rq *http.Request) (*exchange, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	ex := &exchange{
-		cancel: cancel,
-		cause:  func() error { return context.Cause(ctx) },
-		wait:   cl.progress,
+		cancel:       cancel,
+		cause:        func() error { return context.Cause(ctx) },
+		stallTimeout: cl.stallTimeout,
 	}
-	ex.silent = time.AfterFunc(cl.progress, func() {
-		cancel(errors.Wrapf(errSilent, "nothing for %s", cl.progress))
+	ex.stallTimer = time.AfterFunc(cl.stallTimeout, func() {
+		cancel(errors.Wrapf(errStalled, "no progress for %s", cl.stallTimeout))
 	})
 	trace := &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			ex.alive()
+			ex.noteProgress()
 			return nil
 		},
 		GotConn: func(httptrace.GotConnInfo) { ex.sent = true },
@@ -97,9 +93,9 @@
 	rq = rq.WithContext(httptrace.WithClientTrace(ctx, trace))
 	telemetry.Inject(ctx, rq.Header)
 	forbidResend(rq)
-	an, err := cl.http.Do(rq) //nolint:bodyclose // the exchange closes it
+	an, err := cl.http.Do(rq) //nolint:bodyclose // closed by exchange.close
 	if err != nil {
-		err = ex.why(err)
+		err = ex.wrapError(err)
 		ex.close()
 		if !ex.sent {
 			return ex, errors.Wrapf(errNotSent, "%v", err)
@@ -107,81 +103,76 @@
 		return ex, err
 	}
 	ex.answer = an
-	ex.alive()
+	ex.noteProgress()
 	return ex, nil
 }
 
-// forbidResend keeps the transport from sending a request again by itself.
+// forbidResend prevents the transport from repeating a request.
 //
-// On a reused connection that breaks, the transport repeats what it takes for
-// idempotent: a request without a body, or with one that it can rewind, whose
-// method is GET or the like or that carries an idempotency key. One would
-// notice it by two runs of one call. A body that can't be rewound stops this.
+// When a reused connection breaks, the transport repeats requests that it considers idempotent, by
+// method or by an idempotency key, if they have no body or one that can be rewound. Such a call
+// would run twice. A body that can't be rewound prevents this.
 func forbidResend(rq *http.Request) {
 	rq.GetBody = nil
 	if rq.Body == nil || rq.Body == http.NoBody {
-		rq.Body = io.NopCloser(eof{})
+		rq.Body = io.NopCloser(emptyBody{})
 	}
 }
 
-// An eof is an empty body that the transport doesn't know to be empty.
-type eof struct{}
+// An emptyBody is an empty body that the transport does not recognize as http.NoBody.
+type emptyBody struct{}
 
 // Read implements io.Reader.
-func (eof) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// alive notes a sign of life.
-func (ex *exchange) alive() { ex.silent.Reset(ex.wait) }
+// noteProgress resets the progress timer.
+func (ex *exchange) noteProgress() { ex.stallTimer.Reset(ex.stallTimeout) }
 
-// why returns why the exchange failed.
-func (ex *exchange) why(err error) error {
+// wrapError returns the reason for a failed exchange.
+func (ex *exchange) wrapError(err error) error {
 	if cause := ex.cause(); cause != nil {
 		return cause
 	}
 	return errors.Wrapf(errBroken, "%v", err)
 }
 
-// Read implements io.Reader over the answer's body. Only a body that ended as
-// its framing says gives io.EOF.
+// Read reads the answer's body. It returns io.EOF only if the body is complete by its framing.
 func (ex *exchange) Read(data []byte) (int, error) {
 	n, err := ex.answer.Body.Read(data)
 	if n > 0 {
-		ex.alive()
+		ex.noteProgress()
 	}
 	if err == nil {
 		return n, nil
 	}
-	if errors.Is(err, io.EOF) && !ex.endless() {
+	if errors.Is(err, io.EOF) && !ex.closeDelimited() {
 		return n, io.EOF
 	}
-	return n, ex.why(err)
+	return n, ex.wrapError(err)
 }
 
-// endless reports whether the body ends with its connection, so that a cut
-// can't be told from the end.
-func (ex *exchange) endless() bool {
+// closeDelimited reports whether only the close of the connection ends the body, so that a truncated body
+// can't be detected.
+func (ex *exchange) closeDelimited() bool {
 	return ex.answer.ContentLength < 0 && len(ex.answer.TransferEncoding) == 0 && ex.answer.Body != http.NoBody
 }
 
-// finish reads on to the end of an answer of which nothing more is wanted, so
-// that its connection can be used again.
-func (ex *exchange) finish() { roundtrip.Finish(ex.answer.Body, func() { ex.cancel(nil) }) }
+// drain reads the rest of an answer, so that its connection can be reused.
+func (ex *exchange) drain() { roundtrip.Finish(ex.answer.Body, func() { ex.cancel(nil) }) }
 
-// close ends the exchange. An attendant whose answer was not read to its end
-// sees the connection close.
+// close ends the exchange. If the answer was not read to its end, the connection is closed.
 func (ex *exchange) close() {
-	ex.silent.Stop()
+	ex.stallTimer.Stop()
 	ex.cancel(nil)
 	if ex.answer != nil {
 		_ = ex.answer.Body.Close()
 	}
 }
 
-// ping reports whether the process at an address answers on a new connection.
-// Any answer will do. Idle connections are closed: what lost track of one may
-// have lost track of all.
+// ping reports whether the process at an address answers over a new connection, with any status. It
+// closes idle connections, since they may have stalled too.
 func (cl client) ping(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, cl.progress)
+	ctx, cancel := context.WithTimeout(ctx, cl.stallTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+pingPath, nil)
 	if err != nil {
--- a/call/fake_test.go
+++ b/call/fake_test.go
@@ -144,8 +144,8 @@
 	return se
 }
 
-// swap routes further calls through another entry.
-func (se *session) swap(other *Server) {
+// useServer routes further calls through another entry.
+func (se *session) useServer(other *Server) {
 	se.router = mux.NewRouter()
 	other.Register(se.router)
 }
@@ -215,22 +215,22 @@
 	fmt.Fprintf(rw, "did %s", body)
 }
 
-func breaks(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func refuses(code outcome.Code, wait string) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
-		re := outcome.NewRefusal(code, rq.Header.Get(message.RequestIDHeader), "so says the attendant")
+		re := outcome.NewRefusal(code, rq.Header.Get(message.RequestIDHeader), "refused by the attendant")
 		re.RetryAfter = wait
 		message.WriteRefusal(rw, re)
 	}
 }
 
-func crosses(rw http.ResponseWriter, rq *http.Request) {
+func answerOther(rw http.ResponseWriter, rq *http.Request) {
 	rw.Header().Set(message.RequestIDHeader, "r1/another")
 	ok(rw, rq)
 }
 
-func cuts(rw http.ResponseWriter, rq *http.Request) {
+func truncate(rw http.ResponseWriter, rq *http.Request) {
 	rw.Header().Set("Content-Length", "100")
 	ok(rw, rq)
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-// slow answers after du and sends a 102 status every 500 ms before.
-func slow(du time.Duration) http.HandlerFunc {
+// slowOK answers after du and sends a 102 status every 500 ms before.
+func slowOK(du time.Duration) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		for range du / (500 * time.Millisecond) {
 			time.Sleep(500 * time.Millisecond)
--- a/call/orders_test.go
+++ b/call/orders_test.go
@@ -95,7 +95,7 @@
 			order("1s")
 			order("1s")
 		}},
-		{"caller gives up while it runs, and repeats", func(_ *testing.T, de *desk, order func(string)) {
+		{"caller disconnects while it runs, and repeats", func(_ *testing.T, de *desk, order func(string)) {
 			de.takes = 3 * time.Second
 			order("1s")
 			order("1s")
@@ -109,7 +109,7 @@
 			de.start(t)
 			order("5s")
 		}},
-		{"the service breaks off after it ran", func(_ *testing.T, de *desk, order func(string)) {
+		{"the service's connection breaks after it ran", func(_ *testing.T, de *desk, order func(string)) {
 			de.fails = true
 			order("1s")
 			order("1s")
@@ -126,7 +126,7 @@
 		for _, tc := range cases {
 			name := tc.name + ", with the caller's key"
 			if !keyed {
-				name = tc.name + ", with none"
+				name = tc.name + ", without a key"
 			}
 			all = append(all, sessionCase{name, map[string][]http.HandlerFunc{"a": {ok}}, Policy{}, func(se *session) {
 				de := newDesk(se)
@@ -140,7 +140,7 @@
 						rq.Header.Set(message.IdempotencyKeyHeader, key)
 					}
 					se.do(rq)
-					se.swap(other)
+					se.useServer(other)
 				}
 				tc.run(t, de, order)
 				time.Sleep(10 * time.Second)
--- a/call/whole.go
+++ b/call/plain.go
@@ -13,12 +13,12 @@
 	"wisteriacroft/telemetry"
 )
 
-// errCallerGone means that the caller takes no more of its answer.
-var errCallerGone = errors.New("caller is gone")
+// errCallerDisconnected means that the caller has disconnected.
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// errTooLate means that part of the answer is out to the caller, so that no
-// other attempt can follow.
-var errTooLate = errors.New("answer broke off after its beginning had been passed on")
+// errTruncated means that an answer broke after part of it was sent to the caller, so that no further
+// attempt can follow.
+var errTruncated = errors.New("answer broke after part of it was sent to the caller")
 
 // serveCall serves a call of a plain service.
 func (se *Server) serveCall(rw http.ResponseWriter, rq *http.Request) {
@@ -35,8 +35,8 @@
 	defer cancel()
 	ru := &run{request: req, server: se}
 	var started bool
-	re = ru.each(ctx, func(ctx context.Context, at *attempt) error {
-		return se.whole(ctx, at, rw, &started)
+	re = ru.runAttempts(ctx, func(ctx context.Context, at *attempt) error {
+		return se.attemptCall(ctx, at, rw, &started)
 	})
 	if re == nil {
 		answered(req.policy.Service).Inc()
@@ -45,19 +45,18 @@
 	}
 	telemetry.End(sp, re)
 	if started {
-		panic(http.ErrAbortHandler) // ends the connection without the answer's end
+		panic(http.ErrAbortHandler) // closes the connection before the end of the answer
 	}
 	se.refuse(rw, req.policy.Service, re)
 }
 
-// whole makes one attempt at a call of a plain service and passes its answer
-// on. It holds the answer back until it is whole, so that another attempt can
-// follow one that breaks off; an answer that is larger than may be held is
-// passed on from there, and a break ends the caller's connection.
-func (se *Server) whole(ctx context.Context, at *attempt, rw http.ResponseWriter, started *bool) error {
+// attemptCall makes one attempt at a call of a plain service. It buffers up to MaxAnswerHeld bytes, so
+// that another attempt can follow one that breaks. A larger answer is forwarded from there on; if
+// it breaks, the caller's connection is closed.
+func (se *Server) attemptCall(ctx context.Context, at *attempt, rw http.ResponseWriter, started *bool) error {
 	req := at.call
 	path := at.path(message.CallPath, req.path)
-	ex, err := se.send(ctx, at, req.method, path, req.body, message.ForwardHeaders(req.header, ownHeaders...))
+	ex, err := se.send(ctx, at, req.method, path, req.body, message.ForwardHeaders(req.header, hopHeaders...))
 	if err != nil {
 		return err
 	}
@@ -70,7 +69,7 @@
 		return err
 	}
 	he := rw.Header()
-	for name, values := range message.ForwardHeaders(ex.answer.Header, ownHeaders...) {
+	for name, values := range message.ForwardHeaders(ex.answer.Header, hopHeaders...) {
 		he[name] = values
 	}
 	he.Set(message.RequestIDHeader, req.id)
@@ -80,24 +79,24 @@
 	*started = true
 	rw.WriteHeader(ex.answer.StatusCode)
 	if _, err := rw.Write(held); err != nil {
-		return errors.CombineErrors(errCallerGone, err)
+		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	if len(held) < req.policy.MaxAnswerHeld {
 		return nil
 	}
-	return passRest(rw, ex)
+	return forwardRest(rw, ex)
 }
 
-// passRest passes on what is left of an answer that is too large to be held.
-func passRest(rw io.Writer, ex *exchange) error {
+// forwardRest forwards the unbuffered rest of an answer.
+func forwardRest(rw io.Writer, ex *exchange) error {
 	if _, err := io.Copy(rw, ex); err != nil {
-		return errors.CombineErrors(errTooLate, err)
+		return errors.CombineErrors(errTruncated, err)
 	}
 	return nil
 }
 
-// ownHeaders are written by each hop itself.
-var ownHeaders = []string{
+// hopHeaders are set by each hop and not forwarded.
+var hopHeaders = []string{
 	message.DeadlineHeader, message.IdempotencyKeyHeader, message.KeyQueryHeader, message.KeyHeader,
 	message.KeyGeneratedHeader, message.ProfileHeader, message.RepeatableHeader, message.RequestIDHeader,
 }
--- a/call/policy.go
+++ b/call/policy.go
@@ -24,15 +24,15 @@
 	Plain  Kind = "plain"
 )
 
-// A Policy is what the edge needs to know of the profile in force.
+// A Policy is the configuration of calls of one profile.
 type Policy struct {
-	AttemptTimeout time.Duration           // of one attempt at a repeatable call; 0 means the deadline only
-	Deadline       time.Duration           // for callers that name none, and the most that they may ask for; default 10s
-	FailureDomain  string                  // preferred; "" means the entry's own
-	Homes          idempotency.EndpointSet // may run keys of requests that are not repeatable
+	AttemptTimeout time.Duration           // of repeatable calls; 0 means only the deadline
+	Deadline       time.Duration           // default and maximum for callers; default 10s
+	FailureDomain  string                  // preferred; "" means that of the entry
+	Homes          idempotency.EndpointSet // homes of the keys of requests that are not repeatable
 	Kind           Kind
-	MaxAnswerHeld  int // bytes of an answer held back until it is whole; default 1 MB
-	MaxBodySize    int // bytes; default 1 MB
+	MaxAnswerHeld  int // bytes of an answer buffered before it is forwarded; default 1 MiB
+	MaxBodySize    int // bytes; default 1 MiB
 	Profile        string
 	Repeatable     bool
 	Retry          retry.Policy
@@ -40,7 +40,7 @@
 	Service        string
 }
 
-// withDefaults returns the policy with its defaults filled in.
+// withDefaults returns the policy with zero fields set to their defaults.
 func (po Policy) withDefaults() Policy {
 	po.Deadline = cmp.Or(po.Deadline, defaultDeadline)
 	po.MaxAnswerHeld = cmp.Or(po.MaxAnswerHeld, defaultMaxAnswerHeld)
--- a/call/suspect.go
+++ b/call/quarantine.go
@@ -9,11 +9,11 @@
 	"wisteriacroft/outcome"
 )
 
-// suspect notes whether an endpoint ended while it ran the call.
+// recordCrash records whether an endpoint's process ended while it ran the call.
 //
-// The caller's next try is another call to an entry. Sent on like a new one, it
-// ends one endpoint after the other until none is left for other callers.
-func (ru *run) suspect(at *attempt, err error) {
+// Without it each retry of a call that crashes its endpoint would crash another one, until none is
+// left for other callers.
+func (ru *run) recordCrash(at *attempt, err error) {
 	se, req := ru.server, ru.request
 	now := time.Now()
 	var re *outcome.Refusal
@@ -21,23 +21,22 @@
 	case err == nil:
 		se.Quarantine.RecordSuccess(req.digest, now)
 	case errors.As(err, &re) && re.EndpointEnded:
-		// By the attempt, since the endpoint may start again under its name.
+		// Per attempt, since the endpoint may restart under the same name.
 		se.Quarantine.RecordCrash(req.digest, at.endpoint.ID+"/"+at.id, now)
 		se.Log.WithFields(logrus.Fields{
 			"digest": req.digest, "endpoint": at.endpoint.ID, "request-id": req.id, "service": req.policy.Service,
 			"strikes": se.Quarantine.Check(req.digest, now).Strikes,
-		}).Warn("endpoint ended under a call")
+		}).Warn("endpoint's process ended during a call")
 	}
 }
 
-// heldBack returns the refusal of a call that must not be sent to an endpoint now,
-// or nil.
-func (ru *run) heldBack() *outcome.Refusal {
+// quarantineRefusal returns the refusal of a quarantined call, or nil.
+func (ru *run) quarantineRefusal() *outcome.Refusal {
 	ve := ru.server.Quarantine.Check(ru.request.digest, time.Now())
 	if !ve.Held() {
 		return nil
 	}
 	re := ru.request.refusal(outcome.Refused, "endpoints ended while they ran this call")
 	re.RetryAfter = ve.HeldFor.Round(time.Second).String()
-	return ru.truthful(re)
+	return ru.correctFate(re)
 }
--- a/call/request.go
+++ b/call/request.go
@@ -17,55 +17,53 @@
 	"wisteriacroft/quarantine"
 )
 
-// Limits on what callers send.
+// Limits on requests.
 const (
-	maxHeaderSize = 256 // bytes of one of the project's own headers
+	maxHeaderSize = 256 // bytes per protocol header
 	readTimeout   = 10 * time.Second
 )
 
-// Values of message.RepeatableHeader and its like.
+// Values of message.RepeatableHeader and other flags.
 const (
 	no  = "no"
 	yes = "yes"
 )
 
-// A request is a live call as it was read and checked.
+// A request is a validated live call.
 type request struct {
 	body       []byte
 	deadline   time.Time
 	digest     quarantine.Digest
-	header     http.Header // of the caller
+	header     http.Header // from the caller
 	id         string
-	key        idempotency.Key // of the caller
-	keyed      bool            // the caller gave a key
-	kind       Kind            // of the path by which the call came
+	key        idempotency.Key // from the caller
+	keyed      bool            // whether the caller sent a key
+	kind       Kind            // kind of the path
 	method     string
-	path       string // with the query; of a plain service, escaped
+	path       string // path and query; escaped for a plain service
 	policy     Policy
 	repeatable bool
 }
 
-// refusal returns the refusal of the call by the entry itself. With a key of
-// the caller it never says not-run: an earlier call with the key may have run,
-// by way of another entry, and only the key's home knows.
+// refusal returns a refusal by the entry itself. For a call with a caller's key the outcome is
+// never not-run: an earlier call with that key may have run by another entry.
 func (req *request) refusal(code outcome.Code, text string) *outcome.Refusal {
 	re := outcome.NewRefusal(code, req.id, text)
 	if req.keyed {
-		claimNothing(re)
+		setFateUnknown(re)
 	}
 	return re
 }
 
-// claimNothing takes what a refusal says of the request's fate out of it.
-func claimNothing(re *outcome.Refusal) {
+// setFateUnknown sets the outcome of a refusal to unknown.
+func setFateUnknown(re *outcome.Refusal) {
 	re.Fate = outcome.Unknown.String()
 	if re.Code == outcome.Refused {
 		re.Code = outcome.OutcomeUnknown
 	}
 }
 
-// read reads a call and checks it against its profile. Its error is a
-// *fate.Refusal that names all faults with their places.
+// read reads and validates a call. Its error is a *outcome.Refusal that lists all findings.
 func (se *Server) read(rw http.ResponseWriter, rq *http.Request, kind Kind) (*request, *outcome.Refusal) {
 	service := mux.Vars(rq)["service"]
 	req := &request{
@@ -99,7 +97,7 @@
 	return req, nil
 }
 
-// unknownProfile returns the refusal of a call whose profile is not in force.
+// unknownProfile returns the refusal of a call whose profile is not active.
 func (req *request) unknownProfile(err error) *outcome.Refusal {
 	var re *outcome.Refusal
 	if !errors.As(err, &re) {
@@ -110,7 +108,7 @@
 	return out
 }
 
-// checkSizes refuses headers that are too large to be looked at.
+// checkSizes refuses oversized headers.
 func (req *request) checkSizes() *outcome.Refusal {
 	var li finding.List
 	for _, name := range []string{
@@ -130,7 +128,7 @@
 	return req.refusal(outcome.BadRequest, li.Err().Error())
 }
 
-// readHeaders reads the headers that say how the call is to be served.
+// readHeaders reads the headers that control how the call is served.
 func (req *request) readHeaders(li *finding.List) {
 	req.deadline = time.Now().Add(req.policy.Deadline)
 	if text := req.header.Get(message.DeadlineHeader); text != "" {
@@ -156,8 +154,7 @@
 	}
 }
 
-// readKey reads the caller's key. A request that is repeatable needs none, and
-// its key is passed over whatever its form.
+// readKey reads the caller's key. The key of a repeatable request is ignored.
 func (req *request) readKey(li *finding.List) {
 	place := "header " + message.IdempotencyKeyHeader
 	if req.repeatable {
@@ -171,17 +168,15 @@
 	ke, err := idempotency.ParseKey(req.header.Get(message.IdempotencyKeyHeader))
 	if err != nil {
 		li.Add("", 0, place, "%v", err)
-		req.keyed = false // nothing that may not be repeated has ever run with it
+		req.keyed = false // no request with this key can have run
 		return
 	}
 	req.key = ke
 }
 
-// readBody reads the body whole, so that none that is cut short or too large
-// is ever passed on in part.
+// readBody reads the whole body, so that a truncated or oversized one is never forwarded in part.
 func (req *request) readBody(rw http.ResponseWriter, rq *http.Request, li *finding.List) {
-	// Not every connection has deadlines; where it has none, the server's own
-	// bounds hold.
+	// Not every connection supports deadlines; the others have only the server's own timeouts.
 	_ = http.NewResponseController(rw).SetReadDeadline(time.Now().Add(readTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(rw, rq.Body, int64(req.policy.MaxBodySize)))
 	var tooLarge *http.MaxBytesError
@@ -195,8 +190,7 @@
 	req.body = body
 }
 
-// servicePath returns the escaped path and query that a plain service sees,
-// without the leading slash.
+// servicePath returns the escaped path and query at a plain service, without the leading slash.
 func servicePath(rq *http.Request) string {
 	prefix := strings.Replace(strings.TrimSuffix(message.ServicePath, "{path:.*}"), "{service}", mux.Vars(rq)["service"], 1)
 	path := strings.TrimPrefix(rq.URL.EscapedPath(), prefix)
--- a/call/run.go
+++ b/call/run.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// noEndpointWait is when to come back if no endpoint takes work.
+	// noEndpointWait is the Retry-After time when no endpoint accepts requests.
 	noEndpointWait = time.Second
-	// askBackoff is the first wait between two questions for a key.
-	askBackoff    = 20 * time.Millisecond
-	maxAskBackoff = time.Second
-	// maxAskFailures bounds the questions in a row that get no answer.
-	maxAskFailures = 2
+	// queryBackoff is the first wait between two queries of a key.
+	queryBackoff    = 20 * time.Millisecond
+	maxQueryBackoff = time.Second
+	// maxQueryFailures bounds consecutive queries without an answer.
+	maxQueryFailures = 2
 )
 
-// errSlow means that an attempt took longer than the profile gives it.
-var errSlow = errors.New("attempt took too long")
+// errAttemptTimeout is the cancellation cause of an attempt that exceeds the profile's AttemptTimeout.
+var errAttemptTimeout = errors.New("attempt took too long")
 
-// A run is the attempts at one call.
+// A run is the attempts of one call.
 type run struct {
-	attempts int
-	last     error // of the last attempt
-	maybe    bool  // an attempt may have run
-	request  *request
-	server   *Server
-	tried    []string // endpoints
+	attempts   int
+	last       error // error of the last attempt
+	mayHaveRun bool  // an attempt may have run
+	request    *request
+	server     *Server
+	tried      []string // endpoints tried
 }
 
-// each makes attempts until try succeeds or nothing more may be tried. It
-// returns the refusal for the caller, or nil.
-func (ru *run) each(ctx context.Context, try func(context.Context, *attempt) error) *outcome.Refusal {
+// runAttempts makes attempts until try succeeds or no further attempt is allowed. It returns the refusal
+// for the caller, or nil.
+func (ru *run) runAttempts(ctx context.Context, try func(context.Context, *attempt) error) *outcome.Refusal {
 	bu := ru.server.budgetOf(ru.request.policy)
 	bu.Deposit()
 	for {
-		if re := ru.heldBack(); re != nil {
+		if re := ru.quarantineRefusal(); re != nil {
 			return re
 		}
 		at, re := ru.next()
@@ -51,24 +51,24 @@
 			return re
 		}
 		err := ru.attempt(ctx, at, try)
-		ru.suspect(at, err)
-		if err != nil && ru.askable(at, err) {
-			err = ru.ask(ctx, at, err, try)
+		ru.recordCrash(at, err)
+		if err != nil && ru.queryable(at, err) {
+			err = ru.query(ctx, at, err, try)
 		}
 		if err == nil {
 			return nil
 		}
 		ru.last = err
 		ru.tried = append(ru.tried, at.endpoint.ID)
-		ru.maybe = ru.maybe || fateOf(err) != outcome.NotRun
-		wait, ok := ru.again(ctx, bu, err)
+		ru.mayHaveRun = ru.mayHaveRun || outcomeOf(err) != outcome.NotRun
+		wait, ok := ru.retryWait(ctx, bu, err)
 		if !ok || !sleep(ctx, wait) {
-			return ru.final(ctx, err)
+			return ru.finalRefusal(ctx, err)
 		}
 	}
 }
 
-// next returns the next attempt, or a refusal if no endpoint takes it.
+// next returns the next attempt, or a refusal if no endpoint is available.
 func (ru *run) next() (*attempt, *outcome.Refusal) {
 	ru.attempts++
 	req := ru.request
@@ -91,7 +91,7 @@
 	home := req.key.Home(req.policy.Homes.Endpoints)
 	en, ok := ru.server.Routes.Take(home)
 	if !ok {
-		re := req.refusal(outcome.NotHome, "the key's home is not known here")
+		re := req.refusal(outcome.NotHome, "the key's home is unknown to this entry")
 		re.RetryAfter = noEndpointWait.String()
 		return nil, re
 	}
@@ -100,8 +100,8 @@
 	return at, nil
 }
 
-// mintedAttempt returns an attempt with a key of its own. Only this attempt
-// and the questions for it ever carry the key, so it needs no home.
+// mintedAttempt returns an attempt with a new key. Only this attempt and its queries use the key,
+// so it needs no home.
 func (ru *run) mintedAttempt() (*attempt, *outcome.Refusal) {
 	ke, err := idempotency.NewKey(time.Now())
 	if err != nil {
@@ -117,7 +117,7 @@
 	return at, nil
 }
 
-// pick returns an endpoint that was not tried yet.
+// pick returns an endpoint that has not been tried.
 func (ru *run) pick() (route.Endpoint, *outcome.Refusal) {
 	req := ru.request
 	need := route.Need{
@@ -129,105 +129,103 @@
 	var re *outcome.Refusal
 	refused := errors.As(ru.last, &re)
 	if !ok && !refused {
-		need.Exclude = nil // rather one whose connection failed than none
+		need.Exclude = nil // an endpoint whose connection failed is better than none
 		en, ok = ru.server.Routes.Pick(time.Now(), need)
 	}
 	switch {
 	case ok:
 		return en, nil
 	case refused:
-		return en, ru.passOnRefusal(re)
+		return en, ru.forwardRefusal(re)
 	}
-	re = req.refusal(outcome.Overloaded, "no endpoint takes work now")
+	re = req.refusal(outcome.Overloaded, "no endpoint accepts requests now")
 	re.RetryAfter = noEndpointWait.String()
-	return en, ru.truthful(re)
+	return en, ru.correctFate(re)
 }
 
-// truthful takes not-run out of a refusal if an attempt may have run.
-func (ru *run) truthful(re *outcome.Refusal) *outcome.Refusal {
-	if ru.maybe {
-		claimNothing(re)
+// correctFate removes outcome not-run from a refusal if an attempt may have run.
+func (ru *run) correctFate(re *outcome.Refusal) *outcome.Refusal {
+	if ru.mayHaveRun {
+		setFateUnknown(re)
 	}
 	return re
 }
 
-// attempt makes one attempt, within its timeout.
+// attempt makes one attempt within its timeout.
 func (ru *run) attempt(ctx context.Context, at *attempt, try func(context.Context, *attempt) error) error {
 	if bound := ru.request.policy.AttemptTimeout; bound > 0 && ru.request.repeatable {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeoutCause(ctx, bound, errSlow)
+		ctx, cancel = context.WithTimeoutCause(ctx, bound, errAttemptTimeout)
 		defer cancel()
 	}
 	ctx, sp := telemetry.Start(ctx, "attempt",
 		attribute.String("endpoint", at.endpoint.ID),
 		attribute.String("request-id", at.id),
-		attribute.Bool("ask", at.ask))
+		attribute.Bool("ask", at.query))
 	err := try(ctx, at)
 	telemetry.End(sp, err)
 	ru.server.settle(ctx, at, err)
 	return err
 }
 
-// again returns how long to wait before another attempt, and whether there may
-// be one.
-func (ru *run) again(ctx context.Context, bu *retry.Budget, err error) (time.Duration, bool) {
+// retryWait returns the wait before the next attempt, and whether one is allowed.
+func (ru *run) retryWait(ctx context.Context, bu *retry.Budget, err error) (time.Duration, bool) {
 	req := ru.request
 	var re *outcome.Refusal
 	if errors.As(err, &re) && (re.Code == outcome.BadRequest || req.keyed) {
-		return 0, false // the same everywhere, or there is nowhere else to go
+		return 0, false // any endpoint would refuse it, or the key has no other home
 	}
-	if ctx.Err() != nil || over(err) {
+	if ctx.Err() != nil || endsCall(err) {
 		return 0, false
 	}
 	return bu.Retry(time.Now(), retry.Attempt{
 		Deadline:   req.deadline,
-		Fate:       fateOf(err),
+		Fate:       outcomeOf(err),
 		Number:     ru.attempts,
 		Repeatable: req.repeatable,
 	})
 }
 
-// askable reports whether the endpoint's attendant can be asked what became of
-// an attempt whose connection failed.
-func (ru *run) askable(at *attempt, err error) bool {
+// queryable reports whether the attendant can be queried for the outcome of an attempt whose
+// connection failed.
+func (ru *run) queryable(at *attempt, err error) bool {
 	var re *outcome.Refusal
 	if errors.As(err, &re) {
 		return re.Code == outcome.InProgress && at.minted
 	}
-	return at.key != "" && fateOf(err) == outcome.Unknown
+	return at.key != "" && outcomeOf(err) == outcome.Unknown
 }
 
-// ask asks on new connections what became of a key until its attendant knows,
-// and returns nil if it got the recorded answer.
+// query queries the attendant over new connections until the outcome of a key is known. It returns
+// nil if it got the recorded answer.
 //
-// A request that is not repeatable must not be sent again when its connection
-// breaks, though most of them ran, or will run, and their answers are there.
-// Its attendant knows: it hands the answer out again, says that the request
-// runs, or that it never came and now won't run.
-func (ru *run) ask(ctx context.Context, at *attempt, err error, try func(context.Context, *attempt) error) error {
-	backoff := askBackoff
-	for failures := 0; failures < maxAskFailures && ctx.Err() == nil && !over(err); {
+// A request that is not repeatable must not be sent again after its connection breaks. Its
+// attendant returns the recorded answer, reports that the request is running, or reports that it
+// never arrived and bars it from running.
+func (ru *run) query(ctx context.Context, at *attempt, err error, try func(context.Context, *attempt) error) error {
+	backoff := queryBackoff
+	for failures := 0; failures < maxQueryFailures && ctx.Err() == nil && !endsCall(err); {
 		if !sleep(ctx, backoff) {
 			break
 		}
-		backoff = min(2*backoff, maxAskBackoff)
+		backoff = min(2*backoff, maxQueryBackoff)
 		en, ok := ru.server.Routes.Take(at.endpoint.ID)
 		if !ok || en.Address != at.endpoint.Address {
 			if ok {
 				ru.server.Routes.Succeeded(time.Now(), en.ID)
 			}
-			break // another process, which knows nothing of the key
+			break // the attendant has restarted elsewhere and has no state of the key
 		}
-		question := newAttempt(ru.request, en)
-		question.ask, question.key, question.minted = at.minted, at.key, at.minted
-		answer := ru.attempt(ctx, question, try)
+		query := newAttempt(ru.request, en)
+		query.query, query.key, query.minted = at.minted, at.key, at.minted
+		answer := ru.attempt(ctx, query, try)
 		var re *outcome.Refusal
 		switch {
 		case answer == nil:
 			return nil
 		case errors.As(answer, &re) && re.Code == outcome.InProgress:
 			failures = 0
-		case errors.As(answer, &re) && (knows(re) || re.Outcome() == outcome.Unknown):
+		case errors.As(answer, &re) && (concernsKey(re) || re.Outcome() == outcome.Unknown):
 			return answer
 		default:
 			failures++
@@ -236,10 +234,9 @@
 	return err
 }
 
-// knows reports whether a refusal that says not-run speaks of the key, and not
-// only of the request that carried it: such codes come after the attendant
-// has looked the key up.
-func knows(re *outcome.Refusal) bool {
+// concernsKey reports whether a refusal with outcome not-run is about the key and not only about the
+// request: attendants return these codes after they have looked up the key.
+func concernsKey(re *outcome.Refusal) bool {
 	switch re.Code {
 	case outcome.DeadlineExceeded, outcome.Leaving, outcome.Overloaded, outcome.Refused:
 		return true
@@ -248,45 +245,45 @@
 	}
 }
 
-// over reports whether no other attempt may follow, whatever the fate: part of
-// the answer is out, or nobody waits for it.
-func over(err error) bool {
-	return errors.Is(err, errTooLate) || errors.Is(err, errCallerGone)
+// endsCall reports whether no further attempt may follow: part of the answer has been sent, or the
+// caller has disconnected.
+func endsCall(err error) bool {
+	return errors.Is(err, errTruncated) || errors.Is(err, errCallerDisconnected)
 }
 
-// passOnRefusal returns an attendant's refusal in the form for the caller.
-func (ru *run) passOnRefusal(re *outcome.Refusal) *outcome.Refusal {
+// forwardRefusal returns an attendant's refusal as sent to the caller.
+func (ru *run) forwardRefusal(re *outcome.Refusal) *outcome.Refusal {
 	req := ru.request
 	out := *re
 	out.RequestID = req.id
-	if req.keyed && !knows(re) {
-		claimNothing(&out)
+	if req.keyed && !concernsKey(re) {
+		setFateUnknown(&out)
 	}
-	return ru.truthful(&out)
+	return ru.correctFate(&out)
 }
 
-// final returns the refusal of a call that is given up.
-func (ru *run) final(ctx context.Context, err error) *outcome.Refusal {
+// finalRefusal returns the refusal of a call after its last attempt.
+func (ru *run) finalRefusal(ctx context.Context, err error) *outcome.Refusal {
 	req := ru.request
 	var re *outcome.Refusal
 	switch {
 	case errors.As(err, &re):
-		return ru.passOnRefusal(re)
+		return ru.forwardRefusal(re)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		re = req.refusal(outcome.DeadlineExceeded, "deadline passed: "+err.Error())
-	case fateOf(err) == outcome.NotRun:
+	case outcomeOf(err) == outcome.NotRun:
 		re = req.refusal(outcome.Refused, err.Error())
 		re.RetryAfter = noEndpointWait.String()
 	default:
 		re = req.refusal(outcome.OutcomeUnknown, err.Error())
 	}
-	if fateOf(err) == outcome.NotRun && !req.keyed {
+	if outcomeOf(err) == outcome.NotRun && !req.keyed {
 		re.Fate = outcome.NotRun.String()
 	}
-	return ru.truthful(re)
+	return ru.correctFate(re)
 }
 
-// sleep waits and reports whether ctx lasted.
+// sleep waits and reports whether ctx is still active.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	ti := time.NewTimer(wait)
 	defer ti.Stop()
--- a/call/server.go
+++ b/call/server.go
@@ -1,5 +1,5 @@
-// Package call is the entry's HTTP edge for live calls: it checks them, routes
-// them to attendants, tries again where that is safe, and answers callers.
+// Package call serves live calls over HTTP at an entry. It validates them, routes them to
+// attendants and retries them where that is safe.
 package call
 
 import (
@@ -19,35 +19,31 @@
 	"wisteriacroft/route"
 )
 
-// DefaultProgress is four times the interval at which attendants show signs of
-// life.
+// DefaultProgress is four times the interval at which attendants send progress.
 const DefaultProgress = 2 * time.Second
 
-// A Server handles live calls.
+// A Server serves live calls.
 type Server struct {
 	// DialFunc opens a connection to an attendant; over TCP if nil.
 	DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 	Log      *logrus.Logger
-	// ProfileFunc returns the policy of a profile of a service, or of the
-	// service's only profile for live calls if name is "". Its error is a
-	// *fate.Refusal.
+	// ProfileFunc returns the policy of a profile, or of the service's only profile for live calls
+	// if name is "". Its error is a *outcome.Refusal.
 	ProfileFunc func(service, name string) (Policy, error)
-	// Progress bounds the silence of a connection to an attendant; default
-	// DefaultProgress.
+	// Progress is the maximum time without progress on a connection; default DefaultProgress.
 	Progress time.Duration
-	// Quarantine holds calls under which endpoints ended; nil stands for one of the
-	// server's own.
+	// Quarantine holds the calls during which endpoints ended; default a new table.
 	Quarantine *quarantine.Table
 	Routes     *route.Table
-	Seed       uint64 // of the jitter of retries
+	Seed       uint64 // of the retry jitter
 
-	budgets map[string]*budget // by service
-	mu      sync.Mutex
-	once    sync.Once
-	work    client
+	budgets    map[string]*budget // by service
+	mu         sync.Mutex
+	once       sync.Once
+	attendants client
 }
 
-// A budget is the retry budget of a service, under the policy it was made for.
+// A budget is the retry budget of a service with the policy that it was created for.
 type budget struct {
 	*retry.Budget
 	policy retry.Policy
@@ -61,7 +57,7 @@
 	ro.HandleFunc(message.StreamsPath, se.serveStream).Methods(http.MethodPost)
 }
 
-// start fills in what the fields leave out.
+// start sets the defaults of the fields.
 func (se *Server) start() {
 	if se.Progress <= 0 {
 		se.Progress = DefaultProgress
@@ -73,14 +69,13 @@
 		se.Quarantine = &quarantine.Table{}
 	}
 	se.budgets = make(map[string]*budget)
-	se.work = newClient(se.DialFunc, se.Progress)
+	se.attendants = newClient(se.DialFunc, se.Progress)
 }
 
-// Close closes the connections to attendants that no call uses.
-func (se *Server) Close() { se.work.http.CloseIdleConnections() }
+// Close closes idle connections to attendants.
+func (se *Server) Close() { se.attendants.http.CloseIdleConnections() }
 
-// budgetOf returns the retry budget of a service. A changed policy starts a
-// new one.
+// budgetOf returns the retry budget of a service. A changed policy creates a new one.
 func (se *Server) budgetOf(po Policy) *retry.Budget {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -92,7 +87,7 @@
 	return bu.Budget
 }
 
-// refuse answers a caller with a refusal.
+// refuse writes a refusal.
 func (se *Server) refuse(rw http.ResponseWriter, service string, re *outcome.Refusal) {
 	refusals(service, re.Code).Inc()
 	se.Log.WithFields(logrus.Fields{
--- a/call/stream.go
+++ b/call/stream.go
@@ -16,18 +16,17 @@
 	"wisteriacroft/telemetry"
 )
 
-// writeTimeout bounds the writing of one chunk to a caller. One who no longer
-// reads would otherwise hold the engine for good.
+// writeTimeout is the timeout for writing one chunk. A caller that stops reading must not block the
+// engine.
 const writeTimeout = 10 * time.Second
 
-// errGap means that a chunk doesn't follow the one before it: tokens were
-// lost on the way.
+// errGap means that tokens are missing before a chunk.
 var errGap = errors.New("tokens are missing from the stream")
 
-// A GenerateAnswer is a whole answer of an engine.
+// A GenerateAnswer is the whole answer of an engine.
 type GenerateAnswer struct {
 	RequestID string           `json:"request-id"`
-	Segments  []engine.Segment `json:"segments"` // in order, by the version that made them
+	Segments  []engine.Segment `json:"segments"` // in order
 	Tokens    []engine.Token   `json:"tokens"`
 }
 
@@ -44,14 +43,14 @@
 	}
 }
 
-// A stream is the answer of an engine to one call, over all its attempts.
+// A stream is the state of an engine's answer over all attempts.
 type stream struct {
-	emit func(engine.Chunk) error // to the caller
-	made []engine.Token
-	want engine.GenerateRequest
+	emit     func(engine.Chunk) error // forwards a chunk to the caller
+	received []engine.Token
+	request  engine.GenerateRequest
 }
 
-// serveGenerate serves a call of an engine with its whole answer.
+// serveGenerate serves a call of an engine with a single JSON answer.
 func (se *Server) serveGenerate(rw http.ResponseWriter, rq *http.Request) {
 	var an GenerateAnswer
 	req, re := se.generate(rw, rq, func(ch engine.Chunk) error {
@@ -66,13 +65,12 @@
 	rw.Header().Set("Content-Type", "application/json")
 	rw.Header().Set(message.FateHeader, outcome.Ran.String())
 	rw.Header().Set(message.RequestIDHeader, req.id)
-	// The caller may be gone; the answer has nowhere else to go then.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(rw).Encode(an)
 }
 
-// serveStream serves a call of an engine with lines of chunks as they come. An
-// answer that can't go on after its first chunk is broken off, so that its
-// reader can tell it from a whole one.
+// serveStream serves a call of an engine with JSON lines of chunks. If the answer fails after its
+// first chunk, the connection is aborted, so that the caller can detect the truncation.
 func (se *Server) serveStream(rw http.ResponseWriter, rq *http.Request) {
 	var started bool
 	encoder := json.NewEncoder(rw)
@@ -83,8 +81,7 @@
 			rw.Header().Set("Content-Type", "application/jsonl")
 			rw.Header().Set(message.RequestIDHeader, ch.RequestID)
 		}
-		// Not every connection has deadlines; where it has none, the server's
-		// own bounds hold.
+		// Not every connection supports deadlines; the others have only the server's own timeouts.
 		_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err := encoder.Encode(ch); err != nil {
 			return err
@@ -94,7 +91,7 @@
 	switch {
 	case re == nil:
 	case started:
-		panic(http.ErrAbortHandler) // ends the connection without the answer's end
+		panic(http.ErrAbortHandler) // closes the connection before the end of the answer
 	default:
 		se.refuse(rw, req.policy.Service, re)
 	}
@@ -108,17 +105,17 @@
 		return req, re
 	}
 	st := &stream{emit: emit}
-	if err := json.Unmarshal(req.body, &st.want); err != nil {
+	if err := json.Unmarshal(req.body, &st.request); err != nil {
 		return req, req.refusal(outcome.BadRequest, "body: "+err.Error())
 	}
-	st.made = append(st.made, st.want.Resume...)
+	st.received = append(st.received, st.request.Resume...)
 	ctx, sp := telemetry.Start(ctx, "generate",
 		attribute.String("request-id", req.id), attribute.String("service", req.policy.Service))
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
 	ru := &run{request: req, server: se}
-	re = ru.each(ctx, func(ctx context.Context, at *attempt) error {
-		return se.follow(ctx, at, st)
+	re = ru.runAttempts(ctx, func(ctx context.Context, at *attempt) error {
+		return se.attemptStream(ctx, at, st)
 	})
 	if re != nil {
 		telemetry.End(sp, re)
@@ -129,14 +126,13 @@
 	return req, nil
 }
 
-// follow makes one attempt at a stream, from the tokens that are already
-// there.
-func (se *Server) follow(ctx context.Context, at *attempt, st *stream) error {
-	want := st.want
-	at.lines = true
+// attemptStream makes one attempt at a stream, resuming after the tokens received so far.
+func (se *Server) attemptStream(ctx context.Context, at *attempt, st *stream) error {
+	want := st.request
+	at.echoPerLine = true
 	want.ID = at.id
-	want.Resume = st.made
-	if len(st.made) > len(st.want.Resume) {
+	want.Resume = st.received
+	if len(st.received) > len(st.request.Resume) {
 		resumed(at.call.policy.Service).Inc()
 	}
 	body, err := json.Marshal(want)
@@ -155,23 +151,23 @@
 	if err := st.read(at, ex); err != nil {
 		return err
 	}
-	ex.finish()
+	ex.drain()
 	return nil
 }
 
-// read passes the chunks of one attempt on until the last.
+// read forwards the chunks of one attempt up to the last.
 func (st *stream) read(at *attempt, body io.Reader) error {
 	decoder := json.NewDecoder(body)
 	for {
 		var ch engine.Chunk
 		if err := decoder.Decode(&ch); err != nil {
-			return errors.Wrap(err, "stream broke off")
+			return errors.Wrap(err, "read stream")
 		}
 		if ch.RequestID != at.id {
 			crossed(at.call.policy.Service).Inc()
 			continue
 		}
-		if err := st.take(at, ch); err != nil {
+		if err := st.forward(at, ch); err != nil {
 			return err
 		}
 		if ch.Done {
@@ -180,12 +176,11 @@
 	}
 }
 
-// take passes a chunk on, if it follows what is there. A chunk that comes
-// twice would double tokens, one that is lost would leave a gap: both show in
-// the position of the first token. What is there already is cut off; a gap
-// ends the attempt, and the next resumes before it.
-func (st *stream) take(at *attempt, ch engine.Chunk) error {
-	next := len(st.made)
+// forward forwards the tokens of a chunk that are new. By the position of its first token it drops
+// tokens that were received before, and returns errGap if some are missing; the next attempt then
+// resumes before the gap.
+func (st *stream) forward(at *attempt, ch engine.Chunk) error {
+	next := len(st.received)
 	if len(ch.Tokens) > 0 {
 		if ch.First > next {
 			return errors.Wrapf(errGap, "chunk at %d, want %d", ch.First, next)
@@ -194,9 +189,9 @@
 	}
 	ch.First = next
 	ch.RequestID = at.call.id
-	st.made = append(st.made, ch.Tokens...)
+	st.received = append(st.received, ch.Tokens...)
 	if err := st.emit(ch); err != nil {
-		return errors.CombineErrors(errCallerGone, err)
+		return errors.CombineErrors(errCallerDisconnected, err)
 	}
 	return nil
 }
