--- a/attendant/attempt.go
+++ b/attendant/attempt.go
@@ -9,23 +9,20 @@
 	"wisteriacroft/message"
 )
 
-// Errors that end an attempt: its answer is no sample.
+// Errors of an attempt with an invalid answer.
 var (
-	// ErrEmpty means that the answer has no tokens, so that nothing names the
-	// version that made it.
+	// ErrEmpty means that an answer has no tokens, so its version is unknown.
 	ErrEmpty = errors.New("answer has no tokens")
-	// ErrStale means that weights made tokens which are older than the
-	// request allows.
+	// ErrStale means that tokens are older than the request allows.
 	ErrStale = errors.New("weights are older than allowed")
-	// ErrTooLong means that the answer has more tokens than were asked for.
-	ErrTooLong = errors.New("answer is longer than asked for")
-	// ErrNoVersion means that a chunk does not name the version that made it.
+	// ErrTooLong means that an answer has more tokens than requested.
+	ErrTooLong = errors.New("answer is longer than requested")
+	// ErrNoVersion means that a chunk does not name its version.
 	ErrNoVersion = errors.New("chunk names no weight version")
 )
 
-// An attempt gathers the tokens of one request to an engine and the versions
-// that made them. What it holds is always attributed: a chunk is taken whole
-// or not at all.
+// An attempt collects the tokens of one request to an engine with their versions. It adds a chunk
+// completely or not at all, so all its tokens have a version.
 type attempt struct {
 	request message.SampleRequest
 
@@ -36,15 +33,14 @@
 	tokens   []engine.Token
 }
 
-// newAttempt returns an attempt without tokens.
 func newAttempt(req message.SampleRequest) *attempt {
 	return &attempt{request: req, sequence: sequence{id: req.Attempt}}
 }
 
-// id returns the attempt's name.
+// id returns the attempt's id.
 func (at *attempt) id() string { return at.request.Attempt }
 
-// add takes the next chunk. A chunk that it returns an error for is not kept.
+// add appends the next chunk. After an error the attempt is unchanged.
 func (at *attempt) add(ch engine.Chunk) error {
 	at.mu.Lock()
 	defer at.mu.Unlock()
@@ -61,7 +57,7 @@
 	return nil
 }
 
-// check tells whether a chunk may be taken.
+// check validates a chunk.
 func (at *attempt) check(ch engine.Chunk) error {
 	if err := at.sequence.check(ch); err != nil {
 		return err
@@ -69,9 +65,9 @@
 	if len(ch.Tokens) == 0 {
 		return nil
 	}
-	// What was ordered says nothing of what made these tokens: a swap may have
-	// failed or come in between. To guess would mark a sample with weights that
-	// did not make it, which nobody could notice later.
+	// The version of the last order does not tell which weights generated these tokens: a swap may
+	// have failed or happened in between. A guess could attribute the sample to the wrong weights,
+	// which could not be detected later.
 	if ch.Version == 0 {
 		return errors.Wrapf(ErrNoVersion, "attempt %s: chunk at %d", at.id(), ch.First)
 	}
@@ -84,7 +80,7 @@
 	return nil
 }
 
-// progress returns how many tokens there are and the version of the last.
+// progress returns the number of tokens and the version of the last one.
 func (at *attempt) progress() (int, engine.Version) {
 	at.mu.Lock()
 	defer at.mu.Unlock()
@@ -94,7 +90,7 @@
 	return len(at.tokens), at.segments[len(at.segments)-1].Version
 }
 
-// finished tells whether the answer is whole.
+// finished reports whether the answer is complete.
 func (at *attempt) finished() bool {
 	at.mu.Lock()
 	defer at.mu.Unlock()
@@ -110,9 +106,8 @@
 	return tokens, segments
 }
 
-// resume starts the attempt with the tokens of an earlier one. It takes
-// nothing, and returns false, if the segments do not account for each token or
-// if one of them is too old: such tokens could never be delivered.
+// resume starts the attempt with the tokens of an earlier one. It returns false and changes nothing
+// if the segments do not cover all tokens or one of them is too old.
 func (at *attempt) resume(tokens []engine.Token, segments []engine.Segment) bool {
 	sum := 0
 	for _, se := range segments {
@@ -134,7 +129,7 @@
 	return true
 }
 
-// payload returns what a data folder keeps of the sample.
+// payload returns the sample as stored in data folders.
 func (at *attempt) payload() message.Payload {
 	tokens, segments := at.snapshot()
 	return message.Payload{
@@ -148,8 +143,7 @@
 	}
 }
 
-// appendSegment appends se, merged into the last segment if one version made
-// both.
+// appendSegment appends se, or merges it into the last segment if the version is the same.
 func appendSegment(segments []engine.Segment, se engine.Segment) []engine.Segment {
 	if last := len(segments) - 1; last >= 0 && segments[last].Version == se.Version {
 		segments[last].Tokens += se.Tokens
--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -26,22 +26,22 @@
 	"wisteriacroft/tick"
 )
 
-// MaxMessageSize limits a net/rpc message, in bytes. A sample of some hundred
-// thousand tokens fits.
+// MaxMessageSize limits an RPC message, in bytes. It fits a sample of several hundred thousand
+// tokens.
 const MaxMessageSize = 16 << 20
 
-// sweepEvery is the mean time between two sweeps of the data folder.
+// sweepEvery is the mean time between sweeps of the data folder.
 const sweepEvery = time.Hour
 
 // An Attendant serves the endpoints of one instance.
 type Attendant struct {
-	applied   uint64 // revision that the endpoints have
+	applied   uint64 // applied revision
 	depot     *blob.Client
-	done      chan struct{} // closed when the systems shall stop
+	done      chan struct{} // closed to stop the systems
 	endpoints []*endpoint   // in the order of the options
 	entries   []instancelist.Instance
 	fence     *rollout.Fence
-	handOver  chan struct{} // closed when samples shall go on elsewhere
+	handOver  chan struct{} // closed when running samples are to be resumed elsewhere
 	http      *http.Server
 	loop      sync.WaitGroup
 	mu        sync.Mutex // guards entries
@@ -53,11 +53,11 @@
 	reporter  *membership.Reporter
 	router    *mux.Router
 	server    *peer.Server
-	settleAt  time.Time // when former homes are asked next
+	settleAt  time.Time // next time to ask former homes
 	spreader  *profile.Syncer
 	startedAt time.Time
-	sweepAt   time.Time // when the data folder is swept next
-	work      *work
+	sweepAt   time.Time // next sweep of the data folder
+	inflight  *inflight
 }
 
 // New returns an attendant for the endpoints of op.
@@ -71,7 +71,7 @@
 		profiles:  op.Profiles,
 		random:    rand.New(rand.NewPCG(op.Seed, 0)),
 		startedAt: time.Now(),
-		work:      newWork(),
+		inflight:  newInflight(),
 	}
 	for _, eo := range op.Endpoints {
 		if err := at.addEndpoint(eo); err != nil {
@@ -94,17 +94,17 @@
 	})
 	at.fence = at.newFence()
 	at.reporter = at.newReporter()
-	at.observeList(at.knownEntries())
+	at.observeList(at.configuredEntries())
 	at.server = at.newServer()
 	at.router = at.newRouter()
-	at.http = process.NewHTTPServer(process.CloseConnectionsWhile(at.work.isLeaving, at))
+	at.http = process.NewHTTPServer(process.CloseConnectionsWhile(at.inflight.isLeaving, at))
 	return at, nil
 }
 
-// addEndpoint adds an endpoint that has not been reached yet.
+// addEndpoint adds an endpoint that has not been contacted yet.
 func (at *Attendant) addEndpoint(eo EndpointOptions) error {
 	if at.endpoint(eo.Name) != nil {
-		return errors.New("named twice")
+		return errors.New("duplicate endpoint name")
 	}
 	if (eo.Engine == nil) == (eo.Plain == nil) {
 		return errors.New("needs either an engine or a plain service")
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// newServer returns the server of net/rpc with its methods.
+// newServer returns the RPC server with its methods.
 func (at *Attendant) newServer() *peer.Server {
 	sv := &peer.Server{HeaderFunc: at.header, MaxMessageSize: MaxMessageSize}
 	configuration.Handle(sv, at.profiles)
@@ -136,7 +136,7 @@
 	return sv
 }
 
-// newRouter returns the routes of package message.
+// newRouter returns the HTTP routes.
 func (at *Attendant) newRouter() *mux.Router {
 	ro := mux.NewRouter().UseEncodedPath()
 	ro.Use(traced)
@@ -151,7 +151,7 @@
 	return ro
 }
 
-// Systems returns what runs on each tick.
+// Systems returns the systems that run on each tick.
 func (at *Attendant) Systems() []tick.System {
 	systems := []tick.System{
 		{Name: "policies", Run: at.applyProfiles},
@@ -169,10 +169,10 @@
 // Start runs the attendant's systems until Shutdown.
 func (at *Attendant) Start() {
 	lo := &tick.Loop{Every: at.options.TickEvery, Systems: at.Systems()}
-	ctx, cancel := until(context.Background(), at.done, nil)
+	ctx, cancel := withDone(context.Background(), at.done, nil)
 	rollout.ConnectFence(ctx, at.pool, at.fence)
 	membership.ConnectReporter(ctx, at.pool, at.reporter)
-	at.loop.Go(func() { at.follow(ctx) })
+	at.loop.Go(func() { at.pollInstances(ctx) })
 	at.loop.Go(func() {
 		defer cancel()
 		lo.Run(ctx)
@@ -184,7 +184,7 @@
 	at.router.ServeHTTP(rw, rq)
 }
 
-// header returns the header of this process's messages.
+// header returns the header of RPC messages from this process.
 func (at *Attendant) header() message.Header {
 	return message.Header{
 		Incarnation: at.options.Incarnation,
@@ -193,14 +193,14 @@
 	}
 }
 
-// setHeader sets what every answer from an endpoint carries.
+// setHeader sets the headers common to all answers of an endpoint.
 func (at *Attendant) setHeader(he http.Header, en *endpoint) {
 	he.Set(message.EndpointHeader, en.name)
 	he.Set(message.LoadHeader, en.gate.Load().String())
 	he.Set(message.RevisionHeader, strconv.FormatUint(at.profiles.Revision(), 10))
 }
 
-// endpoint returns the endpoint of a name, or nil.
+// endpoint returns the endpoint with a name, or nil.
 func (at *Attendant) endpoint(name string) *endpoint {
 	for _, en := range at.endpoints {
 		if en.name == name {
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// runGates gives up on what can't start in time, and on keys that expired.
+// runGates expires waiting requests and idempotency keys.
 func (at *Attendant) runGates(now time.Time) {
 	for _, en := range at.endpoints {
 		en.gate.Tick(now)
@@ -218,7 +218,7 @@
 	}
 }
 
-// sweepStore drops payloads that nobody deleted from the data folder.
+// sweepStore deletes old payloads from the data folder.
 func (at *Attendant) sweepStore(now time.Time) {
 	if at.options.Store == nil || now.Before(at.sweepAt) {
 		return
@@ -228,9 +228,9 @@
 		count, err := at.options.Store.Sweep(now)
 		lo := at.options.Log.WithField("data-folder", at.options.Store.Folder)
 		if err != nil {
-			lo.WithError(err).Error("data folder not swept")
+			lo.WithError(err).Error("could not sweep the data folder")
 		} else if count > 0 {
-			lo.WithField("payloads", count).Info("old payloads dropped")
+			lo.WithField("payloads", count).Info("old payloads deleted")
 		}
 	})
 }
--- a/attendant/call.go
+++ b/attendant/call.go
@@ -17,26 +17,25 @@
 	"wisteriacroft/plainservice"
 )
 
-// yes is the value of a header that says so.
+// yes is the value of a header that is set.
 const yes = "yes"
 
-// A call is a live request as its headers describe it.
+// A call is a live request as described by its headers.
 type call struct {
-	ask        bool          // don't run it: only say what became of its key
-	deadline   time.Duration // that is left; 0 means none
+	query      bool          // only query the outcome of the key
+	deadline   time.Duration // time left; 0 means none
 	id         string
 	key        string // idempotency key, or ""
-	minted     bool   // the key is the entry's own
+	minted     bool   // whether an entry minted the key
 	profile    string
 	repeatable bool
-	revision   uint64 // by which the sender chose this endpoint
+	revision   uint64 // revision by which the sender chose this endpoint
 }
 
-// newCall reads the headers of a live request. What doesn't say that it is
-// repeatable is not: to run it twice might do harm.
+// newCall parses the headers of a live request. A request is repeatable only if its header says so.
 func newCall(he http.Header) (call, error) {
 	ca := call{
-		ask:        he.Get(message.KeyQueryHeader) == yes,
+		query:      he.Get(message.KeyQueryHeader) == yes,
 		id:         he.Get(message.RequestIDHeader),
 		key:        he.Get(message.KeyHeader),
 		minted:     he.Get(message.KeyGeneratedHeader) == yes,
@@ -63,21 +62,21 @@
 	return ca, nil
 }
 
-// bound returns ctx with the call's deadline.
-func (ca call) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withDeadline returns ctx with the call's deadline.
+func (ca call) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	if ca.deadline == 0 {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, ca.deadline)
 }
 
-// An answer is what a plain service answered, with its body whole.
+// An answer is the complete answer of a plain service, or a refusal.
 type answer struct {
 	idempotency.Response
 	refusal *outcome.Refusal // set if there is no answer
 }
 
-// serveCall gives a live call to a plain service and passes its answer on.
+// serveCall forwards a live call to a plain service and returns its answer.
 func (at *Attendant) serveCall(rw http.ResponseWriter, rq *http.Request) {
 	en := at.endpoint(mux.Vars(rq)["endpoint"])
 	ca, err := newCall(rq.Header)
@@ -94,7 +93,7 @@
 		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, "read body: "+err.Error()))
 		return
 	}
-	ctx, cancel := ca.bound(rq.Context())
+	ctx, cancel := ca.withDeadline(rq.Context())
 	defer cancel()
 	req := plainservice.Request{
 		Body:   body,
@@ -112,7 +111,7 @@
 	at.writeAnswer(rw, en, ca, an)
 }
 
-// servicePath returns the path and query that the service sees.
+// servicePath returns the path and query at the service.
 func servicePath(rq *http.Request) string {
 	path := "/" + mux.Vars(rq)["path"]
 	if rq.URL.RawQuery != "" {
@@ -121,7 +120,7 @@
 	return path
 }
 
-// call runs a call, once or as often as it comes.
+// call runs a call, at most once per key if it is not repeatable.
 func (at *Attendant) call(ctx context.Context, en *endpoint, ca call, req plainservice.Request) answer {
 	if ca.repeatable {
 		return at.callRepeatable(ctx, en, ca, req)
@@ -129,13 +128,13 @@
 	return at.callOnce(ctx, en, ca, req)
 }
 
-// callRepeatable queues a request and runs it. It ends with its caller.
+// callRepeatable queues and runs a request. It is canceled with ctx.
 func (at *Attendant) callRepeatable(ctx context.Context, en *endpoint, ca call, req plainservice.Request) answer {
-	if !at.work.enter() {
+	if !at.inflight.enter() {
 		return answer{refusal: leaving(ca.id)}
 	}
-	defer at.work.exit()
-	ti, err := en.enter(ctx, at.live(ca))
+	defer at.inflight.exit()
+	ti, err := en.admit(ctx, at.liveRequest(ca))
 	if err != nil {
 		return answer{refusal: refusal(ctx, ca.id, err)}
 	}
@@ -143,13 +142,13 @@
 	an, err := at.exchange(ctx, en, req)
 	ti.Release(gateResult(ctx, err))
 	if err != nil {
-		return answer{refusal: en.refusalOf(ctx, ca.id, err)}
+		return answer{refusal: en.callRefusal(ctx, ca.id, err)}
 	}
 	return answer{Response: an}
 }
 
-// live returns what the gate needs to know of a live call.
-func (at *Attendant) live(ca call) gate.Request {
+// liveRequest returns the gate's request for a live call.
+func (at *Attendant) liveRequest(ca call) gate.Request {
 	return gate.Request{
 		Class:    gate.Live,
 		ID:       ca.id,
--- a/attendant/call_test.go
+++ b/attendant/call_test.go
@@ -76,7 +76,7 @@
 		se.call(ctx, "a:1", "desk-1/call/cards/7", id, "not-sent", repeatable, "yes")
 		fs.failWith(plainservice.ErrMismatchedResponse)
 		se.call(ctx, "a:1", "desk-1/call/cards/7", id, "crossed", repeatable, "yes")
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
 
@@ -107,7 +107,7 @@
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "broken", key, ke)
 		fs.failWith(nil)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat-of-broken", key, ke)
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
 
@@ -134,10 +134,10 @@
 		time.Sleep(time.Second)
 		go se.call(impatient(), "a:1", "desk-1/call/orders", id, "waiting-once", key, second)
 		time.Sleep(5500 * time.Millisecond)
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat-of-waiting", key, second)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat-of-running", key, first)
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
 
@@ -161,7 +161,7 @@
 		time.Sleep(6 * time.Second)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "late-repeat", key, ke)
 		time.Sleep(10 * time.Second)
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
 
@@ -183,7 +183,7 @@
 		time.Sleep(time.Millisecond)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "next", key, newKey())
 		end()
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
 
@@ -212,6 +212,6 @@
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "repeat-at-old-home", key, ke)
 		se.call(se.Context(), "a:1", "desk-1/call/orders", id, "old-home-after-word", key, newKey())
 		se.call(se.Context(), "b:1", "desk-2/call/orders", id, "new-home", key, newKey())
-		se.note("ran: %v", fs.whatRan())
+		se.note("ran: %v", fs.ranIDs())
 	})
 }
--- a/attendant/callonce.go
+++ b/attendant/callonce.go
@@ -12,18 +12,17 @@
 	"wisteriacroft/plainservice"
 )
 
-// callOnce runs a request that is not repeatable, unless its key came before.
+// callOnce runs a request that is not repeatable unless its key has been received before.
 //
-// The key is looked up ahead of all other reasons to refuse: a repeat that is
-// told "not run" for want of a place, though the first one ran, would be run
-// again by its caller.
+// The key is checked before anything else that may refuse the request: otherwise a repeat could be
+// refused as not run although the first request ran, and its caller would run it again.
 func (at *Attendant) callOnce(ctx context.Context, en *endpoint, ca call, req plainservice.Request) answer {
 	ke, err := idempotency.ParseKey(ca.key)
 	if err != nil {
 		return answer{refusal: outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error())}
 	}
 	de := en.once.Begin(time.Now(), idempotency.Request{
-		Ask:      ca.ask,
+		Ask:      ca.query,
 		Digest:   digest(req),
 		ID:       ca.id,
 		Key:      ke,
@@ -35,14 +34,14 @@
 		return answer{refusal: de.Refusal}
 	case de.Answer != nil:
 		return answer{Response: *de.Answer}
-	case !at.work.enter():
+	case !at.inflight.enter():
 		en.once.Release(time.Now(), ke)
 		return answer{refusal: leaving(ca.id)}
 	}
 	started := make(chan struct{})
 	done := make(chan answer, 1)
 	go func() {
-		defer at.work.exit()
+		defer at.inflight.exit()
 		done <- at.runOnce(ctx, en, ca, ke, req, started)
 	}()
 	select {
@@ -50,9 +49,9 @@
 		return an
 	case <-ctx.Done():
 	}
-	// The caller is gone or its time is over. While the request waits it is
-	// taken out of the queue, and done says so; once it runs, it goes on
-	// without its caller and its answer is kept for a repeat.
+	// The caller has disconnected or its deadline has passed. A waiting request leaves the queue,
+	// and done receives its refusal. A running one continues, and its answer is recorded for a
+	// repeat.
 	select {
 	case an := <-done:
 		return an
@@ -61,11 +60,11 @@
 	}
 }
 
-// runOnce queues a request and runs it, and records what became of its key.
+// runOnce queues and runs a request and records the outcome of its key.
 func (at *Attendant) runOnce(
 	ctx context.Context, en *endpoint, ca call, ke idempotency.Key, req plainservice.Request, started chan<- struct{},
 ) answer {
-	ti, err := en.enter(ctx, at.live(ca))
+	ti, err := en.admit(ctx, at.liveRequest(ca))
 	if err != nil {
 		en.once.Release(time.Now(), ke)
 		return answer{refusal: refusal(ctx, ca.id, err)}
@@ -91,13 +90,13 @@
 	default:
 		en.once.MarkUnknown(time.Now(), ke)
 	}
-	return answer{refusal: en.refusalOf(ctx, ca.id, err)}
+	return answer{refusal: en.callRefusal(ctx, ca.id, err)}
 }
 
-// digest returns the hash of what a key stands for.
+// digest returns a hash of the request, to detect a key reused for another one.
 func digest(req plainservice.Request) uint64 {
 	di := xxhash.New()
-	// A Digest's writes don't fail.
+	// Writes to a Digest can't fail.
 	_, _ = di.WriteString(req.Method + " " + req.Path + "\n")
 	_, _ = di.Write(req.Body)
 	return di.Sum64()
--- a/attendant/depot.go
+++ b/attendant/depot.go
@@ -8,7 +8,7 @@
 	"wisteriacroft/peer"
 )
 
-// Methods of net/rpc on a data folder.
+// RPC methods of a data folder.
 const (
 	DepotDeleteMethod = "Depot.Delete"
 	DepotGetMethod    = "Depot.Get"
@@ -16,25 +16,25 @@
 	BlobPutMethod     = "Depot.Put"
 )
 
-// A BlobRequest names a payload, and holds it when it is to be kept.
+// A BlobRequest names a payload by its digest. Data is set only for BlobPutMethod.
 type BlobRequest struct {
 	Data   []byte
 	Digest string
 }
 
-// A BlobResponse holds a payload, or the list of payloads.
+// A BlobResponse holds a payload or the list of payloads.
 type BlobResponse struct {
 	Data    []byte
 	Entries []blob.Entry
 }
 
-// depotCodes are the errors that a data folder returns over net/rpc.
+// depotCodes are the errors of a data folder that are encoded over RPC.
 var depotCodes = []peer.Code{
 	{Err: blob.ErrFull, Name: "depot-full"},
 	{Err: blob.ErrMissing, Name: "depot-missing"},
 }
 
-// HandleBlobs serves a data folder over net/rpc.
+// HandleBlobs registers the RPC methods of a data folder.
 func HandleBlobs(sv *peer.Server, st *blob.Store) {
 	sv.Codes = append(sv.Codes, depotCodes...)
 	handle := func(method string, fn func(req BlobRequest) (BlobResponse, error)) {
@@ -58,7 +58,7 @@
 	})
 }
 
-// NewBlobClient returns a client of the data folders of other processes.
+// NewBlobClient returns a client for the data folders of other processes.
 func NewBlobClient(po *peer.Pool) *blob.Client {
 	po.Codes = append(po.Codes, depotCodes...)
 	call := func(ctx context.Context, pl message.BlobLocation, method string, req BlobRequest) (BlobResponse, error) {
--- a/attendant/doc.go
+++ b/attendant/doc.go
@@ -1,5 +1,4 @@
-// Package attendant is the process that stands beside endpoints and is the
-// only door to them. It holds the queue, the limits, the orders and the
-// attribution of samples, since nothing farther away can say truthfully
-// whether a request ran.
+// Package attendant implements the process that runs beside endpoints. All requests pass through
+// it: it queues and limits them, passes on orders, and attributes samples to weight versions. It is
+// close enough to the endpoint to determine whether a request has run.
 package attendant
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -16,11 +16,11 @@
 	"wisteriacroft/plainservice"
 )
 
-// chunkMemory is for how long the version that a chunk named goes before that
-// of a report, which lags.
-const chunkMemory = 10 * time.Second
+// chunkPrecedence is how long a chunk's version takes precedence over an older one in a report, which
+// may be delayed.
+const chunkPrecedence = 10 * time.Second
 
-// An endpoint is a server that the attendant stands beside.
+// An endpoint is an engine or plain service of the attendant's instance.
 type endpoint struct {
 	engine     *engine.Client // nil for a plain service
 	gate       *gate.Gate
@@ -30,28 +30,27 @@
 	plain      *plainservice.Client // nil for an engine
 	executions executions
 	service    string
-	tickets    atomic.Int64 // requests so far; makes their names unique
+	runs       atomic.Int64 // counts requests, for unique ids
 
 	mu      sync.Mutex
-	chunkAt time.Time // when a chunk last named a version
+	chunkAt time.Time // time of the last chunk with a version
 	poller  poller
-	report  engine.Report // last one read
-	seenAt  time.Time     // when the endpoint last answered
+	report  engine.Report // latest
+	seenAt  time.Time     // time of the last answer
 	version engine.Version
 }
 
-// unique returns a name for one run of a request. A caller may repeat an id
-// while the run before it is still being canceled; under one name the cancel
-// could hit the repeat.
-func (en *endpoint) unique(id string) string {
-	return id + "/" + strconv.FormatInt(en.tickets.Add(1), 10)
+// uniqueID returns a unique id for one run of a request. A caller may repeat an id while its previous
+// run is being canceled; with the same id, the cancellation could hit the repeat.
+func (en *endpoint) uniqueID(id string) string {
+	return id + "/" + strconv.FormatInt(en.runs.Add(1), 10)
 }
 
-// enter waits for the right to write a request to the endpoint. Its error is a
-// *fate.Refusal that says not-run.
-func (en *endpoint) enter(ctx context.Context, req gate.Request) (*gate.Ticket, error) {
+// admit waits for permission to send a request to the endpoint. Its error is a *outcome.Refusal
+// with outcome not-run.
+func (en *endpoint) admit(ctx context.Context, req gate.Request) (*gate.Ticket, error) {
 	id := req.ID
-	req.ID = en.unique(id)
+	req.ID = en.uniqueID(id)
 	req.Deadline, _ = ctx.Deadline()
 	ti, err := en.gate.Acquire(ctx, req)
 	if err == nil {
@@ -64,14 +63,14 @@
 	return nil, err
 }
 
-// observed returns the weights that the engine last named, or 0.
-func (en *endpoint) observed() engine.Version {
+// currentVersion returns the latest known version of the engine's weights, or 0.
+func (en *endpoint) currentVersion() engine.Version {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.version
 }
 
-// observeChunk takes the version that a chunk named.
+// observeChunk records the version named by a chunk.
 func (en *endpoint) observeChunk(ve engine.Version, now time.Time) {
 	if ve == 0 {
 		return
@@ -81,41 +80,40 @@
 	en.chunkAt, en.seenAt, en.version = now, now, ve
 }
 
-// observeReport takes an engine's report. Its version may be older than what
-// chunks have shown since, so it counts only if it is newer or if there were
-// no chunks for a while.
+// observeReport records an engine's report. Its version may be older than that of recent chunks, so
+// it counts only if it is higher or there have been no chunks for chunkPrecedence.
 func (en *endpoint) observeReport(rp engine.Report, now time.Time) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.report, en.seenAt = rp, now
-	if rp.Version > en.version || now.Sub(en.chunkAt) > chunkMemory {
+	if rp.Version > en.version || now.Sub(en.chunkAt) > chunkPrecedence {
 		en.version = rp.Version
 	}
 }
 
-// observeLoad notes that a plain service has reported.
+// observeLoad records that a plain service has reported.
 func (en *endpoint) observeLoad(now time.Time) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.seenAt = now
 }
 
-// An endpointState is what is known of an endpoint.
+// An endpointState is a copy of an endpoint's latest state.
 type endpointState struct {
-	failed  bool // the last report could not be read
+	failed  bool // the last report failed
 	report  engine.Report
 	seenAt  time.Time
 	version engine.Version
 }
 
-// state returns what is known of the endpoint.
+// state returns the latest state of the endpoint.
 func (en *endpoint) state() endpointState {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return endpointState{failed: en.poller.failed, report: en.report, seenAt: en.seenAt, version: en.version}
 }
 
-// gateResult returns how a request left the endpoint.
+// gateResult returns how a request ended, for the gate.
 func gateResult(ctx context.Context, err error) gate.Result {
 	switch {
 	case err == nil:
@@ -129,7 +127,7 @@
 	}
 }
 
-// notSent tells whether err proves that no byte of the request was written.
+// notSent reports whether err proves that no byte of the request was sent.
 func notSent(err error) bool {
 	return errors.Is(err, plainservice.ErrNotSent) || errors.Is(err, engine.ErrNotSent)
 }
--- a/attendant/exchange.go
+++ b/attendant/exchange.go
@@ -15,8 +15,8 @@
 	"wisteriacroft/telemetry"
 )
 
-// exchange gives a request to a plain service and reads its answer whole, so
-// that an answer cut short is never passed on as if it were one.
+// exchange sends a request to a plain service and reads the whole answer, so that a truncated one
+// is never forwarded as complete.
 func (at *Attendant) exchange(
 	ctx context.Context, en *endpoint, req plainservice.Request,
 ) (an idempotency.Response, err error) {
@@ -25,7 +25,7 @@
 	return at.callService(ctx, en, req)
 }
 
-// callService calls the service and reads its answer.
+// callService implements exchange without its span.
 func (at *Attendant) callService(ctx context.Context, en *endpoint, req plainservice.Request) (idempotency.Response, error) {
 	an, err := en.plain.CallFunc(ctx, req)
 	if err != nil {
@@ -34,7 +34,7 @@
 		}
 		return idempotency.Response{}, err
 	}
-	defer func() { _ = an.Body.Close() }() // a body read whole has no more to tell
+	defer func() { _ = an.Body.Close() }() // an error after the whole body is irrelevant
 	body, err := io.ReadAll(io.LimitReader(an.Body, int64(at.options.MaxAnswerSize)+1))
 	if err != nil {
 		return idempotency.Response{}, errors.Wrapf(err, "read the answer of %s", en.name)
@@ -45,7 +45,7 @@
 	return idempotency.Response{Body: body, Header: message.ForwardHeaders(an.Header), Status: an.Status}, nil
 }
 
-// writeAnswer passes an answer on.
+// writeAnswer forwards an answer.
 func (at *Attendant) writeAnswer(rw http.ResponseWriter, en *endpoint, ca call, an answer) {
 	he := rw.Header()
 	for name, values := range an.Header {
@@ -58,6 +58,6 @@
 	he.Set(message.FateHeader, outcome.Ran.String())
 	he.Set(message.RequestIDHeader, ca.id)
 	rw.WriteHeader(an.Status)
-	// The caller may be gone; the answer has nowhere else to go then.
+	// An error means that the caller has disconnected.
 	_, _ = rw.Write(an.Body)
 }
--- a/attendant/execution.go
+++ b/attendant/execution.go
@@ -10,40 +10,38 @@
 )
 
 const (
-	// executionAge is how old an execution is before reports say anything of
-	// it. It is longer than a report lags.
+	// executionAge is the minimum age of an execution to be reviewed. It is longer than reports are
+	// delayed.
 	executionAge = 5 * time.Second
-	// executionMisses is how many reports in a row must lack it.
+	// executionMisses is the number of consecutive reports without an execution after which its
+	// answer is lost.
 	executionMisses = 2
 )
 
-// errAnswerLost means that a service no longer runs a request and that no
-// answer has come.
-var errAnswerLost = errors.New("service reports that it runs no such request, and no answer came")
+// errAnswerLost means that the service no longer runs a request whose answer has not arrived.
+var errAnswerLost = errors.New("service no longer runs the request and sent no answer")
 
-// An execution is a request that is not repeatable and was given to a service.
+// An execution is a non-repeatable request that has been sent to a service.
 type execution struct {
-	lose   context.CancelCauseFunc
-	misses int // reports in a row that lacked it
+	cancel context.CancelCauseFunc
+	misses int // consecutive reports without it
 	since  time.Time
 }
 
-// An executions holds those at one service, the oldest first. The zero
-// executions is empty and ready to use.
+// An executions holds the executions of one service, oldest first. The zero value is empty and
+// ready to use.
 //
-// An execution goes on without its caller, so that its answer can be kept. When
-// its connection goes silent for good, no answer will come; it would hold a
-// place before the service until RunBound, and a shutdown for all its grace.
-// One would notice it by a service with nothing to do before which calls wait.
-// The service's reports come over connections that work, and tell.
+// An execution continues without its caller, so that its answer can be recorded. If its connection
+// stalls, it would occupy a slot until RunBound, and delay a shutdown. Reports arrive over other
+// connections and reveal that the service no longer runs it.
 type executions struct {
 	mu   sync.Mutex
 	rows []*execution
 }
 
-// begin adds an execution, which is told by lose that its answer is lost.
+// begin adds an execution. lose cancels it with a cause.
 func (es *executions) begin(now time.Time, lose context.CancelCauseFunc) *execution {
-	ex := &execution{lose: lose, since: now}
+	ex := &execution{cancel: lose, since: now}
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	es.rows = append(es.rows, ex)
@@ -57,10 +55,9 @@
 	es.rows = slices.DeleteFunc(es.rows, func(other *execution) bool { return other == ex })
 }
 
-// review compares the executions with a report, asked for at a time, of how
-// many requests the service holds. If those are fewer than the old executions, the
-// oldest of these are lost. A report can hold requests of others, but that only
-// makes a loss show later.
+// review compares the executions with the number of requests in a report requested at asked. If the
+// report has fewer requests than there are executions older than executionAge, the oldest ones miss
+// it. Requests of other clients in the report only delay the detection.
 func (es *executions) review(asked time.Time, held int) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -75,7 +72,7 @@
 		}
 		ex.misses++
 		if ex.misses >= executionMisses {
-			ex.lose(errAnswerLost)
+			ex.cancel(errAnswerLost)
 		}
 	}
 }
--- a/attendant/fake_test.go
+++ b/attendant/fake_test.go
@@ -22,8 +22,8 @@
 	fail     error // error of further requests
 	orderErr error
 	orders   []engine.Order
-	spoil    func(ch *engine.Chunk) // changes chunks in transit
-	stuckAt  int                    // number of tokens after which the stream stalls
+	alter    func(ch *engine.Chunk) // changes chunks in transit
+	stallAt  int                    // number of tokens after which the stream stalls
 	version  engine.Version
 }
 
@@ -56,8 +56,8 @@
 	return fe.version
 }
 
-// whatWasCanceled returns the ids of canceled requests.
-func (fe *fakeEngine) whatWasCanceled() []string {
+// canceledIDs returns the ids of canceled requests.
+func (fe *fakeEngine) canceledIDs() []string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 	return slices.Clone(fe.canceled)
@@ -79,7 +79,7 @@
 		return fe.fail
 	}
 	for i := len(req.Resume); i < req.MaxTokens; i++ {
-		if fe.stuckAt > 0 && i >= fe.stuckAt {
+		if fe.stallAt > 0 && i >= fe.stallAt {
 			<-ctx.Done()
 		}
 		select {
@@ -98,8 +98,8 @@
 			Tokens:    []engine.Token{token(req.Prompt, i)},
 			Version:   fe.weights(),
 		}
-		if fe.spoil != nil {
-			fe.spoil(&ch)
+		if fe.alter != nil {
+			fe.alter(&ch)
 		}
 		if err := emit(ch); err != nil {
 			return err
@@ -131,8 +131,8 @@
 	fs.silent = silent
 }
 
-// whatRan returns the ids of the requests that ran.
-func (fs *fakeService) whatRan() []string {
+// ranIDs returns the ids of the requests that ran.
+func (fs *fakeService) ranIDs() []string {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return slices.Clone(fs.ran)
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -12,46 +12,44 @@
 	"wisteriacroft/peer"
 )
 
-// YieldMethod is the net/rpc method of Yield.
+// YieldMethod is the RPC method of Yield.
 const YieldMethod = "Attendant.Yield"
 
-// settleEvery is the mean time between two rounds of asking former homes.
+// settleEvery is the mean time between rounds of yield requests.
 const settleEvery = time.Second
 
-// A YieldRequest asks the attendant of a former home for its word that the
-// endpoint runs no key under homes older than a revision.
+// A YieldRequest asks a former home to run no key under sets older than a revision.
 type YieldRequest struct {
 	Endpoint string
 	Revision uint64
 }
 
-// A YieldResponse is that word.
+// A YieldResponse confirms a YieldRequest.
 type YieldResponse struct{}
 
-// A Location is where an endpoint's attendant is.
+// A Location is the location of an endpoint's attendant.
 type Location struct {
 	Address string
-	Gone    bool // its instance is no longer in the platform's list
+	Gone    bool // its instance is no longer in the platform's instance list
 }
 
-// Yield gives an endpoint's word. After it the endpoint runs no key until this
-// process holds the revision, too.
+// Yield handles a YieldRequest. The endpoint then runs no key until this process has received the
+// revision.
 func (at *Attendant) Yield(_ context.Context, _ message.Header, req YieldRequest) (YieldResponse, error) {
 	en := at.endpoint(req.Endpoint)
 	if en == nil {
-		// It may be beside another attendant, so nothing can be promised.
+		// The endpoint may be at another attendant.
 		return YieldResponse{}, outcome.NewRefusal(outcome.BadRequest, req.Endpoint, "no such endpoint here")
 	}
 	en.once.Yield(req.Revision)
 	return YieldResponse{}, nil
 }
 
-// settleHomes asks the former homes of keys whose word is missing. It is a
-// system: the asking goes on in the background.
+// settleHomes sends yield requests to former homes that have not yielded. It is a system; the calls
+// run in the background.
 //
-// For some seconds after a change of a service's endpoints two attendants
-// could take themselves for the home of a key. The new one runs nothing that
-// the old one might have run until it has the old one's word.
+// While attendants hold different revisions, two of them may consider themselves home of a key. So
+// the new home runs no key that the former one may have run until that one has yielded.
 func (at *Attendant) settleHomes(now time.Time) {
 	if now.Before(at.settleAt) {
 		return
@@ -64,9 +62,9 @@
 	}
 }
 
-// settleHome asks one former home.
+// settleHome sends a yield request to one former home.
 func (at *Attendant) settleHome(en *endpoint, former string) {
-	ctx, cancel := until(context.Background(), at.done, nil)
+	ctx, cancel := withDone(context.Background(), at.done, nil)
 	defer cancel()
 	ctx, cancel = context.WithTimeout(ctx, settleEvery)
 	defer cancel()
@@ -81,8 +79,8 @@
 			YieldRequest{Endpoint: former, Revision: revision})
 	}
 	if err != nil {
-		err = errors.Wrapf(err, "ask %s to give up its keys", former)
-		at.options.Log.WithField("endpoint", en.name).WithError(err).Debug("former home not settled")
+		err = errors.Wrapf(err, "ask %s to yield its keys", former)
+		at.options.Log.WithField("endpoint", en.name).WithError(err).Debug("former home has not yielded")
 		return
 	}
 	en.once.RecordYield(time.Now(), former, revision)
--- a/attendant/lines.go
+++ b/attendant/lines.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// writeTimeout bounds the writing of one line. A reader that no longer reads
-// would otherwise hold the answer, and with it the engine, for good.
+// writeTimeout is the timeout for writing one line. A reader that stops reading must not block the
+// engine.
 const writeTimeout = 10 * time.Second
 
-// A lines writes an answer of JSON lines, each sent at once.
+// A lines writes an answer as JSON lines and flushes each.
 type lines[T any] struct {
 	control *http.ResponseController
 	encoder *json.Encoder
-	err     error // the first failure; nothing is written after it
+	err     error // first error; nothing is written after it
 }
 
-// newLines returns lines on rw.
+// newLines returns lines that write to rw.
 func newLines[T any](rw http.ResponseWriter) *lines[T] {
 	rw.Header().Set("Content-Type", "application/jsonl")
 	return &lines[T]{control: http.NewResponseController(rw), encoder: json.NewEncoder(rw)}
@@ -28,8 +28,7 @@
 	if li.err != nil {
 		return li.err
 	}
-	// Not every connection has deadlines; where it has none, the server's own
-	// bounds hold.
+	// Not every connection supports deadlines; the others have only the server's own timeouts.
 	_ = li.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if li.err = li.encoder.Encode(value); li.err == nil {
 		li.err = li.control.Flush()
--- a/attendant/membership.go
+++ b/attendant/membership.go
@@ -14,17 +14,16 @@
 	"wisteriacroft/peer"
 )
 
-// LocateMethod is the net/rpc method by which entries answer where an
-// endpoint's attendant is.
+// LocateMethod is the RPC method of entries that returns the location of an endpoint's attendant.
 const LocateMethod = "Entry.Locate"
 
-// entryRole is the role of an entry in the platform's list.
+// entryRole is the role of entries in the platform's instance list.
 const entryRole = "entry"
 
-// errNoEntry means that no entry could be asked.
+// errNoEntry means that no entry is known.
 var errNoEntry = errors.New("no entry is known")
 
-// A LocateRequest asks an entry where an endpoint's attendant is.
+// A LocateRequest asks an entry for the location of an endpoint's attendant.
 type LocateRequest struct {
 	Endpoint string
 }
@@ -45,14 +44,14 @@
 	return rp
 }
 
-// leave refuses new work from now on.
+// leave starts to refuse new requests.
 func (at *Attendant) leave() {
-	at.options.Log.Info("taking no new work")
-	at.work.leave()
+	at.options.Log.Info("refusing new requests")
+	at.inflight.leave()
 	at.reporter.Leave()
 }
 
-// reportStates gives the reporter the endpoints' states. It is a system.
+// reportStates passes the endpoints' states to the reporter. It is a system.
 func (at *Attendant) reportStates(time.Time) {
 	for _, en := range at.endpoints {
 		es, load := en.state(), en.gate.Load()
@@ -60,7 +59,7 @@
 	}
 }
 
-// rosterState returns the state that entries are told.
+// rosterState returns the state reported to entries.
 func (at *Attendant) rosterState(en *endpoint, es endpointState) membership.State {
 	switch {
 	case es.failed || es.seenAt.IsZero():
@@ -72,8 +71,8 @@
 	}
 }
 
-// follow reads the platform's list of instances until ctx ends.
-func (at *Attendant) follow(ctx context.Context) {
+// pollInstances polls the platform's instance list until ctx ends.
+func (at *Attendant) pollInstances(ctx context.Context) {
 	if at.options.Instances == nil {
 		return
 	}
@@ -86,7 +85,7 @@
 	po.Run(ctx)
 }
 
-// observeList takes the platform's list of instances.
+// observeList processes the platform's instance list.
 func (at *Attendant) observeList(ins []instancelist.Instance) {
 	at.reporter.ObserveList(ins)
 	at.mu.Lock()
@@ -96,9 +95,9 @@
 	})
 }
 
-// knownEntries returns the settings' entries as instances, for as long as the
-// platform's list is away.
-func (at *Attendant) knownEntries() []instancelist.Instance {
+// configuredEntries returns the entries of the settings, for use until the platform's instance list is
+// available.
+func (at *Attendant) configuredEntries() []instancelist.Instance {
 	var ins []instancelist.Instance
 	for _, address := range at.options.Entries {
 		ins = append(ins, instancelist.Instance{
@@ -111,7 +110,7 @@
 	return ins
 }
 
-// locate asks the entries, one after the other, where an endpoint is.
+// locate asks the entries one by one for the location of an endpoint.
 func (at *Attendant) locate(ctx context.Context, endpoint string) (Location, error) {
 	at.mu.Lock()
 	ins := at.entries
@@ -127,7 +126,7 @@
 	return Location{}, err
 }
 
-// HandleLocate serves where endpoints are.
+// HandleLocate registers the RPC method of LocateMethod.
 func HandleLocate(sv *peer.Server, fn func(endpoint string) (Location, error)) {
 	peer.Handle(sv, LocateMethod, func(_ context.Context, _ message.Header, req LocateRequest) (Location, error) {
 		return fn(req.Endpoint)
--- a/attendant/metrics.go
+++ b/attendant/metrics.go
@@ -8,7 +8,7 @@
 	"wisteriacroft/outcome"
 )
 
-// Results of samples and orders, as metrics name them.
+// Values of the result label.
 const (
 	resultFailed  = "failed"
 	resultNotSent = "not-sent"
@@ -25,7 +25,7 @@
 	set      *metrics.Set
 }
 
-// newEndpointMetrics adds an endpoint's metrics to a set.
+// newEndpointMetrics registers an endpoint's metrics in a set.
 func newEndpointMetrics(se *metrics.Set, en *endpoint) *endpointMetrics {
 	em := &endpointMetrics{endpoint: en.name, set: se}
 	em.crossed = se.GetOrCreateCounter(em.name("crossed_answers_total", ""))
@@ -35,27 +35,27 @@
 		se.GetOrCreateGauge(em.name("keys", ""), func() float64 { return float64(en.once.Len()) })
 		se.GetOrCreateGauge(em.name("unsettled_homes", ""), func() float64 { return float64(len(en.once.PendingYields())) })
 	} else {
-		se.GetOrCreateGauge(em.name("version", ""), func() float64 { return float64(en.observed()) })
+		se.GetOrCreateGauge(em.name("version", ""), func() float64 { return float64(en.currentVersion()) })
 	}
 	return em
 }
 
-// name returns a metric's name with the endpoint's label.
+// name returns the full name of a metric, with the endpoint's label.
 func (em *endpointMetrics) name(metric, labels string) string {
 	return fmt.Sprintf("wisteriacroft_attendant_%s{endpoint=%q%s}", metric, em.endpoint, labels)
 }
 
-// order counts an order by its result.
+// order counts an order.
 func (em *endpointMetrics) order(result string) {
 	em.set.GetOrCreateCounter(em.name("orders_total", fmt.Sprintf(",result=%q", result))).Inc()
 }
 
-// refusal counts a refusal by its code.
+// refusal counts a refusal.
 func (em *endpointMetrics) refusal(re *outcome.Refusal) {
 	em.set.GetOrCreateCounter(em.name("refusals_total", fmt.Sprintf(",code=%q", re.Code))).Inc()
 }
 
-// sample counts a sample by its result.
+// sample counts a sample.
 func (em *endpointMetrics) sample(result string) {
 	em.set.GetOrCreateCounter(em.name("samples_total", fmt.Sprintf(",result=%q", result))).Inc()
 }
--- a/attendant/module.go
+++ b/attendant/module.go
@@ -17,17 +17,17 @@
 	"wisteriacroft/telemetry"
 )
 
-// errLeft is why an attendant that leaves is not ready.
-var errLeft = errors.New("leaving")
+// errShuttingDown is the readiness error during shutdown.
+var errShuttingDown = errors.New("leaving")
 
-// Module runs an attendant for as long as the app runs. The app supplies
-// settings.Attendant and includes telemetry.Module.
+// Module runs an attendant during the lifetime of the app. The app supplies settings.Attendant and
+// includes telemetry.Module.
 var Module = fx.Module("attendant",
 	fx.Provide(NewOptions, New),
 	fx.Invoke(run),
 )
 
-// NewOptions returns the options that the settings say.
+// NewOptions converts settings to options.
 func NewOptions(se settings.Attendant, log *logrus.Logger, set *metrics.Set) Options {
 	now := time.Now()
 	op := Options{
@@ -56,7 +56,7 @@
 	return op
 }
 
-// newEndpointOptions returns the options of an endpoint that speaks HTTP.
+// newEndpointOptions returns the options of an HTTP endpoint.
 func newEndpointOptions(en settings.Endpoint) EndpointOptions {
 	eo := EndpointOptions{Name: en.Name(), Service: en.Service()}
 	if en.Kind() == settings.EngineKind {
@@ -67,7 +67,7 @@
 	return eo
 }
 
-// run ties an attendant to the life of the app.
+// run binds an attendant to the lifecycle of the app.
 func run(li fx.Lifecycle, at *Attendant, se settings.Attendant, ad *telemetry.Admin, sd fx.Shutdowner) {
 	process.Run(li, sd, ad, se.Listen(), process.Role{
 		Log:          at.options.Log,
@@ -78,10 +78,10 @@
 	})
 }
 
-// Ready returns nil while the attendant takes work.
+// Ready returns an error during shutdown.
 func (at *Attendant) Ready() error {
-	if at.work.isLeaving() {
-		return errLeft
+	if at.inflight.isLeaving() {
+		return errShuttingDown
 	}
 	return nil
 }
--- a/attendant/options.go
+++ b/attendant/options.go
@@ -33,40 +33,38 @@
 	DefaultTickEvery     = 10 * time.Millisecond
 )
 
-// Options says what an Attendant serves and within which bounds. A zero field
-// takes its default.
+// Options configure an Attendant. Zero fields take their defaults.
 type Options struct {
-	Address string // IP:port that other processes reach
+	Address string // IP:port at which other processes reach it
 	// DialFunc opens a connection to another process; over TCP if nil.
 	DialFunc      func(ctx context.Context, address string) (net.Conn, error)
 	Endpoints     []EndpointOptions
-	Entries       []string // addresses of entries, for while the platform's list is away
+	Entries       []string // addresses of entries, until the platform's instance list is available
 	FailureDomain string
-	Grace         time.Duration // how long a shutdown waits for what runs
-	Incarnation   uint64        // grows with each start
+	Grace         time.Duration // maximum duration of a shutdown
+	Incarnation   uint64        // increases with each start
 	Instance      string
-	Instances     *instancelist.Client // platform's list; nil if there is none
-	Linger        time.Duration        // how long a shutdown goes on refusing, so that entries hear of it
+	Instances     *instancelist.Client // platform's instance list; nil if there is none
+	Linger        time.Duration        // minimum time during which a shutdown still answers with refusals
 	Log           *logrus.Logger
-	MaxAnswerSize int // of a plain service's answer, in bytes
-	MaxBodySize   int // of a request, in bytes
+	MaxAnswerSize int // bytes of a plain service's answer
+	MaxBodySize   int // bytes of a request
 	Metrics       *metrics.Set
 	PartialAge    time.Duration    // how long the tokens of an ended attempt are kept
-	PartialTokens int              // how many tokens of ended attempts are kept
-	Profiles      *profile.Replica // the configuration in force
-	ProgressEvery time.Duration    // between the signs of life of a live answer
-	ReportEvery   time.Duration    // between the reports that are read from an endpoint
+	PartialTokens int              // maximum number of tokens of ended attempts that are kept
+	Profiles      *profile.Replica // the active configuration
+	ProgressEvery time.Duration    // interval of progress during a live answer
+	ReportEvery   time.Duration    // interval between polls of an endpoint's report
 	ReportTimeout time.Duration
-	RunBound      time.Duration // of a request that goes on without its caller
-	SampleEvery   time.Duration // between the signs of life of an attempt
-	Seed          uint64        // of the jitter and of tokens
-	StallBound    time.Duration // how long an engine may send no token
-	Store         *blob.Store   // of the data folder; nil if there is none
+	RunBound      time.Duration // timeout of a request that continues without its caller
+	SampleEvery   time.Duration // interval of progress during an attempt
+	Seed          uint64        // for jitter and tokens
+	StallBound    time.Duration // maximum time without a token from an engine
+	Store         *blob.Store   // data folder; nil if there is none
 	TickEvery     time.Duration
 }
 
-// EndpointOptions names an endpoint and how it is reached. Either Engine or
-// Plain is set.
+// EndpointOptions configure an endpoint. Exactly one of Engine and Plain is set.
 type EndpointOptions struct {
 	Engine  *engine.Client
 	Name    string
@@ -74,7 +72,7 @@
 	Service string
 }
 
-// withDefaults returns the options with each zero field at its default.
+// withDefaults returns the options with zero fields set to their defaults.
 func (op Options) withDefaults() Options {
 	process.SetDefault(&op.Grace, DefaultGrace)
 	process.SetDefault(&op.Linger, DefaultLinger)
--- a/attendant/orders.go
+++ b/attendant/orders.go
@@ -11,7 +11,7 @@
 	"wisteriacroft/rollout"
 )
 
-// newFence returns the fence before the attendant's engines.
+// newFence returns the fence for the attendant's engines.
 func (at *Attendant) newFence() *rollout.Fence {
 	fe := &rollout.Fence{
 		Incarnation: at.options.Incarnation,
@@ -26,7 +26,7 @@
 	return fe
 }
 
-// passOrder gives an order to an engine.
+// passOrder sends an order to an engine.
 func (at *Attendant) passOrder(ctx context.Context, endpoint string, or engine.Order) error {
 	en := at.endpoint(endpoint)
 	if en == nil || en.engine == nil {
@@ -42,14 +42,14 @@
 		"version":  or.Version,
 	})
 	if err != nil {
-		lo.WithError(err).Warn("order may not have been taken")
+		lo.WithError(err).Warn("order may not have been accepted")
 	} else {
-		lo.Info("order taken")
+		lo.Info("order accepted")
 	}
 	return err
 }
 
-// orderResult returns the name of an order's end in metrics.
+// orderResult returns the result label of an order.
 func orderResult(err error) string {
 	switch {
 	case err == nil:
--- a/attendant/partial.go
+++ b/attendant/partial.go
@@ -8,28 +8,28 @@
 	"wisteriacroft/message"
 )
 
-// A PartialRequest asks for the tokens that an attempt has made so far.
+// A PartialRequest requests the tokens that an attempt has generated so far.
 type PartialRequest struct {
 	Attempt string
-	Cache   bool // whether the exported KV cache is wanted too
+	Cache   bool // also return the KV cache
 }
 
-// A PartialResponse holds the tokens of an attempt, each attributed.
+// A PartialResponse holds the tokens of an attempt with their versions.
 type PartialResponse struct {
 	Cache   *engine.CacheSnapshot
 	Found   bool // whether there are tokens to resume
 	Payload message.Payload
 }
 
-// A partial is an attempt whose tokens can be asked for.
+// A partial is an attempt whose tokens can be requested.
 type partial struct {
 	attempt  *attempt
 	endedAt  time.Time // zero while the attempt runs
 	endpoint *endpoint
 }
 
-// A partialTable holds the attempts that run and, within bounds, those that
-// ended without a whole answer.
+// A partialTable holds the running attempts and, within bounds, those that ended without a whole
+// answer.
 type partialTable struct {
 	maxAge    time.Duration
 	maxTokens int
@@ -39,7 +39,7 @@
 	rows  map[string]*partial
 }
 
-// start adds a running attempt, or returns nil if one of its id runs already.
+// start adds a running attempt, or returns nil if an attempt with the same id is running.
 func (pt *partialTable) start(en *endpoint, at *attempt) *partial {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
@@ -54,7 +54,7 @@
 	return pa
 }
 
-// finish ends an attempt. One that failed is kept so that it can be resumed.
+// finish ends an attempt and keeps its tokens for resumption if keep is set.
 func (pt *partialTable) finish(pa *partial, keep bool, now time.Time) {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
@@ -68,22 +68,21 @@
 	pt.trim(now)
 }
 
-// get returns the attempt of an id, or nil.
+// get returns the attempt with an id, or nil.
 func (pt *partialTable) get(id string) *partial {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	return pt.rows[id]
 }
 
-// Run forgets what is too old. It is a system of the attendant's loop.
+// Run drops expired attempts. It is a system.
 func (pt *partialTable) Run(now time.Time) {
 	pt.mu.Lock()
 	defer pt.mu.Unlock()
 	pt.trim(now)
 }
 
-// trim forgets the oldest ended attempts until the rest is within the bounds.
-// Without it, attempts that nobody resumes would fill the instance's memory.
+// trim drops the oldest ended attempts until the rest is within the bounds of age and memory.
 func (pt *partialTable) trim(now time.Time) {
 	sum := 0
 	for _, pa := range pt.ended {
@@ -102,7 +101,7 @@
 	}
 }
 
-// remove drops pa, unless another attempt took its id.
+// remove deletes pa, unless another attempt has replaced it under its id.
 func (pt *partialTable) remove(pa *partial) {
 	if pt.rows[pa.attempt.id()] == pa {
 		delete(pt.rows, pa.attempt.id())
--- a/attendant/policy.go
+++ b/attendant/policy.go
@@ -9,11 +9,10 @@
 	"wisteriacroft/profile"
 )
 
-// shareScale turns the profiles' shares, which are fractions, into the whole
-// weights of a gate.
+// shareScale converts the fractional shares of profiles to the integer weights of a gate.
 const shareScale = 100
 
-// gatePolicy returns the policy of a service's gates under a document.
+// gatePolicy returns the gate policy of a service under a document.
 func gatePolicy(do profile.Document, service string) gate.Policy {
 	var po gate.Policy
 	if pr, ok := do.Service(service); ok {
@@ -37,8 +36,7 @@
 	return po
 }
 
-// homes returns the endpoints of a service that may run keys, and those that
-// might before, oldest first.
+// homes returns the endpoints of a service that may run keys, and the former sets, oldest first.
 func homes(do profile.Document, service string) (set idempotency.EndpointSet, former []idempotency.EndpointSet) {
 	for _, es := range do.EndpointSets(service) {
 		former = append(former, idempotency.EndpointSet{Endpoints: es.Endpoints, Revision: es.Revision})
@@ -46,14 +44,13 @@
 	if len(former) == 0 {
 		return idempotency.EndpointSet{Revision: do.Revision()}, nil
 	}
-	// Taken under the document's own revision, so that the table knows how far
-	// its word reaches.
+	// Set under the document's own revision, up to which the table can yield.
 	set = idempotency.EndpointSet{Endpoints: former[len(former)-1].Endpoints, Revision: do.Revision()}
 	return set, former
 }
 
-// answerRetention returns how long answers to calls of a service that may not
-// be repeated are kept: the longest of its profiles, or 0 if there is none.
+// answerRetention returns how long answers to non-repeatable calls of a service are kept: the
+// maximum of its profiles, or 0 if there is none.
 func answerRetention(do profile.Document, service string) time.Duration {
 	var longest time.Duration
 	for _, pr := range do.Profiles() {
@@ -64,14 +61,14 @@
 	return longest
 }
 
-// priority returns the priority of a profile in force, or 0.
+// priority returns the priority of a profile, or 0 if it is unknown.
 func (at *Attendant) priority(name string) int {
 	pr, _ := at.profiles.Current().Profile(name)
 	return pr.Priority()
 }
 
-// applyProfiles puts the document in force into the endpoints' gates and
-// tables. It is a system.
+// applyProfiles applies the active configuration to the endpoints' gates and key tables. It is a
+// system.
 func (at *Attendant) applyProfiles(now time.Time) {
 	do := at.profiles.Current()
 	if do.Revision() == at.applied {
@@ -86,5 +83,5 @@
 			en.once.SetRetention(answerRetention(do, en.service))
 		}
 	}
-	at.options.Log.WithField("revision", at.applied).Info("profiles in force")
+	at.options.Log.WithField("revision", at.applied).Info("profiles applied")
 }
--- a/attendant/poll.go
+++ b/attendant/poll.go
@@ -7,20 +7,18 @@
 	"wisteriacroft/gate"
 )
 
-// unsettledReportEvery is the time between two reports of an engine whose
-// order is not settled. Until it is, the engine gets no samples, so that each
-// tenth of a second counts once for each engine of a rollout.
+// unsettledReportEvery is the interval between polls of an engine with an unsettled order. It is
+// short since the engine gets no samples until the order settles.
 const unsettledReportEvery = 100 * time.Millisecond
 
-// A poller says when an endpoint's report is read next.
+// A poller is the polling state of an endpoint.
 type poller struct {
-	busy   bool
-	due    time.Time
-	failed bool
+	pending bool
+	due     time.Time
+	failed  bool
 }
 
-// pollReports reads the reports that are due. It is a system: the reading
-// itself goes on in the background.
+// pollReports polls the reports that are due. It is a system; the calls run in the background.
 func (at *Attendant) pollReports(now time.Time) {
 	for _, en := range at.endpoints {
 		if en.startPoll(now, at.nextReport(en)) {
@@ -29,7 +27,7 @@
 	}
 }
 
-// nextReport returns the time between an endpoint's report and its next.
+// nextReport returns the time until the next poll of an endpoint.
 func (at *Attendant) nextReport(en *endpoint) time.Duration {
 	if en.engine != nil && !at.fence.VersionStable(en.name) {
 		return min(unsettledReportEvery, at.options.ReportEvery)
@@ -37,40 +35,40 @@
 	return at.jitter(at.options.ReportEvery)
 }
 
-// jitter returns a time between half of every and one and a half times it, so
-// that the processes of a failure domain that returns don't all ask at once.
+// jitter returns a random time between 0.5 and 1.5 times every, so that the processes of a failure
+// domain that returns don't poll at the same time.
 func (at *Attendant) jitter(every time.Duration) time.Duration {
 	return every/2 + time.Duration(at.random.Int64N(int64(every)))
 }
 
-// startPoll tells whether a report is due and none is being read.
+// startPoll reports whether a poll is due and none is running, and marks it as running.
 func (en *endpoint) startPoll(now time.Time, next time.Duration) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.poller.busy || now.Before(en.poller.due) {
+	if en.poller.pending || now.Before(en.poller.due) {
 		return false
 	}
-	en.poller.busy, en.poller.due = true, now.Add(next)
+	en.poller.pending, en.poller.due = true, now.Add(next)
 	return true
 }
 
-// pollSoon makes the next report due now.
+// pollSoon makes the next poll due immediately.
 func (en *endpoint) pollSoon() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.poller.due = time.Time{}
 }
 
-// poll reads one report.
+// poll polls one report.
 func (at *Attendant) poll(en *endpoint) {
-	ctx, cancel := until(context.Background(), at.done, nil)
+	ctx, cancel := withDone(context.Background(), at.done, nil)
 	defer cancel()
 	ctx, cancel = context.WithTimeout(ctx, at.options.ReportTimeout)
 	defer cancel()
 	load, err := at.readReport(ctx, en)
 	en.mu.Lock()
 	changed := en.poller.failed != (err != nil)
-	en.poller.busy, en.poller.failed = false, err != nil
+	en.poller.pending, en.poller.failed = false, err != nil
 	en.mu.Unlock()
 	if err == nil {
 		en.gate.Observe(time.Now(), load)
@@ -78,7 +76,7 @@
 	if !changed {
 		return
 	}
-	// The state is logged when it changes, not at every report.
+	// Log only changes.
 	lo := at.options.Log.WithField("endpoint", en.name)
 	if err != nil {
 		lo.WithError(err).Warn("endpoint does not report")
@@ -87,7 +85,7 @@
 	}
 }
 
-// readReport asks the endpoint for its report and takes it in.
+// readReport requests and processes the endpoint's report.
 func (at *Attendant) readReport(ctx context.Context, en *endpoint) (gate.Load, error) {
 	if en.engine != nil {
 		rp, err := en.engine.ReportFunc(ctx)
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -16,7 +16,7 @@
 	"wisteriacroft/plainservice"
 )
 
-// httpStatus returns the HTTP status of a refusal's code.
+// httpStatus returns the HTTP status for a refusal's code.
 func httpStatus(code outcome.Code) int {
 	switch code {
 	case outcome.BadRequest:
@@ -38,7 +38,7 @@
 	}
 }
 
-// refuse answers with a refusal.
+// refuse writes a refusal.
 func (at *Attendant) refuse(rw http.ResponseWriter, en *endpoint, re *outcome.Refusal) {
 	lo := at.options.Log.WithFields(logrus.Fields{
 		"code":       re.Code,
@@ -60,28 +60,27 @@
 		he.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 	rw.WriteHeader(httpStatus(re.Code))
-	// The caller may be gone; nothing is left to tell it then.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(rw).Encode(re)
 }
 
-// leaving returns the refusal of a process that leaves.
+// leaving returns the refusal of requests during shutdown.
 func leaving(id string) *outcome.Refusal {
 	return outcome.NewRefusal(outcome.Leaving, id, "the attendant is leaving")
 }
 
-// refusalOf returns the refusal of a live call that was given to an endpoint and
-// failed with err. It tells the entry if the endpoint's process ended under it: the
-// call may be what ended it.
-func (en *endpoint) refusalOf(ctx context.Context, id string, err error) *outcome.Refusal {
+// callRefusal returns the refusal of a live call that was sent to an endpoint and failed with err. It
+// reports whether the endpoint's process has ended, since the call may be the reason.
+func (en *endpoint) callRefusal(ctx context.Context, id string, err error) *outcome.Refusal {
 	re := refusal(ctx, id, err)
 	if errors.IsAny(err, plainservice.ErrBroken, engine.ErrBroken) {
-		re.EndpointEnded = en.ended(ctx)
+		re.EndpointEnded = en.processEnded(ctx)
 	}
 	return re
 }
 
-// ended reports whether the endpoint's process has ended.
-func (en *endpoint) ended(ctx context.Context) bool {
+// processEnded reports whether the endpoint's process has ended.
+func (en *endpoint) processEnded(ctx context.Context) bool {
 	switch {
 	case en.plain != nil && en.plain.EndedFunc != nil:
 		return en.plain.EndedFunc(ctx)
@@ -92,9 +91,8 @@
 	}
 }
 
-// refusal returns the refusal of a request that was queued or given to an
-// endpoint and failed with err. Only an error that proves that nothing was
-// written says not-run.
+// refusal returns the refusal of a request that failed with err. Its outcome is not-run only if err
+// proves that nothing was sent.
 func refusal(ctx context.Context, id string, err error) *outcome.Refusal {
 	var re *outcome.Refusal
 	switch {
@@ -103,7 +101,7 @@
 	case notSent(err):
 		return outcome.NewRefusal(outcome.Refused, id, err.Error())
 	case ctx.Err() != nil:
-		return outcome.NewRefusal(outcome.DeadlineExceeded, id, "given up while it ran: "+err.Error())
+		return outcome.NewRefusal(outcome.DeadlineExceeded, id, "canceled while it ran: "+err.Error())
 	default:
 		return outcome.NewRefusal(outcome.OutcomeUnknown, id, err.Error())
 	}
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -17,14 +17,14 @@
 	"wisteriacroft/outcome"
 )
 
-// Bounds of storing a payload.
+// Bounds of the backoff for storing a payload.
 const (
 	storeBackoff    = 200 * time.Millisecond
 	storeBackoffMax = 5 * time.Second
 )
 
-// serveSample makes one attempt at a slot. The answer is a line now and then
-// while the attempt waits and runs, then its result or a refusal.
+// serveSample runs one attempt at a slot. The answer is JSON lines: progress while the attempt
+// waits and runs, then its result or a refusal.
 func (at *Attendant) serveSample(rw http.ResponseWriter, rq *http.Request) {
 	en := at.endpoint(mux.Vars(rq)["endpoint"])
 	var req message.SampleRequest
@@ -51,21 +51,20 @@
 	ev := await(at.options.SampleEvery, beat, func() message.SampleEvent {
 		return at.sample(ctx, en, atm)
 	})
-	_ = li.write(ev) // kept in li.err; the entry has gone then
+	_ = li.write(ev) // an error means that the entry has disconnected
 }
 
-// decode reads a JSON body of bounded size, to its end: only then does net/http
-// look out for a caller that goes away.
+// decode reads a JSON body of bounded size to its end: net/http detects a disconnected caller only
+// after that.
 func (at *Attendant) decode(rw http.ResponseWriter, rq *http.Request, value any) error {
 	body, err := io.ReadAll(http.MaxBytesReader(rw, rq.Body, int64(at.options.MaxBodySize)))
 	if err != nil {
 		return errors.Wrap(err, "read body")
 	}
-	return errors.Wrap(json.Unmarshal(body, value), "read request")
+	return errors.Wrap(json.Unmarshal(body, value), "decode request")
 }
 
-// checkSample returns the time that is left for a request, or what is wrong
-// with it.
+// checkSample validates a request and returns the time until its deadline.
 func checkSample(en *endpoint, req message.SampleRequest) (time.Duration, error) {
 	if en == nil || en.engine == nil {
 		return 0, errors.New("no such engine here")
@@ -83,17 +82,17 @@
 	return left, errors.Wrap(err, "deadline")
 }
 
-// sample runs an attempt and returns the event that ends it.
+// sample runs an attempt and returns its final event.
 func (at *Attendant) sample(ctx context.Context, en *endpoint, atm *attempt) message.SampleEvent {
 	ev := message.SampleEvent{Attempt: atm.id()}
-	if !at.work.enter() {
+	if !at.inflight.enter() {
 		ev.Refusal = leaving(atm.id())
 		return ev
 	}
-	defer at.work.exit()
+	defer at.inflight.exit()
 	pa := at.partials.start(en, atm)
 	if pa == nil {
-		ev.Refusal = outcome.NewRefusal(outcome.InProgress, atm.id(), "the same attempt runs here")
+		ev.Refusal = outcome.NewRefusal(outcome.InProgress, atm.id(), "the same attempt is already running")
 		return ev
 	}
 	err := at.generate(ctx, en, atm)
@@ -109,7 +108,7 @@
 	return ev
 }
 
-// sampleResult returns the name of an attempt's end in metrics.
+// sampleResult returns the result label of an attempt.
 func sampleResult(ev message.SampleEvent) string {
 	switch {
 	case ev.Result != nil:
@@ -121,7 +120,7 @@
 	}
 }
 
-// generate queues an attempt and lets the engine make its tokens.
+// generate queues an attempt and generates its tokens.
 func (at *Attendant) generate(ctx context.Context, en *endpoint, atm *attempt) error {
 	if err := at.checkFresh(en, atm.request); err != nil {
 		return err
@@ -133,25 +132,25 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := until(ctx, at.handOver, errLeaving)
+	ctx, cancel := withDone(ctx, at.handOver, errLeaving)
 	defer cancel()
-	// The engine may have gone back to older weights while this one queued.
+	// The engine may have loaded older weights while the attempt was queued.
 	if err := at.checkFresh(en, atm.request); err != nil {
 		ti.Release(gate.NotSent)
 		return err
 	}
 	ti.Started()
-	err = at.run(ctx, en, atm)
+	err = at.runAttempt(ctx, en, atm)
 	ti.Release(gateResult(ctx, err))
 	return err
 }
 
-// enterSample waits for the right to write an attempt to the engine. A process
-// that leaves gives up on those that wait: they start sooner elsewhere.
+// enterSample waits for permission to send an attempt to the engine. During shutdown waiting
+// attempts are refused, since they start sooner elsewhere.
 func (at *Attendant) enterSample(ctx context.Context, en *endpoint, atm *attempt) (*gate.Ticket, error) {
-	ctx, cancel := until(ctx, at.work.left, errLeaving)
+	ctx, cancel := withDone(ctx, at.inflight.left, errLeaving)
 	defer cancel()
-	ti, err := en.enter(ctx, gate.Request{
+	ti, err := en.admit(ctx, gate.Request{
 		Class:    gate.Sample,
 		ID:       atm.id(),
 		Priority: at.priority(atm.request.Profile),
@@ -164,8 +163,8 @@
 	return ti, err
 }
 
-// run lets the engine make the tokens of an attempt.
-func (at *Attendant) run(ctx context.Context, en *endpoint, atm *attempt) error {
+// runAttempt sends an attempt to the engine and collects its tokens.
+func (at *Attendant) runAttempt(ctx context.Context, en *endpoint, atm *attempt) error {
 	resumed, _ := atm.snapshot()
 	err := en.stream(ctx, engine.GenerateRequest{
 		ID:        atm.id(),
@@ -178,7 +177,7 @@
 		return err
 	}
 	if !atm.finished() {
-		return errors.Wrapf(engine.ErrBroken, "attempt %s: answer without an end", atm.id())
+		return errors.Wrapf(engine.ErrBroken, "attempt %s: answer is incomplete", atm.id())
 	}
 	if count, _ := atm.progress(); count == 0 {
 		return errors.Wrapf(ErrEmpty, "attempt %s", atm.id())
@@ -186,19 +185,19 @@
 	return nil
 }
 
-// checkFresh refuses a request whose tokens would be too old, or whose version
-// can't be told in advance.
+// checkFresh refuses a request whose tokens would be too old, or while the version of the engine is
+// not settled.
 //
-// An engine that swaps weights, or whose swap failed or has an unknown fate,
-// may make tokens of either version. Work that is bound to a version waits
-// until the engine's own report has settled it.
+// During a swap, or after one that failed or whose outcome is unknown, the engine may generate
+// tokens of either version. Requests that need a certain version wait until the engine's report has
+// settled it.
 func (at *Attendant) checkFresh(en *endpoint, req message.SampleRequest) error {
 	if !at.fence.VersionStable(en.name) {
 		re := outcome.NewRefusal(outcome.Refused, req.Attempt, en.name+" has an order that is not settled")
 		re.RetryAfter = at.options.ReportEvery.String()
 		return re
 	}
-	ve := en.observed()
+	ve := en.currentVersion()
 	if uint64(ve) >= req.MinVersion {
 		return nil
 	}
@@ -206,8 +205,7 @@
 		errors.Newf("version %d of %s is older than %d", ve, en.name, req.MinVersion).Error())
 }
 
-// store puts the sample's payload on two data folders. A folder may be away
-// for a while and the tokens are dear, so it tries until the deadline.
+// store stores the sample's payload in two data folders.
 func (at *Attendant) store(ctx context.Context, en *endpoint, atm *attempt) (*message.SampleResult, error) {
 	pl := atm.payload()
 	data, err := json.Marshal(pl)
@@ -228,7 +226,8 @@
 	}, nil
 }
 
-// replicate tries to store data until ctx ends.
+// replicate retries until ctx ends, since a data folder may be unavailable for some time and the
+// tokens are expensive.
 func (at *Attendant) replicate(ctx context.Context, places []message.BlobLocation, data []byte) ([]message.BlobLocation, error) {
 	wait := storeBackoff
 	for {
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -81,7 +81,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			run(t, func(se *session) {
-				fe := &fakeEngine{spoil: tc.spoil, version: 7}
+				fe := &fakeEngine{alter: tc.spoil, version: 7}
 				op := engineOptions("marker-1", fe)
 				_, end := se.start("a:1", op)
 				defer end()
@@ -104,8 +104,8 @@
 		leave bool
 	}{
 		{name: "after-a-crash", first: &fakeEngine{breakAt: 11}},
-		{name: "after-a-stall", first: &fakeEngine{stuckAt: 3}},
-		{name: "after-leaving", first: &fakeEngine{stuckAt: 5}, leave: true},
+		{name: "after-a-stall", first: &fakeEngine{stallAt: 3}},
+		{name: "after-leaving", first: &fakeEngine{stallAt: 5}, leave: true},
 		{name: "of-another-slot", first: &fakeEngine{breakAt: 11}, alter: func(req *message.SampleRequest) { req.Member++ }},
 		{name: "of-stale-tokens", first: &fakeEngine{breakAt: 11}, alter: func(req *message.SampleRequest) { req.MinVersion = 8 }},
 		{name: "of-the-unknown", first: &fakeEngine{}, alter: func(req *message.SampleRequest) { req.ResumeFrom.Attempt = "s0" }},
@@ -182,6 +182,6 @@
 		time.Sleep(time.Second)
 		se.sample(se.Context(), "a:1", "marker-1", req)
 		time.Sleep(2 * time.Second)
-		se.note("canceled at the engine: %v", fe.whatWasCanceled())
+		se.note("canceled at the engine: %v", fe.canceledIDs())
 	})
 }
--- a/attendant/sequence.go
+++ b/attendant/sequence.go
@@ -6,25 +6,22 @@
 	"wisteriacroft/engine"
 )
 
-// ErrGap means that tokens are missing from an answer, or doubled.
+// ErrGap means that tokens of an answer are missing or repeated.
 var ErrGap = errors.New("tokens are not contiguous")
 
-// A sequence checks that the chunks of an answer belong to one request and
-// follow each other.
+// A sequence checks that the chunks of an answer belong to one request and are contiguous.
 type sequence struct {
 	id   string
 	next int // position of the next token in the whole answer
 }
 
-// check tells whether ch comes next. It changes nothing.
+// check reports whether ch is the next chunk. It does not advance.
 func (sq *sequence) check(ch engine.Chunk) error {
-	// A connection that two requests share can hand one the other's answer.
-	// It shows in the echoed id, and the chunk must not count for this one.
+	// On a shared connection a chunk may belong to another request.
 	if ch.RequestID != sq.id {
 		return errors.Wrapf(engine.ErrMismatchedResponse, "request %s: chunk of %s", sq.id, ch.RequestID)
 	}
-	// A chunk lost or doubled on the way shows in the position of its first
-	// token. Without the check the answer would silently lack tokens.
+	// A lost or repeated chunk would silently corrupt the answer.
 	if len(ch.Tokens) > 0 && ch.First != sq.next {
 		return errors.Wrapf(ErrGap, "request %s: chunk at %d, want %d", sq.id, ch.First, sq.next)
 	}
--- a/attendant/serve.go
+++ b/attendant/serve.go
@@ -10,38 +10,36 @@
 	"wisteriacroft/process"
 )
 
-// closeTimeout bounds the end of a server whose work is done.
+// closeTimeout is the timeout for closing an idle server.
 const closeTimeout = 2 * time.Second
 
-// handOverPart is the part of the grace after which samples that still run go
-// on elsewhere, and the queues are given up.
-const handOverPart = 0.75
+// handOverFraction is the fraction of the grace period after which queued requests are refused and
+// running samples end, to be resumed elsewhere.
+const handOverFraction = 0.75
 
-// errLeaving is why samples are ended by a shutdown.
+// errLeaving is the cancellation cause of samples during shutdown.
 var errLeaving = errors.New("attendant is leaving")
 
-// Serve answers the requests that come over li until Shutdown.
+// Serve serves requests on li until Shutdown.
 func (at *Attendant) Serve(li net.Listener) error { return process.Serve(at.http, li) }
 
-// Shutdown refuses new work, waits for what runs and ends. It is called once.
-// Its error says that the grace was over before the work was.
+// Shutdown refuses new requests, waits for running ones and stops the attendant. It must be called
+// once. It returns an error if requests are still running at the end of the grace period.
 //
-// Until the entries have heard that this process leaves they go on sending
-// work. A listener closed before would turn that work into broken connections,
-// whose fate nobody knows; so it stays open for Linger, and each request gets
-// its refusal.
+// Entries send requests until they receive the leaving state. With a closed listener these would
+// fail with unknown outcome, so it stays open for at least Linger and refuses them.
 func (at *Attendant) Shutdown(ctx context.Context) error {
 	grace := at.grace()
 	at.options.Log.WithField("grace", grace.String()).Info("leaving")
 	ctx, cancel := context.WithTimeout(ctx, grace)
 	defer cancel()
-	part := time.Duration(handOverPart * float64(grace))
+	part := time.Duration(handOverFraction * float64(grace))
 	at.leave()
 	for _, en := range at.endpoints {
 		en.gate.Close(time.Now(), part)
 	}
 	linger := time.After(at.options.Linger)
-	err := at.finish(ctx, part)
+	err := at.drain(ctx, part)
 	select {
 	case <-linger:
 	case <-ctx.Done():
@@ -51,8 +49,8 @@
 	return errors.Wrap(errors.CombineErrors(err, at.close(ctx)), "shutdown")
 }
 
-// grace returns how long the shutdown may take: as long as the slowest of the
-// endpoints' services may leave, and no longer than the process has.
+// grace returns the grace period: the longest leave timeout of the endpoints' services, at most
+// that of the process.
 func (at *Attendant) grace() time.Duration {
 	do := at.profiles.Current()
 	var longest time.Duration
@@ -64,23 +62,22 @@
 		longest = max(longest, se.LeaveTimeout())
 	}
 	if longest == 0 {
-		return at.options.Grace // nothing here but a data folder
+		return at.options.Grace // only a data folder
 	}
 	return min(longest, at.options.Grace)
 }
 
-// finish waits for the work. Samples that run for longer than part of the
-// grace are ended, so that another attendant fetches their tokens while this
-// one still answers.
-func (at *Attendant) finish(ctx context.Context, part time.Duration) error {
+// drain waits for running requests. Samples that run longer than part are ended early, so that
+// another attendant can fetch their tokens before this one stops.
+func (at *Attendant) drain(ctx context.Context, part time.Duration) error {
 	early, cancel := context.WithTimeout(ctx, part)
 	defer cancel()
-	if at.work.wait(early) == nil {
+	if at.inflight.wait(early) == nil {
 		return nil
 	}
 	close(at.handOver)
-	if err := at.work.wait(ctx); err != nil {
-		return errors.Wrap(err, "wait for what runs")
+	if err := at.inflight.wait(ctx); err != nil {
+		return errors.Wrap(err, "wait for running requests")
 	}
 	select {
 	case <-time.After(at.options.Linger):
@@ -89,10 +86,10 @@
 	return nil
 }
 
-// Abort ends the attendant at once, as a kill would: what runs is cut off and
-// handed to no one. It is for trials, which run many processes in one.
+// Abort stops the attendant immediately, like a kill. It is for tests that run several attendants
+// in one process.
 func (at *Attendant) Abort() {
-	at.work.leave()
+	at.inflight.leave()
 	_ = at.http.Close()
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -102,10 +99,10 @@
 	at.loop.Wait()
 }
 
-// close ends the servers and the systems.
+// close stops the servers and the systems.
 func (at *Attendant) close(ctx context.Context) error {
 	err := errors.Wrap(at.http.Shutdown(ctx), "close the server")
-	err = errors.CombineErrors(err, errors.Wrap(at.server.Shutdown(ctx), "close the server of net/rpc"))
+	err = errors.CombineErrors(err, errors.Wrap(at.server.Shutdown(ctx), "close the RPC server"))
 	close(at.done)
 	at.loop.Wait()
 	at.pool.Close()
--- a/attendant/status.go
+++ b/attendant/status.go
@@ -8,17 +8,17 @@
 	"wisteriacroft/message"
 )
 
-// Role is the role's name in statuses.
+// Role is the role of attendants in statuses.
 const Role = "attendant"
 
-// Status returns what the attendant holds.
+// Status returns the state of the attendant.
 func (at *Attendant) Status(_ context.Context, _ message.Header, _ message.StatusRequest) (message.Status, error) {
 	st := message.Status{
 		DataFolder:    at.options.Store != nil,
 		FailureDomain: at.options.FailureDomain,
 		Incarnation:   at.options.Incarnation,
 		Instance:      at.options.Instance,
-		Leaving:       at.work.isLeaving(),
+		Leaving:       at.inflight.isLeaving(),
 		Role:          Role,
 		StartedAt:     at.startedAt,
 	}
@@ -29,11 +29,11 @@
 	return st, nil
 }
 
-// endpointStatus returns an endpoint's row.
+// endpointStatus returns the state of an endpoint.
 func (at *Attendant) endpointStatus(en *endpoint) message.EndpointStatus {
 	es, load := en.state(), en.gate.Load()
 	return message.EndpointStatus{
-		Leaving: at.work.isLeaving(),
+		Leaving: at.inflight.isLeaving(),
 		Model:   es.report.Model,
 		Name:    en.name,
 		Running: load.Running,
@@ -45,8 +45,7 @@
 	}
 }
 
-// serving tells whether an endpoint gets work: it answers, and nothing stands
-// against it.
+// serving reports whether an endpoint gets requests.
 func (at *Attendant) serving(es endpointState) bool {
-	return !at.work.isLeaving() && !es.failed && !es.seenAt.IsZero()
+	return !at.inflight.isLeaving() && !es.failed && !es.seenAt.IsZero()
 }
--- a/attendant/stream.go
+++ b/attendant/stream.go
@@ -13,15 +13,14 @@
 	"wisteriacroft/telemetry"
 )
 
-// cancelTimeout bounds the word to an engine that a request is given up.
+// cancelTimeout is the timeout of a cancel call to an engine.
 const cancelTimeout = 5 * time.Second
 
-// ErrStalled means that an engine sent no token within its bound.
+// ErrStalled means that an engine sent no token within the stall timeout.
 var ErrStalled = errors.New("engine sends no tokens")
 
-// stream lets the engine answer a request and gives each chunk to take. A
-// chunk of another request is dropped and counted. An engine that sends
-// nothing for stall is given up on.
+// stream sends a request to the engine and passes each chunk to take. A chunk of another request is
+// dropped and counted. If no chunk arrives for stall, the request fails with ErrStalled.
 func (en *endpoint) stream(
 	ctx context.Context, req engine.GenerateRequest, stall time.Duration, take func(engine.Chunk) error,
 ) (err error) {
@@ -29,11 +28,10 @@
 	defer func() { telemetry.End(sp, err) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A connection that nothing comes over any more looks like an engine that
-	// thinks. The bound turns it into an error, and the work can go on
-	// elsewhere.
+	// A stalled connection looks like a slow engine. The timeout makes it an error, so that another
+	// engine can continue.
 	watchdog := time.AfterFunc(stall, func() {
-		cancel(errors.Wrapf(ErrStalled, "%s: nothing for %s", en.name, stall))
+		cancel(errors.Wrapf(ErrStalled, "%s: no tokens for %s", en.name, stall))
 	})
 	defer watchdog.Stop()
 	err = en.engine.GenerateFunc(ctx, req, func(ch engine.Chunk) error {
@@ -62,15 +60,14 @@
 		return cause
 	case errors.Is(cause, errLeaving):
 		re := leaving(req.ID)
-		re.Fate = outcome.Unknown.String() // it has run, in part
+		re.Fate = outcome.Unknown.String() // part of it has run
 		return re
 	default:
 		return err
 	}
 }
 
-// cancel tells the engine to stop a request, in the background. The engine
-// would otherwise spend its steps on an answer that nobody reads.
+// cancel asks the engine, in the background, to stop a request whose answer is no longer read.
 func (en *endpoint) cancel(ctx context.Context, id string) {
 	if en.engine.CancelFunc == nil {
 		return
@@ -78,14 +75,14 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	go func() {
 		defer cancel()
-		// The engine may be gone, and the request with it.
+		// On error the engine or the request may have ended.
 		_ = en.engine.CancelFunc(ctx, id)
 	}()
 }
 
-// serveStream passes a live stream on, chunk by chunk. Until the first chunk it
-// can still refuse; after it, an answer that can't go on is broken off, so that
-// its reader can tell it from a whole one.
+// serveStream forwards a live stream chunk by chunk. It can refuse the request until the first
+// chunk. After an error later on the connection is aborted, so that the reader can detect the
+// truncation.
 func (at *Attendant) serveStream(rw http.ResponseWriter, rq *http.Request) {
 	en := at.endpoint(mux.Vars(rq)["endpoint"])
 	ca, err := newCall(rq.Header)
@@ -100,8 +97,8 @@
 		at.refuse(rw, en, outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error()))
 		return
 	}
-	req.ID = en.unique(ca.id)
-	ctx, cancel := ca.bound(rq.Context())
+	req.ID = en.uniqueID(ca.id)
+	ctx, cancel := ca.withDeadline(rq.Context())
 	defer cancel()
 	chunks := make(chan engine.Chunk)
 	done := make(chan error, 1)
@@ -112,21 +109,21 @@
 	switch {
 	case err == nil:
 	case !st.started:
-		at.refuse(rw, en, en.refusalOf(ctx, ca.id, err))
+		at.refuse(rw, en, en.callRefusal(ctx, ca.id, err))
 	default:
-		panic(http.ErrAbortHandler) // ends the connection without the answer's end
+		panic(http.ErrAbortHandler) // closes the connection before the end of the answer
 	}
 }
 
-// stream queues a live stream and sends its chunks to the channel.
+// stream queues a live stream and sends its chunks to a channel.
 func (at *Attendant) stream(
 	ctx context.Context, en *endpoint, ca call, req engine.GenerateRequest, chunks chan<- engine.Chunk,
 ) error {
-	if !at.work.enter() {
+	if !at.inflight.enter() {
 		return leaving(ca.id)
 	}
-	defer at.work.exit()
-	ti, err := en.enter(ctx, at.live(ca))
+	defer at.inflight.exit()
+	ti, err := en.admit(ctx, at.liveRequest(ca))
 	if err != nil {
 		return err
 	}
@@ -155,10 +152,10 @@
 	id      string
 	lines   *lines[engine.Chunk]
 	next    int
-	started bool // the answer's head is out
+	started bool // the first chunk has been written
 }
 
-// run writes chunks until the stream is done, and says why it ended.
+// run writes chunks until the stream ends and returns its error.
 func (re *relay) run(chunks <-chan engine.Chunk, done <-chan error, every time.Duration, cancel func()) error {
 	ti := time.NewTicker(every)
 	defer ti.Stop()
@@ -170,12 +167,12 @@
 			err = re.write(ch)
 			re.next += len(ch.Tokens)
 		case <-ti.C:
-			err = re.beat()
+			err = re.sendProgress()
 		case err := <-done:
 			return err
 		}
 		if err != nil {
-			cancel() // the reader is gone
+			cancel() // the reader has disconnected
 		}
 	}
 }
@@ -186,9 +183,9 @@
 	return re.lines.write(ch)
 }
 
-// beat shows that the stream lives: before the first chunk by an interim
-// answer, so that a refusal is still possible, and then by an empty chunk.
-func (re *relay) beat() error {
+// sendProgress sends progress: an interim response before the first chunk, so that a refusal is still
+// possible, and an empty chunk after it.
+func (re *relay) sendProgress() error {
 	if !re.started {
 		re.header.WriteHeader(http.StatusProcessing)
 		return nil
--- a/attendant/stream_test.go
+++ b/attendant/stream_test.go
@@ -53,19 +53,19 @@
 		_, end := se.start("a:1", engineOptions("draft-1", fe))
 		defer end()
 		se.stream("whole", nil)
-		fe.spoil = func(ch *engine.Chunk) {
+		fe.alter = func(ch *engine.Chunk) {
 			if ch.First == 4 {
 				time.Sleep(1200 * time.Millisecond)
 			}
 		}
 		se.stream("slow", nil)
-		fe.spoil = func(ch *engine.Chunk) {
+		fe.alter = func(ch *engine.Chunk) {
 			if ch.First == 4 {
 				ch.RequestID = "another"
 			}
 		}
 		se.stream("crossed", nil)
-		fe.spoil, fe.breakAt = nil, 5
+		fe.alter, fe.breakAt = nil, 5
 		tokens := se.stream("broken", nil)
 		tokens = append(tokens, se.stream("resumed", tokens)...)
 		for i, to := range tokens {
--- a/attendant/trace.go
+++ b/attendant/trace.go
@@ -10,13 +10,13 @@
 	"wisteriacroft/telemetry"
 )
 
-// Names of the spans of the hop to this process and of that to an endpoint.
+// Names of the spans of requests to this process and to an endpoint.
 const (
 	attendantSpan = "attendant"
 	endpointSpan  = "endpoint"
 )
 
-// traced gives each request a span of its own, under that of its sender.
+// traced starts a span for each request, as a child of the sender's span.
 func traced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		ctx := telemetry.Extract(rq.Context(), rq.Header)
--- a/attendant/work.go
+++ b/attendant/work.go
@@ -5,79 +5,78 @@
 	"sync"
 )
 
-// A work counts the requests that an attendant has taken and not yet answered.
-type work struct {
+// An inflight tracks the unanswered requests of an attendant.
+type inflight struct {
 	mu      sync.Mutex
-	idle    chan struct{} // closed once the last request has ended
+	idle    chan struct{} // closed when the last request has ended after leave
 	leaving bool
 	left    chan struct{} // closed by leave
 	running int
 }
 
-// newWork returns a work without requests.
-func newWork() *work {
-	return &work{idle: make(chan struct{}), left: make(chan struct{})}
+func newInflight() *inflight {
+	return &inflight{idle: make(chan struct{}), left: make(chan struct{})}
 }
 
-// enter takes a request, unless the attendant is leaving.
+// enter adds a request, or returns false during shutdown.
 //
-// One lock decides both: with a flag and a counter apart, a request could be
-// taken just after the count was found to be zero, and be cut off by the exit.
-func (wo *work) enter() bool {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	if wo.leaving {
+// The flag and the counter share a lock. Otherwise a request could enter after the count was seen
+// as zero, and be cut off by the exit.
+func (in *inflight) enter() bool {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if in.leaving {
 		return false
 	}
-	wo.running++
+	in.running++
 	return true
 }
 
-// exit ends a request.
-func (wo *work) exit() {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.running--
-	wo.signal()
+// exit removes a request.
+func (in *inflight) exit() {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.running--
+	in.signal()
 }
 
-// leave takes no requests from now on.
-func (wo *work) leave() {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	if !wo.leaving {
-		wo.leaving = true
-		close(wo.left)
-		wo.signal()
+// leave refuses all further requests.
+func (in *inflight) leave() {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if !in.leaving {
+		in.leaving = true
+		close(in.left)
+		in.signal()
 	}
 }
 
-// signal closes idle once nothing runs any more.
-func (wo *work) signal() {
-	if wo.leaving && wo.running == 0 {
-		close(wo.idle)
+// signal closes idle when leaving and no request is running.
+func (in *inflight) signal() {
+	if in.leaving && in.running == 0 {
+		close(in.idle)
 	}
 }
 
-// isLeaving tells whether requests are refused.
-func (wo *work) isLeaving() bool {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	return wo.leaving
+// isLeaving reports whether requests are refused.
+func (in *inflight) isLeaving() bool {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.leaving
 }
 
-// wait waits until the last request has ended. It is called after leave.
-func (wo *work) wait(ctx context.Context) error {
+// wait waits until the last request has ended. It must be called after leave.
+func (in *inflight) wait(ctx context.Context) error {
 	select {
-	case <-wo.idle:
+	case <-in.idle:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// until returns ctx that also ends, with a cause, when done is closed.
-func until(ctx context.Context, done <-chan struct{}, cause error) (context.Context, context.CancelFunc) {
+// withDone returns a copy of ctx that also ends, with a cause, when done is closed.
+func withDone(ctx context.Context, done <-chan struct{}, cause error) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	go func() {
 		select {
