--- a/gate/limit.go
+++ b/gate/limit.go
@@ -44,7 +44,7 @@
 }
 
 // Observe adapts the limit to a load report of the endpoint. Requests that queue in the endpoint
-// can't be prioritized, so a queue that lasts for queueLasts lowers the limit. The limit rises by
+// can't be prioritized, so a queue that lasts for minQueueTime lowers the limit. The limit rises by
 // one at a time while requests wait here and none in the endpoint.
 //
 // Short queues are ignored, and the limit stays at or above the most requests that ran meanwhile: a
--- a/gate/request.go
+++ b/gate/request.go
@@ -10,7 +10,7 @@
 // A Class is the kind of work of a request.
 type Class int
 
-// The classCount. The zero Class is Live, the one that is never delayed by the other.
+// The classes. The zero Class is Live, the one that is never delayed by the other.
 const (
 	Live Class = iota
 	Sample
--- a/gate/share.go
+++ b/gate/share.go
@@ -59,7 +59,7 @@
 	return best
 }
 
-// startsBefore reports whether ro starts startsBefore other: by least used share, then priority, then arrival.
+// startsBefore reports whether ro starts before other: by least used share, then priority, then arrival.
 func (ta *Table) startsBefore(ro, other *row) bool {
 	if ta.policy.Order == LiveFirst {
 		mine, its := ta.shares[ro.request.share()], ta.shares[other.request.share()]
--- a/gate/table.go
+++ b/gate/table.go
@@ -110,7 +110,7 @@
 	return starts.After(ta.expiry(now, req))
 }
 
-// canFinish reports whether a request would end in time if it started now. After probeAfter without
+// canFinish reports whether a request would end in time if it started now. After estimateLifetime without
 // an answer one request is admitted regardless, to measure again: an endpoint that was slow once
 // would otherwise get no requests for good.
 func (ta *Table) canFinish(now time.Time, req Request) bool {
