--- a/admission/decay.go
+++ b/admission/decay.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A decay is a counter that decays exponentially: what came a span ago counts about a third.
+// A decay is an exponentially decaying counter with a time constant of span.
 type decay struct {
 	at    time.Time
 	count float64
@@ -17,7 +17,7 @@
 	de.at = now
 }
 
-// rate returns the events a second of late.
+// rate returns the recent events a second.
 func (de *decay) rate(now time.Time, span time.Duration) float64 {
 	return de.count * math.Exp(-now.Sub(de.at).Seconds()/span.Seconds()) / span.Seconds()
 }
--- a/admission/room_test.go
+++ b/admission/limiter_test.go
@@ -39,125 +39,125 @@
 )
 
 // answers passes count copies of a response, 10 ms apart, and returns the time of the last one.
-func answers(ro *Limiter, from time.Time, count int, an Response) time.Time {
+func observe(li *Limiter, from time.Time, count int, re Response) time.Time {
 	for range count {
 		from = from.Add(10 * time.Millisecond)
-		an.At, an.Slots, an.Target = from, 6, target
-		ro.Observe(an)
+		re.At, re.Slots, re.Target = from, 6, target
+		li.Observe(re)
 	}
 	return from
 }
 
-func TestRoomFollowsLoad(t *testing.T) {
+func TestLimiterFollowsLoad(t *testing.T) {
 	idle := Response{InFlight: 1, Load: Load{Running: 1, Places: 6}, Told: true, Took: unit}
-	crowded := Response{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
+	overloaded := Response{InFlight: 3, Load: Load{Running: 6, Waiting: 20, Places: 6}, Told: true, Took: 26 * unit / 6}
 
-	var ro Limiter
-	now := answers(&ro, begin, 20, idle)
-	assert.Equal(t, ro.Limit(), 0.0, "nothing is held back below the room")
-	assert.Assert(t, ro.Available(5, 6, now))
+	var li Limiter
+	now := observe(&li, begin, 20, idle)
+	assert.Equal(t, li.Limit(), 0.0, "no limit below capacity")
+	assert.Assert(t, li.Available(5, 6, now))
 
-	now = answers(&ro, now, 20, crowded)
-	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 1, ro.Limit())
-	assert.Assert(t, !ro.Available(1, 6, now))
+	now = observe(&li, now, 20, overloaded)
+	assert.Assert(t, li.Limit() > 0 && li.Limit() < 1, li.Limit())
+	assert.Assert(t, !li.Available(1, 6, now))
 
-	now = answers(&ro, now, 20, idle)
-	assert.Assert(t, ro.Limit() >= 1, ro.Limit())
-	assert.Assert(t, ro.Available(0, 6, now))
+	now = observe(&li, now, 20, idle)
+	assert.Assert(t, li.Limit() >= 1, li.Limit())
+	assert.Assert(t, li.Available(0, 6, now))
 }
 
 // Without load reports the limit follows the latency alone.
-func TestRoomFollowsLatency(t *testing.T) {
-	var ro Limiter
-	now := answers(&ro, begin, 20, Response{InFlight: 2, Took: unit})
-	assert.Equal(t, ro.Limit(), 0.0)
-	now = answers(&ro, now, 40, Response{InFlight: 8, Took: 8 * unit})
-	assert.Assert(t, ro.Limit() > 0 && ro.Limit() < 7, ro.Limit())
-	held := ro.Limit()
-	answers(&ro, now, 40, Response{InFlight: 2, Took: unit})
-	assert.Assert(t, ro.Limit() > held || ro.Limit() == 0, ro.Limit())
+func TestLimiterFollowsLatency(t *testing.T) {
+	var li Limiter
+	now := observe(&li, begin, 20, Response{InFlight: 2, Took: unit})
+	assert.Equal(t, li.Limit(), 0.0)
+	now = observe(&li, now, 40, Response{InFlight: 8, Took: 8 * unit})
+	assert.Assert(t, li.Limit() > 0 && li.Limit() < 7, li.Limit())
+	held := li.Limit()
+	observe(&li, now, 40, Response{InFlight: 2, Took: unit})
+	assert.Assert(t, li.Limit() > held || li.Limit() == 0, li.Limit())
 }
 
 // Rejections of requests that were in flight together halve the limit once. Halved for each, it
 // would leave the endpoint idle for seconds after a burst.
-func TestRoomIsCutOncePerRound(t *testing.T) {
-	var ro Limiter
-	now := answers(&ro, begin, 20, Response{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
+func TestLimiterHalvesOncePerRoundTrip(t *testing.T) {
+	var li Limiter
+	now := observe(&li, begin, 20, Response{InFlight: 8, Load: Load{Running: 6, Places: 6}, Told: true, Took: unit})
 	for range 12 {
-		ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+		li.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
 	}
-	assert.Equal(t, ro.Limit(), 4.0)
+	assert.Equal(t, li.Limit(), 4.0)
 	now = now.Add(2 * unit)
-	ro.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
-	assert.Equal(t, ro.Limit(), 2.0)
+	li.Observe(Response{At: now, InFlight: 8, Refused: true, Slots: 6, Target: target, Took: time.Millisecond})
+	assert.Equal(t, li.Limit(), 2.0)
 }
 
 // A limit at its minimum recovers with time. If only responses raised it, an idle endpoint would
 // get no requests and so never recover.
-func TestRoomOpensWithTime(t *testing.T) {
-	ro := Limiter{heardAt: begin, limit: leastLimit, unit: unit}
-	assert.Assert(t, ro.Available(0, 6, begin))
-	ro.Sent(0, begin)
-	assert.Assert(t, !ro.Available(0, 6, begin.Add(10*unit)), "a sixteenth of a request takes sixteen times as long")
-	assert.Assert(t, ro.Available(0, 6, begin.Add(16*unit)))
-	assert.Assert(t, ro.Available(0, 6, begin.Add(loadLife)))
-	assert.Equal(t, ro.Limit(), 2*leastLimit)
-	assert.Assert(t, ro.Available(0, 6, begin.Add(time.Minute)))
-	assert.Equal(t, ro.Limit(), 1.0)
+func TestLimiterRecoversWithTime(t *testing.T) {
+	li := Limiter{respondedAt: begin, limit: minLimit, serviceTime: unit}
+	assert.Assert(t, li.Available(0, 6, begin))
+	li.Sent(0, begin)
+	assert.Assert(t, !li.Available(0, 6, begin.Add(10*unit)), "a limit of 1/16 allows one request in 16 service times")
+	assert.Assert(t, li.Available(0, 6, begin.Add(16*unit)))
+	assert.Assert(t, li.Available(0, 6, begin.Add(loadTTL)))
+	assert.Equal(t, li.Limit(), 2*minLimit)
+	assert.Assert(t, li.Available(0, 6, begin.Add(time.Minute)))
+	assert.Equal(t, li.Limit(), 1.0)
 }
 
 // An endpoint whose speed changes many times a second, because it shares its machine, changes the
 // expected duration but not the limit.
-func TestRoomFollowsPace(t *testing.T) {
-	var ro Limiter
+func TestLimiterFollowsPace(t *testing.T) {
+	var li Limiter
 	now := begin
 	for i := range 50 {
 		pace := 100
 		if i%2 == 1 {
 			pace = 300
 		}
-		now = answers(&ro, now, 1, Response{
+		now = observe(&li, now, 1, Response{
 			InFlight: 1, Load: Load{Pace: pace, Places: 6, Running: 2}, Told: true, Took: unit * time.Duration(pace) / 100,
 		})
-		assert.Equal(t, ro.ExpectedLatency(0, 6, now), unit*time.Duration(pace)/100)
+		assert.Equal(t, li.ExpectedLatency(0, 6, now), unit*time.Duration(pace)/100)
 	}
-	assert.Equal(t, ro.Limit(), 0.0, "slow for a moment is not full")
-	assert.Assert(t, ro.ExpectedLatency(0, 6, now.Add(paceLife/2)) < 3*unit)
-	assert.Equal(t, ro.ExpectedLatency(0, 6, now.Add(paceLife)), unit)
+	assert.Equal(t, li.Limit(), 0.0, "a slowdown does not reduce the limit")
+	assert.Assert(t, li.ExpectedLatency(0, 6, now.Add(paceTTL/2)) < 3*unit)
+	assert.Equal(t, li.ExpectedLatency(0, 6, now.Add(paceTTL)), unit)
 }
 
-func TestRoomSeesOthers(t *testing.T) {
-	var ro Limiter
-	now := answers(&ro, begin, 5, Response{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
-	assert.Equal(t, ro.OthersInFlight(now), 12)
-	assert.Equal(t, ro.ReportedLoad(now), 14)
-	assert.Equal(t, ro.ExpectedLatency(5, 6, now).Round(time.Millisecond), 3*unit)
-	assert.Equal(t, ro.OthersInFlight(now.Add(loadLife)), 0)
+func TestLimiterEstimatesOthers(t *testing.T) {
+	var li Limiter
+	now := observe(&li, begin, 5, Response{InFlight: 3, Load: Load{Running: 6, Waiting: 8, Places: 6}, Told: true, Took: 15 * unit / 6})
+	assert.Equal(t, li.OthersInFlight(now), 12)
+	assert.Equal(t, li.ReportedLoad(now), 14)
+	assert.Equal(t, li.ExpectedLatency(5, 6, now).Round(time.Millisecond), 3*unit)
+	assert.Equal(t, li.OthersInFlight(now.Add(loadTTL)), 0)
 }
 
 // Many senders with separate limits and delayed feedback converge near the capacity of the
 // endpoint they share, whatever their number.
-func TestRoomsShare(t *testing.T) {
+func TestLimitersShareAnEndpoint(t *testing.T) {
 	for _, senders := range []int{1, 5, 40, 100} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
-			rooms := make([]Limiter, senders)
+			limiters := make([]Limiter, senders)
 			inFlight := make([]int, senders)
 			var queue []int // senders
 			sum, full, sent := 0, 0, 0
 			for at := range 8000 {
 				now := begin.Add(time.Duration(at) * time.Millisecond)
-				answer := func(se int, an Response) {
+				answer := func(se int, re Response) {
 					inFlight[se]--
-					an.At, an.InFlight, an.Slots, an.Target, an.Told = now, inFlight[se]+1, 6, target, true
-					an.Load = Load{Running: min(len(queue), 6), Waiting: max(len(queue)-6, 0), Places: 6}
-					rooms[se].Observe(an)
+					re.At, re.InFlight, re.Slots, re.Target, re.Told = now, inFlight[se]+1, 6, target, true
+					re.Load = Load{Running: min(len(queue), 6), Waiting: max(len(queue)-6, 0), Places: 6}
+					limiters[se].Observe(re)
 				}
-				for i := range rooms {
+				for i := range limiters {
 					se := (i + at) % senders
-					if !rooms[se].Available(inFlight[se], 6, now) {
+					if !limiters[se].Available(inFlight[se], 6, now) {
 						continue
 					}
-					rooms[se].Sent(inFlight[se], now)
+					limiters[se].Sent(inFlight[se], now)
 					inFlight[se]++
 					sent++
 					if len(queue) >= 30 {
--- a/admission/load.go
+++ b/admission/load.go
@@ -1,5 +1,5 @@
-// Package admission decides when a live request may go to an endpoint, whether it
-// waits for that, and whether it is refused: tables and rules, without input or output.
+// Package admission decides whether a live request is sent to an endpoint, queued or rejected. It
+// does no I/O and reads no clock.
 package admission
 
 import (
@@ -7,16 +7,15 @@
 	"strings"
 )
 
-// A Load is what an endpoint says of itself.
+// A Load is the load that an endpoint reports with its responses.
 type Load struct {
 	Running int
 	Waiting int
 	Places  int
-	Pace    int // per cent of the usual time that work takes there at the moment; 0 if it isn't said
+	Pace    int // current duration of work in percent of the normal one; 0 if not reported
 }
 
-// ParseLoad reads "running,waiting,places" with, from some endpoints, a fourth figure:
-// how long work takes there now, 100 being as usual.
+// ParseLoad parses "running,waiting,places" or "running,waiting,places,pace".
 func ParseLoad(text string) (Load, bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 && len(parts) != 4 {
@@ -33,13 +32,13 @@
 	return Load{Running: counts[0], Waiting: counts[1], Places: counts[2], Pace: counts[3]}, true
 }
 
-// slowdown returns how many times as long as usual work takes.
+// slowdown returns the current duration of work as a multiple of the normal one.
 func (lo Load) slowdown() float64 {
 	if lo.Pace <= 0 {
 		return 1
 	}
-	return float64(lo.Pace) / usualPace
+	return float64(lo.Pace) / normalPace
 }
 
-// usualPace is the pace of an endpoint whose work takes as long as usual.
-const usualPace = 100
+// normalPace is the Pace of an endpoint at normal speed.
+const normalPace = 100
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,148 +7,147 @@
 )
 
 const (
-	// arrivalSpan and burstSpan are the times over which arrivals are counted: a burst
-	// shows in the shorter one first, and for a while after its end in the longer.
+	// arrivalSpan and burstSpan are the time constants of the arrival rates: the short one detects
+	// the start of a burst quickly, the long one keeps it in view for a while.
 	arrivalSpan = time.Second
 	burstSpan   = 200 * time.Millisecond
-	// standingSpan is for how long the least time that anyone waited must be over its
-	// bound for the queue to stand.
+	// standingSpan is how long the minimum queueing delay must exceed its limit until the queue
+	// counts as standing.
 	standingSpan = 100 * time.Millisecond
-	// standingPart is by what a request's patience is divided to give the longest wait
-	// in a queue that works off a peak; over it the queue only makes all wait.
-	standingPart = 2
-	// maxWaiting bounds the queue of a service.
+	// standingDivisor divides the maximum queueing delay of a request to give the limit beyond which the
+	// queue no longer absorbs a burst but only delays all requests.
+	standingDivisor = 2
+	// maxWaiting is the maximum length of a queue.
 	maxWaiting = 1000
-	// maxReturn bounds the time that a refused caller is told to wait.
-	maxReturn = 5 * time.Second
-	// tightSpan is for how long after the last wait, or refusal, a service counts as
-	// short of room.
-	tightSpan = time.Second
+	// maxRetryAfter is the maximum Retry-After of a rejection.
+	maxRetryAfter = 5 * time.Second
+	// contendedSpan is how long a service counts as short of capacity after a request was queued or
+	// rejected.
+	contendedSpan = time.Second
 )
 
-// A Queue holds the requests of a service that wait for room at its endpoints. The
-// zero Queue is empty and ready to use.
+// A Queue holds requests that wait for capacity at the endpoints of a service. The zero Queue is
+// ready to use. It is not safe for concurrent use.
 //
-// Load pattern: a burst beyond the room. The queue takes in what can still be answered
-// in time, and lets it go in order of arrival. Once it stands, the newest go first
-// (adaptive LIFO): those that have waited long would be late in either order.
+// It accepts requests that can still be answered in time and serves them in FIFO order. While it is
+// a standing queue, it serves the newest first (adaptive LIFO), since requests that have waited long
+// would be late in either order.
 //
-// Customers of whom few wait go before one of whom many do. In order of arrival, a customer
-// that asks for many times its part would take nearly all room, and the others' requests
-// would be refused as often as its own.
+// Requests of customers with few queued requests are served first. In FIFO order a customer that
+// sends far more than its share would take most of the capacity.
 type Queue struct {
 	arrivals  decay
 	burst     decay
-	counts    map[string]int // of those that wait, by customer
-	heldAt    time.Time      // when a request last found no room
-	overSince time.Time      // since when no one waited less than the bound
-	refusedAt time.Time      // when a request was last refused
-	returns   time.Time      // when the caller refused last was told to come back
+	counts    map[string]int // queued requests by customer
+	queuedAt  time.Time      // last time that a request found no capacity
+	overSince time.Time      // start of the period in which each queueing delay exceeded the limit
+	refusedAt time.Time      // last rejection
+	nextRetry time.Time      // time at which the caller rejected last may retry
 	standing  bool
-	waiting   []Waiter // in no order; before tells who goes first
+	waiting   []Waiter // unordered; see before
 }
 
-// Len returns how many wait.
+// Len returns the number of queued requests.
 func (qu *Queue) Len() int { return len(qu.waiting) }
 
-// NewestFirst reports whether the newest go first.
+// NewestFirst reports whether the queue is standing, and so serves the newest requests first.
 func (qu *Queue) NewestFirst() bool { return qu.standing }
 
-// Arrived counts a request, whether it must wait or not.
+// Arrived counts a request for the arrival rate, whether or not it is queued.
 func (qu *Queue) Arrived(now time.Time) {
 	qu.arrivals.add(now, arrivalSpan)
 	qu.burst.add(now, burstSpan)
 }
 
-// rate returns the arrivals a second of late.
+// rate returns the recent arrivals a second.
 func (qu *Queue) rate(now time.Time) float64 {
 	return max(qu.arrivals.rate(now, arrivalSpan), qu.burst.rate(now, burstSpan))
 }
 
-// MeetsGoal reports whether a request that came now would wait and still meet its goal.
-func (qu *Queue) MeetsGoal(wa Waiter, ou Forecast, now time.Time) bool {
-	start := qu.foreseen(wa, ou)
-	return start <= wa.patience()-now.Sub(wa.Arrived) && !now.Add(start+ou.Expected).After(wa.Goal)
+// MeetsGoal reports whether a request would meet its goal if queued now.
+func (qu *Queue) MeetsGoal(wa Waiter, fo Forecast, now time.Time) bool {
+	start := qu.expectedDelay(wa, fo)
+	return start <= wa.maxDelay()-now.Sub(wa.Arrived) && !now.Add(start+fo.Expected).After(wa.Goal)
 }
 
-// foreseen returns how long a request is likely to wait.
-func (qu *Queue) foreseen(wa Waiter, ou Forecast) time.Duration {
+// expectedDelay returns the expected queueing delay of a request.
+func (qu *Queue) expectedDelay(wa Waiter, fo Forecast) time.Duration {
 	ahead := 0
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && qu.before(other, wa) {
 			ahead++
 		}
 	}
-	return after(ahead+1, ou.Rate)
+	return timeToServe(ahead+1, fo.Rate)
 }
 
-// after returns the time in which so many requests find room.
-func after(count int, rate float64) time.Duration {
+// timeToServe returns the time in which count requests are served at a rate a second, at most maxReturn.
+func timeToServe(count int, rate float64) time.Duration {
 	if rate <= 0 {
-		return maxReturn
+		return maxRetryAfter
 	}
-	return min(time.Duration(float64(count)/rate*float64(time.Second)), maxReturn)
+	return min(time.Duration(float64(count)/rate*float64(time.Second)), maxRetryAfter)
 }
 
-// Enqueue takes a request in, and returns who is refused for it: the request itself,
-// another, or no one.
-func (qu *Queue) Enqueue(wa Waiter, ou Forecast, now time.Time) []Refusal {
-	qu.heldAt = now
-	if !qu.MeetsGoal(wa, ou, now) {
-		reason, ok := qu.lateRoom(wa, ou, now)
+// Enqueue queues a request, and returns the requests that are rejected: the request itself, one that it
+// evicts from a full queue, or none.
+func (qu *Queue) Enqueue(wa Waiter, fo Forecast, now time.Time) []Refusal {
+	qu.queuedAt = now
+	if !qu.MeetsGoal(wa, fo, now) {
+		reason, ok := qu.allowLate(wa, fo, now)
 		if !ok {
-			return []Refusal{qu.refuse(wa, reason, ou, now)}
+			return []Refusal{qu.reject(wa, reason, fo, now)}
 		}
 		wa.Late = true
 	}
 	var out []Refusal
 	if len(qu.waiting) >= maxWaiting {
-		last := qu.last()
-		if !qu.before(wa, qu.waiting[last]) || qu.alike(wa, qu.waiting[last]) {
-			return []Refusal{qu.refuse(wa, QueueFull, ou, now)}
+		last := qu.lastIndex()
+		if !qu.before(wa, qu.waiting[last]) || qu.sameRank(wa, qu.waiting[last]) {
+			return []Refusal{qu.reject(wa, QueueFull, fo, now)}
 		}
-		out = append(out, qu.refuse(qu.waiting[last], Yielded, ou, now))
-		qu.drop(last)
+		out = append(out, qu.reject(qu.waiting[last], Yielded, fo, now))
+		qu.removeAt(last)
 	}
 	qu.add(wa)
 	return out
 }
 
-// lateRoom reports whether a request that misses its goal may wait for its deadline.
+// allowLate reports whether a request that misses its goal may be queued until its deadline, and why
+// not.
 //
-// An answer that is late is worth something to its caller, but not at the price of
-// one in time. While more comes than the endpoints serve, each late one that runs
-// makes another late. When less comes, what is left over is theirs.
-func (qu *Queue) lateRoom(wa Waiter, ou Forecast, now time.Time) (Reason, bool) {
+// Late requests only get spare capacity: under overload, each late request that runs would delay
+// another one beyond its goal.
+func (qu *Queue) allowLate(wa Waiter, fo Forecast, now time.Time) (Reason, bool) {
 	ahead := 1
 	for _, other := range qu.waiting {
 		if other.ID != wa.ID && (!other.Late || other.Priority <= wa.Priority) {
 			ahead++
 		}
 	}
-	if now.Add(after(1, ou.Rate) + ou.Expected).After(wa.Deadline) {
+	if now.Add(timeToServe(1, fo.Rate) + fo.Expected).After(wa.Deadline) {
 		return NoTime, false
 	}
 	if qu.Refusing(now) {
 		return NoRoom, false
 	}
 	wa.Late = true
-	start := now.Add(after(ahead, ou.Rate-qu.rate(now)))
-	if start.After(wa.Arrived.Add(wa.patience())) || start.Add(ou.Expected).After(wa.Deadline) {
+	start := now.Add(timeToServe(ahead, fo.Rate-qu.rate(now)))
+	if start.After(wa.Arrived.Add(wa.maxDelay())) || start.Add(fo.Expected).After(wa.Deadline) {
 		return NoRoom, false
 	}
 	return "", true
 }
 
-// before reports whether a goes before b.
+// before reports whether a is served before b.
 func (qu *Queue) before(a, b Waiter) bool {
 	switch {
 	case a.Late != b.Late:
 		return b.Late
 	case a.Priority != b.Priority:
 		return a.Priority < b.Priority
-	case qu.crowd(a) != qu.crowd(b):
-		return qu.crowd(a) < qu.crowd(b)
+	case qu.sizeClass(a) != qu.sizeClass(b):
+		return qu.sizeClass(a) < qu.sizeClass(b)
 	case qu.standing && !a.Late:
 		return a.ID > b.ID
 	default:
@@ -156,16 +155,16 @@
 	}
 }
 
-// alike reports whether nothing but the time at which they came tells two requests apart.
-func (qu *Queue) alike(a, b Waiter) bool {
-	return a.Late == b.Late && a.Priority == b.Priority && qu.crowd(a) == qu.crowd(b)
+// sameRank reports whether only the order of arrival distinguishes two requests.
+func (qu *Queue) sameRank(a, b Waiter) bool {
+	return a.Late == b.Late && a.Priority == b.Priority && qu.sizeClass(a) == qu.sizeClass(b)
 }
 
-// crowd tells how many requests of a request's customer wait, in steps of a doubling: the
-// order among customers that ask for about as much is that of arrival.
-func (qu *Queue) crowd(wa Waiter) int { return bits.Len(uint(qu.counts[wa.Customer])) }
+// sizeClass returns the size class, in powers of two, of the number of queued requests of the request's
+// customer. Requests of customers in one class are served in order of arrival.
+func (qu *Queue) sizeClass(wa Waiter) int { return bits.Len(uint(qu.counts[wa.Customer])) }
 
-// add takes a request in.
+// add appends a request.
 func (qu *Queue) add(wa Waiter) {
 	if qu.counts == nil {
 		qu.counts = map[string]int{}
@@ -174,8 +173,8 @@
 	qu.waiting = append(qu.waiting, wa)
 }
 
-// drop takes out the request at a position.
-func (qu *Queue) drop(at int) {
+// removeAt removes the request at an index.
+func (qu *Queue) removeAt(at int) {
 	customer := qu.waiting[at].Customer
 	if qu.counts[customer]--; qu.counts[customer] <= 0 {
 		delete(qu.counts, customer)
@@ -183,8 +182,8 @@
 	qu.waiting = slices.Delete(qu.waiting, at, at+1)
 }
 
-// last returns the position of the waiter that goes last.
-func (qu *Queue) last() int {
+// lastIndex returns the index of the request that would be served lastIndex.
+func (qu *Queue) lastIndex() int {
 	at := 0
 	for i := range qu.waiting {
 		if qu.before(qu.waiting[at], qu.waiting[i]) {
@@ -194,8 +193,8 @@
 	return at
 }
 
-// Next lets waiters go in turn while placeFunc finds room for them, and returns them.
-// It is told the waiter and whether its answer will be late.
+// Next removes and returns requests in order while placeFunc finds capacity for them. The argument
+// late tells placeFunc that the request misses its goal.
 func (qu *Queue) Next(now time.Time, placeFunc func(wa Waiter, late bool) bool) []Waiter {
 	var out []Waiter
 	for len(qu.waiting) > 0 {
@@ -209,8 +208,8 @@
 		if !placeFunc(wa, wa.Late) {
 			break
 		}
-		qu.note(wa, now)
-		qu.drop(at)
+		qu.updateStanding(wa, now)
+		qu.removeAt(at)
 		out = append(out, wa)
 	}
 	if len(qu.waiting) == 0 {
@@ -219,13 +218,13 @@
 	return out
 }
 
-// note looks whether the queue stands, by the least time that anyone waited.
-func (qu *Queue) note(wa Waiter, now time.Time) {
+// updateStanding updates whether the queue is standing with the queueing delay of a request.
+func (qu *Queue) updateStanding(wa Waiter, now time.Time) {
 	if wa.Late {
 		return
 	}
-	if now.Sub(wa.Arrived) < wa.patience()/standingPart {
-		// Of the newest first, a short wait says nothing of the others.
+	if now.Sub(wa.Arrived) < wa.maxDelay()/standingDivisor {
+		// In LIFO order a short delay says nothing about the other requests.
 		if !qu.standing {
 			qu.overSince = time.Time{}
 		}
@@ -237,58 +236,57 @@
 	qu.standing = qu.standing || now.Sub(qu.overSince) >= standingSpan
 }
 
-// Expire refuses those that have waited as long as they may, but for those that are
-// still of use late.
-func (qu *Queue) Expire(ou Forecast, now time.Time) []Refusal {
+// Expire removes and returns the requests that reached their maximum time in the queue, except those
+// that may stay as late requests.
+func (qu *Queue) Expire(fo Forecast, now time.Time) []Refusal {
 	var out []Refusal
 	for _, wa := range slices.Clone(qu.waiting) {
-		if now.Sub(wa.Arrived) < wa.patience() && !now.Add(ou.Expected).After(wa.Deadline) {
+		if now.Sub(wa.Arrived) < wa.maxDelay() && !now.Add(fo.Expected).After(wa.Deadline) {
 			continue
 		}
 		qu.Remove(wa.ID)
-		if _, ok := qu.lateRoom(wa, ou, now); ok && !wa.Late {
+		if _, ok := qu.allowLate(wa, fo, now); ok && !wa.Late {
 			wa.Late = true
 			qu.add(wa)
 			continue
 		}
-		out = append(out, qu.refuse(wa, TooLong, ou, now))
+		out = append(out, qu.reject(wa, TooLong, fo, now))
 	}
 	return out
 }
 
-// Remove takes out a waiter whose caller has left.
+// Remove removes a request whose caller has disconnected.
 func (qu *Queue) Remove(id uint64) {
 	if at := slices.IndexFunc(qu.waiting, func(wa Waiter) bool { return wa.ID == id }); at >= 0 {
-		qu.drop(at)
+		qu.removeAt(at)
 	}
 }
 
-// refuse refuses a waiter, and says when its caller is to come back. During an overload
-// places still become free all the time, only too few. So callers are spread from when the
-// next place is free to the last time at which an answer still meets their goal: were all
-// told the same, they would come back together and be refused again.
-func (qu *Queue) refuse(wa Waiter, reason Reason, ou Forecast, now time.Time) Refusal {
+// reject returns the rejection of a request. Its RetryAfter spreads callers from the time at which the
+// next slot becomes free to the last one at which a response still meets their goal. With the same
+// value, all would return together and be rejected again.
+func (qu *Queue) reject(wa Waiter, reason Reason, fo Forecast, now time.Time) Refusal {
 	qu.refusedAt = now
-	each := after(1, ou.Rate)
-	soonest := now.Add(after(len(qu.waiting)+1, ou.Total))
-	if latest := wa.Goal.Add(-ou.Expected - wa.patience()); qu.returns.Before(soonest) || qu.returns.After(latest) {
-		qu.returns = soonest
+	each := timeToServe(1, fo.Rate)
+	soonest := now.Add(timeToServe(len(qu.waiting)+1, fo.Total))
+	if latest := wa.Goal.Add(-fo.Expected - wa.maxDelay()); qu.nextRetry.Before(soonest) || qu.nextRetry.After(latest) {
+		qu.nextRetry = soonest
 	}
-	wait := qu.returns.Sub(now)
-	qu.returns = qu.returns.Add(each)
+	wait := qu.nextRetry.Sub(now)
+	qu.nextRetry = qu.nextRetry.Add(each)
 	return Refusal{
 		Waiter: wa, Reason: reason, RetryAfter: max(wait.Round(time.Millisecond), time.Millisecond), Waited: now.Sub(wa.Arrived),
-		Arrivals: qu.rate(now), Length: len(qu.waiting), Outlook: ou, Standing: qu.standing,
+		Arrivals: qu.rate(now), Length: len(qu.waiting), Outlook: fo, Standing: qu.standing,
 	}
 }
 
-// Refusing reports whether a request was refused within tightSpan.
+// Refusing reports whether a request was rejected within tightSpan.
 func (qu *Queue) Refusing(now time.Time) bool {
-	return !qu.refusedAt.IsZero() && now.Sub(qu.refusedAt) < tightSpan
+	return !qu.refusedAt.IsZero() && now.Sub(qu.refusedAt) < contendedSpan
 }
 
-// Contended reports whether a request had to wait or was refused within tightSpan. Then what
-// isn't needed, such as a second attempt beside the first, is not sent.
+// Contended reports whether a request was queued or rejected within tightSpan. Optional work, such as
+// hedging, is then to be skipped.
 func (qu *Queue) Contended(now time.Time) bool {
-	return !qu.heldAt.IsZero() && now.Sub(qu.heldAt) < tightSpan
+	return !qu.queuedAt.IsZero() && now.Sub(qu.queuedAt) < contendedSpan
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-func all(Waiter, bool) bool { return true }
+func acceptAll(Waiter, bool) bool { return true }
 
 func TestQueueOrder(t *testing.T) {
 	var qu Queue
@@ -32,10 +32,10 @@
 		wa.Priority = priority
 		assert.Equal(t, len(qu.Enqueue(wa, Forecast{Expected: time.Millisecond, Rate: 1000, Total: 1000}, begin)), 0)
 	}
-	assert.DeepEqual(t, ids(qu.Next(begin, all)), []uint64{1, 3, 2, 0})
+	assert.DeepEqual(t, ids(qu.Next(begin, acceptAll)), []uint64{1, 3, 2, 0})
 }
 
-func TestQueueRefusesWhatCannotBeInTime(t *testing.T) {
+func TestQueueRejectsLateRequests(t *testing.T) {
 	var qu Queue
 	for id := range uint64(3) {
 		assert.Equal(t, len(qu.Enqueue(waiter(id, begin), steady, begin)), 0, id)
@@ -55,17 +55,17 @@
 
 // A request that misses its goal is still queued, behind those that can meet theirs, while the
 // endpoints have spare capacity.
-func TestQueueKeepsLateOnesForSpareRoom(t *testing.T) {
+func TestQueueServesLateRequestsWithSpareCapacity(t *testing.T) {
 	var qu Queue
 	qu.Arrived(begin)
 	late := waiter(1, begin)
 	late.Goal = begin.Add(10 * time.Millisecond)
 	assert.Equal(t, len(qu.Enqueue(late, steady, begin)), 0)
 	assert.Equal(t, len(qu.Enqueue(waiter(2, begin), steady, begin)), 0)
-	assert.DeepEqual(t, ids(qu.Next(begin, all)), []uint64{2, 1})
+	assert.DeepEqual(t, ids(qu.Next(begin, acceptAll)), []uint64{2, 1})
 }
 
-func TestQueueGivesUpTheLeastUrgent(t *testing.T) {
+func TestFullQueueEvictsLeastUrgent(t *testing.T) {
 	fast := Forecast{Expected: time.Millisecond, Rate: 1e6, Total: 1e6}
 	var qu Queue
 	for id := range uint64(maxWaiting) {
@@ -83,7 +83,7 @@
 	assert.Equal(t, qu.Len(), maxWaiting)
 }
 
-func TestQueueSweepsOutTheImpatient(t *testing.T) {
+func TestQueueExpiresWaiters(t *testing.T) {
 	var qu Queue
 	for range 40 {
 		qu.Arrived(begin)
@@ -98,16 +98,16 @@
 
 // Under sustained overload a FIFO queue would let every request wait for the maximum, including
 // those that are served. The queue must switch to LIFO and keep the median wait short.
-func TestQueueThatStands(t *testing.T) {
-	hopeful := Forecast{Expected: 20 * time.Millisecond, Rate: 2000, Total: 2000}
+func TestStandingQueue(t *testing.T) {
+	optimistic := Forecast{Expected: 20 * time.Millisecond, Rate: 2000, Total: 2000}
 	var qu Queue
 	var waits []time.Duration
-	refused, stood := 0, false
+	refused, wasStanding := 0, false
 	for at := range 3000 {
 		now := begin.Add(time.Duration(at) * time.Millisecond)
 		if at%2 == 0 {
 			qu.Arrived(now)
-			refused += len(qu.Enqueue(waiter(uint64(at), now), hopeful, now))
+			refused += len(qu.Enqueue(waiter(uint64(at), now), optimistic, now))
 		}
 		if at%10 < 3 {
 			room := 1
@@ -117,23 +117,23 @@
 				}
 			}
 		}
-		refused += len(qu.Expire(hopeful, now))
-		stood = stood || qu.NewestFirst()
+		refused += len(qu.Expire(optimistic, now))
+		wasStanding = wasStanding || qu.NewestFirst()
 	}
 	slices.Sort(waits)
 	median := waits[len(waits)/2]
 	t.Logf("median wait %v, %d served, %d refused", median, len(waits), refused)
-	assert.Assert(t, stood)
+	assert.Assert(t, wasStanding)
 	assert.Assert(t, median <= 5*time.Millisecond, "median wait %v", median)
 	for range 3 {
-		qu.Next(begin.Add(4*time.Second), all)
+		qu.Next(begin.Add(4*time.Second), acceptAll)
 	}
 	assert.Assert(t, !qu.NewestFirst())
 }
 
 // Requests rejected together get different Retry-After times, so that they do not all return at
 // once and are rejected again.
-func TestRefusedAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	var qu Queue
 	for range 200 {
 		qu.Arrived(begin)
@@ -150,58 +150,58 @@
 	var none Queue
 	none.Arrived(begin)
 	res := none.Enqueue(waiter(1, begin), Forecast{}, begin)
-	assert.Equal(t, res[0].RetryAfter, maxReturn, "no room is foreseen where nothing is served")
+	assert.Equal(t, res[0].RetryAfter, maxRetryAfter, "nothing is served")
 }
 
 // Callers that retry with their remaining deadline are recognised as retries.
-func TestTries(t *testing.T) {
-	var tr RetryHistogram
-	assert.Equal(t, tr.Elapsed(1900*time.Millisecond), time.Duration(0), "nothing is known yet")
+func TestRetryHistogram(t *testing.T) {
+	var rh RetryHistogram
+	assert.Equal(t, rh.Elapsed(1900*time.Millisecond), time.Duration(0), "no deadlines observed yet")
 	for i := range 1000 {
-		tr.Observe(2 * time.Second)
-		tr.Observe(0)
+		rh.Observe(2 * time.Second)
+		rh.Observe(0)
 		if i%2 == 0 {
-			tr.Observe(time.Duration(1600+i%300) * time.Millisecond)
+			rh.Observe(time.Duration(1600+i%300) * time.Millisecond)
 		}
 	}
-	assert.Equal(t, tr.Elapsed(2*time.Second), time.Duration(0))
-	assert.Equal(t, tr.Elapsed(1997*time.Millisecond), time.Duration(0))
-	assert.Equal(t, tr.Elapsed(1880*time.Millisecond), 120*time.Millisecond)
-	assert.Equal(t, tr.Elapsed(5*time.Second), time.Duration(0))
-	assert.Equal(t, tr.Elapsed(0), time.Duration(0))
+	assert.Equal(t, rh.Elapsed(2*time.Second), time.Duration(0))
+	assert.Equal(t, rh.Elapsed(1997*time.Millisecond), time.Duration(0))
+	assert.Equal(t, rh.Elapsed(1880*time.Millisecond), 120*time.Millisecond)
+	assert.Equal(t, rh.Elapsed(5*time.Second), time.Duration(0))
+	assert.Equal(t, rh.Elapsed(0), time.Duration(0))
 	for range 1000 {
-		tr.Observe(time.Second)
+		rh.Observe(time.Second)
 	}
-	assert.Equal(t, tr.Elapsed(900*time.Millisecond), 100*time.Millisecond, "habits change")
+	assert.Equal(t, rh.Elapsed(900*time.Millisecond), 100*time.Millisecond, "the usual deadline changes")
 	for i := range 10000 {
-		tr.Observe(time.Duration(i) * time.Second)
+		rh.Observe(time.Duration(i) * time.Second)
 	}
-	assert.Assert(t, len(tr.counts) <= maxTimes+1)
+	assert.Assert(t, len(rh.counts) <= maxDeadlines+1)
 }
 
 // Callers that read their responses slowly neither exceed the memory limit nor let one customer
 // use all of it.
-func TestSlowReaders(t *testing.T) {
-	he := NewMemoryBudget(1000)
+func TestMemoryBudgetWithSlowReaders(t *testing.T) {
+	mb := NewMemoryBudget(1000)
 	slow := 0
-	for he.Fits("slow", 0, 10) && slow < 1000 {
-		he.Add("slow", 10)
+	for mb.Fits("slow", 0, 10) && slow < 1000 {
+		mb.Add("slow", 10)
 		slow++
 	}
-	assert.Equal(t, slow, 50, "one customer gets half")
-	assert.Assert(t, he.Fits("other", 0, 10))
-	he.Add("other", 490)
-	assert.Assert(t, !he.Fits("third", 0, 20))
-	assert.Assert(t, he.Fits("third", 0, 10))
-	name, bytes := he.Largest()
+	assert.Equal(t, slow, 50, "a single customer may hold half")
+	assert.Assert(t, mb.Fits("other", 0, 10))
+	mb.Add("other", 490)
+	assert.Assert(t, !mb.Fits("third", 0, 20))
+	assert.Assert(t, mb.Fits("third", 0, 10))
+	name, bytes := mb.Largest()
 	assert.Equal(t, name, "slow")
 	assert.Equal(t, bytes, int64(500))
-	he.Add("slow", -500)
-	he.Add("other", -490)
-	assert.Equal(t, he.Total(), int64(0))
-	assert.Equal(t, len(he.byCustomer), 0)
-	assert.Assert(t, !he.Fits("other", 0, 1001))
-	assert.Assert(t, he.TooLarge(1001) && !he.TooLarge(1000))
+	mb.Add("slow", -500)
+	mb.Add("other", -490)
+	assert.Equal(t, mb.Total(), int64(0))
+	assert.Equal(t, len(mb.byCustomer), 0)
+	assert.Assert(t, !mb.Fits("other", 0, 1001))
+	assert.Assert(t, mb.TooLarge(1001) && !mb.TooLarge(1000))
 
 	var none MemoryBudget
 	none.Add("a", 1<<40)
@@ -211,27 +211,27 @@
 
 // A body larger than half of the limit is accepted when no memory is in use: the parts of it
 // already read must not count as other requests of its customer.
-func TestWhatFitsAloneIsTaken(t *testing.T) {
+func TestMemoryBudgetAcceptsLargeBody(t *testing.T) {
 	for _, size := range []int64{10, 500, 510, 1000} {
-		he := NewMemoryBudget(1000)
+		mb := NewMemoryBudget(1000)
 		for taken := int64(0); taken < size; taken += 10 {
-			assert.Assert(t, he.Fits("a", taken, 10), "%d of %d", taken, size)
-			he.Add("a", 10)
+			assert.Assert(t, mb.Fits("a", taken, 10), "%d of %d", taken, size)
+			mb.Add("a", 10)
 		}
-		assert.Equal(t, he.ReservesWhole(size), size > 500)
+		assert.Equal(t, mb.ReservesWhole(size), size > 500)
 	}
-	he := NewMemoryBudget(1000)
-	he.Add("a", 600)
-	assert.Assert(t, !he.Fits("a", 0, 300), "a second body of the same customer")
-	assert.Assert(t, !he.Fits("b", 0, 600), "two that are larger than half")
-	assert.Assert(t, he.Fits("b", 0, 400))
+	mb := NewMemoryBudget(1000)
+	mb.Add("a", 600)
+	assert.Assert(t, !mb.Fits("a", 0, 300), "a second body of the same customer")
+	assert.Assert(t, !mb.Fits("b", 0, 600), "two bodies larger than half of the limit")
+	assert.Assert(t, mb.Fits("b", 0, 400))
 }
 
 // A customer that requests ten times the capacity must not crowd out one that requests less than
 // its share. In FIFO order both would be rejected equally often.
-func TestSmallCustomerBesideALargeOne(t *testing.T) {
+func TestQueueIsFairToSmallCustomers(t *testing.T) {
 	const goal = 1200 * time.Millisecond
-	ou := Forecast{Expected: 300 * time.Millisecond, Rate: 40, Total: 40}
+	fo := Forecast{Expected: 300 * time.Millisecond, Rate: 40, Total: 40}
 	var qu Queue
 	id, asked, served := uint64(0), map[string]int{}, map[string]int{}
 	join := func(customer string, now time.Time) {
@@ -240,7 +240,7 @@
 		qu.Arrived(now)
 		qu.Enqueue(Waiter{
 			Arrived: now, Customer: customer, ID: id, Deadlines: Deadlines{Deadline: now.Add(4 * goal), Goal: now.Add(goal)},
-		}, ou, now)
+		}, fo, now)
 	}
 	for ms := range 10_000 {
 		now := begin.Add(time.Duration(ms) * time.Millisecond)
@@ -256,8 +256,8 @@
 				served[wa.Customer]++
 			}
 		}
-		qu.Expire(ou, now)
+		qu.Expire(fo, now)
 	}
 	assert.Assert(t, served["small"] >= asked["small"]*9/10, "%d of %d", served["small"], asked["small"])
-	assert.Assert(t, served["large"] > 9*(400-asked["small"])/10, "%d by what was left", served["large"])
+	assert.Assert(t, served["large"] > 9*(400-asked["small"])/10, "%d served with the remaining capacity", served["large"])
 }
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// A Reason is why a request is refused.
+// A Reason is the reason for a rejection, used in logs and metrics.
 type Reason string
 
 // The reasons.
 const (
-	NoMemory  Reason = "no-memory"  // too much is held for callers already
-	NoRoom    Reason = "no-room"    // it would miss its goal, and take room of those that meet theirs
-	NoTime    Reason = "no-time"    // it would not be answered by its deadline
-	QueueFull Reason = "queue-full" // too many wait
-	TooLong   Reason = "too-long"   // it waited as long as it may
-	Yielded   Reason = "yielded"    // it made place for a more urgent one
+	NoMemory  Reason = "no-memory"  // the memory limit for requests and responses is reached
+	NoRoom    Reason = "no-room"    // the request would miss its goal and delay others that can meet theirs
+	NoTime    Reason = "no-time"    // the request cannot be answered before its deadline
+	QueueFull Reason = "queue-full" // the queue is at its maximum length
+	TooLong   Reason = "too-long"   // the request reached its maximum time in the queue
+	Yielded   Reason = "yielded"    // the request was evicted from a full queue by a more urgent one
 )
 
-// A Forecast is what a service's endpoints are likely to do for a sender.
+// A Forecast is the predicted performance of a service's endpoints for one sender.
 type Forecast struct {
-	Expected time.Duration // of a request that is sent now, at the best of them
-	Rate     float64       // requests a second that the sender may have answered
-	Total    float64       // requests a second that they answer to all senders
+	Expected time.Duration // duration of a request sent now to the best endpoint
+	Rate     float64       // requests a second that the endpoints can answer to the sender
+	Total    float64       // requests a second that the endpoints can answer to all senders
 }
 
-// A Refusal is a waiter that is refused, with what its caller and the log are told.
+// A Refusal is a rejected request.
 type Refusal struct {
 	Waiter
 	Reason     Reason
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// What decided, for the log.
+	// State of the queue at the decision, for the log.
 	Arrivals float64 // a second
 	Length   int
 	Outlook  Forecast
--- a/admission/waiter.go
+++ b/admission/waiter.go
@@ -2,44 +2,42 @@
 
 import "time"
 
-// Deadlines are what a request needs to be of use.
+// Deadlines are the time limits of a request.
 type Deadlines struct {
-	Goal     time.Time // an answer until then is worth the most
-	Deadline time.Time // an answer after it is worth nothing
+	Goal     time.Time // latency goal; a later response is late but still of use
+	Deadline time.Time // a later response is useless
 }
 
-// A Waiter is a request that waits for room.
+// A Waiter is a queued request.
 type Waiter struct {
 	Deadlines
 	Arrived  time.Time
-	Customer string // empty where requests have none
+	Customer string // empty if the route requires no key
 	ID       uint64
-	Late     bool // it can't meet its goal, and runs behind those that can
-	Priority int  // 0 goes first
+	Late     bool // cannot meet its goal; served after those that can
+	Priority int  // 0 is served first
 }
 
-// patience is how long the request may wait for room: a quarter of what it has until
-// its goal. Two fifths are for the endpoint, and the rest for the ways and the spread of
-// the work. One that is refused after that still has time to go elsewhere.
-//
-// One that is late anyway may wait for as large a part of what its caller has at all.
-func (wa Waiter) patience() time.Duration {
+// maxDelay returns the maximum time of the request in the queue: a fixed fraction of the time until its
+// goal or, if it is late, until its deadline. If it is then rejected, its caller still has time to
+// retry elsewhere.
+func (wa Waiter) maxDelay() time.Duration {
 	if wa.Late {
-		return wa.Deadline.Sub(wa.Arrived) / patiencePart
+		return wa.Deadline.Sub(wa.Arrived) / maxDelayDivisor
 	}
-	return wa.Goal.Sub(wa.Arrived) / patiencePart
+	return wa.Goal.Sub(wa.Arrived) / maxDelayDivisor
 }
 
-// How the time until a request's goal is divided; see patience.
+// Division of the time until a request's goal. The rest covers network latency and the variance of
+// the work.
 const (
-	// patiencePart is by what the time is divided to give the wait for room.
-	patiencePart = 4
-	// targetPart is the part that the request may spend at its endpoint.
-	targetPart = 0.4
+	// maxDelayDivisor divides the time to give the maximum time in the queue.
+	maxDelayDivisor = 4
+	// targetFraction is the fraction that the request may spend at its endpoint.
+	targetFraction = 0.4
 )
 
-// LatencyTarget returns how long a request may spend at its endpoint whose goal is so far
-// off.
+// LatencyTarget returns how long a request with a latency goal may spend at its endpoint.
 func LatencyTarget(goal time.Duration) time.Duration {
-	return time.Duration(targetPart * float64(goal))
+	return time.Duration(targetFraction * float64(goal))
 }
