--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -17,27 +17,27 @@
 
 // Errors of an attempt.
 var (
-	errBroken  = errors.New("no whole answer")
-	errNotSent = errors.New("request was not sent")
+	errIncomplete = errors.New("incomplete response")
+	errNotSent    = errors.New("request was not sent")
 )
 
-// A result is what became of one attempt.
+// A result is the result of one attempt.
 type result struct {
-	attempts  int // endpoints that the request went to until now
+	attempts  int // endpoints that the request was sent to so far
 	body      []byte
 	endpoint  directory.Endpoint
 	err       error
-	failures  int // answers until now of endpoints that they failed
+	failures  int // attempts so far that endpoints answered with an internal error
 	header    http.Header
-	heldFor   time.Duration // the request must not be sent for that long
-	notRun    bool          // the endpoint did not run the request and won't
+	heldFor   time.Duration // time for which the request must not be sent again
+	notRun    bool          // the endpoint did not and will not run the request
 	refusal   *admission.Refusal
-	signature string // the endpoint's mark on its answer
+	signature string // signature header of the response
 	status    int
 	stream    io.ReadCloser // instead of body, on streaming routes
 	took      time.Duration
-	tried     map[string]bool // endpoints that the request went to
-	waited    time.Duration   // for room
+	tried     map[string]bool // endpoints that the request was sent to, by ID
+	waited    time.Duration   // in the queue
 }
 
 // failed reports whether the endpoint ran the request and failed it.
@@ -45,7 +45,7 @@
 	return re.err == nil && !re.notRun && re.status == http.StatusInternalServerError
 }
 
-// final reports whether the result answers the caller.
+// final reports whether the result is returned to the caller without another attempt.
 func (re *result) final(repeatable bool) bool {
 	if re.err != nil || re.notRun {
 		return false
@@ -53,17 +53,16 @@
 	return !repeatable || re.status < http.StatusInternalServerError
 }
 
-// full reports whether the endpoint had no place for the request.
+// full reports whether the endpoint rejected the request for lack of capacity.
 func (re *result) full() bool {
 	return re.err == nil && re.notRun && re.status != http.StatusMisdirectedRequest
 }
 
-// began reports whether the endpoint is taken to have begun to run the request: it
-// says that it did not, or it got all of it.
+// began reports whether the endpoint may have run the request.
 func (re *result) began() bool { return !re.notRun }
 
-// send makes one attempt at an endpoint. It returns with the whole answer or,
-// for a stream, with its head.
+// send makes one attempt at an endpoint. It returns after the complete response or, for a stream,
+// after its header.
 func (fo *Forwarder) send(ctx context.Context, rq *request, en directory.Endpoint) *result {
 	run := fo.Usage.Begin(rq.customer)
 	re := fo.exchange(ctx, rq, en)
@@ -71,7 +70,7 @@
 	return re
 }
 
-// exchange sends a request to an endpoint and reads the answer.
+// exchange sends a request to an endpoint and reads the response.
 func (fo *Forwarder) exchange(ctx context.Context, rq *request, en directory.Endpoint) *result {
 	begun := time.Now()
 	re := &result{endpoint: en}
@@ -99,12 +98,12 @@
 	re.body, re.err = io.ReadAll(an.Body)
 	re.took = time.Since(begun)
 	if re.err == nil && !re.notRun && re.signature == "" && an.Status < http.StatusMultipleChoices {
-		re.err = errors.Wrap(errBroken, "answer has no mark of the endpoint")
+		re.err = errors.Wrap(errIncomplete, "response has no endpoint signature")
 	}
 	return re
 }
 
-// client returns the client of an endpoint's address.
+// client returns the client of an endpoint, and replaces it if the endpoint moved or restarted.
 func (fo *Forwarder) client(en directory.Endpoint) roundtrip.Client {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -118,29 +117,27 @@
 	if ok {
 		ec.client.HTTP.CloseIdleConnections()
 	}
-	cl := roundtrip.New("http://"+en.Address, NewHTTPClient(), errBroken)
+	cl := roundtrip.New("http://"+en.Address, NewHTTPClient(), errIncomplete)
 	cl.NotSent = errNotSent
 	cl.IDHeader = fo.Headers.RequestID
-	fo.clients[en.ID] = endpointClient{address: en.Address, born: en.Incarnation, client: cl}
+	fo.clients[en.ID] = endpointClient{address: en.Address, incarnation: en.Incarnation, client: cl}
 	return cl
 }
 
-// An endpointClient is a client with connections to one start of an endpoint.
+// An endpointClient is a client for one incarnation of an endpoint.
 type endpointClient struct {
-	address string
-	born    incarnation.Number
-	client  roundtrip.Client
+	address     string
+	incarnation incarnation.Number
+	client      roundtrip.Client
 }
 
-// reaches reports whether the connections lead to the endpoint as it is now.
-//
-// One that has started again under its ID resets what is sent on connections to
-// its former start, which cost each entry an attempt a connection.
+// reaches reports whether the client's connections lead to the current incarnation of the endpoint.
+// After a restart each old connection would fail one attempt.
 func (ec endpointClient) reaches(en directory.Endpoint) bool {
-	return ec.address == en.Address && !en.Incarnation.Supersedes(ec.born)
+	return ec.address == en.Address && !en.Incarnation.Supersedes(ec.incarnation)
 }
 
-// Expire closes what concerns endpoints that are gone.
+// Expire removes the state, metrics and connections of endpoints that no longer exist.
 func (fo *Forwarder) Expire() {
 	exists := func(id string) bool {
 		_, ok := fo.Directory.Endpoint(id)
--- a/forward/attempts.go
+++ b/forward/attempts.go
@@ -8,47 +8,46 @@
 	"wisteriacroft/directory"
 )
 
-// attempts are those of one request.
+// attempts are the attempts of one request.
 type attempts struct {
-	failures  int // answers of endpoints that they failed
+	failures  int // attempts that endpoints answered with an internal error
 	forwarder *Forwarder
-	heldFor   time.Duration // until its customer is likely to have a place again; 0 if it had one
+	heldFor   time.Duration // expected time until its customer has a free slot; 0 if it had one
 	ran       bool          // an endpoint may have run the request
 	refusal   *admission.Refusal
 	request   *request
 	results   chan *result
 	running   int
 	tried     map[string]bool // endpoints, by ID
-	waited    time.Duration   // for room
+	waited    time.Duration   // in the queue
 }
 
-// A want is what an attempt asks of its endpoint.
-type want int
+// A requirement says whether an attempt requires capacity at its endpoint.
+type requirement int
 
-// The wants.
+// The requirements.
 const (
-	anyEndpoint want = iota // whether it has room or not: the system's own calls, and repeats after a failure
-	itsTurn                 // room, for which the request may wait
-	roomAtOnce              // room now, or there is no attempt
-	roomInTime              // the same, and an answer in time
+	anyEndpoint    requirement = iota // with or without capacity: internal calls and retries after a failure
+	capacityQueued                    // with capacity; the request may be queued
+	capacityNow                       // with capacity now, or no attempt
+	capacityInTime                    // with capacity now and a response before the goal, or no attempt
 )
 
-// launch makes one more attempt, if its customer may have one more place and there is an
-// endpoint for it. Two things are taken for it, and each is given back once: the customer's
-// place here, and the endpoint's by judge. A request that waits for room has its customer's
-// place already, so that a customer with a bound can't fill the line.
-func (at *attempts) launch(ctx context.Context, wa want) bool {
+// launch starts one more attempt and reports whether it did. It needs a slot of the customer, which
+// launch releases, and one at an endpoint, which recordResult releases. A queued request already holds its
+// customer's slot, so that a customer with a limit cannot fill the queue.
+func (at *attempts) launch(ctx context.Context, req requirement) bool {
 	fo, rq := at.forwarder, at.request
 	if len(at.tried) >= max(rq.route.MaxAttempts, 1) {
 		return false
 	}
-	if ok, free := fo.takeCustomerPlace(rq); !ok {
+	if ok, free := fo.acquireCustomerSlot(rq); !ok {
 		at.heldFor = free
 		return false
 	}
-	en, ok := at.endpoint(ctx, wa)
+	en, ok := at.endpoint(ctx, req)
 	if !ok {
-		fo.freeCustomerPlace(rq)
+		fo.releaseCustomerSlot(rq)
 		return false
 	}
 	at.tried[en.ID] = true
@@ -57,28 +56,27 @@
 		fo.loads.begin(rq.service, time.Now())
 		re := fo.send(ctx, rq, en)
 		fo.loads.end(rq.service, re.notRun, time.Now())
-		fo.freeCustomerPlace(rq)
-		fo.judge(ctx, rq, re)
+		fo.releaseCustomerSlot(rq)
+		fo.recordResult(ctx, rq, re)
 		at.results <- re
 	}()
 	return true
 }
 
-// endpoint picks the endpoint for an attempt and counts it as in flight there. Endpoints
-// are read anew each time: one may have begun to leave since the request came, and must
-// get nothing more.
-func (at *attempts) endpoint(ctx context.Context, wa want) (directory.Endpoint, bool) {
+// endpoint picks the endpoint for an attempt and counts it as in flight there. It reads the endpoints
+// for each attempt, since those that are leaving must get no new requests.
+func (at *attempts) endpoint(ctx context.Context, req requirement) (directory.Endpoint, bool) {
 	fo, rq, now := at.forwarder, at.request, time.Now()
-	switch wa {
-	case itsTurn:
-		return at.awaitTurn(ctx, now)
-	case roomAtOnce, roomInTime:
-		if fo.tight(rq.service) {
+	switch req {
+	case capacityQueued:
+		return at.awaitQueue(ctx, now)
+	case capacityNow, capacityInTime:
+		if fo.contended(rq.service) {
 			return directory.Endpoint{}, false
 		}
 		fits := anyTime
-		if wa == roomInTime {
-			fits = inTime(rq.needs().Goal)
+		if req == capacityInTime {
+			fits = inTime(rq.deadlines().Goal)
 		}
 		return fo.table.PickAvailable(fo.Directory.Endpoints(rq.service), at.tried, fo.Domain, now, fits)
 	default:
@@ -86,35 +84,34 @@
 	}
 }
 
-// awaitTurn waits for room for the first attempt, since begun. Endpoints may end meanwhile
-// while they run others with the same digest, so that the request is now in quarantine: then
-// it gives the room back.
-func (at *attempts) awaitTurn(ctx context.Context, begun time.Time) (directory.Endpoint, bool) {
+// awaitQueue waits for capacity for the first attempt. If the request was quarantined meanwhile,
+// because requests with the same digest crashed endpoints, it releases the capacity.
+func (at *attempts) awaitQueue(ctx context.Context, begun time.Time) (directory.Endpoint, bool) {
 	fo, rq := at.forwarder, at.request
-	en, re := fo.awaitRoom(ctx, rq)
+	en, re := fo.awaitCapacity(ctx, rq)
 	at.refusal, at.waited = re, time.Since(begun)
-	if re != nil || at.waited >= pumpEvery {
-		fo.uses.noteShort(rq.service, time.Now())
+	if re != nil || at.waited >= pumpInterval {
+		fo.slotUsage.markShort(rq.service, time.Now())
 	}
-	if en.ID != "" && at.waited >= pumpEvery && fo.verdict(rq).Held() {
+	if en.ID != "" && at.waited >= pumpInterval && fo.checkQuarantine(rq).Held() {
 		fo.table.Done(en.ID)
 		return directory.Endpoint{}, false
 	}
 	return en, en.ID != ""
 }
 
-// take takes in what became of one attempt.
-func (at *attempts) take(re *result) *result {
+// record records the result of one attempt.
+func (at *attempts) record(re *result) *result {
 	at.running--
 	at.ran = at.ran || !re.notRun
 	if re.failed() {
 		at.failures++
 	}
-	return at.tell(re)
+	return at.annotate(re)
 }
 
-// tell notes in a result what is known of all attempts.
-func (at *attempts) tell(re *result) *result {
+// annotate sets the fields of a result that concern all attempts.
+func (at *attempts) annotate(re *result) *result {
 	re.attempts, re.failures, re.tried, re.waited = len(at.tried), at.failures, at.tried, at.waited
 	return re
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -11,43 +11,42 @@
 	"wisteriacroft/quarantine"
 )
 
-// callTimeout bounds a call whose route names no timeout: several times what a plain
-// endpoint takes, also one that has become far slower than usual.
+// callTimeout is the timeout of a call whose route has none. It is several times the latency of even
+// a slow plain endpoint.
 const callTimeout = 2 * time.Second
 
-// errNoRoute means that no route leads a call anywhere.
+// errNoRoute means that no route matches a call.
 var errNoRoute = errors.New("no route")
 
-// A Call is a POST request that the system makes itself. It may run more than
-// once.
+// A Call is an internal POST request. It may run more than once.
 type Call struct {
 	Body     []byte
-	Customer string `cbor:",omitempty"` // for whom it is made, or ""
+	Customer string `cbor:",omitempty"` // on whose behalf it is made, or ""
 	Host     string
 	ID       string
 	Path     string
 }
 
-// Equal reports whether two calls ask for the same.
+// Equal reports whether two calls have the same ID and request; the customer is not compared.
 func (ca *Call) Equal(other *Call) bool {
 	return ca.ID == other.ID && ca.Host == other.Host && ca.Path == other.Path && string(ca.Body) == string(other.Body)
 }
 
-// A Response is what became of a call.
+// A Response is the result of a call.
 type Response struct {
-	Attempts    int           // endpoints that it went to
-	Endpoint    string        // that answered last, or ""
-	Err         error         // there is no whole answer
-	Failures    int           // answers of endpoints that they failed
-	HeldFor     time.Duration // it must not be made again for that long
+	Attempts    int           // endpoints that it was sent to
+	Endpoint    string        // ID of the last endpoint that it was sent to, or ""
+	Err         error         // set if there is no complete response
+	Failures    int           // attempts that endpoints answered with an internal error
+	HeldFor     time.Duration // time for which the call must not be repeated
 	MaxAttempts int           // of the route
-	NotRun      bool          // no endpoint took it
-	Signature   string        // the endpoint's mark on its answer, if that is a success
+	NotRun      bool          // no endpoint ran it
+	Signature   string        // signature header of a successful response
 	Status      int
-	Version     int64 // of the configuration that it was sent by
+	Version     int64 // of the configuration that the route is from
 }
 
-// Outcome returns what became of the call, for logs and metrics.
+// Outcome returns a label of the result for logs and metrics.
 func (re *Response) Outcome() string {
 	switch {
 	case re.Signature != "":
@@ -63,9 +62,8 @@
 	}
 }
 
-// Call makes a call by the route that is in force now. Endpoints are picked,
-// tried again and judged as for live requests. Once ctx ends, nothing more is
-// sent.
+// Call makes a call by the current route. Attempts are made and recorded as for live requests, but
+// without admission control. No attempt starts after ctx ends.
 func (fo *Forwarder) Call(ctx context.Context, ca Call) Response {
 	co := fo.Directory.Configuration()
 	if co == nil {
@@ -77,23 +75,23 @@
 	}
 	ro.Kind, ro.Streaming = directory.Repeatable, false
 	rq := &request{
-		body: ca.Body, customer: ca.Customer, header: http.Header{}, host: ca.Host, id: ca.ID, method: http.MethodPost, own: true, received: time.Now(),
+		body: ca.Body, customer: ca.Customer, header: http.Header{}, host: ca.Host, id: ca.ID, method: http.MethodPost, internal: true, received: time.Now(),
 		route: ro, service: pickShare(ro.Shares), target: ca.Path,
 	}
 	fo.Headers.identify(rq.header, rq.customer, true)
 	rq.digest = quarantine.DigestOf(rq.customer, rq.host, rq.method, rq.target, rq.body)
 	rq.setDeadline(callTimeout)
-	ctx, answered := boundBy(ctx, rq.deadline)
+	ctx, answered := withDeadline(ctx, rq.deadline)
 	fo.Budget.Deposit()
 	re := fo.run(ctx, rq)
-	fo.noteRefused(rq, re)
+	fo.countRejected(rq, re)
 	if ctx.Err() == nil {
 		answered()
 	}
 	return re.reply(ro.MaxAttempts, co.Version)
 }
 
-// reply returns what a caller of the system's own is told.
+// reply converts a result for an internal caller.
 func (re *result) reply(maxAttempts int, version int64) Response {
 	rp := Response{
 		Attempts: re.attempts, Endpoint: re.endpoint.ID, Err: re.err, Failures: re.failures, MaxAttempts: maxAttempts,
--- a/forward/call_test.go
+++ b/forward/call_test.go
@@ -30,17 +30,17 @@
 		failures int
 		runs     int64
 	}{
-		{"answered", whole, nil, "answered", 0, 1},
+		{"answered", succeeding, nil, "answered", 0, 1},
 		{"refused", full, nil, "not-run", 0, 0},
-		{"refused, then answered", full, whole, "answered", 0, 1},
-		{"another endpoint has the address", another, nil, "not-run", 0, 0},
+		{"refused, then answered", full, succeeding, "answered", 0, 1},
+		{"another endpoint has the address", misdirected, nil, "not-run", 0, 0},
 		{"failed", failing, nil, "failed", 1, 1},
 		{"failed twice", failing, failing, "failed", 2, 2},
-		{"failed, then answered", failing, whole, "answered", 1, 2},
-		{"cut short", cutShort, nil, "broken", 0, 1},
-		{"cut short, then failed", cutShort, failing, "failed", 1, 2},
-		{"crossed", crossed, nil, "broken", 0, 1},
-		{"crossed, then answered", crossed, whole, "answered", 0, 2},
+		{"failed, then answered", failing, succeeding, "answered", 1, 2},
+		{"truncated", truncated, nil, "broken", 0, 1},
+		{"truncated, then failed", truncated, failing, "failed", 1, 2},
+		{"mismatched", mismatched, nil, "broken", 0, 1},
+		{"mismatched, then answered", mismatched, succeeding, "answered", 0, 2},
 		{"unsigned", unsigned, nil, "broken", 0, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -59,10 +59,10 @@
 	}
 }
 
-func TestCallByTheRouteInForce(t *testing.T) {
+func TestCallUsesCurrentRoute(t *testing.T) {
 	// Each call looks up its route again, so that it never reaches a service that the current
 	// configuration no longer names.
-	de := deploy(t, directory.Route{MaxAttempts: 1}, whole)
+	de := deploy(t, directory.Route{MaxAttempts: 1}, succeeding)
 	set := func(version int64, routes ...directory.Route) {
 		de.forwarder.Directory.SetConfiguration(&directory.Configuration{Routes: routes, Version: version})
 	}
@@ -87,18 +87,18 @@
 	}
 }
 
-func TestEndedCallSendsNothingMore(t *testing.T) {
+func TestCancelledCallIsNotRetried(t *testing.T) {
 	// A call whose context is cancelled must not be retried at another endpoint.
-	held, release := make(chan struct{}), make(chan struct{})
+	blocked, release := make(chan struct{}), make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request, func()) {
-		close(held)
+		close(blocked)
 		<-release
 	}
-	de := deploy(t, directory.Route{MaxAttempts: 3}, silent, whole)
+	de := deploy(t, directory.Route{MaxAttempts: 3}, silent, succeeding)
 	defer close(release)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-held
+		<-blocked
 		cancel()
 	}()
 	re := de.forwarder.Call(ctx, rewardCall())
@@ -169,22 +169,22 @@
 // Addr implements net.Listener.
 func (pl pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestCallNamesItsOwnDeadline(t *testing.T) {
+func TestCallSendsDeadline(t *testing.T) {
 	// The deadline sent to an endpoint must not exceed the route's timeout.
 	for _, tc := range []struct {
 		name    string
 		timeout time.Duration
 		want    string // value of the deadline header, in milliseconds
 	}{
-		{"route names none", 0, "2000"},
-		{"route names half a second", 500 * time.Millisecond, "500"},
+		{"no route timeout", 0, "2000"},
+		{"route timeout", 500 * time.Millisecond, "500"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				granted := ""
 				fo := pipeTo(t, directory.Route{MaxAttempts: 1, Timeout: tc.timeout}, func(rw http.ResponseWriter, rq *http.Request) {
 					granted = rq.Header.Get(headers.Deadline)
-					whole(rw, rq, func() {})
+					succeeding(rw, rq, func() {})
 				})
 				re := fo.Call(t.Context(), rewardCall())
 				assert.Equal(t, re.Outcome(), "answered")
@@ -196,7 +196,7 @@
 
 // BenchmarkCall measures a reward call over loopback, endpoint included.
 func BenchmarkCall(b *testing.B) {
-	de := deploy(b, directory.Route{MaxAttempts: 2}, whole)
+	de := deploy(b, directory.Route{MaxAttempts: 2}, succeeding)
 	b.ReportAllocs()
 	for b.Loop() {
 		if re := de.forwarder.Call(b.Context(), rewardCall()); re.Signature == "" {
--- a/forward/ended.go
+++ b/forward/crash.go
@@ -12,9 +12,9 @@
 	"wisteriacroft/roundtrip"
 )
 
-// suspect notes whether an endpoint ended while it ran a request.
-func (fo *Forwarder) suspect(ctx context.Context, rq *request, re *result) {
-	if !errors.Is(re.err, errBroken) || !roundtrip.Ended(ctx, re.endpoint.Address) {
+// recordCrash reports a request to the quarantine if its endpoint crashed while running it.
+func (fo *Forwarder) recordCrash(ctx context.Context, rq *request, re *result) {
+	if !errors.Is(re.err, errIncomplete) || !roundtrip.Ended(ctx, re.endpoint.Address) {
 		return
 	}
 	start := fmt.Sprintf("%s/%d", re.endpoint.ID, re.endpoint.Incarnation)
@@ -24,11 +24,11 @@
 	fo.Log.WithFields(logrus.Fields{
 		customerField: rq.customer, digestField: rq.digest, "endpoint": re.endpoint.ID, "held-ms": ve.HeldFor.Milliseconds(), "ms": re.took.Milliseconds(),
 		"path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
-	}).Warn("endpoint ended under a request")
+	}).Warn("endpoint crashed while running a request")
 	fo.Metrics.GetOrCreateCounter(`wisteriacroft_requests_endpoint_ended_total`).Inc()
 }
 
-// quarantine returns the table of requests that are kept from endpoints.
+// quarantine returns the table of quarantined requests.
 func (fo *Forwarder) quarantine() *quarantine.Table {
 	if fo.Quarantine == nil {
 		return &fo.ownQuarantine
@@ -36,18 +36,16 @@
 	return fo.Quarantine
 }
 
-// verdict returns what may be done with a request now, and notes if that is
-// nothing.
+// checkQuarantine returns whether a request is quarantined, and logs and counts it if so.
 //
-// A client's next try has another ID and may come to any entry. Sent on like a new
-// request it takes the service's last endpoints with it, and others' requests are not
-// served until they have started again.
-func (fo *Forwarder) verdict(rq *request) quarantine.Verdict {
+// A client that retries a request which crashes endpoints uses a new ID and any entry. If each retry
+// were forwarded, it would crash all endpoints of the service.
+func (fo *Forwarder) checkQuarantine(rq *request) quarantine.Verdict {
 	ve := fo.quarantine().Check(rq.digest, time.Now())
 	if ve.Held() {
 		fo.Log.WithFields(logrus.Fields{
 			customerField: rq.customer, digestField: rq.digest, "held-ms": ve.HeldFor.Milliseconds(), "path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
-		}).Warn("request held back")
+		}).Warn("request is quarantined")
 		fo.Metrics.GetOrCreateCounter(`wisteriacroft_requests_held_back_total`).Inc()
 	}
 	return ve
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -19,9 +19,9 @@
 // crashBody is the body of the request that crashes every endpoint that runs it.
 const crashBody = "crash"
 
-// A crashDesk is an endpoint that crashes on a request with crashBody and restarts at the same
+// A crashingEndpoint is an endpoint that crashes on a request with crashBody and restarts at the same
 // address under a new ID.
-type crashDesk struct {
+type crashingEndpoint struct {
 	address string
 	crashed atomic.Bool
 	server  *httptest.Server
@@ -29,7 +29,7 @@
 }
 
 // start starts and registers the endpoint unless it is running.
-func (cd *crashDesk) start(t *testing.T, de *deployment, number int) {
+func (cd *crashingEndpoint) start(t *testing.T, de *deployment, number int) {
 	t.Helper()
 	if cd.starts > 0 && !cd.crashed.Load() {
 		return
@@ -65,9 +65,11 @@
 	de.forwarder.Directory.SetEndpoint(directory.Endpoint{Address: cd.address, ID: cd.id(number), Service: "desk", Slots: 6})
 }
 
-func (cd *crashDesk) id(number int) string { return fmt.Sprintf("endpoint-%d-%d", number, cd.starts) }
+func (cd *crashingEndpoint) id(number int) string {
+	return fmt.Sprintf("endpoint-%d-%d", number, cd.starts)
+}
 
-func TestRequestThatEndsItsEndpoints(t *testing.T) {
+func TestRequestThatCrashesEndpoints(t *testing.T) {
 	// A request that crashes every endpoint it runs on, and is retried by its client under new IDs,
 	// must not take down all endpoints of its service.
 	const tries, enough = 8, 3
@@ -79,19 +81,19 @@
 		{"repeatable, many attempts", directory.Route{Kind: directory.Repeatable, MaxAttempts: 5}},
 		{"once", directory.Route{Kind: directory.AtMostOnce, MaxAttempts: 2}},
 		{"stream", directory.Route{MaxAttempts: 2, Streaming: true}},
-		{"stream that may go on", directory.Route{MaxAttempts: 2, Resumable: true, Streaming: true}},
+		{"resumable stream", directory.Route{MaxAttempts: 2, Resumable: true, Streaming: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			de := deploy(t, tc.route)
-			desks := make([]crashDesk, 3)
+			endpoints := make([]crashingEndpoint, 3)
 			restart := func() {
-				for i := range desks {
-					desks[i].start(t, de, i)
+				for i := range endpoints {
+					endpoints[i].start(t, de, i)
 				}
 			}
 			t.Cleanup(func() {
-				for i := range desks {
-					desks[i].server.Close()
+				for i := range endpoints {
+					endpoints[i].server.Close()
 				}
 			})
 			for range tries {
@@ -99,7 +101,7 @@
 				status, _, _ := de.ask(t, http.MethodPost, "/a", crashBody)
 				assert.Assert(t, status >= http.StatusInternalServerError, "%d", status)
 			}
-			assert.Assert(t, de.runs.Load() <= enough, "%d endpoints ended", de.runs.Load())
+			assert.Assert(t, de.runs.Load() <= enough, "%d endpoints crashed", de.runs.Load())
 			restart()
 			status, answer, _ := de.ask(t, http.MethodPost, "/a", "another line")
 			assert.Equal(t, status, http.StatusOK, "other requests are served")
@@ -108,19 +110,19 @@
 	}
 }
 
-func TestCallThatEndsItsEndpoints(t *testing.T) {
+func TestCallThatCrashesEndpoints(t *testing.T) {
 	// The same for a reward call, which the scheduler repeats until its step ends.
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2})
-	desks := make([]crashDesk, 3)
+	endpoints := make([]crashingEndpoint, 3)
 	for range 8 {
-		for i := range desks {
-			desks[i].start(t, de, i)
+		for i := range endpoints {
+			endpoints[i].start(t, de, i)
 		}
 		re := de.forwarder.Call(t.Context(), Call{Body: []byte(crashBody), Host: "desk", ID: "call", Path: "/a"})
 		assert.Assert(t, strings.Contains("broken not-run", re.Outcome()), re.Outcome())
 	}
-	for i := range desks {
-		desks[i].server.Close()
+	for i := range endpoints {
+		endpoints[i].server.Close()
 	}
-	assert.Assert(t, de.runs.Load() <= 3, "%d endpoints ended", de.runs.Load())
+	assert.Assert(t, de.runs.Load() <= 3, "%d endpoints crashed", de.runs.Load())
 }
--- a/forward/customer_test.go
+++ b/forward/customer_test.go
@@ -12,14 +12,14 @@
 	"wisteriacroft/directory"
 )
 
-// told responds with the customer and key headers that the endpoint received.
-func told(rw http.ResponseWriter, rq *http.Request, run func()) {
+// echoHeaders responds with the customer and key headers that the endpoint received.
+func echoHeaders(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	sign(rw, rq)
 	_, _ = io.WriteString(rw, strings.Join(rq.Header.Values("Customer"), ",")+"|"+strings.Join(rq.Header.Values("Key"), ","))
 }
 
-func TestEndpointIsToldTheCustomer(t *testing.T) {
+func TestEndpointReceivesCustomer(t *testing.T) {
 	cases := []struct {
 		name   string
 		header http.Header
@@ -36,8 +36,8 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			de := deploy(t, directory.Route{Kind: directory.Repeatable}, told)
-			de.keyed(tc.public)
+			de := deploy(t, directory.Route{Kind: directory.Repeatable}, echoHeaders)
+			de.requireKeys(tc.public)
 			rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, de.entry.URL+"/a/1", strings.NewReader("x"))
 			assert.NilError(t, err)
 			rq.Host = "desk"
@@ -55,8 +55,8 @@
 	}
 }
 
-// keyed installs a configuration that requires callers to send keys.
-func (de *deployment) keyed(public bool) {
+// requireKeys installs a configuration that requires callers to send keys.
+func (de *deployment) requireKeys(public bool) {
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
 	co.Customers = []directory.Customer{{Name: "ada", Keys: []directory.KeyDigest{directory.DigestKey("k")}}}
@@ -70,9 +70,9 @@
 
 // An entry whose configuration may be out of date must not answer 401, which callers treat as
 // final, to a key that other entries may accept.
-func TestUnknownKeyIsNotDeniedWhileNewsIsOld(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable}, told)
-	de.keyed(false)
+func TestUnknownKeyWithStaleConfiguration(t *testing.T) {
+	de := deploy(t, directory.Route{Kind: directory.Repeatable}, echoHeaders)
+	de.requireKeys(false)
 	de.forwarder.Directory.ConfirmConfiguration(time.Now().Add(-10 * time.Second))
 	rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, de.entry.URL+"/a/1", strings.NewReader("x"))
 	assert.NilError(t, err)
--- a/forward/dialer.go
+++ b/forward/dialer.go
@@ -9,26 +9,23 @@
 	"wisteriacroft/roundtrip"
 )
 
-// Bounds of connections. Something between two ends can lose track of a
-// connection, which then takes bytes and never answers. Probes and the bound on
-// unacknowledged bytes end it; without them a request waits out its deadline.
+// Connection settings. A connection can be dropped without notice, for example by a NAT; keep-alive
+// probes and the user timeout detect this before the deadline of a request passes.
 const (
-	dialTimeout       = 500 * time.Millisecond // 100 times the longest way between failure domains
+	dialTimeout       = 500 * time.Millisecond // far above the latency between failure domains
 	probeAfter        = time.Second
 	probeInterval     = 500 * time.Millisecond
 	probeCount        = 3
 	unacknowledged    = 2 * time.Second
 	optionUserTimeout = 18 // TCP_USER_TIMEOUT, in milliseconds
-	// idleConnections is kept shorter than endpoints' own idle timeout where
-	// they name none.
+	// idleConnections must be shorter than the idle timeout of endpoints.
 	idleConnections = 20 * time.Second
-	// maxIdleConnections is how many connections to one endpoint are kept:
-	// as many as it runs requests at once.
+	// maxIdleConnections is per endpoint, which runs no more requests concurrently.
 	maxIdleConnections = 12
 	maxAnswerHeader    = 64 << 10 // bytes
 )
 
-// Dialer returns a dialer whose connections notice that the other end is gone.
+// Dialer returns a dialer whose connections detect an unreachable peer within seconds.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Control: func(_, _ string, rc syscall.RawConn) error {
@@ -49,8 +46,8 @@
 	}
 }
 
-// NewHTTPClient returns a client for one server, whose connections come from
-// Dialer and count what is written to them.
+// NewHTTPClient returns a client for one server, with connections of Dialer that count written bytes
+// for package roundtrip.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:            roundtrip.Dial(Dialer().DialContext),
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -21,70 +21,65 @@
 	"wisteriacroft/usage"
 )
 
-// Limits of the path of a live request.
+// Parameters of live requests.
 const (
-	// configurationRetry is when a caller may come back that met an entry that
-	// has just started: the time in which it reads the configuration.
+	// configurationRetry is the Retry-After of an entry that has just started: about the time in which
+	// it reads the configuration.
 	configurationRetry = 500 * time.Millisecond
-	// fullRetry is when a caller may come back that found all endpoints full:
-	// about what a plain endpoint needs for two requests.
+	// fullRetry is the Retry-After while all endpoints are full: about the duration of two requests at
+	// a plain endpoint.
 	fullRetry = 50 * time.Millisecond
-	// defaultDeadline bounds a request for which neither the caller nor the
-	// route names a bound.
+	// defaultDeadline applies if neither the caller nor the route sets one.
 	defaultDeadline = 30 * time.Second
-	// hedgeFactor is how many times its usual latency a repeatable request
-	// waits before it is sent to a second endpoint as well: few requests take so long
-	// at an endpoint that is well.
+	// hedgeFactor is the multiple of the usual latency after which a repeatable request is hedged. Few
+	// requests take so long at a healthy endpoint.
 	hedgeFactor = 3
-	// minHedge is the least such wait, so that two hops' jitter sends nothing
-	// twice.
+	// minHedge is the minimum hedging delay, so that network jitter triggers no hedging.
 	minHedge = 40 * time.Millisecond
 )
 
-// requestField is the field of log lines that holds a request's id.
+// requestField is the log field for the request ID.
 const requestField = "request"
 
-// customerField is the field of log lines that holds whose request it is.
+// customerField is the log field for the customer.
 const customerField = "customer"
 
-// digestField is the field of log lines that holds what a request asks for: the
-// same for all tries of its client.
+// digestField is the log field for the digest, which is the same for all retries of a client.
 const digestField = "digest"
 
-// A Forwarder serves live requests. Fill the exported fields before use.
+// A Forwarder forwards live requests to endpoints. Fill the exported fields before use.
 type Forwarder struct {
-	// Access decides whose requests run; nil stands for one by Directory.
+	// Access checks the keys of callers; nil stands for a Checker with Directory.
 	Access    *access.Checker
 	Directory *directory.Directory
 	Domain    string // failure domain of the process
 	Headers   Headers
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
-	// CustomerBound returns how many places of a service this process may give a
-	// customer now; a negative number means no bound, and so does nil.
+	// CustomerBound returns how many slots of a service this process may use for a customer; nil or a
+	// negative result means no limit.
 	CustomerBound func(customer, service string) int
-	// Budget bounds the attempts beyond the first.
+	// Budget limits the attempts after the first.
 	Budget *retry.Budget
-	// QuotaFunc spends one request of a customer's quota, in requests a second, or
-	// returns when its caller may come back; nil keeps no quota.
+	// QuotaFunc uses one request of a customer's quota, in requests a second, or returns after how long
+	// its caller may retry; nil means no quotas.
 	QuotaFunc func(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool)
-	// Quarantine holds requests under which endpoints ended; nil stands for one of
-	// the forwarder's own.
+	// Quarantine holds requests that crash endpoints; nil stands for a table of the forwarder's own.
 	Quarantine *quarantine.Table
-	// Usage notes the requests that endpoints begin to run; nil notes none.
+	// Usage records the requests that endpoints run; nil records none.
 	Usage *usage.Recorder
 
 	clients       map[string]endpointClient // by endpoint
-	lines         lines
+	queues        serviceQueues
 	loads         loads
 	memory        memory
 	mu            sync.Mutex
 	ownQuarantine quarantine.Table
 	table         Table
-	uses          uses
+	slotUsage     slotUsage
 }
 
-// access returns what decides whose requests run.
+// access returns the checker of keys.
 func (fo *Forwarder) access() *access.Checker {
 	if fo.Access == nil {
 		return &access.Checker{Directory: fo.Directory, Header: fo.Headers.Key, Metrics: fo.Metrics}
@@ -101,7 +96,7 @@
 		return
 	}
 	defer fo.releaseMemory(rq)
-	ctx, answered := boundBy(hr.Context(), rq.deadline)
+	ctx, answered := withDeadline(hr.Context(), rq.deadline)
 	fo.Budget.Deposit()
 	if rq.streaming() {
 		fo.serveStream(rw, hr, rq)
@@ -123,7 +118,7 @@
 	if re.err == nil && !re.notRun {
 		lo.Info("answered")
 		fo.count("answered")
-		fo.holdAnswer(rq, re)
+		fo.countResponse(rq, re)
 		writeAnswer(rw, re)
 		return
 	}
@@ -136,50 +131,50 @@
 		digestField: rq.digest, "error": re.err, "not-run": re.notRun, "tried": slices.Sorted(maps.Keys(re.tried)),
 		"version": fo.Directory.Configuration().Version,
 	}).Warn("not served")
-	fo.noteRefused(rq, re)
+	fo.countRejected(rq, re)
 	if re.notRun {
 		fo.access().Refused(rq.customer)
-		Refuse(rw, http.StatusServiceUnavailable, max(re.heldFor, fo.refusedRetry(), re.comeBack()))
+		Refuse(rw, http.StatusServiceUnavailable, max(re.heldFor, fo.notRunRetry(), re.retryAfter()))
 		return
 	}
 	Refuse(rw, http.StatusGatewayTimeout, 0)
 }
 
-// comeBack returns when room is foreseen for a request that was refused for want of it.
-func (re *result) comeBack() time.Duration {
+// retryAfter returns the Retry-After of a request that was rejected by the queue, or 0.
+func (re *result) retryAfter() time.Duration {
 	if re.refusal == nil {
 		return 0
 	}
 	return re.refusal.RetryAfter
 }
 
-// noteLimit shows how many requests may be in flight at an endpoint.
-func (fo *Forwarder) noteLimit(id string, limit float64) {
+// setLimitMetric updates the metric of an endpoint's concurrency limit.
+func (fo *Forwarder) setLimitMetric(id string, limit float64) {
 	fo.Metrics.GetOrCreateGauge(limitMetric(id), nil).Set(limit)
 }
 
-// limitMetric is the name of an endpoint's limit, which goes when the endpoint does.
+// limitMetric returns the name of the metric of an endpoint's concurrency limit.
 func limitMetric(id string) string { return `wisteriacroft_endpoint_limit{endpoint="` + id + `"}` }
 
-// refusedRetry returns when a caller may come back whose request no endpoint
-// took: soon if they were full, later if this entry doesn't know them yet.
-func (fo *Forwarder) refusedRetry() time.Duration {
+// notRunRetry returns the Retry-After of a request that no endpoint ran: short if they were full,
+// longer if this entry has not read the endpoints yet.
+func (fo *Forwarder) notRunRetry() time.Duration {
 	if !fo.Directory.Ready() {
 		return configurationRetry
 	}
 	return fullRetry
 }
 
-// run sends a request to endpoints in turn until one answers it. A repeatable
-// one that waits longer than usual goes to a second one meanwhile.
+// run makes attempts at endpoints until one returns a final result or no more are allowed. It hedges a
+// slow repeatable request.
 func (fo *Forwarder) run(ctx context.Context, rq *request) *result {
 	at := &attempts{forwarder: fo, request: rq, results: make(chan *result, max(rq.route.MaxAttempts, 1)), tried: map[string]bool{}}
 	last := &result{notRun: true}
-	if ve := fo.verdict(rq); ve.Held() {
+	if ve := fo.checkQuarantine(rq); ve.Held() {
 		last.heldFor = ve.HeldFor
 		return last
 	}
-	if !at.launch(ctx, rq.firstWant()) {
+	if !at.launch(ctx, rq.firstRequirement()) {
 		last.heldFor, last.refusal = at.heldFor, at.refusal
 		return last
 	}
@@ -188,39 +183,39 @@
 	for at.running > 0 {
 		select {
 		case <-ctx.Done():
-			return at.tell(&result{endpoint: last.endpoint, err: ctx.Err()})
+			return at.annotate(&result{endpoint: last.endpoint, err: ctx.Err()})
 		case <-hedge.C:
-			if fo.hedges(rq) && fo.another(rq, at.tried, "slow") {
-				at.launch(ctx, rq.hedgeWant())
+			if fo.mayHedge(rq) && fo.mayRetry(rq, at.tried, "slow") {
+				at.launch(ctx, rq.hedgeRequirement())
 			}
 		case re := <-at.results:
-			last = at.take(re)
+			last = at.record(re)
 			if re.final(rq.repeatable()) {
 				return re
 			}
-			if (re.notRun || rq.repeatable()) && fo.another(rq, at.tried, "failed") {
-				at.launch(ctx, rq.nextWant(re))
+			if (re.notRun || rq.repeatable()) && fo.mayRetry(rq, at.tried, "failed") {
+				at.launch(ctx, rq.nextRequirement(re))
 			}
 		}
 	}
 	if last.notRun && at.ran {
-		last = &result{endpoint: last.endpoint, err: errBroken}
+		last = &result{endpoint: last.endpoint, err: errIncomplete}
 	}
-	return at.tell(last)
+	return at.annotate(last)
 }
 
-// hedges reports whether a second attempt may run beside the first: not of a request under
-// which endpoints may have ended, nor while others wait for room.
-func (fo *Forwarder) hedges(rq *request) bool {
+// mayHedge reports whether a request may be hedged: not if it may have crashed endpoints, nor while
+// others wait for capacity.
+func (fo *Forwarder) mayHedge(rq *request) bool {
 	if !rq.repeatable() || fo.quarantine().Check(rq.digest, time.Now()).Suspect() {
 		return false
 	}
-	return rq.own || !fo.tight(rq.service)
+	return rq.internal || !fo.contended(rq.service)
 }
 
-// another asks the budget for one more attempt.
-func (fo *Forwarder) another(rq *request, tried map[string]bool, why string) bool {
-	if len(tried) >= max(rq.route.MaxAttempts, 1) || fo.verdict(rq).Held() {
+// mayRetry reports whether one more attempt is allowed, and takes it from the budget.
+func (fo *Forwarder) mayRetry(rq *request, tried map[string]bool, why string) bool {
+	if len(tried) >= max(rq.route.MaxAttempts, 1) || fo.checkQuarantine(rq).Held() {
 		return false
 	}
 	_, ok := fo.Budget.Retry(time.Now(), retry.Attempt{
@@ -232,34 +227,34 @@
 	return ok
 }
 
-// judge notes what an attempt says of its endpoint.
-func (fo *Forwarder) judge(ctx context.Context, rq *request, re *result) {
+// recordResult updates the state of an endpoint with the result of an attempt.
+func (fo *Forwarder) recordResult(ctx context.Context, rq *request, re *result) {
 	now := time.Now()
 	id := re.endpoint.ID
 	fo.table.Done(id)
 	defer fo.pump(rq.service)
 	switch {
-	case re.err != nil && ctx.Err() != nil: // the caller left, or its time is up
+	case re.err != nil && ctx.Err() != nil: // the caller disconnected, or the deadline passed
 		fo.table.Slow(id, re.took)
 	case re.err != nil, re.status == http.StatusMisdirectedRequest:
 		penalty := fo.table.Failed(id, now)
 		fo.Log.WithFields(logrus.Fields{
 			customerField: rq.customer, digestField: rq.digest, "endpoint": id, "error": re.err, "penalty": penalty.String(), requestField: rq.id, "status": re.status,
 		}).Warn("endpoint failed")
-		fo.suspect(ctx, rq, re)
+		fo.recordCrash(ctx, rq, re)
 	default:
 		lo, ok := admission.ParseLoad(re.header.Get(fo.Headers.Load))
-		full := re.notRun // of 421 above, all else that did not run found no place
+		full := re.notRun // 421 is handled above; the other reason not to run is lack of capacity
 		if full {
-			fo.uses.noteShort(rq.service, now)
+			fo.slotUsage.markShort(rq.service, now)
 		}
-		if !rq.own {
+		if !rq.internal {
 			fo.Budget.Observe(!full)
 		}
 		limit := fo.table.Answered(id, admission.Response{
 			At: now, Load: lo, Refused: full, Slots: re.endpoint.Slots, Target: admission.LatencyTarget(rq.route.Goal), Told: ok, Took: re.took,
 		})
-		fo.noteLimit(id, limit)
+		fo.setLimitMetric(id, limit)
 		if !re.notRun && re.stream == nil {
 			fo.quarantine().RecordSuccess(rq.digest, now)
 		}
@@ -270,13 +265,13 @@
 	fo.Metrics.GetOrCreateCounter(`wisteriacroft_live_total{outcome="` + outcome + `"}`).Inc()
 }
 
-// countRefusal counts a request that this entry refused by itself.
+// countRefusal counts a request that this entry rejected without sending it to an endpoint.
 func (fo *Forwarder) countRefusal(reason admission.Reason) {
 	fo.Metrics.GetOrCreateCounter(`wisteriacroft_live_refusals_total{reason="` + string(reason) + `"}`).Inc()
 }
 
 func (fo *Forwarder) reject(rw http.ResponseWriter, hr *http.Request, rj *rejection) {
-	fo.Log.WithFields(rj.inputs).WithFields(logrus.Fields{
+	fo.Log.WithFields(rj.fields).WithFields(logrus.Fields{
 		"host": hr.Host, "path": hr.URL.Path, "reason": rj.reason,
 		requestField: hr.Header.Get(fo.Headers.RequestID), "status": rj.status,
 	}).Warn("rejected")
@@ -288,7 +283,7 @@
 	rj.answer(rw)
 }
 
-// deny answers a request without a key that lets it run, and says why.
+// deny answers a request that lacks a valid key.
 func deny(rw http.ResponseWriter, reason string) {
 	data, err := json.Marshal(struct {
 		Error string `json:"error"`
@@ -300,11 +295,10 @@
 	rw.Header().Set("WWW-Authenticate", "Bearer")
 	rw.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	rw.WriteHeader(http.StatusUnauthorized)
-	_, _ = rw.Write(data) // the caller has left if it fails
+	_, _ = rw.Write(data) // fails only if the caller has disconnected
 }
 
-// Refuse writes an answer of the entry's own, and after how long the caller may
-// come back; 0 says nothing of it.
+// Refuse writes a response without a body, with a Retry-After header unless retryAfter is 0.
 func Refuse(rw http.ResponseWriter, status int, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		rw.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
@@ -312,18 +306,18 @@
 	rw.WriteHeader(status)
 }
 
-// writeAnswer passes an endpoint's answer on.
+// writeAnswer writes an endpoint's response to the caller.
 func writeAnswer(rw http.ResponseWriter, re *result) {
 	copyHeader(rw.Header(), re.header)
 	rw.Header().Set("Content-Length", strconv.Itoa(len(re.body)))
 	rw.WriteHeader(re.status)
-	_, _ = rw.Write(re.body) // the caller has left if it fails
+	_, _ = rw.Write(re.body) // fails only if the caller has disconnected
 }
 
-// copyHeader sets the headers that cross a hop. Without a type of its own the
-// answer gets none, where net/http would guess one.
+// copyHeader copies the end-to-end headers. It keeps net/http from adding a Content-Type that the
+// endpoint did not send.
 func copyHeader(to, from http.Header) {
-	for name, values := range crossing(from) {
+	for name, values := range endToEnd(from) {
 		to[name] = values
 	}
 	if from["Content-Type"] == nil {
--- a/forward/forwarder_test.go
+++ b/forward/forwarder_test.go
@@ -38,7 +38,7 @@
 // A behaviour handles a request at an endpoint and calls run if it runs the request.
 type behaviour func(rw http.ResponseWriter, rq *http.Request, run func())
 
-func whole(rw http.ResponseWriter, rq *http.Request, run func()) {
+func succeeding(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	sign(rw, rq)
 	body, _ := io.ReadAll(rq.Body)
@@ -56,7 +56,7 @@
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func another(rw http.ResponseWriter, rq *http.Request, _ func()) {
+func misdirected(rw http.ResponseWriter, rq *http.Request, _ func()) {
 	rw.Header().Set(headers.RequestID, rq.Header.Get(headers.RequestID))
 	rw.WriteHeader(http.StatusMisdirectedRequest)
 }
@@ -68,14 +68,14 @@
 	_, _ = io.WriteString(rw, "failed")
 }
 
-func cutShort(rw http.ResponseWriter, rq *http.Request, run func()) {
+func truncated(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	sign(rw, rq)
 	rw.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(rw, "half")
 }
 
-func crossed(rw http.ResponseWriter, rq *http.Request, run func()) {
+func mismatched(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	sign(rw, rq)
 	rw.Header().Set(headers.RequestID, "another")
@@ -85,7 +85,7 @@
 func unsigned(rw http.ResponseWriter, rq *http.Request, run func()) {
 	run()
 	rw.Header().Set(headers.RequestID, rq.Header.Get(headers.RequestID))
-	_, _ = io.WriteString(rw, "from who knows")
+	_, _ = io.WriteString(rw, "no signature")
 }
 
 // deploy starts an entry and one endpoint for each behaviour. The first endpoint is in the entry's
@@ -144,20 +144,20 @@
 		runs   int64
 	}{
 		{"repeatable, refused", full, directory.Repeatable, 200, 1},
-		{"repeatable, another endpoint has the address", another, directory.Repeatable, 200, 1},
+		{"repeatable, another endpoint has the address", misdirected, directory.Repeatable, 200, 1},
 		{"repeatable, failed", failing, directory.Repeatable, 200, 2},
-		{"repeatable, cut short", cutShort, directory.Repeatable, 200, 2},
-		{"repeatable, crossed", crossed, directory.Repeatable, 200, 2},
+		{"repeatable, truncated", truncated, directory.Repeatable, 200, 2},
+		{"repeatable, mismatched", mismatched, directory.Repeatable, 200, 2},
 		{"repeatable, unsigned", unsigned, directory.Repeatable, 200, 2},
 		{"once, refused", full, directory.AtMostOnce, 200, 1},
-		{"once, another endpoint has the address", another, directory.AtMostOnce, 200, 1},
+		{"once, another endpoint has the address", misdirected, directory.AtMostOnce, 200, 1},
 		{"once, failed", failing, directory.AtMostOnce, 500, 1},
-		{"once, cut short", cutShort, directory.AtMostOnce, 504, 1},
-		{"once, crossed", crossed, directory.AtMostOnce, 504, 1},
+		{"once, truncated", truncated, directory.AtMostOnce, 504, 1},
+		{"once, mismatched", mismatched, directory.AtMostOnce, 504, 1},
 		{"once, unsigned", unsigned, directory.AtMostOnce, 504, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			de := deploy(t, directory.Route{Kind: tc.kind, MaxAttempts: 2}, tc.first, whole)
+			de := deploy(t, directory.Route{Kind: tc.kind, MaxAttempts: 2}, tc.first, succeeding)
 			status, answer, _ := de.ask(t, http.MethodPost, "/a?b=c", "line")
 			assert.Equal(t, status, tc.status)
 			assert.Equal(t, de.runs.Load(), tc.runs)
@@ -186,7 +186,7 @@
 		<-release
 		sign(rw, rq)
 	}
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, silent, whole)
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, silent, succeeding)
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	status, answer, _ := de.ask(t, http.MethodGet, "/a", "")
 	assert.Equal(t, status, http.StatusOK)
@@ -194,7 +194,7 @@
 }
 
 func TestRejections(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, whole)
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, succeeding)
 	for _, tc := range []struct {
 		name   string
 		change func(rq *http.Request)
@@ -224,7 +224,7 @@
 
 func TestNoConfigurationYet(t *testing.T) {
 	// An entry that has not read a configuration yet must answer 503, not a final 404.
-	de := deploy(t, directory.Route{}, whole)
+	de := deploy(t, directory.Route{}, succeeding)
 	de.forwarder.Directory = &directory.Directory{}
 	status, _, header := de.ask(t, http.MethodGet, "/", "")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
@@ -263,8 +263,8 @@
 		runs      int64
 	}{
 		{"whole", false, stream(5, 0), false, 1},
-		{"broken, goes on elsewhere", true, stream(5, 3), false, 2},
-		{"broken, may not go on", false, stream(5, 3), true, 1},
+		{"broken, resumed elsewhere", true, stream(5, 3), false, 2},
+		{"broken, not resumable", false, stream(5, 3), true, 1},
 		{"refused", false, full, false, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -329,7 +329,7 @@
 
 // If the first endpoint ran a request and failed, a rejection by the second must not be reported as
 // "not run": the caller would send the request again.
-func TestStreamThatRanIsNotRefused(t *testing.T) {
+func TestStreamThatRanIsNotReportedAsNotRun(t *testing.T) {
 	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2, Streaming: true}, failing, full)
 	status, _, _ := de.ask(t, http.MethodPost, "/", "line")
 	assert.Equal(t, de.runs.Load(), int64(1))
--- a/forward/headers.go
+++ b/forward/headers.go
@@ -1,5 +1,5 @@
-// Package forward is the path of a live request through an entry: which
-// endpoint it goes to, when it is tried again, and what its caller is told.
+// Package forward forwards live requests from an entry to endpoints: it picks endpoints, retries and
+// hedges attempts, and answers callers.
 package forward
 
 import (
@@ -10,28 +10,27 @@
 	"time"
 )
 
-// Headers are the names of the headers that carry what callers, entries and
-// endpoints say of a request.
+// Headers are the names of the HTTP headers exchanged between callers, entries and endpoints.
 type Headers struct {
-	Customer  string // for endpoints: whose request it is
-	Deadline  string // milliseconds that the caller still waits
-	Expect    string // the endpoint that a request is for; any other refuses it
-	Key       string // that a caller shows, for no one but the entry
-	LastEvent string // the last event that the caller has
-	Load      string // what an endpoint says of its load
-	NotRun    string // present: the endpoint did not run the request
+	Customer  string // to endpoints: the customer of the request
+	Deadline  string // milliseconds until the caller gives up
+	Expect    string // ID of the endpoint that the request is for; others reject it
+	Key       string // the caller's key; not forwarded to endpoints
+	LastEvent string // ID of the last event that the caller received
+	Load      string // load reported by the endpoint
+	NotRun    string // set if the endpoint did not run the request
 	RequestID string
-	Signature string // the endpoint's mark on its own answer
+	Signature string // marks a response as the endpoint's own
 }
 
-// connectionHeaders concern one connection only and don't cross a hop.
+// connectionHeaders are the hop-by-hop headers.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// crossing returns the headers that cross a hop.
-func crossing(he http.Header) http.Header {
+// endToEnd returns the end-to-end headers.
+func endToEnd(he http.Header) http.Header {
 	out := he.Clone()
 	for _, line := range he["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -44,8 +43,8 @@
 	return out
 }
 
-// identify replaces what a caller said of whose request it is by what is known, and
-// takes the key out if there are any. An endpoint believes the name, and needs no key.
+// identify sets the customer header, replacing any value from the caller since endpoints trust it,
+// and removes the key if keys are in use.
 func (hs Headers) identify(he http.Header, customer string, keys bool) {
 	if keys {
 		he.Del(hs.Key)
@@ -56,7 +55,7 @@
 	}
 }
 
-// parseDeadline returns how long a caller waits, or 0 if it doesn't say.
+// parseDeadline parses the deadline header; it returns 0 if the value is missing or invalid.
 func parseDeadline(text string) time.Duration {
 	count, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 	if err != nil || count < 0 {
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -7,22 +7,21 @@
 	"wisteriacroft/scale"
 )
 
-// loads count what requests ask of services, for whoever orders endpoints by it. The zero
-// loads is ready to use.
+// loads measure the load of services, as input for scaling. The zero loads is ready to use.
 type loads struct {
 	mu   sync.Mutex
 	rows map[string]*loadRow // by service
 }
 
-// A loadRow is what was seen of a service since it was collected last.
+// A loadRow is the load of a service since the last collect.
 type loadRow struct {
 	inFlight int // at endpoints
 	seen     scale.Observation
-	since    time.Time // it was collected last
-	until    time.Time // up to which seen.Busy is counted
+	since    time.Time // last collect
+	until    time.Time // end of the time included in seen.Busy
 }
 
-// row returns a service's row, counted up to now. The lock is held.
+// row returns the row of a service with seen.Busy updated to now. The caller holds the lock.
 func (ls *loads) row(service string, now time.Time) *loadRow {
 	if ls.rows == nil {
 		ls.rows = map[string]*loadRow{}
@@ -39,7 +38,7 @@
 	return ro
 }
 
-// begin notes that a request is sent to an endpoint.
+// begin records that a request is sent to an endpoint.
 func (ls *loads) begin(service string, now time.Time) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -48,8 +47,8 @@
 	ro.seen.Begun++
 }
 
-// end notes that an endpoint is done with a request, or did not run it. What did not run
-// doesn't count as begun, unless its beginning was collected before.
+// end records that an endpoint has finished a request, or did not run it. Then its begin is not
+// counted, unless collected before.
 func (ls *loads) end(service string, notRun bool, now time.Time) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -60,15 +59,14 @@
 	}
 }
 
-// refuse notes that no place was found for a request.
+// refuse records that a request was rejected for lack of capacity.
 func (ls *loads) refuse(service string, now time.Time) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ls.row(service, now).seen.Refused++
 }
 
-// collect returns what was seen of a service, and counts from zero again but for what is
-// in flight.
+// collect returns and resets the load of a service, except for the requests in flight.
 func (ls *loads) collect(service string, now time.Time) scale.Observation {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -79,8 +77,7 @@
 	return se
 }
 
-// Loads returns what was seen of the plain services whose endpoints may be ordered, since
-// it was called before; nil if there are none.
+// Loads returns the load of each scaled plain service since the previous call; nil if there are none.
 func (fo *Forwarder) Loads(now time.Time) map[string]scale.Observation {
 	co := fo.Directory.Configuration()
 	if co == nil {
@@ -95,17 +92,16 @@
 			out = map[string]scale.Observation{}
 		}
 		se := fo.loads.collect(sv.Name, now)
-		se.Waiting = fo.lines.waiting(sv.Name)
+		se.Waiting = fo.queues.waiting(sv.Name)
 		out[sv.Name] = se
 	}
 	return out
 }
 
-// noteRefused notes a request that ended without a run if that was for want of places: it
-// was refused in its line, or no endpoint that it was sent to ran it. One whose customer has
-// all the places that it may have, or that is in quarantine, says nothing of how many
-// endpoints are needed.
-func (fo *Forwarder) noteRefused(rq *request, re *result) {
+// countRejected counts a request as rejected if it did not run for lack of capacity: it was rejected by
+// the queue or by the endpoints that it was sent to. A request that was rejected because of its
+// customer's limit or of quarantine needs no more endpoints.
+func (fo *Forwarder) countRejected(rq *request, re *result) {
 	if re.notRun && re.heldFor == 0 && (re.refusal != nil || len(re.tried) > 0) {
 		fo.loads.refuse(rq.service, time.Now())
 	}
--- a/forward/loads_test.go
+++ b/forward/loads_test.go
@@ -11,8 +11,8 @@
 	"wisteriacroft/scale"
 )
 
-// scaled installs a configuration that allows scaling of the desk service.
-func (de *deployment) scaled() {
+// enableScaling installs a configuration that allows scaling of the desk service.
+func (de *deployment) enableScaling() {
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
 	co.Services = []directory.Service{
@@ -47,9 +47,9 @@
 // Loads are reported only for scaled plain services. A request that several endpoints reject counts
 // as one rejection.
 func TestLoadsOfRequests(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, full, whole)
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, full, succeeding)
 	assert.Equal(t, len(de.forwarder.Loads(time.Now())), 0)
-	de.scaled()
+	de.enableScaling()
 	assert.Equal(t, (<-de.send(t, "/a")).status, 200)
 	loads := de.forwarder.Loads(time.Now())
 	assert.Equal(t, len(loads), 1)
@@ -59,20 +59,20 @@
 	assert.Assert(t, loads["desk"].Span > 0)
 
 	de = deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 2}, full, full)
-	de.scaled()
+	de.enableScaling()
 	de.forwarder.Loads(time.Now())
 	assert.Equal(t, (<-de.send(t, "/a")).status, 503)
 	loads = de.forwarder.Loads(time.Now())
 	assert.Equal(t, loads["desk"].Begun, 0)
-	assert.Equal(t, loads["desk"].Refused, 1, "a request that two endpoints refused is one")
+	assert.Equal(t, loads["desk"].Refused, 1, "a request that two endpoints rejected counts once")
 }
 
 // A stream that breaks and cannot be resumed must not stay counted as in flight.
 func TestLoadsOfStreams(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.AtMostOnce, MaxAttempts: 2, Streaming: true}, cutShort)
-	de.scaled()
+	de := deploy(t, directory.Route{Kind: directory.AtMostOnce, MaxAttempts: 2, Streaming: true}, truncated)
+	de.enableScaling()
 	<-de.send(t, "/a")
-	until(t, "the place is free", func() bool {
+	waitUntil(t, "the slot is free", func() bool {
 		de.forwarder.loads.mu.Lock()
 		defer de.forwarder.loads.mu.Unlock()
 		return de.forwarder.loads.rows["desk"].inFlight == 0
--- a/forward/memory_test.go
+++ b/forward/memory_test.go
@@ -12,10 +12,10 @@
 	"wisteriacroft/directory"
 )
 
-// post sends a body with ada's key, and with a Content-Length if told.
-func (de *deployment) post(t *testing.T, body io.Reader, told bool) *http.Response {
+// post sends a body with ada's key, and with a Content-Length if withLength.
+func (de *deployment) post(t *testing.T, body io.Reader, withLength bool) *http.Response {
 	t.Helper()
-	if !told {
+	if !withLength {
 		body = io.MultiReader(body)
 	}
 	rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, de.entry.URL+"/a", body)
@@ -31,11 +31,11 @@
 	return resp
 }
 
-// remembering starts an entry with a memory limit and without a limit on body sizes.
-func remembering(t *testing.T, bound int64) *deployment {
+// deployWithMemory starts an entry with a memory limit and without a limit on body sizes.
+func deployWithMemory(t *testing.T, bound int64) *deployment {
 	t.Helper()
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, whole)
-	de.keyed(false)
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, succeeding)
+	de.requireKeys(false)
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
 	co.Limits.BodySize = 0
@@ -47,7 +47,7 @@
 
 // An idle entry must accept any body within the memory limit, also one larger than half of it, and
 // must answer 413, not a retryable 503, to a larger one.
-func TestBodiesThatFitAnIdleEntryAreServed(t *testing.T) {
+func TestIdleEntryAcceptsLargeBodies(t *testing.T) {
 	const bound = 64 << 10
 	for _, tc := range []struct {
 		size   int
@@ -59,21 +59,21 @@
 		{bound + 1, http.StatusRequestEntityTooLarge},
 		{2 * bound, http.StatusRequestEntityTooLarge},
 	} {
-		for _, told := range []bool{true, false} {
-			de := remembering(t, bound)
-			got := de.post(t, strings.NewReader(strings.Repeat("x", tc.size)), told) //nolint:bodyclose // post closes it
-			assert.Equal(t, got.StatusCode, tc.status, "%d bytes, told %v", tc.size, told)
+		for _, withLength := range []bool{true, false} {
+			de := deployWithMemory(t, bound)
+			got := de.post(t, strings.NewReader(strings.Repeat("x", tc.size)), withLength) //nolint:bodyclose // post closes it
+			assert.Equal(t, got.StatusCode, tc.status, "%d bytes, with length %v", tc.size, withLength)
 			assert.Equal(t, got.Header.Get("Retry-After"), "")
-			until(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
+			waitUntil(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
 		}
 	}
 }
 
 // Of two concurrent bodies, each larger than half of the memory limit, one must be accepted: read
 // side by side, each would be rejected because of the other.
-func TestOneOfTwoLargeBodiesIsServed(t *testing.T) {
+func TestConcurrentLargeBodies(t *testing.T) {
 	const bound = 64 << 10
-	de := remembering(t, bound)
+	de := deployWithMemory(t, bound)
 	rd, wr := io.Pipe()
 	rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, de.entry.URL+"/a", rd)
 	assert.NilError(t, err)
@@ -92,7 +92,7 @@
 	}()
 	_, err = wr.Write(make([]byte, 1000))
 	assert.NilError(t, err)
-	until(t, "it is reserved", func() bool { total, _, _ := de.forwarder.Held(); return total == bound*6/10 })
+	waitUntil(t, "it is reserved", func() bool { total, _, _ := de.forwarder.Held(); return total == bound*6/10 })
 	second := de.post(t, strings.NewReader(strings.Repeat("x", bound*6/10)), true) //nolint:bodyclose // post closes it
 	assert.Equal(t, second.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, second.Header.Get("Retry-After"), "0.2")
@@ -100,7 +100,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, wr.Close())
 	assert.Equal(t, <-first, http.StatusOK)
-	until(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
+	waitUntil(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
 	again := de.post(t, strings.NewReader(strings.Repeat("x", bound*6/10)), true) //nolint:bodyclose // post closes it
 	assert.Equal(t, again.StatusCode, http.StatusOK)
 }
--- a/forward/operatorhold.go
+++ b/forward/operatorhold.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// operatorHoldRetry is when a caller may come back whose customer an operator holds: operators
-// release within minutes rather than seconds.
+// operatorHoldRetry is the Retry-After for customers held by an operator, which lasts minutes rather
+// than seconds.
 const operatorHoldRetry = 10 * time.Second
 
-// operatorHold returns what a request gets whose customer an operator holds, or nil. A live
-// caller can't wait for the release; told at once that nothing ran, it may do so itself.
+// operatorHold returns the rejection of a request whose customer is held by an operator, or nil. The
+// request is rejected rather than queued, since a hold outlasts the deadline of live requests.
 func (fo *Forwarder) operatorHold(customer string) *rejection {
 	re, ok := fo.Directory.Holds().Customer(customer)
 	if !ok || customer == "" {
--- a/forward/operatorhold_test.go
+++ b/forward/operatorhold_test.go
@@ -12,8 +12,8 @@
 	"wisteriacroft/hold"
 )
 
-// sheetOf returns a sheet with one hold.
-func sheetOf(t *testing.T, version int64, ki hold.Kind, name string) *hold.Set {
+// setOf returns a set with one hold.
+func setOf(t *testing.T, version int64, ki hold.Kind, name string) *hold.Set {
 	t.Helper()
 	sh, _, err := (*hold.Set)(nil).Apply(hold.Change{
 		Action: hold.Held, Record: hold.Record{By: "eve", Target: hold.Target{Kind: ki, Name: name}, Why: "too many"},
@@ -22,17 +22,17 @@
 	return sh.WithVersion(version)
 }
 
-func TestHeldCustomerIsRefusedAtOnce(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable}, told)
-	de.keyed(false)
+func TestHeldCustomerIsRejected(t *testing.T) {
+	de := deploy(t, directory.Route{Kind: directory.Repeatable}, echoHeaders)
+	de.requireKeys(false)
 	for _, tc := range []struct {
 		sheet  *hold.Set
 		status int
 	}{
 		{nil, http.StatusOK},
-		{sheetOf(t, 1, hold.Customer, "bob"), http.StatusOK},
-		{sheetOf(t, 2, hold.Customer, "ada"), http.StatusServiceUnavailable},
-		{sheetOf(t, 3, hold.Customer, "bob"), http.StatusOK},
+		{setOf(t, 1, hold.Customer, "bob"), http.StatusOK},
+		{setOf(t, 2, hold.Customer, "ada"), http.StatusServiceUnavailable},
+		{setOf(t, 3, hold.Customer, "bob"), http.StatusOK},
 	} {
 		de.forwarder.Directory.SetHolds(tc.sheet)
 		runs := de.runs.Load()
@@ -52,15 +52,15 @@
 	}
 }
 
-func TestDrainedEndpointGetsNothingNew(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 3}, told, told)
-	de.forwarder.Directory.SetHolds(sheetOf(t, 1, hold.Endpoint, "endpoint-0"))
+func TestDrainedEndpointGetsNoRequests(t *testing.T) {
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 3}, echoHeaders, echoHeaders)
+	de.forwarder.Directory.SetHolds(setOf(t, 1, hold.Endpoint, "endpoint-0"))
 	for range 20 {
 		en, ok := de.forwarder.table.Pick(de.forwarder.Directory.Endpoints("desk"), nil, "0", time.Now())
 		assert.Assert(t, ok)
 		assert.Equal(t, en.ID, "endpoint-1")
 	}
-	de.forwarder.Directory.SetHolds(sheetOf(t, 2, hold.Endpoint, "endpoint-1"))
+	de.forwarder.Directory.SetHolds(setOf(t, 2, hold.Endpoint, "endpoint-1"))
 	en, _ := de.forwarder.table.Pick(de.forwarder.Directory.Endpoints("desk"), nil, "0", time.Now())
 	assert.Equal(t, en.ID, "endpoint-0")
 }
--- a/forward/overload_test.go
+++ b/forward/overload_test.go
@@ -17,286 +17,286 @@
 )
 
 const (
-	crowdHop      = time.Millisecond // network latency, one way
-	crowdDeadline = 2 * time.Second
-	crowdQueue    = 24 // maximum queue length of a desk
+	clusterHop      = time.Millisecond // network latency, one way
+	clusterDeadline = 2 * time.Second
+	clusterQueue    = 24 // maximum queue length of an endpoint
 )
 
-// A crowdCall is one caller's request.
-type crowdCall struct {
+// A clusterCall is one caller's request.
+type clusterCall struct {
 	wa      admission.Waiter
-	entry   *crowdEntry
+	entry   *clusterEntry
 	service time.Duration
 	tried   map[string]bool
 }
 
-// A crowdJob is a call at a desk or on the way to it, or the response on its way back.
-type crowdJob struct {
+// A clusterJob is a call at an endpoint or on the way to it, or the response on its way back.
+type clusterJob struct {
 	at   time.Duration // time of arrival at the other end
-	call *crowdCall
+	call *clusterCall
 	left time.Duration
 	load admission.Load
 	sent time.Duration
 }
 
-// A crowdDesk is an endpoint that reports its load and rejects requests while its queue is full.
-type crowdDesk struct {
-	answers  []*crowdJob
-	coming   []*crowdJob
+// A clusterEndpoint is an endpoint that reports its load and rejects requests while its queue is full.
+type clusterEndpoint struct {
+	answers  []*clusterJob
+	arriving []*clusterJob
 	en       directory.Endpoint
-	here     []*crowdJob // running first, then queued
+	accepted []*clusterJob // running first, then queued
 	paceFunc func(now time.Duration) float64
 }
 
-// A crowdEntry is an entry, which sees only its own requests.
-type crowdEntry struct {
+// A clusterEntry is an entry, which sees only its own requests.
+type clusterEntry struct {
 	domain string
-	line   line
+	queue  serviceQueue
 	table  Table
 	weight float64
 }
 
-// A crowd simulates entries and desks, and counts the outcomes of calls.
-type crowd struct {
-	asking   bool // entries try endpoints in turn instead of predicting capacity
-	calls    map[*crowdEntry]map[uint64]*crowdCall
-	desks    []*crowdDesk
-	ens      []directory.Endpoint
-	entries  []*crowdEntry
-	now      time.Duration
-	rateFunc func(now time.Duration, domain string) float64 // calls a second
-	rng      *rand.Rand
+// A cluster simulates entries and endpoints, and counts the outcomes of calls.
+type cluster struct {
+	inTurn    bool // entries try endpoints in turn instead of predicting capacity
+	calls     map[*clusterEntry]map[uint64]*clusterCall
+	endpoints []*clusterEndpoint
+	ens       []directory.Endpoint
+	entries   []*clusterEntry
+	now       time.Duration
+	rateFunc  func(now time.Duration, domain string) float64 // calls a second
+	rng       *rand.Rand
 
 	arrived, across, answered, inGoal, offered, refused, rejected int
 	acrossAt                                                      []time.Duration
 	took                                                          []time.Duration
 }
 
-func newCrowd(entries, domains, desks int, asking bool) *crowd {
-	cr := &crowd{asking: asking, calls: map[*crowdEntry]map[uint64]*crowdCall{}, rng: rand.New(rand.NewPCG(1, 1))}
-	for i := range desks {
-		de := &crowdDesk{
+func newCluster(entries, domains, endpoints int, inTurn bool) *cluster {
+	cl := &cluster{inTurn: inTurn, calls: map[*clusterEntry]map[uint64]*clusterCall{}, rng: rand.New(rand.NewPCG(1, 1))}
+	for i := range endpoints {
+		de := &clusterEndpoint{
 			en:       directory.Endpoint{Domain: fmt.Sprint(i % domains), ID: fmt.Sprint("desk-", i), Slots: 6},
 			paceFunc: func(time.Duration) float64 { return 1 },
 		}
-		cr.desks, cr.ens = append(cr.desks, de), append(cr.ens, de.en)
+		cl.endpoints, cl.ens = append(cl.endpoints, de), append(cl.ens, de.en)
 	}
 	for i := range entries {
-		en := &crowdEntry{domain: fmt.Sprint(i % domains), weight: 0.5 + cr.rng.Float64()}
-		en.table.drawFunc = cr.rng.IntN
-		cr.calls[en] = map[uint64]*crowdCall{}
-		cr.entries = append(cr.entries, en)
+		en := &clusterEntry{domain: fmt.Sprint(i % domains), weight: 0.5 + cl.rng.Float64()}
+		en.table.drawFunc = cl.rng.IntN
+		cl.calls[en] = map[uint64]*clusterCall{}
+		cl.entries = append(cl.entries, en)
 	}
-	return cr
+	return cl
 }
 
-func (cr *crowd) clock() time.Time { return simBegin.Add(cr.now) }
+func (cl *cluster) clock() time.Time { return simBegin.Add(cl.now) }
 
-func (cr *crowd) destinations(en *crowdEntry) destinations {
-	return destinations{domain: en.domain, ens: cr.ens, table: &en.table}
+func (cl *cluster) candidates(en *clusterEntry) candidates {
+	return candidates{domain: en.domain, ens: cl.ens, table: &en.table}
 }
 
 // arrive creates the calls of one time step.
-func (cr *crowd) arrive() {
+func (cl *cluster) arrive() {
 	weights := map[string]float64{}
-	for _, en := range cr.entries {
+	for _, en := range cl.entries {
 		weights[en.domain] += en.weight
 	}
-	for _, en := range cr.entries {
-		if cr.rng.Float64() >= cr.rateFunc(cr.now, en.domain)*en.weight/weights[en.domain]*simStep.Seconds() {
+	for _, en := range cl.entries {
+		if cl.rng.Float64() >= cl.rateFunc(cl.now, en.domain)*en.weight/weights[en.domain]*simStep.Seconds() {
 			continue
 		}
-		en.line.next++
-		ca := &crowdCall{entry: en, service: time.Duration(21e6 * math.Exp(0.5*cr.rng.NormFloat64()-0.125)), tried: map[string]bool{}}
+		en.queue.lastID++
+		ca := &clusterCall{entry: en, service: time.Duration(21e6 * math.Exp(0.5*cl.rng.NormFloat64()-0.125)), tried: map[string]bool{}}
 		ca.wa = admission.Waiter{
-			Arrived: cr.clock(), ID: en.line.next,
-			Deadlines: admission.Deadlines{Deadline: cr.clock().Add(crowdDeadline), Goal: cr.clock().Add(simGoal)},
+			Arrived: cl.clock(), ID: en.queue.lastID,
+			Deadlines: admission.Deadlines{Deadline: cl.clock().Add(clusterDeadline), Goal: cl.clock().Add(simGoal)},
 		}
-		cr.arrived++
-		cr.begin(ca)
+		cl.arrived++
+		cl.begin(ca)
 	}
 }
 
-func (cr *crowd) begin(ca *crowdCall) {
+func (cl *cluster) begin(ca *clusterCall) {
 	en := ca.entry
-	if cr.asking {
-		cr.ask(ca)
+	if cl.inTurn {
+		cl.sendNext(ca)
 		return
 	}
-	to, ok, refused := en.line.admit(cr.destinations(en), ca.wa, ca.wa.Goal, cr.clock())
+	to, ok, refused := en.queue.admit(cl.candidates(en), ca.wa, ca.wa.Goal, cl.clock())
 	if ok {
-		cr.send(ca, to)
+		cl.send(ca, to)
 		return
 	}
-	cr.calls[en][ca.wa.ID] = ca
-	cr.refuse(en, refused)
+	cl.calls[en][ca.wa.ID] = ca
+	cl.refuse(en, refused)
 }
 
-// ask sends a call to the next endpoint that has not rejected it.
-func (cr *crowd) ask(ca *crowdCall) {
-	to, ok := ca.entry.table.Pick(cr.ens, ca.tried, ca.entry.domain, cr.clock())
+// sendNext sends a call to the next endpoint that has not rejected it.
+func (cl *cluster) sendNext(ca *clusterCall) {
+	to, ok := ca.entry.table.Pick(cl.ens, ca.tried, ca.entry.domain, cl.clock())
 	if !ok {
-		cr.refused++
+		cl.refused++
 		return
 	}
-	cr.send(ca, to)
+	cl.send(ca, to)
 }
 
-func (cr *crowd) send(ca *crowdCall, to directory.Endpoint) {
+func (cl *cluster) send(ca *clusterCall, to directory.Endpoint) {
 	ca.tried[to.ID] = true
-	cr.offered++
+	cl.offered++
 	if to.Domain != ca.entry.domain {
-		cr.across++
-		cr.acrossAt = append(cr.acrossAt, cr.now)
+		cl.across++
+		cl.acrossAt = append(cl.acrossAt, cl.now)
 	}
-	de := cr.desks[slices.IndexFunc(cr.ens, func(en directory.Endpoint) bool { return en.ID == to.ID })]
-	de.coming = append(de.coming, &crowdJob{at: cr.now + crowdHop, call: ca, left: ca.service, sent: cr.now})
+	de := cl.endpoints[slices.IndexFunc(cl.ens, func(en directory.Endpoint) bool { return en.ID == to.ID })]
+	de.arriving = append(de.arriving, &clusterJob{at: cl.now + clusterHop, call: ca, left: ca.service, sent: cl.now})
 }
 
-func (cr *crowd) refuse(en *crowdEntry, res []admission.Refusal) {
+func (cl *cluster) refuse(en *clusterEntry, res []admission.Refusal) {
 	for _, re := range res {
-		delete(cr.calls[en], re.ID)
-		cr.refused++
+		delete(cl.calls[en], re.ID)
+		cl.refused++
 	}
 }
 
-// work simulates a desk for one time step and delivers its responses.
-func (cr *crowd) work(de *crowdDesk) {
-	pace := de.paceFunc(cr.now)
+// step simulates an endpoint for one time step and delivers its responses.
+func (cl *cluster) step(de *clusterEndpoint) {
+	pace := de.paceFunc(cl.now)
 	load := func() admission.Load {
-		running := min(len(de.here), de.en.Slots)
-		return admission.Load{Pace: int(100 * pace), Places: de.en.Slots, Running: running, Waiting: len(de.here) - running}
+		running := min(len(de.accepted), de.en.Slots)
+		return admission.Load{Pace: int(100 * pace), Places: de.en.Slots, Running: running, Waiting: len(de.accepted) - running}
 	}
-	back := func(jo *crowdJob) {
-		jo.at, jo.load = cr.now+crowdHop, load()
+	back := func(jo *clusterJob) {
+		jo.at, jo.load = cl.now+clusterHop, load()
 		de.answers = append(de.answers, jo)
 	}
-	de.coming = slices.DeleteFunc(de.coming, func(jo *crowdJob) bool {
-		if jo.at > cr.now {
+	de.arriving = slices.DeleteFunc(de.arriving, func(jo *clusterJob) bool {
+		if jo.at > cl.now {
 			return false
 		}
-		if len(de.here) >= de.en.Slots+crowdQueue {
+		if len(de.accepted) >= de.en.Slots+clusterQueue {
 			back(jo)
 		} else {
-			de.here = append(de.here, jo)
+			de.accepted = append(de.accepted, jo)
 		}
 		return true
 	})
-	var done []*crowdJob
-	for _, jo := range de.here[:min(len(de.here), de.en.Slots)] {
+	var done []*clusterJob
+	for _, jo := range de.accepted[:min(len(de.accepted), de.en.Slots)] {
 		jo.left -= time.Duration(float64(simStep) / pace)
 		if jo.left <= 0 {
 			done = append(done, jo)
 		}
 	}
-	de.here = slices.DeleteFunc(de.here, func(jo *crowdJob) bool { return jo.left <= 0 })
+	de.accepted = slices.DeleteFunc(de.accepted, func(jo *clusterJob) bool { return jo.left <= 0 })
 	for _, jo := range done {
 		back(jo)
 	}
-	de.answers = slices.DeleteFunc(de.answers, func(jo *crowdJob) bool {
-		if jo.at > cr.now {
+	de.answers = slices.DeleteFunc(de.answers, func(jo *clusterJob) bool {
+		if jo.at > cl.now {
 			return false
 		}
-		cr.take(de, jo)
+		cl.deliver(de, jo)
 		return true
 	})
 }
 
-// take delivers a response to its entry.
-func (cr *crowd) take(de *crowdDesk, jo *crowdJob) {
+// deliver delivers a response to its entry.
+func (cl *cluster) deliver(de *clusterEndpoint, jo *clusterJob) {
 	ca := jo.call
 	en := ca.entry
 	full := jo.left > 0
 	en.table.Done(de.en.ID)
 	en.table.Answered(de.en.ID, admission.Response{
-		At: cr.clock(), Load: jo.load, Refused: full, Slots: de.en.Slots, Target: admission.LatencyTarget(simGoal), Told: true, Took: cr.now - jo.sent,
+		At: cl.clock(), Load: jo.load, Refused: full, Slots: de.en.Slots, Target: admission.LatencyTarget(simGoal), Told: true, Took: cl.now - jo.sent,
 	})
-	switch took := cr.clock().Sub(ca.wa.Arrived); {
-	case full && cr.asking:
-		cr.rejected++
-		cr.ask(ca)
+	switch took := cl.clock().Sub(ca.wa.Arrived); {
+	case full && cl.inTurn:
+		cl.rejected++
+		cl.sendNext(ca)
 	case full:
-		cr.rejected++
-		cr.refused++
+		cl.rejected++
+		cl.refused++
 	default:
-		cr.answered++
-		cr.took = append(cr.took, took)
+		cl.answered++
+		cl.took = append(cl.took, took)
 		if took <= simGoal {
-			cr.inGoal++
+			cl.inGoal++
 		}
 	}
-	cr.pump(en)
+	cl.pump(en)
 }
 
-func (cr *crowd) pump(en *crowdEntry) {
-	if en.line.queue.Len() == 0 {
+func (cl *cluster) pump(en *clusterEntry) {
+	if en.queue.queue.Len() == 0 {
 		return
 	}
-	gone, refused := en.line.advance(cr.destinations(en), cr.clock())
-	for _, pl := range gone {
-		ca := cr.calls[en][pl.ID]
-		delete(cr.calls[en], pl.ID)
-		cr.send(ca, pl.endpoint)
+	assigned, refused := en.queue.dispatch(cl.candidates(en), cl.clock())
+	for _, pl := range assigned {
+		ca := cl.calls[en][pl.ID]
+		delete(cl.calls[en], pl.ID)
+		cl.send(ca, pl.endpoint)
 	}
-	cr.refuse(en, refused)
+	cl.refuse(en, refused)
 }
 
-// play simulates arrivals for a period, and then runs until the last deadline.
-func (cr *crowd) play(day time.Duration) {
-	for ; cr.now < day+crowdDeadline; cr.now += simStep {
-		if cr.now < day {
-			cr.arrive()
+// run simulates arrivals for a period, and then runs until the last deadline.
+func (cl *cluster) run(day time.Duration) {
+	for ; cl.now < day+clusterDeadline; cl.now += simStep {
+		if cl.now < day {
+			cl.arrive()
 		}
-		for _, de := range cr.desks {
-			cr.work(de)
+		for _, de := range cl.endpoints {
+			cl.step(de)
 		}
-		if cr.now%pumpEvery == 0 {
-			for _, en := range cr.entries {
-				cr.pump(en)
+		if cl.now%pumpInterval == 0 {
+			for _, en := range cl.entries {
+				cl.pump(en)
 			}
 		}
 	}
-	slices.Sort(cr.took)
+	slices.Sort(cl.took)
 }
 
-// A crowdLoad is a load pattern.
-type crowdLoad struct {
+// A clusterLoad is a load pattern.
+type clusterLoad struct {
 	name    string
 	entries int
 	rate    float64 // calls a second over all entries
-	setFunc func(cr *crowd)
+	setFunc func(cl *cluster)
 }
 
-// crowdLoads returns the load patterns. The capacity of all desks is 850 calls a second at normal
+// clusterLoads returns the load patterns. The capacity of all endpoints is 850 calls a second at normal
 // speed.
-func crowdLoads() []crowdLoad {
-	paces := func(paceFunc func(desk int, now time.Duration) float64) func(cr *crowd) {
-		return func(cr *crowd) {
-			for i, de := range cr.desks {
+func clusterLoads() []clusterLoad {
+	paces := func(paceFunc func(endpoint int, now time.Duration) float64) func(cl *cluster) {
+		return func(cl *cluster) {
+			for i, de := range cl.endpoints {
 				de.paceFunc = func(now time.Duration) float64 { return paceFunc(i, now) }
 			}
 		}
 	}
-	return []crowdLoad{
-		{"far below the room", 21, 12, nil},
-		{"half of the room", 21, 425, nil},
-		{"1.4 times the room, 21 entries", 21, 1200, nil},
-		{"1.4 times the room, one entry", 1, 900, nil},
-		{"3 times the room, 40 entries", 40, 2500, nil},
-		{"beyond, paces change each 0.6 s", 21, 960, paces(func(desk int, now time.Duration) float64 {
-			if rand.New(rand.NewPCG(uint64(now/(600*time.Millisecond)), uint64(desk))).Float64() < 0.15 {
+	return []clusterLoad{
+		{"far below capacity", 21, 12, nil},
+		{"half of capacity", 21, 425, nil},
+		{"1.4 times capacity, 21 entries", 21, 1200, nil},
+		{"1.4 times capacity, one entry", 1, 900, nil},
+		{"3 times capacity, 40 entries", 40, 2500, nil},
+		{"overload, speeds change every 0.6 s", 21, 960, paces(func(endpoint int, now time.Duration) float64 {
+			if rand.New(rand.NewPCG(uint64(now/(600*time.Millisecond)), uint64(endpoint))).Float64() < 0.15 {
 				return 2.5
 			}
 			return 1
 		})},
-		{"below, one is 3x slow for half of the time", 21, 400, paces(func(desk int, now time.Duration) float64 {
-			if desk == 0 && now%(240*time.Millisecond) < 120*time.Millisecond {
+		{"below capacity, one 3x slower half the time", 21, 400, paces(func(endpoint int, now time.Duration) float64 {
+			if endpoint == 0 && now%(240*time.Millisecond) < 120*time.Millisecond {
 				return 3
 			}
 			return 1
 		})},
-		{"beyond, one is 3x slow for half of the time", 21, 900, paces(func(desk int, now time.Duration) float64 {
-			if desk == 0 && now%(240*time.Millisecond) < 120*time.Millisecond {
+		{"overload, one 3x slower half the time", 21, 900, paces(func(endpoint int, now time.Duration) float64 {
+			if endpoint == 0 && now%(240*time.Millisecond) < 120*time.Millisecond {
 				return 3
 			}
 			return 1
@@ -304,31 +304,31 @@
 	}
 }
 
-// TestRoomForeseen compares predicting the capacity of desks with trying desk after desk, for many
+// TestPredictedCapacity compares predicting the capacity of endpoints with trying one after the other, for many
 // independent entries with delayed load reports.
-func TestRoomForeseen(t *testing.T) {
+func TestPredictedCapacity(t *testing.T) {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%-45s %-10s %8s %9s %8s %8s %8s %6s\n", "load", "way", "arrived", "answered", "in goal", "refused", "rejected", "p99")
-	for _, lo := range crowdLoads() {
+	fmt.Fprintf(&out, "%-45s %-10s %8s %9s %8s %8s %8s %6s\n", "load", "policy", "arrived", "answered", "in goal", "refused", "rejected", "p99")
+	for _, lo := range clusterLoads() {
 		inGoal := map[bool]int{}
-		for _, asking := range []bool{true, false} {
-			cr := newCrowd(lo.entries, 3, 3, asking)
-			cr.rateFunc = func(time.Duration, string) float64 { return lo.rate / float64(min(lo.entries, 3)) }
+		for _, inTurn := range []bool{true, false} {
+			cl := newCluster(lo.entries, 3, 3, inTurn)
+			cl.rateFunc = func(time.Duration, string) float64 { return lo.rate / float64(min(lo.entries, 3)) }
 			if lo.setFunc != nil {
-				lo.setFunc(cr)
+				lo.setFunc(cl)
 			}
-			cr.play(6 * time.Second)
-			way := "foreseen"
-			if asking {
-				way = "asked"
+			cl.run(6 * time.Second)
+			policy := "predicted"
+			if inTurn {
+				policy = "in turn"
 			}
-			inGoal[asking] = cr.inGoal
-			fmt.Fprintf(&out, "%-45s %-10s %8d %9d %8d %8d %7.1f%% %4dms\n", lo.name, way, cr.arrived, cr.answered, cr.inGoal, cr.refused,
-				100*float64(cr.rejected)/float64(max(cr.offered, 1)), quantile(cr.took, .99).Milliseconds())
-			assert.Equal(t, cr.arrived, cr.answered+cr.refused, lo.name)
-			if !asking {
+			inGoal[inTurn] = cl.inGoal
+			fmt.Fprintf(&out, "%-45s %-10s %8d %9d %8d %8d %7.1f%% %4dms\n", lo.name, policy, cl.arrived, cl.answered, cl.inGoal, cl.refused,
+				100*float64(cl.rejected)/float64(max(cl.offered, 1)), quantile(cl.took, .99).Milliseconds())
+			assert.Equal(t, cl.arrived, cl.answered+cl.refused, lo.name)
+			if !inTurn {
 				// Requests sent before the first responses cannot be predicted.
-				assert.Assert(t, float64(cr.rejected) <= 0.05*float64(cr.offered), lo.name)
+				assert.Assert(t, float64(cl.rejected) <= 0.05*float64(cl.offered), lo.name)
 			}
 		}
 		assert.Assert(t, float64(inGoal[false]) >= 0.98*float64(inGoal[true]), lo.name)
@@ -337,19 +337,19 @@
 }
 
 // Requests go to the other failure domain only while their own cannot serve them in time.
-func TestSpillByNeed(t *testing.T) {
-	cr := newCrowd(10, 2, 2, false)
+func TestSpillToOtherFailureDomain(t *testing.T) {
+	cl := newCluster(10, 2, 2, false)
 	begun, ended := 2*time.Second, 6*time.Second
-	cr.rateFunc = func(now time.Duration, domain string) float64 {
+	cl.rateFunc = func(now time.Duration, domain string) float64 {
 		if domain == "0" && now >= begun && now < ended {
-			return 400 // its desk has a capacity of 285
+			return 400 // its endpoint has a capacity of 285
 		}
 		return 60
 	}
-	cr.play(12 * time.Second)
+	cl.run(12 * time.Second)
 	across := func(from, to time.Duration) int {
 		count := 0
-		for _, at := range cr.acrossAt {
+		for _, at := range cl.acrossAt {
 			if at >= from && at < to {
 				count++
 			}
@@ -357,12 +357,12 @@
 		return count
 	}
 	before, during, after := across(0, begun), across(begun, ended), across(ended+3*time.Second, 12*time.Second)
-	t.Logf("across: %d before, %d during, %d after; %d of %d in goal, %d refused", before, during, after, cr.inGoal, cr.arrived, cr.refused)
+	t.Logf("to the other domain: %d before, %d during, %d after; %d of %d in goal, %d refused", before, during, after, cl.inGoal, cl.arrived, cl.refused)
 	for at := begun + 500*time.Millisecond; at < ended; at += 250 * time.Millisecond {
 		part := float64(across(at, at+250*time.Millisecond)) / 100
-		assert.Assert(t, part > 0.15 && part < 0.75, "from %v on %.2f went across", at, part)
+		assert.Assert(t, part > 0.15 && part < 0.75, "from %v on a fraction of %.2f went to the other domain", at, part)
 	}
 	assert.Assert(t, float64(before) < 0.05*240)
 	assert.Assert(t, float64(after) < 0.05*360)
-	assert.Assert(t, float64(cr.inGoal) > 0.97*float64(cr.arrived))
+	assert.Assert(t, float64(cl.inGoal) > 0.97*float64(cl.arrived))
 }
--- a/forward/line_test.go
+++ b/forward/queue_test.go
@@ -17,8 +17,8 @@
 	"wisteriacroft/directory"
 )
 
-// held is a behaviour that responds after release is closed.
-func held(release <-chan struct{}) behaviour {
+// blocked is a behaviour that responds after release is closed.
+func blocked(release <-chan struct{}) behaviour {
 	return func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		run()
 		select {
@@ -31,9 +31,9 @@
 	}
 }
 
-// crowded reports all endpoints as overloaded, so that the entry sends each at most one request at
+// overloadAll reports all endpoints as overloaded, so that the entry sends each at most one request at
 // a time.
-func (de *deployment) crowded(goal time.Duration) {
+func (de *deployment) overloadAll(goal time.Duration) {
 	ens := de.forwarder.Directory.Endpoints("desk")
 	for range 40 {
 		for _, en := range ens {
@@ -45,9 +45,9 @@
 	}
 }
 
-// oneEach reports a rejection by each endpoint, so that the entry sends each at most one request at
+// rejectOnce reports a rejection by each endpoint, so that the entry sends each at most one request at
 // a time.
-func (de *deployment) oneEach() {
+func (de *deployment) rejectOnce() {
 	ta := &de.forwarder.table
 	for _, en := range de.forwarder.Directory.Endpoints("desk") {
 		ta.Pick([]directory.Endpoint{en}, nil, "", time.Now())
@@ -88,8 +88,8 @@
 	return out
 }
 
-// until waits up to 2 s for a condition.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits up to 2 s for a condition.
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 2000 {
 		if ok() {
@@ -97,43 +97,43 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("not in time:", what)
+	t.Fatal("timeout waiting for:", what)
 }
 
 func (de *deployment) waiting() int {
-	ls := &de.forwarder.lines
+	ls := &de.forwarder.queues
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	return ls.line("desk").queue.Len()
+	return ls.queue("desk").queue.Len()
 }
 
 // A request queued at an entry must survive the failure of an endpoint, and must be reported as not
 // run only if it did not run.
-func TestWaitersGoOnElsewhere(t *testing.T) {
+func TestQueuedRequestsSurviveEndpointFailure(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		freed  bool // the second endpoint has room again
+		freed  bool // the second endpoint has capacity again
 		status int
 	}{
-		{"another has room", true, http.StatusOK},
-		{"no other has room", false, http.StatusServiceUnavailable},
+		{"another has capacity", true, http.StatusOK},
+		{"no other has capacity", false, http.StatusServiceUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dying, busy := make(chan struct{}), make(chan struct{})
 			free := sync.OnceFunc(func() { close(busy) })
 			goal := 2 * time.Second
-			de := deploy(t, directory.Route{Goal: goal, Kind: directory.AtMostOnce, MaxAttempts: 3}, held(dying), held(busy))
+			de := deploy(t, directory.Route{Goal: goal, Kind: directory.AtMostOnce, MaxAttempts: 3}, blocked(dying), blocked(busy))
 			t.Cleanup(func() {
 				close(dying)
 				free()
 			})
-			de.oneEach()
+			de.rejectOnce()
 			first := de.send(t, "/a")
-			until(t, "the first is busy", func() bool { return de.runs.Load() == 1 })
+			waitUntil(t, "the first is busy", func() bool { return de.runs.Load() == 1 })
 			second := de.send(t, "/b")
-			until(t, "both endpoints are busy", func() bool { return de.runs.Load() == 2 })
+			waitUntil(t, "both endpoints are busy", func() bool { return de.runs.Load() == 2 })
 			third := de.send(t, "/c")
-			until(t, "the third waits", func() bool { return de.waiting() == 1 })
+			waitUntil(t, "the third is queued", func() bool { return de.waiting() == 1 })
 			assert.NilError(t, de.endpoints[0].Listener.Close())
 			de.endpoints[0].CloseClientConnections()
 			de.forwarder.Directory.RemoveEndpoint("endpoint-0", time.Now())
@@ -145,7 +145,7 @@
 			got := <-third
 			assert.Equal(t, got.status, tc.status)
 			if !tc.freed {
-				assert.Equal(t, de.runs.Load(), int64(2), "not run is true")
+				assert.Equal(t, de.runs.Load(), int64(2), "it did not run")
 				assert.Assert(t, got.header.Get("Retry-After") != "")
 				assert.Assert(t, got.took < 2*time.Second, got.took)
 			}
@@ -154,16 +154,16 @@
 }
 
 // Under overload a request that cannot meet its goal is rejected immediately.
-func TestRefusedAtOnce(t *testing.T) {
+func TestOverloadRejectsImmediately(t *testing.T) {
 	busy := make(chan struct{})
 	goal := 50 * time.Millisecond
-	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 3}, held(busy))
+	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 3}, blocked(busy))
 	t.Cleanup(func() { close(busy) })
-	de.crowded(goal)
+	de.overloadAll(goal)
 	de.send(t, "/a")
-	until(t, "the endpoint is busy", func() bool { return de.runs.Load() == 1 })
+	waitUntil(t, "the endpoint is busy", func() bool { return de.runs.Load() == 1 })
 	for range 20 {
-		de.forwarder.lines.line("desk").queue.Arrived(time.Now())
+		de.forwarder.queues.queue("desk").queue.Arrived(time.Now())
 	}
 	got := <-de.send(t, "/b")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
@@ -179,15 +179,15 @@
 }
 
 // A queued request whose caller has disconnected must not be sent to an endpoint.
-func TestLeaversAreNotSent(t *testing.T) {
+func TestDisconnectedCallersAreNotSent(t *testing.T) {
 	busy := make(chan struct{})
 	free := sync.OnceFunc(func() { close(busy) })
 	goal := 2 * time.Second
-	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 1}, held(busy))
+	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 1}, blocked(busy))
 	t.Cleanup(free)
-	de.oneEach()
+	de.rejectOnce()
 	first := de.send(t, "/a")
-	until(t, "the endpoint is busy", func() bool { return de.runs.Load() == 1 })
+	waitUntil(t, "the endpoint is busy", func() bool { return de.runs.Load() == 1 })
 	ctx, cancel := context.WithCancel(t.Context())
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, de.entry.URL+"/b", strings.NewReader("line"))
 	assert.NilError(t, err)
@@ -200,20 +200,20 @@
 			_ = resp.Body.Close()
 		}
 	}()
-	until(t, "it waits", func() bool { return de.waiting() == 1 })
+	waitUntil(t, "it is queued", func() bool { return de.waiting() == 1 })
 	cancel()
 	<-done
-	until(t, "it has left", func() bool { return de.waiting() == 0 })
+	waitUntil(t, "it is dequeued", func() bool { return de.waiting() == 0 })
 	free()
 	assert.Equal(t, (<-first).status, http.StatusOK)
 	assert.Equal(t, de.runs.Load(), int64(1))
 }
 
 // Internal calls are not queued here: their caller limits them.
-func TestOwnCallsDoNotWait(t *testing.T) {
+func TestInternalCallsAreNotQueued(t *testing.T) {
 	goal := 50 * time.Millisecond
-	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 1}, whole)
-	de.crowded(goal)
+	de := deploy(t, directory.Route{Goal: goal, Kind: directory.Repeatable, MaxAttempts: 1}, succeeding)
+	de.overloadAll(goal)
 	for range 5 {
 		re := de.forwarder.Call(t.Context(), rewardCall())
 		assert.Equal(t, re.Status, http.StatusOK)
@@ -221,7 +221,7 @@
 }
 
 // Callers that do not read large responses must not make the entry run out of memory.
-func TestSlowReadersAreBounded(t *testing.T) {
+func TestMemoryLimitWithSlowReaders(t *testing.T) {
 	const size = 24 << 20
 	large := func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		run()
@@ -239,26 +239,26 @@
 	got := <-de.send(t, "/b")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.header.Get("Retry-After"), "0.2")
-	assert.Equal(t, de.runs.Load(), int64(1), "not run is true")
+	assert.Equal(t, de.runs.Load(), int64(1), "it did not run")
 	total, _, most := de.forwarder.Held()
 	assert.Equal(t, total, int64(size))
 	assert.Equal(t, most, int64(size))
 
 	count, err := io.Copy(io.Discard, slow.Body)
 	assert.NilError(t, err)
-	assert.Equal(t, count, int64(size), "an answer that is ready is delivered")
+	assert.Equal(t, count, int64(size), "a complete response is delivered")
 	assert.NilError(t, slow.Body.Close())
-	until(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
+	waitUntil(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
 	assert.Equal(t, (<-de.send(t, "/c")).status, http.StatusOK)
 }
 
 // Bodies rejected as too large must not stay counted, or the entry would reject all new requests.
-func TestBodiesCountAsHeld(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, whole)
+func TestRejectedBodiesAreReleased(t *testing.T) {
+	de := deploy(t, directory.Route{Kind: directory.Repeatable, MaxAttempts: 1}, succeeding)
 	de.forwarder.SetMemory(1000)
 	for _, size := range []int{50, 101} {
 		status, _, _ := de.ask(t, http.MethodPost, "/a", strings.Repeat("x", size))
 		assert.Equal(t, status == http.StatusOK, size == 50, size)
 	}
-	until(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
+	waitUntil(t, "nothing is held", func() bool { total, _, _ := de.forwarder.Held(); return total == 0 })
 }
--- a/forward/quota.go
+++ b/forward/quota.go
@@ -9,9 +9,8 @@
 	"wisteriacroft/directory"
 )
 
-// spend spends one request of a customer's quota, or returns what the request gets
-// instead.
-func (fo *Forwarder) spend(ctx context.Context, cu directory.Customer) *rejection {
+// useQuota uses one request of a customer's quota, or returns the rejection of the request.
+func (fo *Forwarder) useQuota(ctx context.Context, cu directory.Customer) *rejection {
 	if cu.Quota <= 0 || fo.QuotaFunc == nil {
 		return nil
 	}
--- a/forward/replay_test.go
+++ b/forward/replay_test.go
@@ -23,35 +23,35 @@
 	service time.Duration // at an endpoint of normal speed
 	took    time.Duration // 0 until it is answered
 	tried   map[string]bool
-	places  []*simPlace
+	places  []*simAttempt
 }
 
-// A simPlace is a call queued or running at an endpoint.
-type simPlace struct {
+// A simAttempt is a call queued or running at an endpoint.
+type simAttempt struct {
 	call *simCall
 	sent time.Duration
 	left time.Duration
 }
 
-// A simDesk is a plain endpoint with slots and a queue.
-type simDesk struct {
+// A simEndpoint is a plain endpoint with slots and a queue.
+type simEndpoint struct {
 	endpoint directory.Endpoint
 	factor   float64 // slowdown
-	places   []*simPlace
+	places   []*simAttempt
 }
 
 // A simService simulates plain endpoints, with an entry and a scheduler that each see only their
 // own calls.
 type simService struct {
-	calls   []*simCall // sent and not answered
-	desks   []*simDesk
-	ens     []directory.Endpoint
-	entry   Table
-	now     time.Duration
-	rewards int // maximum concurrent reward calls
-	rng     *rand.Rand
-	sched   Table
-	waiting []*simCall // reward calls not sent yet
+	calls     []*simCall // sent and not answered
+	endpoints []*simEndpoint
+	ens       []directory.Endpoint
+	entry     Table
+	now       time.Duration
+	rewards   int // maximum concurrent reward calls
+	rng       *rand.Rand
+	sched     Table
+	waiting   []*simCall // reward calls not sent yet
 }
 
 const (
@@ -64,18 +64,18 @@
 // simBegin is the start of simulated time.
 var simBegin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newSimService(desks, slow int, part float64, seed uint64) *simService {
+func newSimService(endpoints, slow int, part float64, seed uint64) *simService {
 	se := &simService{rng: rand.New(rand.NewPCG(seed, 1))}
 	se.entry.drawFunc, se.sched.drawFunc = se.rng.IntN, se.rng.IntN
-	for i := range desks {
-		de := &simDesk{endpoint: directory.Endpoint{ID: fmt.Sprint("desk-", i), Slots: 6}, factor: 1}
+	for i := range endpoints {
+		de := &simEndpoint{endpoint: directory.Endpoint{ID: fmt.Sprint("desk-", i), Slots: 6}, factor: 1}
 		if i < slow {
 			de.factor = 6
 		}
-		se.desks = append(se.desks, de)
+		se.endpoints = append(se.endpoints, de)
 		se.ens = append(se.ens, de.endpoint)
 	}
-	se.rewards = int(part * float64(6*desks))
+	se.rewards = int(part * float64(6*endpoints))
 	return se
 }
 
@@ -96,19 +96,19 @@
 		se.calls = append(se.calls, ca)
 	}
 	ca.tried[en.ID] = true
-	for _, de := range se.desks {
+	for _, de := range se.endpoints {
 		if de.endpoint.ID == en.ID {
-			pl := &simPlace{call: ca, left: time.Duration(float64(ca.service) * de.factor), sent: se.now}
+			pl := &simAttempt{call: ca, left: time.Duration(float64(ca.service) * de.factor), sent: se.now}
 			ca.places = append(ca.places, pl)
 			de.places = append(de.places, pl)
 		}
 	}
 }
 
-// serve simulates an endpoint for one time step.
-func (se *simService) serve(de *simDesk) {
+// step simulates an endpoint for one time step.
+func (se *simService) step(de *simEndpoint) {
 	served := 0
-	de.places = slices.DeleteFunc(de.places, func(pl *simPlace) bool {
+	de.places = slices.DeleteFunc(de.places, func(pl *simAttempt) bool {
 		if served == de.endpoint.Slots {
 			return false
 		}
@@ -178,14 +178,14 @@
 	}
 }
 
-// play runs the simulation and returns the sorted durations of live requests and reward calls.
-func (se *simService) play(live, samples float64) (callers, scores []time.Duration) {
+// run runs the simulation and returns the sorted durations of live requests and reward calls.
+func (se *simService) run(live, samples float64) (callers, scores []time.Duration) {
 	for ; se.now < simDay; se.now += simStep {
 		se.arrive(live, samples)
 		se.start()
 		se.hedge()
-		for _, de := range se.desks {
-			se.serve(de)
+		for _, de := range se.endpoints {
+			se.step(de)
 		}
 		se.calls = slices.DeleteFunc(se.calls, func(ca *simCall) bool {
 			if ca.took == 0 {
@@ -215,11 +215,11 @@
 // them slow, for different limits on concurrent reward calls.
 func TestSharedPlainService(t *testing.T) {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%-34s %-12s %8s %8s %8s %8s %8s %7s\n", "load", "part", "live p50", "live p99", "in goal", "score p50", "p99", "scored")
+	fmt.Fprintf(&out, "%-34s %-12s %8s %8s %8s %8s %8s %7s\n", "load", "limit", "live p50", "live p99", "in goal", "score p50", "p99", "scored")
 	for _, lo := range []struct {
-		name          string
-		desks, slow   int
-		live, samples float64 // a second
+		name            string
+		endpoints, slow int
+		live, samples   float64 // a second
 	}{
 		{"3 endpoints, 27 samples/s", 3, 1, 6, 27},
 		{"8 endpoints, 128 samples/s", 8, 3, 13.8, 128},
@@ -228,14 +228,14 @@
 		for _, po := range []struct {
 			name string
 			part float64
-		}{{"no scoring", 0}, {"half", 0.5}, {"all and more", 100}} {
+		}{{"none", 0}, {"half", 0.5}, {"no limit", 100}} {
 			samples := lo.samples * 4
 			if po.part == 0 {
 				samples = 0
 			}
 			var callers, scores []time.Duration
 			for seed := range uint64(2) {
-				ca, sc := newSimService(lo.desks, lo.slow, po.part, seed).play(lo.live, samples)
+				ca, sc := newSimService(lo.endpoints, lo.slow, po.part, seed).run(lo.live, samples)
 				callers, scores = append(callers, ca...), append(scores, sc...)
 			}
 			slices.Sort(callers)
--- a/forward/request.go
+++ b/forward/request.go
@@ -15,72 +15,72 @@
 	"wisteriacroft/quarantine"
 )
 
-// A request is one caller's request, checked and read whole.
+// A request is a request that was checked and read completely.
 type request struct {
 	body      []byte
-	customer  string // whose request it is, or "" where callers need no key
+	customer  string // "" if callers need no key
 	deadline  time.Time
 	digest    quarantine.Digest
-	header    http.Header // those that cross a hop
-	heldBytes int64       // of the body and the answer, counted in the forwarder's memory
+	header    http.Header // end-to-end headers
+	heldBytes int64       // of the body and the response, counted in the forwarder's memory
 	host      string
 	id        string
-	left      time.Duration // that the caller says to wait, or 0
+	remaining time.Duration // from the caller's deadline header, or 0
 	method    string
-	own       bool // a call of the system's own, which waits at its maker
-	priority  int  // 0 goes first
+	internal  bool // internal call, limited by its caller instead of the queue
+	priority  int  // 0 is served first
 	received  time.Time
 	route     directory.Route
 	service   string
-	used      time.Duration // that the caller has waited before, by earlier tries
+	elapsed   time.Duration // estimated time used by earlier attempts of the caller
 	target    string        // path and query as the caller sent them
 }
 
 func (rq *request) streaming() bool { return rq.route.Streaming }
 
-// repeatable reports whether running the request twice does no harm.
+// repeatable reports whether the request may run more than once.
 func (rq *request) repeatable() bool {
 	return rq.route.Kind == directory.Repeatable || rq.route.Streaming && rq.route.Resumable
 }
 
-// firstWant returns what the first attempt asks. Calls of the system's own are made
-// no faster than their maker lets them, and hold back for nothing here.
-func (rq *request) firstWant() want {
-	if rq.own {
+// firstRequirement returns the requirement of the first attempt. Internal calls are limited by their
+// caller and not queued.
+func (rq *request) firstRequirement() requirement {
+	if rq.internal {
 		return anyEndpoint
 	}
-	return itsTurn
+	return capacityQueued
 }
 
-// hedgeWant returns what an attempt beside one that is slow asks.
-func (rq *request) hedgeWant() want {
-	if rq.own {
+// hedgeRequirement returns the requirement of a hedged attempt.
+func (rq *request) hedgeRequirement() requirement {
+	if rq.internal {
 		return anyEndpoint
 	}
-	return roomInTime
+	return capacityInTime
 }
 
-// nextWant returns what an attempt after one with this result asks. After a refusal
-// for want of a place another must have room: endpoints that stand fill no sooner by
-// being asked in turn.
-func (rq *request) nextWant(re *result) want {
-	if rq.own || !re.full() {
+// nextRequirement returns the requirement of an attempt after one with this result. If an endpoint
+// rejected the request for lack of capacity, the next must have some: trying full endpoints in turn
+// only adds load.
+func (rq *request) nextRequirement(re *result) requirement {
+	if rq.internal || !re.full() {
 		return anyEndpoint
 	}
-	return roomAtOnce
+	return capacityNow
 }
 
-// A rejection is an answer that a request gets before any endpoint does.
+// A rejection is the answer to a request that is not forwarded.
 type rejection struct {
-	customer   string // whose request it is, if that decided
-	detail     string // for the caller
-	inputs     logrus.Fields
+	customer   string // set if it counts as the customer's
+	detail     string // error message for the caller
+	fields     logrus.Fields
 	reason     string
 	retryAfter time.Duration
 	status     int
 }
 
-// rejectionOf returns what a request gets that got no grant.
+// rejectionOf returns the rejection of a request without a grant.
 func rejectionOf(gr access.Grant) *rejection {
 	if gr.Outcome == access.Undetermined {
 		return &rejection{reason: string(gr.Reason), retryAfter: configurationRetry, status: http.StatusServiceUnavailable}
@@ -88,7 +88,7 @@
 	return &rejection{detail: string(gr.Reason), reason: string(gr.Reason), status: http.StatusUnauthorized}
 }
 
-// answer tells the caller.
+// answer writes the rejection to the caller.
 func (rj *rejection) answer(rw http.ResponseWriter) {
 	if rj.status == http.StatusUnauthorized {
 		deny(rw, rj.detail)
@@ -97,7 +97,7 @@
 	Refuse(rw, rj.status, rj.retryAfter)
 }
 
-// RefuseGrant answers a call that got no grant.
+// RefuseGrant answers a request without a grant.
 func RefuseGrant(rw http.ResponseWriter, gr access.Grant) { rejectionOf(gr).answer(rw) }
 
 // read checks a request and reads its body.
@@ -119,19 +119,19 @@
 	}
 	rq := &request{
 		customer: gr.Customer.Name, priority: gr.Priority(ro),
-		header: crossing(hr.Header), host: hr.Host, id: hr.Header.Get(fo.Headers.RequestID), method: hr.Method,
+		header: endToEnd(hr.Header), host: hr.Host, id: hr.Header.Get(fo.Headers.RequestID), method: hr.Method,
 		received: time.Now(), route: ro, target: hr.URL.RequestURI(), service: pickShare(ro.Shares),
 	}
 	if rq.id == "" {
 		return nil, &rejection{reason: "request has no id", status: http.StatusBadRequest}
 	}
 	fo.Headers.identify(rq.header, rq.customer, len(co.Customers) > 0)
-	rq.left = parseDeadline(hr.Header.Get(fo.Headers.Deadline))
-	rq.setDeadline(rq.left)
+	rq.remaining = parseDeadline(hr.Header.Get(fo.Headers.Deadline))
+	rq.setDeadline(rq.remaining)
 	if rj := fo.readBody(rw, hr, rq, co.Limits.BodySize); rj != nil {
 		return nil, rj
 	}
-	if rj := fo.spend(hr.Context(), gr.Customer); rj != nil {
+	if rj := fo.useQuota(hr.Context(), gr.Customer); rj != nil {
 		fo.releaseMemory(rq)
 		return nil, rj
 	}
@@ -139,7 +139,7 @@
 	return rq, nil
 }
 
-// readBody reads a request's body, as far as memory is left for it.
+// readBody reads a request's body, and counts it in the forwarder's memory.
 func (fo *Forwarder) readBody(rw http.ResponseWriter, hr *http.Request, rq *request, limit int64) *rejection {
 	cb := &countedBody{ReadCloser: hr.Body, customer: rq.customer, memory: &fo.memory}
 	err := cb.reserve(max(hr.ContentLength, 1))
@@ -152,13 +152,13 @@
 		return nil
 	}
 	fo.memory.add(rq.customer, -cb.taken)
-	if errors.Is(err, errNoMemory) {
+	if errors.Is(err, errMemoryLimit) {
 		return fo.memory.rejection(rq.customer)
 	}
 	return &rejection{reason: err.Error(), status: BodyStatus(err)}
 }
 
-// BodyStatus returns the status for a body that could not be read whole.
+// BodyStatus returns the HTTP status for an error of ReadBody.
 func BodyStatus(err error) int {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
@@ -176,8 +176,7 @@
 	return io.ReadAll(body)
 }
 
-// setDeadline bounds the request by what the caller and the operator allow. A
-// stream is bounded by its caller alone once it has begun.
+// setDeadline sets the deadline to the earlier of the caller's and the route's. Streams ignore it.
 func (rq *request) setDeadline(caller time.Duration) {
 	limit := caller
 	if rq.route.Timeout > 0 && (limit == 0 || rq.route.Timeout < limit) {
@@ -189,7 +188,7 @@
 	rq.deadline = rq.received.Add(limit)
 }
 
-// pickShare draws a service by its weight.
+// pickShare picks a random service by weight.
 func pickShare(shares []directory.WeightedService) string {
 	total := 0
 	for _, sh := range shares {
@@ -211,10 +210,9 @@
 	return ""
 }
 
-// boundBy returns a context that ends with ctx before the request is answered,
-// and at its deadline. Answered lets attempts that still run come to their own
-// end.
-func boundBy(ctx context.Context, deadline time.Time) (bound context.Context, answered func()) {
+// withDeadline returns a context that ends at the deadline, or with ctx until answered is called. After
+// that, attempts still running may finish although ctx has ended.
+func withDeadline(ctx context.Context, deadline time.Time) (bound context.Context, answered func()) {
 	bound, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	stop := context.AfterFunc(ctx, cancel)
 	return bound, func() { stop() }
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/directory"
 )
 
-func TestPenaltyEndsWithTheStart(t *testing.T) {
+func TestPenaltyEndsWithRestart(t *testing.T) {
 	// The penalty of a crashed endpoint must not apply to its restart under the same ID, which would
 	// get no requests for seconds.
 	var ta Table
@@ -27,25 +27,25 @@
 		en   directory.Endpoint
 		pick string
 	}{
-		{"the same start", former, "b"},
-		{"a start that is not named", directory.Endpoint{ID: "a", Slots: 6}, "b"},
-		{"a later start", directory.Endpoint{ID: "a", Incarnation: 20, Slots: 6}, "a"},
-		{"an entry of the former start", former, "a"},
+		{"the same incarnation", former, "b"},
+		{"no incarnation", directory.Endpoint{ID: "a", Slots: 6}, "b"},
+		{"a later incarnation", directory.Endpoint{ID: "a", Incarnation: 20, Slots: 6}, "a"},
+		{"an earlier incarnation", former, "a"},
 	} {
 		en, _ := ta.Pick([]directory.Endpoint{tc.en, other}, nil, "", now)
 		assert.Equal(t, en.ID, tc.pick, tc.name)
 		ta.Done(en.ID)
 	}
-	assert.Equal(t, ta.rows["a"].inFlight, 1, "a request of the former start is still counted")
+	assert.Equal(t, ta.rows["a"].inFlight, 1, "a request to the earlier incarnation is still counted")
 }
 
-func TestClientOfAStart(t *testing.T) {
+func TestClientIsReplacedAfterRestart(t *testing.T) {
 	var fo Forwarder
 	former := directory.Endpoint{Address: "10.0.0.1:80", ID: "a", Incarnation: 10}
 	first := fo.client(former)
 	assert.Equal(t, fo.client(former).HTTP, first.HTTP)
 	again := fo.client(directory.Endpoint{Address: "10.0.0.1:80", ID: "a", Incarnation: 20})
-	assert.Assert(t, again.HTTP != first.HTTP, "its connections lead to a process that is gone")
+	assert.Assert(t, again.HTTP != first.HTTP, "its connections lead to the previous process")
 	moved := fo.client(directory.Endpoint{Address: "10.0.0.2:80", ID: "a", Incarnation: 20})
 	assert.Assert(t, moved.HTTP != again.HTTP)
 }
--- a/forward/uses_test.go
+++ b/forward/slotusage_test.go
@@ -13,12 +13,12 @@
 	"wisteriacroft/fairshare"
 )
 
-func TestCustomerHasNoMoreThanItsBound(t *testing.T) {
+func TestCustomerLimit(t *testing.T) {
 	entered, leave := make(chan struct{}), make(chan struct{})
 	slow := func(rw http.ResponseWriter, rq *http.Request, run func()) {
 		entered <- struct{}{}
 		<-leave
-		whole(rw, rq, run)
+		succeeding(rw, rq, run)
 	}
 	de := deploy(t, directory.Route{Kind: directory.AtMostOnce, MaxAttempts: 2}, slow)
 	de.forwarder.CustomerBound = func(customer, service string) int {
@@ -35,7 +35,7 @@
 	status, _, header := de.ask(t, http.MethodPost, "/", "line")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
-	assert.Assert(t, time.Since(begun) < time.Second, "it is refused at once")
+	assert.Assert(t, time.Since(begun) < time.Second, "it is rejected at once")
 	assert.Equal(t, de.runs.Load(), int64(0))
 	demand := de.forwarder.Demands(time.Now(), time.Second)["desk"]
 	assert.DeepEqual(t, demand.Customers[""], fairshare.Demand{Asked: 2, InFlight: 1, Met: 2, Refused: 1})
@@ -45,20 +45,20 @@
 	assert.Equal(t, <-first, http.StatusOK)
 	go func() { <-entered; leave <- struct{}{} }()
 	status, _, _ = de.ask(t, http.MethodPost, "/", "line")
-	assert.Equal(t, status, http.StatusOK, "its place is free again")
+	assert.Equal(t, status, http.StatusOK, "its slot is free again")
 }
 
 // Every outcome of a request releases its customer's slot. A leaked slot would make the entry reject
 // a customer that has nothing in flight.
-func TestPlacesAreFreeAfterStreamsAndRefusals(t *testing.T) {
+func TestCustomerSlotsAreReleased(t *testing.T) {
 	for name, tc := range map[string]struct {
 		route     directory.Route
 		behaviour behaviour
 		short     bool
 	}{
-		"whole":         {directory.Route{Kind: directory.AtMostOnce}, whole, false},
+		"whole":         {directory.Route{Kind: directory.AtMostOnce}, succeeding, false},
 		"refused":       {directory.Route{Kind: directory.AtMostOnce}, full, true},
-		"cut short":     {directory.Route{Kind: directory.AtMostOnce}, cutShort, false},
+		"truncated":     {directory.Route{Kind: directory.AtMostOnce}, truncated, false},
 		"stream":        {directory.Route{Kind: directory.AtMostOnce, Streaming: true}, stream(3, 0), false},
 		"stream full":   {directory.Route{Kind: directory.AtMostOnce, Streaming: true}, full, true},
 		"stream broken": {directory.Route{Kind: directory.Repeatable, Streaming: true}, stream(3, 2), false},
@@ -75,14 +75,14 @@
 			demands := de.forwarder.Demands(time.Now(), time.Second)
 			assert.Equal(t, demands["desk"].Short, tc.short)
 			de.entry.Close() // waits for handlers
-			assert.Equal(t, len(de.forwarder.uses.inFlight), 0)
+			assert.Equal(t, len(de.forwarder.slotUsage.inFlight), 0)
 		})
 	}
 }
 
-func TestQuotaIsSpentByItsCustomer(t *testing.T) {
-	de := deploy(t, directory.Route{Kind: directory.AtMostOnce}, whole)
-	de.keyed(false)
+func TestQuotaOfCustomer(t *testing.T) {
+	de := deploy(t, directory.Route{Kind: directory.AtMostOnce}, succeeding)
+	de.requireKeys(false)
 	co := *de.forwarder.Directory.Configuration()
 	co.Version++
 	co.Customers[0].Quota = 3
@@ -111,5 +111,5 @@
 	assert.Equal(t, de.runs.Load(), int64(1))
 	de.entry.Close() // waits for handlers
 	held, _, _ := de.forwarder.Held()
-	assert.Equal(t, held, int64(0), "what was read of refused requests is held no longer")
+	assert.Equal(t, held, int64(0), "bodies of rejected requests are released")
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -13,9 +13,8 @@
 	"wisteriacroft/events"
 )
 
-// serveStream passes a stream's events on as they come. Where the route allows
-// it, a stream that breaks goes on at another endpoint after the last event
-// that the caller got.
+// serveStream forwards the events of a stream. If the route allows it, a stream that breaks is resumed
+// at another endpoint after the last event sent to the caller.
 func (fo *Forwarder) serveStream(rw http.ResponseWriter, hr *http.Request, rq *request) {
 	ctx, cancel := context.WithCancel(hr.Context())
 	defer cancel()
@@ -35,7 +34,7 @@
 		seen, err := fo.passEvents(rw, re.stream)
 		_ = re.stream.Close()
 		fo.loads.end(rq.service, false, time.Now())
-		fo.freeCustomerPlace(rq)
+		fo.releaseCustomerSlot(rq)
 		fo.table.Done(re.endpoint.ID)
 		last = max(last, seen)
 		lo := fo.Log.WithFields(logrus.Fields{
@@ -49,10 +48,10 @@
 		}
 		lo.WithError(err).Warn("stream broke")
 		re.err = err
-		fo.suspect(ctx, rq, re)
+		fo.recordCrash(ctx, rq, re)
 		if !rq.repeatable() || hr.Context().Err() != nil {
 			fo.count("failed")
-			panic(http.ErrAbortHandler) // an answer that ends early must not look whole
+			panic(http.ErrAbortHandler) // a truncated response must not look complete
 		}
 		fo.table.Failed(re.endpoint.ID, time.Now())
 		if last > 0 {
@@ -61,21 +60,22 @@
 	}
 }
 
-// openStream sends a request to endpoints in turn until one begins to answer.
+// openStream makes attempts at endpoints until one starts a stream or returns a final result. The
+// caller then holds the customer's and the endpoint's slots if the result has a stream.
 func (fo *Forwarder) openStream(ctx context.Context, rq *request, tried map[string]bool) *result {
 	last, ran := &result{notRun: true, tried: tried}, false
 	for len(tried) < max(rq.route.MaxAttempts, 1) {
-		if ve := fo.verdict(rq); ve.Held() {
+		if ve := fo.checkQuarantine(rq); ve.Held() {
 			last.heldFor = ve.HeldFor
 			return last
 		}
-		if ok, free := fo.takeCustomerPlace(rq); !ok {
+		if ok, free := fo.acquireCustomerSlot(rq); !ok {
 			last.heldFor = free
 			return last
 		}
 		en, ok := fo.table.Pick(fo.Directory.Endpoints(rq.service), tried, fo.Domain, time.Now())
 		if !ok {
-			fo.freeCustomerPlace(rq)
+			fo.releaseCustomerSlot(rq)
 			return last
 		}
 		tried[en.ID] = true
@@ -86,25 +86,25 @@
 			return re
 		}
 		fo.loads.end(rq.service, re.notRun, time.Now())
-		fo.freeCustomerPlace(rq)
-		fo.judge(ctx, rq, re)
+		fo.releaseCustomerSlot(rq)
+		fo.recordResult(ctx, rq, re)
 		if re.final(rq.repeatable()) || !re.notRun && !rq.repeatable() || ctx.Err() != nil {
 			return re
 		}
 		ran = ran || !re.notRun
-		// Refused by the last endpoint, the request has run at another one all the same.
+		// The last endpoint rejected the request, but an earlier one ran it.
 		if last = re; re.notRun && ran {
-			last = &result{endpoint: re.endpoint, err: errBroken}
+			last = &result{endpoint: re.endpoint, err: errIncomplete}
 		}
 	}
 	return last
 }
 
-// endStream answers a stream that no endpoint goes on with.
+// endStream answers a streaming request for which no endpoint is left.
 func (fo *Forwarder) endStream(rw http.ResponseWriter, rq *request, re *result, begun bool) {
 	fo.count("failed")
 	if !begun {
-		fo.noteRefused(rq, re)
+		fo.countRejected(rq, re)
 	}
 	fo.Log.WithFields(logrus.Fields{
 		"begun": begun, customerField: rq.customer, digestField: rq.digest, "error": re.err, "not-run": re.notRun, requestField: rq.id, "status": re.status,
@@ -122,8 +122,8 @@
 	}
 }
 
-// passEvents writes whole events until the stream ends, and returns the last
-// one's ID. A half event is dropped, since another endpoint sends it whole.
+// passEvents writes complete events until the stream ends, and returns the highest ID. An incomplete
+// event is dropped, since another endpoint may send it again.
 func (fo *Forwarder) passEvents(rw http.ResponseWriter, stream io.Reader) (int64, error) {
 	var last int64
 	flush := http.NewResponseController(rw)
--- a/forward/table.go
+++ b/forward/table.go
@@ -10,44 +10,39 @@
 	"wisteriacroft/incarnation"
 )
 
-// Weights of placing live requests.
+// Parameters of load balancing.
 const (
-	// latencyWeight is the part of a new latency in an endpoint's mean: about
-	// ten answers make it, so that a slow endpoint shows within a second at six
-	// requests a second.
+	// latencyWeight is the weight of a new sample in an endpoint's mean latency.
 	latencyWeight = 0.1
-	// firstLatency is assumed of an endpoint that has not answered yet.
+	// firstLatency is the assumed latency of an endpoint that has not responded yet.
 	firstLatency = 30 * time.Millisecond
-	// firstPenalty and maxPenalty bound for how long an endpoint that failed is
-	// passed over while others can be had; it doubles with each failure.
+	// firstPenalty and maxPenalty limit how long an endpoint that failed is avoided while others are
+	// available. The time doubles with each failure.
 	firstPenalty = 500 * time.Millisecond
 	maxPenalty   = 4 * time.Second
-	// sameDomain is by how much an endpoint in the own failure domain may be
-	// worse than another and still go first: a hop between domains takes time both
-	// ways, and its bytes are paid for.
-	sameDomain = 1.15
-	// callersDomain is the same for callers' requests, of which an entry gets few at a
-	// time: a mean of few answers is off by chance alone, which is no need to go
-	// across. The system's own calls come in bulk from one domain, whose endpoint
-	// would get most of them.
-	callersDomain = 1.35
+	// localPreference is the factor by which an endpoint in the same failure domain may be slower than one
+	// in another and still be preferred: traffic between domains takes longer and is paid for.
+	localPreference = 1.15
+	// callerLocalPreference is the same for callers' requests. It is higher, since an entry has few latency
+	// samples of them; internal calls come in bulk and would overload the endpoints of one domain.
+	callerLocalPreference = 1.35
 )
 
-// A row is what an entry knows of an endpoint by its own requests.
+// A row is the state of an endpoint, derived from this entry's own requests.
 type row struct {
-	failures int // since the last answer
-	inFlight int
-	born     incarnation.Number // the start that the rest is known of
-	latency  time.Duration
-	penalty  time.Time // passed over until then
-	room     admission.Limiter
-	seenAt   time.Time
+	failures    int // since the last response
+	inFlight    int
+	incarnation incarnation.Number // of the endpoint that the other fields describe
+	latency     time.Duration
+	penalty     time.Time // avoided until then
+	limiter     admission.Limiter
+	seenAt      time.Time
 }
 
-// A Table holds a row for each endpoint. The zero Table is empty and ready to
-// use.
+// A Table holds the state of endpoints and picks one for each attempt. The zero Table is ready to use.
+// It is safe for concurrent use.
 type Table struct {
-	drawFunc func(n int) int // draws a number below n; nil draws at random
+	drawFunc func(n int) int // returns a random number below n; nil stands for rand.IntN
 	mu       sync.Mutex
 	rows     map[string]*row
 }
@@ -71,39 +66,37 @@
 	return ro
 }
 
-// rowOf returns an endpoint's row, without what is known of an earlier start: one
-// that crashed and came back under its ID would be passed over for seconds.
-func (ta *Table) rowOf(en directory.Endpoint) *row {
+// currentRow returns the row of an endpoint. It resets the row after a restart of the endpoint, which would
+// otherwise be avoided because of the failures of its previous incarnation.
+func (ta *Table) currentRow(en directory.Endpoint) *row {
 	ro := ta.row(en.ID)
-	if en.Incarnation.Supersedes(ro.born) {
+	if en.Incarnation.Supersedes(ro.incarnation) {
 		*ro = row{inFlight: ro.inFlight, latency: firstLatency}
 	}
-	ro.born = max(ro.born, en.Incarnation)
+	ro.incarnation = max(ro.incarnation, en.Incarnation)
 	return ro
 }
 
-// Pick chooses the endpoint for the next attempt among those given and not yet
-// tried, and counts the request as in flight there until Done.
+// Pick returns the endpoint for the next attempt among those given and not yet tried, and counts the
+// request as in flight there until Done.
 //
-// Load pattern: a few endpoints, of which one turns slow or silent under steady
-// traffic. The least expected wait goes first, the expected wait being the mean
-// latency for each request that would share the endpoint's places; endpoints
-// that just failed come last, but come: when all fail, the one whose penalty
-// ends first is tried.
+// It prefers the endpoint with the lowest expected latency: the mean latency scaled by the requests
+// for each of its slots. Endpoints that just failed are used only if all did, the one whose penalty
+// ends first before the others.
 func (ta *Table) Pick(ens []directory.Endpoint, tried map[string]bool, domain string, now time.Time) (directory.Endpoint, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	return ta.choose(ens, tried, home{domain, sameDomain}, now, func(directory.Endpoint, *row) bool { return true })
+	return ta.choose(ens, tried, preference{domain, localPreference}, now, func(directory.Endpoint, *row) bool { return true })
 }
 
-// A home is the own failure domain, and by how much it goes first.
-type home struct {
+// A preference is the local failure domain and the factor by which its endpoints are preferred.
+type preference struct {
 	domain string
 	factor float64
 }
 
-// choose picks the endpoint that costs least among those that fitFunc admits.
-func (ta *Table) choose(ens []directory.Endpoint, tried map[string]bool, ho home, now time.Time,
+// choose picks the endpoint with the lowest cost among those that fitFunc accepts.
+func (ta *Table) choose(ens []directory.Endpoint, tried map[string]bool, ho preference, now time.Time,
 	fitFunc func(en directory.Endpoint, ro *row) bool,
 ) (directory.Endpoint, bool) {
 	best, bestCost, found := directory.Endpoint{}, 0.0, false
@@ -116,7 +109,7 @@
 		if en.Leaving || tried[en.ID] {
 			continue
 		}
-		ro := ta.rowOf(en)
+		ro := ta.currentRow(en)
 		if !fitFunc(en, ro) {
 			continue
 		}
@@ -130,28 +123,28 @@
 	}
 	if found {
 		ro := ta.row(best.ID)
-		ro.room.Sent(ro.inFlight, now)
+		ro.limiter.Sent(ro.inFlight, now)
 		ro.inFlight++
 		ro.seenAt = now
 	}
 	return best, found
 }
 
-// penaltyCost is larger than any cost by latency, in seconds.
+// penaltyCost is larger than the cost of any latency, in seconds.
 const penaltyCost = 1000
 
 func (ro *row) cost(en directory.Endpoint, now time.Time) float64 {
-	busy := max(ro.inFlight, ro.room.ReportedLoad(now))
-	cost := ro.latency.Seconds() * ro.room.Slowdown(now) * (1 + float64(busy)/float64(max(en.Slots, 1)))
+	busy := max(ro.inFlight, ro.limiter.ReportedLoad(now))
+	cost := ro.latency.Seconds() * ro.limiter.Slowdown(now) * (1 + float64(busy)/float64(max(en.Slots, 1)))
 	if now.Before(ro.penalty) {
 		cost += penaltyCost + ro.penalty.Sub(now).Seconds()
 	}
 	return cost
 }
 
-// Answered counts an answer of an endpoint whose request is Done, and returns how many
-// may now be in flight there, or 0 while nothing holds them back. An endpoint that was
-// full answers soon: its latency says nothing of what it does.
+// Answered records the response to a request for which Done was called, and returns how many requests
+// may now be in flight at the endpoint, or 0 for no limit. The latency of a rejection is ignored,
+// since it does not depend on the load.
 func (ta *Table) Answered(id string, an admission.Response) float64 {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -162,11 +155,11 @@
 		ro.latency += time.Duration(latencyWeight * float64(an.UnloadedLatency()-ro.latency))
 	}
 	an.InFlight = ro.inFlight + 1
-	ro.room.Observe(an)
-	return ro.room.Limit()
+	ro.limiter.Observe(an)
+	return ro.limiter.Limit()
 }
 
-// Failed counts a failure, and passes the endpoint over for a while.
+// Failed records a failure and returns how long the endpoint is avoided.
 func (ta *Table) Failed(id string, now time.Time) time.Duration {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -177,8 +170,8 @@
 	return penalty
 }
 
-// Slow counts a request that waits longer than usual, so that the next ones go
-// elsewhere before this one ends.
+// Slow records that a request has waited this long without a response, so that the next requests avoid
+// the endpoint.
 func (ta *Table) Slow(id string, waited time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -186,15 +179,14 @@
 	ro.latency = max(ro.latency, waited)
 }
 
-// Done ends what Pick or PickRoom counted: the request is no longer in flight.
+// Done ends a request counted by Pick or PickAvailable.
 func (ta *Table) Done(id string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.row(id).inFlight--
 }
 
-// Latency returns the usual latency among endpoints: the least mean of those
-// given.
+// Latency returns the lowest mean latency of the endpoints given.
 func (ta *Table) Latency(ens []directory.Endpoint) time.Duration {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -207,7 +199,7 @@
 	return least
 }
 
-// Forget drops the rows of endpoints that are gone, and returns their IDs.
+// Forget removes the state of endpoints that no longer exist, and returns their IDs.
 func (ta *Table) Forget(exists func(id string) bool) []string {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
