--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -6,265 +6,259 @@
 )
 
 const (
-	// latencyWeight is the part of a new figure in the mean time of one request.
+	// latencyWeight is the weight of a new sample in the mean service time.
 	latencyWeight = 0.1
-	// recentWeight is the part of a new latency in the recent one, which must follow
-	// an endpoint that turns slow within a few answers.
+	// recentWeight is the weight of a new sample in the recent latency, which must follow a slowing
+	// endpoint within a few responses.
 	recentWeight = 0.3
-	// bestLife is for how long the best latency seen counts.
-	bestLife = 10 * time.Second
-	// loadLife is for how long others' requests at an endpoint are believed to be as
-	// they were when it last answered.
-	loadLife = time.Second
-	// toldLife is for how long an endpoint's word on its load counts in choosing one.
-	toldLife = 2 * time.Second
-	// paceLife is for how long an endpoint's word on its pace counts: the pace changes
-	// with what others do on its machine.
-	paceLife = 400 * time.Millisecond
-	// gain is the part of the way to what the endpoint bears that the limit goes by one
-	// round of answers: less than one, as the news is one round old.
+	// minLatencySpan is how long a minimum latency is valid.
+	minLatencySpan = 10 * time.Second
+	// loadTTL is how long a reported load is used to estimate other senders' requests.
+	loadTTL = time.Second
+	// rankingTTL is how long a reported load is used to choose between endpoints.
+	rankingTTL = 2 * time.Second
+	// paceTTL is how long a reported pace is valid. It is short, since the pace changes with other
+	// work on the endpoint's machine.
+	paceTTL = 400 * time.Millisecond
+	// gain is the fraction of the distance to the target that the limit moves in one round trip. It
+	// is below 1 because feedback is one round trip old.
 	gain = 0.4
-	// growth is the most that one answer adds to a limit.
-	growth = 0.25
-	// firstRounds is how many times its places an endpoint may get that has not
-	// answered yet.
-	firstRounds = 2
-	// leastLimit keeps an entry asking, so that it sees when there is room again.
-	leastLimit = 1.0 / 16
-	// spareWork is how much more than its places an endpoint is always given: without
-	// any it would stand idle for the way between two requests.
-	spareWork = 1.25
-	// spread is how many times the usual time few requests take longer than.
-	spread = 2
-	// aimlessWork is how many times as long as usual a request may take that has no
-	// goal: it then waits for as long as two requests run.
-	aimlessWork = 3
+	// maxGrowth is the maximum increase of a limit by one response.
+	maxGrowth = 0.25
+	// initialFactor is the initial limit in multiples of the endpoint's slots, until its first response.
+	initialFactor = 2
+	// minLimit is the minimum limit. It is above 0 so that some requests still probe the endpoint.
+	minLimit = 1.0 / 16
+	// minLoadFactor is the minimum load in multiples of the endpoint's slots. It is above 1 so that the
+	// endpoint does not idle between requests.
+	minLoadFactor = 1.25
+	// latencySpread is the multiple of the mean service time that few requests exceed.
+	latencySpread = 2
+	// defaultTargetFactor is the target of requests without a latency goal, in multiples of the service
+	// time.
+	defaultTargetFactor = 3
 )
 
-// A Limiter is what one sender may have in flight at an endpoint, learned from its
-// answers. The zero Limiter holds nothing back.
+// A Limiter is an adaptive concurrency limit: how many requests one sender may have in flight at an
+// endpoint. The zero Limiter does not limit. It is not safe for concurrent use.
 //
-// Load pattern: many entries before few endpoints, of which each sees only its own
-// requests. The limit is multiplied by how far the endpoint is from the time that a
-// request may spend there, by its load as told where it tells one, else by its
-// latency. Entries that each changed theirs by a number would all overshoot together;
-// a share of what each has adds up to the same for one entry and for a hundred.
+// The limit is changed in proportion to the distance of the endpoint's reported load or, without
+// one, its latency from the target. With proportional changes the total over all senders converges
+// whatever their number; with fixed steps many senders would overshoot together.
 type Limiter struct {
-	best      [2]time.Duration // least recent latency in this span and the one before
-	bestUntil time.Time
-	cutAt     time.Time // when the limit was last halved
-	extraAt   time.Time // when the part of the limit beyond whole requests was last used
-	heardAt   time.Time // the last answer
-	limit     float64   // 0 while nothing holds back
-	load      Load
-	loadAt    time.Time
-	own       int // own requests among those that the load tells of
-	recent    time.Duration
-	target    time.Duration // that a request may spend there
-	unit      time.Duration // mean time of a request that waits for none, at the usual pace
+	minLatency     [2]time.Duration // minimum latency of the current and the previous minLatencySpan
+	minUntil       time.Time        // end of the current minLatencySpan
+	halvedAt       time.Time        // last halving of the limit
+	fractionUsedAt time.Time        // last use of the fractional part of the limit
+	respondedAt    time.Time        // last response, or last relaxation of the limit
+	limit          float64          // 0 for no limit
+	load           Load
+	loadAt         time.Time
+	ownInLoad      int           // the sender's requests included in load
+	recent         time.Duration // moving mean of the latency
+	target         time.Duration // time that a request may spend at the endpoint
+	serviceTime    time.Duration // mean service time without concurrent requests, at normal speed
 }
 
-// Observe learns from an answer.
-func (ro *Limiter) Observe(an Response) {
-	ro.relax(an.At)
-	ro.heardAt = an.At
-	if an.Told {
-		ro.load, ro.loadAt, ro.own = an.Load, an.At, max(an.InFlight-1, 0)
+// Observe updates the limit from a response.
+func (li *Limiter) Observe(re Response) {
+	li.relax(re.At)
+	li.respondedAt = re.At
+	if re.Told {
+		li.load, li.loadAt, li.ownInLoad = re.Load, re.At, max(re.InFlight-1, 0)
 	}
-	if an.Refused {
-		ro.cut(an)
+	if re.Refused {
+		li.halve(re)
 		return
 	}
-	ro.learn(an)
-	ro.steer(an)
+	li.updateLatency(re)
+	li.adjust(re)
 }
 
-// learn takes in how long a request took.
-func (ro *Limiter) learn(an Response) {
-	one := float64(an.UnloadedLatency())
-	if ro.unit == 0 {
-		ro.unit, ro.recent = time.Duration(one), an.Took
+// updateLatency updates the latency estimates.
+func (li *Limiter) updateLatency(re Response) {
+	one := float64(re.UnloadedLatency())
+	if li.serviceTime == 0 {
+		li.serviceTime, li.recent = time.Duration(one), re.Took
 	}
-	ro.unit += time.Duration(latencyWeight * (one - float64(ro.unit)))
-	ro.recent += time.Duration(recentWeight * float64(an.Took-ro.recent))
-	if !an.At.Before(ro.bestUntil) {
-		ro.best[1], ro.best[0] = ro.best[0], ro.recent
-		ro.bestUntil = an.At.Add(bestLife)
+	li.serviceTime += time.Duration(latencyWeight * (one - float64(li.serviceTime)))
+	li.recent += time.Duration(recentWeight * float64(re.Took-li.recent))
+	if !re.At.Before(li.minUntil) {
+		li.minLatency[1], li.minLatency[0] = li.minLatency[0], li.recent
+		li.minUntil = re.At.Add(minLatencySpan)
 	}
-	ro.best[0] = min(ro.best[0], ro.recent)
+	li.minLatency[0] = min(li.minLatency[0], li.recent)
 }
 
-// usual returns the time of a request that waits for none.
-func (ro *Limiter) usual() time.Duration {
-	if !ro.loadAt.IsZero() || ro.best[0] == 0 {
-		return ro.unit
+// baseLatency returns the service time of a request without concurrent ones.
+func (li *Limiter) baseLatency() time.Duration {
+	if !li.loadAt.IsZero() || li.minLatency[0] == 0 {
+		return li.serviceTime
 	}
-	if ro.best[1] == 0 {
-		return ro.best[0]
+	if li.minLatency[1] == 0 {
+		return li.minLatency[0]
 	}
-	return min(ro.best[0], ro.best[1])
+	return min(li.minLatency[0], li.minLatency[1])
 }
 
-// steer moves the limit towards what the endpoint bears.
-func (ro *Limiter) steer(an Response) {
-	spent := float64(ro.recent)
-	usual := float64(ro.usual())
-	if an.Told {
-		usual *= an.Load.slowdown()
-		spent = usual * crowd(an.Load.Running+an.Load.Waiting, an.slots())
+// adjust moves the limit towards the target.
+func (li *Limiter) adjust(re Response) {
+	spent := float64(li.recent)
+	usual := float64(li.baseLatency())
+	if re.Told {
+		usual *= re.Load.slowdown()
+		spent = usual * loadFactor(re.Load.Running+re.Load.Waiting, re.slots())
 	}
 	if spent <= 0 {
 		return
 	}
-	target := float64(an.Target)
-	if an.Target <= 0 {
-		target = aimlessWork * usual
+	target := float64(re.Target)
+	if re.Target <= 0 {
+		target = defaultTargetFactor * usual
 	}
-	ro.target = time.Duration(target)
-	bears := max(target, spareWork*usual) / spent
-	if bears >= 1 {
-		ro.grow(bears, an)
+	li.target = time.Duration(target)
+	headroom := max(target, minLoadFactor*usual) / spent
+	if headroom >= 1 {
+		li.raise(headroom, re)
 		return
 	}
-	// A limit that isn't reached says nothing of what is borne.
-	limit := float64(an.InFlight)
-	if ro.limit > 0 {
-		limit = min(ro.limit, limit+1)
+	// A limit that is not reached says nothing about the capacity; start from what is in flight.
+	limit := float64(re.InFlight)
+	if li.limit > 0 {
+		limit = min(li.limit, limit+1)
 	}
-	ro.limit = max(limit+gain*(bears-1)*min(limit, 1), leastLimit)
+	li.limit = max(limit+gain*(headroom-1)*min(limit, 1), minLimit)
 }
 
-// grow lets more in flight, until the limit is as far off as it can matter.
-func (ro *Limiter) grow(bears float64, an Response) {
-	if ro.limit == 0 {
+// raise raises the limit, and removes it once it exceeds twice the endpoint's slots.
+func (li *Limiter) raise(headroom float64, re Response) {
+	if li.limit == 0 {
 		return
 	}
-	ro.limit += growth * min(bears-1, 1) * max(min(ro.limit, 1), leastLimit)
-	if an.Told && an.Load.Waiting == 0 && an.Load.Running < an.slots() {
-		ro.limit = max(ro.limit, 1)
+	li.limit += maxGrowth * min(headroom-1, 1) * max(min(li.limit, 1), minLimit)
+	if re.Told && re.Load.Waiting == 0 && re.Load.Running < re.slots() {
+		li.limit = max(li.limit, 1)
 	}
-	if ro.limit > 2*float64(an.slots()) {
-		ro.limit = 0
+	if li.limit > 2*float64(re.slots()) {
+		li.limit = 0
 	}
 }
 
-// cut halves the limit of an endpoint that was full, once for all that were on their
-// way together.
-func (ro *Limiter) cut(an Response) {
-	if ro.limit > 0 && an.At.Sub(ro.cutAt) < max(ro.recent, an.Took) {
+// halve halves the limit after a rejection, but only once for requests that were in flight together.
+func (li *Limiter) halve(re Response) {
+	if li.limit > 0 && re.At.Sub(li.halvedAt) < max(li.recent, re.Took) {
 		return
 	}
-	ro.cutAt = an.At
-	limit := float64(max(an.InFlight, 1))
-	if ro.limit > 0 {
-		limit = min(ro.limit, limit)
+	li.halvedAt = re.At
+	limit := float64(max(re.InFlight, 1))
+	if li.limit > 0 {
+		limit = min(li.limit, limit)
 	}
-	ro.limit = max(limit/2, leastLimit)
+	li.limit = max(limit/2, minLimit)
 }
 
-// relax doubles the limit with each while in which the endpoint did not answer: it may
-// have been emptied since.
-func (ro *Limiter) relax(now time.Time) {
-	for ro.limit > 0 && ro.limit < 1 && now.Sub(ro.heardAt) >= loadLife {
-		ro.limit = min(2*ro.limit, 1)
-		ro.heardAt = ro.heardAt.Add(loadLife)
+// relax doubles a limit below 1 for each loadTTL without a response, since the endpoint may have
+// become idle.
+func (li *Limiter) relax(now time.Time) {
+	for li.limit > 0 && li.limit < 1 && now.Sub(li.respondedAt) >= loadTTL {
+		li.limit = min(2*li.limit, 1)
+		li.respondedAt = li.respondedAt.Add(loadTTL)
 	}
 }
 
-// Available reports whether one more request may go to the endpoint.
-func (ro *Limiter) Available(inFlight, slots int, now time.Time) bool {
-	ro.relax(now)
-	if ro.limit == 0 && ro.target == 0 {
-		return slots <= 0 || inFlight < firstRounds*slots
+// Available reports whether one more request may be sent to the endpoint.
+func (li *Limiter) Available(inFlight, slots int, now time.Time) bool {
+	li.relax(now)
+	if li.limit == 0 && li.target == 0 {
+		return slots <= 0 || inFlight < initialFactor*slots
 	}
-	if ro.limit == 0 {
-		bears := max(float64(ro.target), spareWork*float64(ro.usual())*ro.Slowdown(now))
-		return float64(ro.ExpectedLatency(inFlight, slots, now)) <= bears
+	if li.limit == 0 {
+		headroom := max(float64(li.target), minLoadFactor*float64(li.baseLatency())*li.Slowdown(now))
+		return float64(li.ExpectedLatency(inFlight, slots, now)) <= headroom
 	}
-	whole, part := math.Modf(ro.limit)
+	whole, part := math.Modf(li.limit)
 	if inFlight < int(whole) {
 		return true
 	}
-	return inFlight == int(whole) && part > 0 && now.Sub(ro.extraAt) >= ro.pause(part, inFlight, slots, now)
+	return inFlight == int(whole) && part > 0 &&
+		now.Sub(li.fractionUsedAt) >= li.fractionInterval(part, inFlight, slots, now)
 }
 
-// pause is the time from one use of the part of a limit beyond whole requests to the
-// next. A limit of a half is a request for half of the time.
-func (ro *Limiter) pause(part float64, inFlight, slots int, now time.Time) time.Duration {
-	return time.Duration(float64(ro.ExpectedLatency(inFlight, slots, now)) / part)
+// fractionInterval returns the interval between uses of the fractional part of a limit: a limit of 0.5
+// allows a request to be in flight half of the time.
+func (li *Limiter) fractionInterval(part float64, inFlight, slots int, now time.Time) time.Duration {
+	return time.Duration(float64(li.ExpectedLatency(inFlight, slots, now)) / part)
 }
 
-// Sent notes that a request goes to the endpoint.
-func (ro *Limiter) Sent(inFlight int, now time.Time) {
-	if ro.limit > 0 && inFlight >= int(ro.limit) {
-		ro.extraAt = now
+// Sent records that a request is sent to the endpoint; inFlight does not include it.
+func (li *Limiter) Sent(inFlight int, now time.Time) {
+	if li.limit > 0 && inFlight >= int(li.limit) {
+		li.fractionUsedAt = now
 	}
 }
 
-// ExpectedLatency returns how long a request is likely to take that is sent now. What others
-// have there is what the endpoint told beyond the sender's own.
-func (ro *Limiter) ExpectedLatency(inFlight, slots int, now time.Time) time.Duration {
-	return time.Duration(float64(ro.usual()) * ro.Slowdown(now) * crowd(inFlight+ro.OthersInFlight(now), slots))
+// ExpectedLatency returns the expected duration of a request sent now, including other senders' requests.
+func (li *Limiter) ExpectedLatency(inFlight, slots int, now time.Time) time.Duration {
+	return time.Duration(float64(li.baseLatency()) * li.Slowdown(now) * loadFactor(inFlight+li.OthersInFlight(now), slots))
 }
 
-// UnloadedLatency returns how long a request takes with few exceptions that is alone: once more
-// than the usual time, as work is spread about its mean.
-func (ro *Limiter) UnloadedLatency(now time.Time) time.Duration {
-	return time.Duration(spread * float64(ro.usual()) * ro.Slowdown(now))
+// UnloadedLatency returns the duration that few requests exceed if they run without concurrent ones.
+func (li *Limiter) UnloadedLatency(now time.Time) time.Duration {
+	return time.Duration(latencySpread * float64(li.baseLatency()) * li.Slowdown(now))
 }
 
-// LatencyBound returns how long a request takes with few exceptions that is sent now.
-func (ro *Limiter) LatencyBound(inFlight, slots int, now time.Time) time.Duration {
-	return ro.ExpectedLatency(inFlight, slots, now) + time.Duration((spread-1)*float64(ro.usual())*ro.Slowdown(now))
+// LatencyBound returns the duration that few requests sent now exceed.
+func (li *Limiter) LatencyBound(inFlight, slots int, now time.Time) time.Duration {
+	return li.ExpectedLatency(inFlight, slots, now) +
+		time.Duration((latencySpread-1)*float64(li.baseLatency())*li.Slowdown(now))
 }
 
-// OthersInFlight returns how many requests of others are believed to be at the endpoint.
-func (ro *Limiter) OthersInFlight(now time.Time) int {
-	if ro.loadAt.IsZero() || now.Sub(ro.loadAt) >= loadLife {
+// OthersInFlight returns the estimated number of other senders' requests at the endpoint.
+func (li *Limiter) OthersInFlight(now time.Time) int {
+	if li.loadAt.IsZero() || now.Sub(li.loadAt) >= loadTTL {
 		return 0
 	}
-	return max(ro.load.Running+ro.load.Waiting-ro.own, 0)
+	return max(li.load.Running+li.load.Waiting-li.ownInLoad, 0)
 }
 
-// ReportedLoad returns how many requests the endpoint last said to have, or 0 if that was long
-// ago.
-func (ro *Limiter) ReportedLoad(now time.Time) int {
-	if now.Sub(ro.loadAt) >= toldLife {
+// ReportedLoad returns the last reported number of requests at the endpoint, or 0 if the report is
+// older than rankingTTL.
+func (li *Limiter) ReportedLoad(now time.Time) int {
+	if now.Sub(li.loadAt) >= rankingTTL {
 		return 0
 	}
-	return ro.load.Running + ro.load.Waiting
+	return li.load.Running + li.load.Waiting
 }
 
-// Slowdown returns how many times as long as usual work takes now: as told, and less
-// sure with its age.
-func (ro *Limiter) Slowdown(now time.Time) float64 {
-	age := now.Sub(ro.loadAt)
-	if ro.loadAt.IsZero() || age >= paceLife {
+// Slowdown returns the current duration of work as a multiple of the normal one. A reported value
+// fades to 1 over paceTTL.
+func (li *Limiter) Slowdown(now time.Time) float64 {
+	age := now.Sub(li.loadAt)
+	if li.loadAt.IsZero() || age >= paceTTL {
 		return 1
 	}
-	return 1 + (ro.load.slowdown()-1)*(1-float64(age)/float64(paceLife))
+	return 1 + (li.load.slowdown()-1)*(1-float64(age)/float64(paceTTL))
 }
 
-// Rate returns how many requests a second the sender may have answered there.
-func (ro *Limiter) Rate(inFlight, slots int, now time.Time) float64 {
-	expected := ro.ExpectedLatency(inFlight, slots, now).Seconds()
-	limit := ro.limit
+// Rate returns how many requests a second the endpoint can answer to the sender.
+func (li *Limiter) Rate(inFlight, slots int, now time.Time) float64 {
+	expected := li.ExpectedLatency(inFlight, slots, now).Seconds()
+	limit := li.limit
 	if limit == 0 {
 		limit = float64(max(slots, 1))
 	}
 	return limit / max(expected, time.Millisecond.Seconds())
 }
 
-// TotalRate returns how many requests a second the endpoint answers to all senders.
-func (ro *Limiter) TotalRate(slots int, now time.Time) float64 {
-	return float64(max(slots, 1)) / max(ro.usual().Seconds()*ro.Slowdown(now), time.Millisecond.Seconds())
+// TotalRate returns how many requests a second the endpoint can answer to all senders.
+func (li *Limiter) TotalRate(slots int, now time.Time) float64 {
+	return float64(max(slots, 1)) / max(li.baseLatency().Seconds()*li.Slowdown(now), time.Millisecond.Seconds())
 }
 
-// Limit returns how many requests the sender may have in flight there, or 0 while
-// nothing holds it back.
-func (ro *Limiter) Limit() float64 { return ro.limit }
+// Limit returns how many requests the sender may have in flight at the endpoint, or 0 for no limit.
+func (li *Limiter) Limit() float64 { return li.limit }
 
-// crowd returns how many times as long as alone a request takes beside busy others.
-func crowd(busy, slots int) float64 {
+// loadFactor returns the duration of a request beside busy others as a multiple of its duration alone.
+func loadFactor(busy, slots int) float64 {
 	return max(1, float64(busy+1)/float64(max(slots, 1)))
 }
--- a/admission/memorybudget.go
+++ b/admission/memorybudget.go
@@ -1,73 +1,70 @@
 package admission
 
-// MemoryBudget counts the bytes that a sender holds for callers: bodies that are being read and
-// answers that are not read yet. The zero MemoryBudget bounds nothing.
+// MemoryBudget counts the bytes of request bodies and of responses that callers have not read yet, and limits
+// them. The zero MemoryBudget does not limit. It is not safe for concurrent use.
 //
-// Load pattern: callers that read slowly. An answer stays until its caller has read it,
-// so that the memory held grows with the number of callers, not with that of endpoints,
-// until the process ends for want of it. So new requests are refused beyond the bound;
-// answers that are ready are delivered all the same, and may exceed it.
+// Callers that read slowly would otherwise let memory grow with the number of callers until the
+// process runs out of it. At the limit new requests are rejected; responses are delivered even if
+// they exceed it.
 type MemoryBudget struct {
 	byCustomer map[string]int64
-	bound      int64 // 0 if nothing is bounded
+	bound      int64 // 0 for no limit
 	total      int64
 }
 
-// NewMemoryBudget returns a MemoryBudget that takes no new work once bound bytes are held; 0 bounds
-// nothing.
+// NewMemoryBudget returns a MemoryBudget with a limit in bytes; 0 means no limit.
 func NewMemoryBudget(bound int64) MemoryBudget { return MemoryBudget{bound: bound} }
 
-// SetBound changes the bound. What is held stays.
-func (he *MemoryBudget) SetBound(bound int64) { he.bound = bound }
+// SetBound changes the limit in bytes; 0 means no limit.
+func (mb *MemoryBudget) SetBound(bound int64) { mb.bound = bound }
 
-// Bound returns how many bytes may be held, 0 if nothing is bounded.
-func (he *MemoryBudget) Bound() int64 { return he.bound }
+// Bound returns the limit in bytes, or 0 for no limit.
+func (mb *MemoryBudget) Bound() int64 { return mb.bound }
 
-// Fits reports whether bytes more of a customer's body may be taken. Taken are those of the
-// body that are held already: the answer is as if all of it came at one time.
+// Fits reports whether bytes more of a customer's body may be read, of which taken bytes are counted
+// already.
 //
-// This is a dynamic threshold: with this body, a customer may hold as much as is free without
-// it. That is about half of the bound for one alone and less for each of several, with no
-// parts to configure. A customer that holds nothing beside this body may take all that is
-// free, so that whatever fits an idle sender is taken in the end.
-func (he *MemoryBudget) Fits(customer string, taken, bytes int64) bool {
-	if he.bound <= 0 || he.total+bytes <= 0 {
+// The limit of a customer is a dynamic threshold: including this body, it may hold as much as is free
+// without the body, about half of the limit for a single customer and less for each of several. A
+// customer that holds nothing else may use all free bytes, so that any body within the limit is
+// accepted when nothing else is held.
+func (mb *MemoryBudget) Fits(customer string, taken, bytes int64) bool {
+	if mb.bound <= 0 || mb.total+bytes <= 0 {
 		return true
 	}
-	size, free, beside := taken+bytes, he.bound-he.total+taken, he.byCustomer[customer]-taken
+	size, free, beside := taken+bytes, mb.bound-mb.total+taken, mb.byCustomer[customer]-taken
 	if size > free {
 		return false
 	}
 	return beside <= 0 || customer == "" || beside+size <= free
 }
 
-// TooLarge reports whether a body of this size fits at no time.
-func (he *MemoryBudget) TooLarge(size int64) bool { return he.bound > 0 && size > he.bound }
+// TooLarge reports whether a body exceeds the limit by itself.
+func (mb *MemoryBudget) TooLarge(size int64) bool { return mb.bound > 0 && size > mb.bound }
 
-// ReservesWhole reports whether a body of this size, larger than half of the bound, is to be taken
-// whole before it is read. Read side by side, two such bodies would both be refused midway,
-// each for what had been read of the other, and so again when their callers come back.
-func (he *MemoryBudget) ReservesWhole(size int64) bool { return he.bound > 0 && size > he.bound/2 }
+// ReservesWhole reports whether a body, being larger than half of the limit, must be counted as a whole
+// before it is read. Two such bodies read concurrently would otherwise cause each other's rejection,
+// and again on each retry.
+func (mb *MemoryBudget) ReservesWhole(size int64) bool { return mb.bound > 0 && size > mb.bound/2 }
 
-// Add counts bytes that are held for a customer. A negative number ends what was counted.
-func (he *MemoryBudget) Add(customer string, bytes int64) {
-	he.total += bytes
-	if he.byCustomer == nil {
-		he.byCustomer = map[string]int64{}
+// Add counts bytes held for a customer; a negative number releases bytes.
+func (mb *MemoryBudget) Add(customer string, bytes int64) {
+	mb.total += bytes
+	if mb.byCustomer == nil {
+		mb.byCustomer = map[string]int64{}
 	}
-	he.byCustomer[customer] += bytes
-	if he.byCustomer[customer] <= 0 {
-		delete(he.byCustomer, customer)
+	mb.byCustomer[customer] += bytes
+	if mb.byCustomer[customer] <= 0 {
+		delete(mb.byCustomer, customer)
 	}
 }
 
-// Total returns how many bytes are held.
-func (he *MemoryBudget) Total() int64 { return he.total }
+// Total returns the number of bytes held.
+func (mb *MemoryBudget) Total() int64 { return mb.total }
 
-// Largest returns the customer for which most bytes are held, and how many: of several the
-// first by name.
-func (he *MemoryBudget) Largest() (customer string, bytes int64) {
-	for name, held := range he.byCustomer {
+// Largest returns the customer with the most bytes held, the first by name if several have as many.
+func (mb *MemoryBudget) Largest() (customer string, bytes int64) {
+	for name, held := range mb.byCustomer {
 		if held > bytes || held == bytes && name < customer {
 			customer, bytes = name, held
 		}
--- a/admission/response.go
+++ b/admission/response.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// A Response is what an endpoint's answer tells of its room.
+// A Response describes an endpoint's response to a request.
 type Response struct {
 	At       time.Time
-	InFlight int           // own requests there, that which is answered among them
-	Load     Load          // if it says so
+	InFlight int           // the sender's requests at the endpoint, including the answered one
+	Load     Load          // valid if Told
 	Refused  bool          // the endpoint was full
-	Slots    int           // requests that the endpoint serves at once
-	Target   time.Duration // that a request may spend there
-	Told     bool          // Load is set
+	Slots    int           // configured concurrency of the endpoint
+	Target   time.Duration // time that a request may spend at the endpoint; 0 for no target
+	Told     bool          // the endpoint reported its load
 	Took     time.Duration
 }
 
-// UnloadedLatency returns how long the request would have taken by itself at the usual pace, as
-// far as the endpoint tells what it had beside.
-func (an Response) UnloadedLatency() time.Duration {
-	if !an.Told {
-		return an.Took
+// UnloadedLatency estimates how long the request would have taken without concurrent requests and at
+// normal speed. Without a reported load it returns Took.
+func (re Response) UnloadedLatency() time.Duration {
+	if !re.Told {
+		return re.Took
 	}
-	one := float64(an.Took) / an.Load.slowdown()
-	if an.Load.Waiting > 0 {
-		one /= crowd(an.Load.Running+an.Load.Waiting, an.slots())
+	one := float64(re.Took) / re.Load.slowdown()
+	if re.Load.Waiting > 0 {
+		one /= loadFactor(re.Load.Running+re.Load.Waiting, re.slots())
 	}
 	return time.Duration(one)
 }
 
-func (an Response) slots() int {
-	if an.Told && an.Load.Places > 0 {
-		return an.Load.Places
+func (re Response) slots() int {
+	if re.Told && re.Load.Places > 0 {
+		return re.Load.Places
 	}
-	return max(an.Slots, 1)
+	return max(re.Slots, 1)
 }
--- a/admission/retryhistogram.go
+++ b/admission/retryhistogram.go
@@ -3,67 +3,66 @@
 import "time"
 
 const (
-	// timeStep is how exactly the times that callers name are told apart.
-	timeStep = 50 * time.Millisecond
-	// maxTimes bounds the times that are told apart.
-	maxTimes = 32
-	// timesFade halves all counts once one has come so far, so that new habits of
-	// callers show.
-	timesFade = 200
-	// leastTimes is how often a time must have been named to be the usual one.
-	leastTimes = 8
+	// deadlineStep is the resolution of counted deadlines.
+	deadlineStep = 50 * time.Millisecond
+	// maxDeadlines is the maximum number of distinct deadlines that are counted.
+	maxDeadlines = 32
+	// halveAt is the count at which all counts are halved, so that old observations lose weight.
+	halveAt = 200
+	// minUsualCount is the minimum count of the usual deadline; below it there is none.
+	minUsualCount = 8
 )
 
-// RetryHistogram knows how long callers of a route wait as a rule, and so how much of that one
-// has used before this try of its. The zero RetryHistogram knows nothing.
+// RetryHistogram estimates how much of its time a caller has used in earlier attempts, by comparing the
+// remaining time that it sends with the one that callers of the route usually send. The zero
+// RetryHistogram is ready to use.
 //
-// Load pattern: a burst beyond the room, whose refused callers come again. A try says
-// how long its caller still waits, which is less each time. Taken for new ones, half of
-// the room goes to callers for whom it is late already, and others become late for it.
+// Without it, retries of rejected callers would count as new requests: they would use capacity
+// although they are already late, and delay others.
 type RetryHistogram struct {
-	counts map[int]int // by time, in steps
+	counts map[int]int // by remaining time, in steps
 }
 
-// Observe counts the time that a try names.
-func (tr *RetryHistogram) Observe(left time.Duration) {
+// Observe counts the remaining time that a caller sent; values below or equal to 0 are ignored.
+func (rh *RetryHistogram) Observe(left time.Duration) {
 	if left <= 0 {
 		return
 	}
-	if tr.counts == nil {
-		tr.counts = map[int]int{}
+	if rh.counts == nil {
+		rh.counts = map[int]int{}
 	}
-	at := step(left)
-	if _, ok := tr.counts[at]; !ok && len(tr.counts) >= maxTimes {
-		tr.fade()
+	at := toSteps(left)
+	if _, ok := rh.counts[at]; !ok && len(rh.counts) >= maxDeadlines {
+		rh.halve()
 	}
-	tr.counts[at]++
-	if tr.counts[at] >= timesFade {
-		tr.fade()
+	rh.counts[at]++
+	if rh.counts[at] >= halveAt {
+		rh.halve()
 	}
 }
 
-func (tr *RetryHistogram) fade() {
-	for at := range tr.counts {
-		if tr.counts[at] /= 2; tr.counts[at] == 0 {
-			delete(tr.counts, at)
+func (rh *RetryHistogram) halve() {
+	for at := range rh.counts {
+		if rh.counts[at] /= 2; rh.counts[at] == 0 {
+			delete(rh.counts, at)
 		}
 	}
 }
 
-// Elapsed returns how much of its time the caller of a try that names left has used
-// before: the rest of what callers mostly name.
-func (tr *RetryHistogram) Elapsed(left time.Duration) time.Duration {
-	usual, most := 0, leastTimes-1
-	for at, count := range tr.counts {
+// Elapsed returns how much of its time the caller of a request with remaining time left has used in
+// earlier attempts: the difference to the most frequent remaining time.
+func (rh *RetryHistogram) Elapsed(left time.Duration) time.Duration {
+	usual, most := 0, minUsualCount-1
+	for at, count := range rh.counts {
 		if count > most || count == most && at > usual {
 			usual, most = at, count
 		}
 	}
-	if left <= 0 || step(left) >= usual {
+	if left <= 0 || toSteps(left) >= usual {
 		return 0
 	}
-	return time.Duration(usual)*timeStep - left
+	return time.Duration(usual)*deadlineStep - left
 }
 
-// step returns a time in steps, rounded up.
-func step(left time.Duration) int { return int((left + timeStep - 1) / timeStep) }
+// toSteps returns a duration in steps, rounded up.
+func toSteps(left time.Duration) int { return int((left + deadlineStep - 1) / deadlineStep) }
