--- a/directory/bounds_test.go
+++ b/directory/bounds_test.go
@@ -15,18 +15,18 @@
 		ok   bool
 	}{
 		{"one", Scale{Max: 1}, true},
-		{"from none to some", Scale{Max: 4, Startup: time.Second}, true},
-		{"a single number", Scale{Max: 2, Min: 2}, true},
-		{"nothing", Scale{}, false},
-		{"more than the most", Scale{Max: 1, Min: 2}, false},
-		{"less than none", Scale{Max: 1, Min: -1}, false},
-		{"a start before it began", Scale{Max: 1, Startup: -time.Second}, false},
+		{"zero to max", Scale{Max: 4, Startup: time.Second}, true},
+		{"fixed count", Scale{Max: 2, Min: 2}, true},
+		{"zero value", Scale{}, false},
+		{"min above max", Scale{Max: 1, Min: 2}, false},
+		{"negative min", Scale{Max: 1, Min: -1}, false},
+		{"negative startup", Scale{Max: 1, Startup: -time.Second}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, tc.sc.Check() == nil, tc.ok) })
 	}
 }
 
-func TestIsPart(t *testing.T) {
+func TestValidRatio(t *testing.T) {
 	for value, want := range map[float64]bool{0: true, 0.5: true, 1e9: true, -1: false, math.Inf(1): false, math.Inf(-1): false} {
 		assert.Equal(t, ValidRatio(value), want, "%v", value)
 	}
--- a/directory/customer.go
+++ b/directory/customer.go
@@ -6,33 +6,32 @@
 	"math"
 )
 
-// A KeyDigest stands for a customer's key. The key itself is neither held nor passed
-// on between processes, so that no log, dump or value of the key-value service can
-// give it away.
+// A KeyDigest is the SHA-256 digest of a customer's key. The key itself is neither stored
+// nor sent between processes, so that no log, dump or stored value can leak it.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// A Customer is one whose callers and trainers show keys.
+// A Customer owns the keys that its callers and trainers authenticate with.
 type Customer struct {
 	Keys []KeyDigest
 	Name string
-	// Priority goes before that of the route, if Ranked. 0 goes first.
+	// Priority overrides that of the route, if Ranked. 0 is the highest.
 	Priority int
-	// Quota is how many live requests a second may begin to run for it; 0 means no bound.
+	// Quota bounds the rate at which its live requests start, per second; 0 means no bound.
 	Quota  float64
 	Ranked bool
-	// Weight is its due part of what is scarce against that of others; 0 means by its
-	// priority.
+	// Weight is its weight in fair sharing of scarce capacity; 0 derives it from Priority.
 	Weight float64
 }
 
-// ValidRatio reports whether a number makes sense as a customer's quota or weight.
+// ValidRatio reports whether a number is valid as a customer's quota or weight: finite and
+// not negative.
 func ValidRatio(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 
-// PriorityWeight returns the customer's weight among those that compete: the first priority
-// weighs 1, the next ones a half, a third and so on. Not even the last goes without.
+// PriorityWeight returns the customer's weight in fair sharing: Weight if set, else 1 for
+// priority 0, 1/2 for priority 1, 1/3 for priority 2 and so on. It is never zero.
 func (cu Customer) PriorityWeight() float64 {
 	switch {
 	case cu.Weight > 0:
@@ -44,7 +43,7 @@
 	}
 }
 
-// Weights returns the customers' weights.
+// Weights returns the customers' weights by name.
 func (co *Configuration) Weights() map[string]float64 {
 	weights := make(map[string]float64, len(co.Customers))
 	for _, cu := range co.Customers {
@@ -62,8 +61,8 @@
 	return co.Weights()
 }
 
-// Quota returns a customer's quota by the configuration in force, in requests a second; 0
-// means none.
+// Quota returns a customer's quota in the configuration in force, in requests per second; 0
+// means no bound.
 func (di *Directory) Quota(customer string) float64 {
 	co := di.Configuration()
 	if co == nil {
@@ -77,10 +76,9 @@
 	return 0
 }
 
-// CustomerByKey returns the customer that holds a key.
+// CustomerByKey returns the customer that a key belongs to.
 //
-// It looks at all keys and compares each whole, so that the time that it takes says
-// nothing of how near a guess was. A thousand keys take 17 us.
+// It compares all keys in constant time, to prevent timing attacks.
 func (co *Configuration) CustomerByKey(key string) (Customer, bool) {
 	digest := DigestKey(key)
 	found := -1
@@ -97,7 +95,7 @@
 	return co.Customers[found], true
 }
 
-// PublicSteps reports whether trainers may hand steps in at a host without a key.
+// PublicSteps reports whether trainers may submit steps at a host without a key.
 func (co *Configuration) PublicSteps(host string) bool {
 	for i := range co.Routes {
 		if ro := &co.Routes[i]; ro.Host == host && ro.Public && ro.Kind == Steps {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -9,53 +9,51 @@
 	"wisteriacroft/hold"
 )
 
-// returnTime is how long after the key-value service's return an endpoint that
-// is missing from it is still used: the time that the platform gives endpoints
-// to register again, 2 s, and a heartbeat's lag.
-const returnTime = 2500 * time.Millisecond
+// reregisterGrace is how long after an outage of the key-value service an endpoint whose
+// entry is missing is still used: the 2 s within which endpoints register again, and the
+// delay of a heartbeat.
+const reregisterGrace = 2500 * time.Millisecond
 
-// leastOutage is how long the service must have been away for entries to have
-// ended meanwhile: endpoints write each 1.2 s, and an entry ends after three
-// intervals of silence. Calls that are cut and repeated at once are no outage.
-const leastOutage = 2 * time.Second
+// minOutage is the shortest time without the key-value service after which entries may have
+// expired for lack of heartbeats. A failed call that is retried at once is not an outage.
+const minOutage = 2 * time.Second
 
-// cutOffAfter is after how long without an answer of the key-value service or of
-// the process that feeds it a process counts as cut off. In touch, it has one
-// each 0.8 s.
-const cutOffAfter = 1500 * time.Millisecond
+// contactTimeout is the time without a response of the key-value service or the feeder after
+// which a process considers itself cut off. Responses normally arrive every 0.8 s.
+const contactTimeout = 1500 * time.Millisecond
 
-// A Directory is the table of routes and endpoints that a process believes in.
-// The zero Directory is empty and ready to use.
+// A Directory is a process's table of routes and endpoints. The zero value is empty and ready
+// to use. It is safe for concurrent use.
 type Directory struct {
 	mu            sync.RWMutex
 	configuration *Configuration
 	endpoints     endpointSet
-	aside         map[string]Endpoint  // lost their addresses before the configuration was known
-	missing       map[string]time.Time // endpoints to drop, and when
-	versions      map[string]uint64    // newest version named for a model
+	displaced     map[string]Endpoint  // lost their addresses before the configuration was known
+	missing       map[string]time.Time // when to drop endpoints whose entries are missing
+	versions      map[string]uint64    // newest announced version by model
 	synced        bool                 // endpoints have been read once
-	confirmedAt   time.Time            // the service last told of the endpoints
-	generation    uint64               // of the endpoints; their models' versions don't count
-	holds         *hold.Set            // of operators
-	awaySince     time.Time            // zero while the service answers
-	backAt        time.Time
-	heardAt       time.Time // of the service, or of the process that feeds this one
-	newsAt        time.Time // when the configuration was known to be the newest
+	confirmedAt   time.Time            // when the endpoints were last read from the key-value service
+	generation    uint64               // of the endpoints; model versions don't change it
+	holds         *hold.Set            // set by operators
+
+	unavailableSince time.Time // zero while the key-value service responds
+	recoveredAt      time.Time // end of the last outage
+	lastContact      time.Time // last response of the key-value service or the feeder
+	configurationAt  time.Time // when the configuration was last known to be the newest
 }
 
-// Configuration returns what is in force, or nil before it is known. It must
-// not be changed.
+// Configuration returns the configuration in force, or nil before it is known. It must not be
+// modified.
 func (di *Directory) Configuration() *Configuration {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.configuration
 }
 
-// SetConfiguration puts a configuration in force unless a newer one is. It
-// returns whether it did.
+// SetConfiguration replaces the configuration if the new one has a higher version, and
+// reports whether it did.
 //
-// A read that was answered by a replica behind the others, or an answer that
-// was overtaken, would otherwise bring back routes that were removed.
+// A stale read or a delayed response would otherwise restore routes that were removed.
 func (di *Directory) SetConfiguration(co *Configuration) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -63,14 +61,14 @@
 		return false
 	}
 	di.configuration = co
-	for _, en := range di.aside {
-		di.place(en)
+	for _, en := range di.displaced {
+		di.upsert(en)
 	}
-	di.aside = nil
+	di.displaced = nil
 	return true
 }
 
-// Endpoint returns the endpoint of an ID.
+// Endpoint returns the endpoint with an ID. One that an operator drains is marked as leaving.
 func (di *Directory) Endpoint(id string) (Endpoint, bool) {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
@@ -79,10 +77,11 @@
 }
 
 // Endpoints returns the endpoints of a service, or all for an empty name,
-// ordered by ID. One that an operator drains is leaving. They must not be changed.
+// ordered by ID. One that an operator drains is marked as leaving. The slice is shared and
+// must not be modified.
 func (di *Directory) Endpoints(service string) []Endpoint {
 	di.mu.RLock()
-	ens, ok := di.endpoints.listed(service)
+	ens, ok := di.endpoints.cachedList(service)
 	di.mu.RUnlock()
 	if ok {
 		return ens
@@ -110,50 +109,48 @@
 	return ens
 }
 
-// Ready returns whether routes and endpoints are known.
+// Ready reports whether routes and endpoints are known.
 func (di *Directory) Ready() bool {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.configuration != nil && di.synced
 }
 
-// SetEndpoint adds or replaces an endpoint. It returns the ID of another one that
-// had its address before, or "".
+// SetEndpoint adds or replaces an endpoint. It returns the ID of the endpoint that it replaced
+// at the same address, or "".
 //
-// An endpoint that crashed has its entry for some seconds more, beside that of its
-// successor at the same address. Taken for two, the successor got twice as many
-// items as it has places after a loss of power, and refused half of them. The one
-// that started last is the one that lives.
+// The entry of a crashed endpoint outlives it by some seconds, beside that of its successor at
+// the same address. If both counted, the successor would get twice as many items as it has
+// slots. Only the one that started last is used.
 //
-// An endpoint that starts again under its ID has an entry of its former start for
-// as long. Taken for news when it comes late, such an entry would bring back a
-// drain, or an address, of a process that is gone.
+// An endpoint may also restart under the same ID. A late entry of its previous incarnation is
+// ignored, as it would restore the drain state or the address of a process that has ended.
 func (di *Directory) SetEndpoint(en Endpoint) (replaced string) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	return di.place(en)
+	return di.upsert(en)
 }
 
-// place adds or replaces an endpoint, unless what is known is newer.
-func (di *Directory) place(en Endpoint) (replaced string) {
+// upsert adds or replaces an endpoint unless a newer entry is known. The lock is held.
+func (di *Directory) upsert(en Endpoint) (replaced string) {
 	old, known := di.endpoints.get(en.ID)
 	if known && old.Incarnation.Supersedes(en.Incarnation) {
 		return ""
 	}
 	en.Incarnation = max(en.Incarnation, old.Incarnation)
 	for _, other := range di.endpoints.at(en.Address) {
-		if other.ID == en.ID || en.Address == "" || !di.rivals(en, other) {
+		if other.ID == en.ID || en.Address == "" || !di.mayReplace(en, other) {
 			continue
 		}
-		if !en.outlives(other) && di.rivals(other, en) {
-			di.putAside(en)
+		if !en.supersedes(other) && di.mayReplace(other, en) {
+			di.displace(en)
 			return ""
 		}
 		replaced = other.ID
-		di.forget(other.ID)
-		di.putAside(other)
+		di.drop(other.ID)
+		di.displace(other)
 	}
-	if !known || old.differs(en) {
+	if !known || old.changed(en) {
 		di.generation++
 	}
 	di.endpoints.set(en)
@@ -161,18 +158,18 @@
 	return replaced
 }
 
-// forget drops an endpoint.
-func (di *Directory) forget(id string) {
+// drop removes an endpoint. The lock is held.
+func (di *Directory) drop(id string) {
 	if _, ok := di.endpoints.get(id); ok {
 		di.generation++
 	}
 	di.endpoints.remove(id)
 	delete(di.missing, id)
-	delete(di.aside, id)
+	delete(di.displaced, id)
 }
 
-// replaceEndpoints replaces all endpoints by those that another process knows.
-// It has waited for those that went missing in an outage.
+// replaceEndpoints replaces all endpoints with those of the feeder, which has already applied
+// the grace period to endpoints missing after an outage.
 func (di *Directory) replaceEndpoints(ens []Endpoint) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -180,7 +177,7 @@
 	for _, en := range ens {
 		old, _ := di.endpoints.get(en.ID)
 		if old.Incarnation.Supersedes(en.Incarnation) {
-			en = old // the feeder has not heard of its start yet
+			en = old // the feeder does not have the new incarnation yet
 		}
 		en.Incarnation = max(en.Incarnation, old.Incarnation)
 		fed.set(en)
@@ -191,84 +188,80 @@
 	di.generation++
 }
 
-// RecordContact takes in that the key-value service or the feeder answered, whatever it
-// said.
+// RecordContact records that the key-value service or the feeder responded, even with an
+// error.
 func (di *Directory) RecordContact(now time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	di.heardAt = now
+	di.lastContact = now
 }
 
-// CutOff reports whether neither the key-value service nor the feeder has
-// answered for some time.
+// CutOff reports whether neither the key-value service nor the feeder has responded within
+// contactTimeout.
 //
-// A process that is cut off can keep no step and knows of no result, while its
-// neighbours can. An outage of the service alone does not count: the feeder
-// still answers, and other processes could do no better.
+// A process that is cut off cannot store steps or look up results, while other processes can.
+// An outage of the key-value service alone does not count: the feeder still responds, and
+// other processes are affected just as much.
 func (di *Directory) CutOff(now time.Time) bool {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
-	return now.Sub(di.heardAt) >= cutOffAfter
+	return now.Sub(di.lastContact) >= contactTimeout
 }
 
-// ConfirmConfiguration takes in that the configuration is the newest one at a moment.
+// ConfirmConfiguration records that the configuration was the newest one at the given time.
 func (di *Directory) ConfirmConfiguration(at time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	di.newsAt = at
+	di.configurationAt = at
 }
 
-// ConfigurationStale reports whether a newer configuration may have come into force of which
-// this process has not heard.
-//
-// A process that is cut off, turned away by the key-value service or just started
-// knows the keys and routes of a configuration that may not be the newest. That it
-// lacks one says little then: another process may know it.
+// ConfigurationStale reports whether a newer configuration may exist that this process has not
+// read: it has just started, is cut off, or is rejected by the key-value service. A key or
+// route that is missing from a stale configuration may be known to other processes.
 func (di *Directory) ConfigurationStale(now time.Time) bool {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
-	return now.Sub(di.newsAt) >= cutOffAfter
+	return now.Sub(di.configurationAt) >= contactTimeout
 }
 
-// ConfirmEndpoints takes in that what is known of endpoints was true at a moment.
+// ConfirmEndpoints records that the endpoints were up to date at the given time.
 func (di *Directory) ConfirmEndpoints(at time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	di.confirmedAt = at
 }
 
-// confirmed returns the generation of the endpoints, how long ago the service
-// told of them, and whether it ever did.
+// confirmed returns the generation of the endpoints, how long ago they were confirmed, and
+// whether they ever were.
 func (di *Directory) confirmed(now time.Time) (generation uint64, age time.Duration, known bool) {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.generation, now.Sub(di.confirmedAt), di.synced && !di.confirmedAt.IsZero()
 }
 
-// RemoveEndpoint drops an endpoint whose entry is gone.
+// RemoveEndpoint removes an endpoint whose entry was removed.
 //
-// Entries also vanish while the service is away from the endpoints, and come
-// back with it. Dropping them at once would refuse all requests for seconds
-// after each outage, so that shortly after one they stay until returnTime is
-// over.
+// Entries also expire during an outage of the key-value service, and endpoints register again
+// after it. To keep serving requests meanwhile, endpoints removed during or shortly after an
+// outage are kept for reregisterGrace.
 func (di *Directory) RemoveEndpoint(id string, now time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	away := !di.awaySince.IsZero() && now.Sub(di.awaySince) >= leastOutage
-	back := !di.backAt.IsZero() && now.Sub(di.backAt) <= returnTime
-	if !away && !back {
-		di.forget(id)
+	outage := !di.unavailableSince.IsZero() && now.Sub(di.unavailableSince) >= minOutage
+	recovered := !di.recoveredAt.IsZero() && now.Sub(di.recoveredAt) <= reregisterGrace
+	if !outage && !recovered {
+		di.drop(id)
 		return
 	}
 	if di.missing == nil {
 		di.missing = map[string]time.Time{}
 	}
 	if _, ok := di.missing[id]; !ok {
-		di.missing[id] = now.Add(returnTime)
+		di.missing[id] = now.Add(reregisterGrace)
 	}
 }
 
-// SetEndpoints replaces all endpoints.
+// SetEndpoints replaces all endpoints with a complete listing.
 func (di *Directory) SetEndpoints(ens []Endpoint, now time.Time) {
 	present := map[string]bool{}
 	for _, en := range ens {
@@ -285,39 +278,39 @@
 	di.synced = true
 }
 
-// Expire drops the endpoints that stayed missing after an outage.
+// Expire removes the endpoints that are still missing after an outage and its grace period.
 func (di *Directory) Expire(now time.Time) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
 	for id, at := range di.missing {
-		if now.After(at) && di.awaySince.IsZero() && now.Sub(di.backAt) > returnTime {
-			di.forget(id)
+		if now.After(at) && di.unavailableSince.IsZero() && now.Sub(di.recoveredAt) > reregisterGrace {
+			di.drop(id)
 		}
 	}
 }
 
-// SetUnavailable records whether the key-value service answers, and returns whether
+// SetUnavailable records whether the key-value service is unavailable, and reports whether
 // that has changed.
-func (di *Directory) SetUnavailable(away bool, now time.Time) bool {
+func (di *Directory) SetUnavailable(unavailable bool, now time.Time) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	was := !di.awaySince.IsZero()
+	was := !di.unavailableSince.IsZero()
 	switch {
-	case away == was:
+	case unavailable == was:
 		return false
-	case away:
-		di.awaySince = now
+	case unavailable:
+		di.unavailableSince = now
 	default:
-		if now.Sub(di.awaySince) >= leastOutage {
-			di.backAt = now
+		if now.Sub(di.unavailableSince) >= minOutage {
+			di.recoveredAt = now
 		}
-		di.awaySince = time.Time{}
+		di.unavailableSince = time.Time{}
 	}
 	return true
 }
 
-// SetVersion records the newest version that was named for a model; it never
-// goes back. It returns whether it is new.
+// SetVersion records a version announced for a model if it is higher than the current one, and
+// reports whether it did.
 func (di *Directory) SetVersion(model string, version uint64) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -331,7 +324,7 @@
 	return true
 }
 
-// Versions returns the newest version that was named for each model.
+// Versions returns the newest announced version by model.
 func (di *Directory) Versions() map[string]uint64 {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -19,12 +19,9 @@
 	return &di
 }
 
-func TestRemovedEndpointGetsNothing(t *testing.T) {
-	// Symptom: an endpoint that has left gets requests for 2.5 s more.
-	// Sequence: a waiting call to the key-value service is cut and repeated at
-	// once; right after it an endpoint's entry is removed.
-	// Cause: any failed call counted as an outage, after which missing entries
-	// are expected to come back.
+func TestRetryIsNoOutage(t *testing.T) {
+	// Guards against keeping a removed endpoint for the grace period because one call to the
+	// key-value service failed and was retried.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.SetUnavailable(true, time.Now())
@@ -36,11 +33,8 @@
 }
 
 func TestEndpointsOutliveAnOutage(t *testing.T) {
-	// Symptom: all requests are refused for seconds after each outage.
-	// Sequence: the key-value service is away for 4 s, in which endpoints' leases
-	// end; it returns, and the endpoints register again within 2 s.
-	// Cause: entries that are missing after an outage were taken for endpoints
-	// that are gone.
+	// Guards against dropping all endpoints after an outage of the key-value service in which
+	// their entries expired, before they register again.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.SetUnavailable(true, time.Now())
@@ -51,17 +45,15 @@
 		assert.Assert(t, known(di, "a"), "right after the outage")
 		time.Sleep(2 * time.Second)
 		di.Expire(time.Now())
-		assert.Assert(t, known(di, "a"), "while it may still register")
+		assert.Assert(t, known(di, "a"), "within the grace period")
 		time.Sleep(time.Second)
 		di.Expire(time.Now())
-		assert.Assert(t, !known(di, "a"), "once it should have")
+		assert.Assert(t, !known(di, "a"), "after the grace period")
 	})
 }
 
-func TestNoConfigurationGoesBack(t *testing.T) {
-	// Symptom: requests go by a route that the operators have removed.
-	// Sequence: a newer configuration is in force; an older one is read late.
-	// Cause: whatever was read last was put in force.
+func TestOlderConfigurationIgnored(t *testing.T) {
+	// Guards against a stale read restoring routes that were removed.
 	var di Directory
 	assert.Assert(t, di.SetConfiguration(&Configuration{Version: 7}))
 	assert.Assert(t, !di.SetConfiguration(&Configuration{Version: 4}))
@@ -78,8 +70,8 @@
 		{"longest prefix", "a", "/x/y/z/1", "long"},
 		{"shorter prefix", "a", "/x/1", "short"},
 		{"no prefix", "a", "/1", ""},
-		{"prefix without its end", "a", "/x", ""},
-		{"no host", "c", "/x/1", ""},
+		{"prefix without trailing slash", "a", "/x", ""},
+		{"unknown host", "c", "/x/1", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ro, ok := co.Route(tc.host, tc.path)
@@ -90,11 +82,8 @@
 }
 
 func TestSuccessorAtTheSameAddress(t *testing.T) {
-	// Symptom: after a loss of power, half of the items that engines get are refused
-	// as if they were for another engine.
-	// Sequence: an endpoint crashes and starts again; its old entry stays for three
-	// heartbeats, and is read before or after the new one.
-	// Cause: both counted as endpoints with places of their own.
+	// Guards against sending an endpoint twice as many items as it has slots after a crash,
+	// while its old entry has not expired yet.
 	old := Endpoint{Address: "10.0.0.1:80", ID: "old", Revision: 7, Service: "desk"}
 	successor := Endpoint{Address: "10.0.0.1:80", ID: "successor", Revision: 9, Service: "other"}
 	far := Endpoint{Address: "10.0.0.2:80", ID: "far", Revision: 3, Service: "desk"}
@@ -106,7 +95,7 @@
 			di.SetEndpoints(ens, time.Now())
 			assert.Assert(t, !known(&di, "old") && known(&di, "successor") && known(&di, "far"))
 			old := old
-			old.Revision = 11 // a write that was held up shows that it lives after all
+			old.Revision = 11 // a later write shows that it is alive after all
 			assert.Equal(t, di.SetEndpoint(old), "successor")
 		})
 	}
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -10,40 +10,40 @@
 	"wisteriacroft/incarnation"
 )
 
-// A ModelVersion is a model and the version of its weights that an engine serves.
+// A ModelVersion is a model that an engine serves and the version of its weights.
 type ModelVersion struct {
 	Model   string
 	Version uint64
 }
 
-// An Endpoint is one start of an endpoint's process. The next start at the same
-// address may have another ID, or the same one and a later Incarnation.
+// An Endpoint describes one incarnation of an endpoint's process. After a restart at the same
+// address it has another ID, or the same ID and a later Incarnation.
 type Endpoint struct {
 	Address string // host:port
 	Domain  string // failure domain
 	ID      string
-	// Incarnation is the start that wrote the entry.
+	// Incarnation is that of the process that wrote the entry; 0 means unknown.
 	Incarnation incarnation.Number
-	Leaving     bool // takes no new work
+	Leaving     bool // accepts no new work
 	Models      []ModelVersion
 	Revision    int64 // of its entry in the key-value service
 	Service     string
 	Slots       int
-	WarmLeft    time.Duration // how much longer it stays slow after its start
+	WarmLeft    time.Duration // remaining warm-up time after its start
 }
 
-// Errors of entries in the key-value service that name no endpoint.
+// Validation errors of endpoint entries in the key-value service.
 var (
-	errNoID      = errors.New("no id that a header can hold")
-	errNoAddress = errors.New("address is no IP number and port")
-	errNoDomain  = errors.New("no failure domain")
-	errNoService = errors.New("no service")
-	errNoSlots   = errors.New("no slots")
+	errNoID      = errors.New("id is empty or not a valid header value")
+	errNoAddress = errors.New("address is not an IP address and port")
+	errNoDomain  = errors.New("failure domain is empty")
+	errNoService = errors.New("service is empty")
+	errNoSlots   = errors.New("slots are not positive")
 )
 
-// Check returns what keeps the endpoint from being used. Entries may come from
-// other writers, with fields missing: a request to half an endpoint fails, and
-// takes an attempt from its caller.
+// Check returns an error if the endpoint cannot be used. Entries may come from other writers
+// with fields missing; a request sent to such an endpoint would fail and use up one of its
+// attempts.
 func (en Endpoint) Check() error {
 	if en.ID == "" || strings.ContainsFunc(en.ID, func(ru rune) bool { return ru <= ' ' || ru > '~' }) {
 		return errNoID
@@ -72,9 +72,9 @@
 	return 0
 }
 
-// differs reports whether another entry of the endpoint says more than which
-// versions it serves.
-func (en Endpoint) differs(other Endpoint) bool {
+// changed reports whether another entry of the endpoint differs in more than the served
+// versions.
+func (en Endpoint) changed(other Endpoint) bool {
 	return en.Address != other.Address || en.Domain != other.Domain || en.Leaving != other.Leaving ||
 		en.Service != other.Service || en.Slots != other.Slots || en.Incarnation != other.Incarnation
 }
--- a/directory/endpointset.go
+++ b/directory/endpointset.go
@@ -1,21 +1,19 @@
 package directory
 
-// An endpointSet holds endpoints by their IDs, addresses and services. The zero set is
-// empty and ready to use.
+// An endpointSet indexes endpoints by ID, address and service. The zero value is empty and
+// ready to use.
 //
-// Each live request asks for the endpoints of its service several times, and each entry that
-// is read asks for those at its address. A search through all endpoints would take the
-// longer the more there are, until a scheduler that makes reward calls no longer answers in
-// time and its standbys take it for dead.
+// Each live request looks up the endpoints of its service several times. A linear search would
+// delay a scheduler with many endpoints until its standbys consider it dead.
 type endpointSet struct {
 	byAddress map[string]map[string]bool // IDs
 	byID      map[string]Endpoint
-	// ordered are the endpoints of a service by ID, or all for an empty name, as last
-	// asked for. They are shared, and replaced rather than changed.
-	ordered map[string][]Endpoint
+	// lists caches the endpoints by service, or all for an empty name, ordered by ID. The
+	// slices are shared, and replaced rather than modified.
+	lists map[string][]Endpoint
 }
 
-// get returns the endpoint of an ID.
+// get returns the endpoint with an ID.
 func (es *endpointSet) get(id string) (Endpoint, bool) {
 	en, ok := es.byID[id]
 	return en, ok
@@ -34,10 +32,10 @@
 		es.byAddress[en.Address] = ids
 	}
 	ids[en.ID] = true
-	es.changed(en)
+	es.invalidateLists(en)
 }
 
-// remove drops an endpoint.
+// remove removes an endpoint.
 func (es *endpointSet) remove(id string) {
 	en, ok := es.byID[id]
 	if !ok {
@@ -49,13 +47,13 @@
 	} else {
 		delete(es.byAddress, en.Address)
 	}
-	es.changed(en)
+	es.invalidateLists(en)
 }
 
-// changed forgets the lists that an endpoint stands in.
-func (es *endpointSet) changed(en Endpoint) {
-	delete(es.ordered, en.Service)
-	delete(es.ordered, "")
+// invalidateLists drops the cached lists that contain an endpoint.
+func (es *endpointSet) invalidateLists(en Endpoint) {
+	delete(es.lists, en.Service)
+	delete(es.lists, "")
 }
 
 // at returns the endpoints at an address.
@@ -67,31 +65,31 @@
 	return ens
 }
 
-// list returns the endpoints of a service, or all for an empty name, ordered by ID and as
-// asFunc returns each. The list is kept until one of them changes, or forgetLists.
+// list returns the endpoints of a service, or all for an empty name, ordered by ID and
+// transformed by asFunc. The list is cached until one of them changes or clearLists is called.
 func (es *endpointSet) list(service string, asFunc func(en Endpoint) Endpoint) []Endpoint {
-	if es.ordered == nil {
-		es.ordered = map[string][]Endpoint{}
+	if es.lists == nil {
+		es.lists = map[string][]Endpoint{}
 	}
 	ens := sortedEndpoints(es.byID, service)
 	for i := range ens {
 		ens[i] = asFunc(ens[i])
 	}
-	es.ordered[service] = ens
+	es.lists[service] = ens
 	return ens
 }
 
-// listed returns the list of a service, if it is kept.
-func (es *endpointSet) listed(service string) ([]Endpoint, bool) {
-	ens, ok := es.ordered[service]
+// cachedList returns the list of a service if it is cached.
+func (es *endpointSet) cachedList(service string) ([]Endpoint, bool) {
+	ens, ok := es.lists[service]
 	return ens, ok
 }
 
-// forgetLists forgets all lists.
-func (es *endpointSet) forgetLists() { es.ordered = nil }
+// clearLists drops all cached lists.
+func (es *endpointSet) clearLists() { es.lists = nil }
 
-// SameList reports whether two lists that Endpoints returned for a service are the same:
-// nothing has changed between.
+// SameList reports whether two lists that Endpoints returned for the same service are
+// identical, so that no endpoint changed between the calls.
 func SameList(a, b []Endpoint) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/directory/endpointset_test.go
+++ b/directory/endpointset_test.go
@@ -9,9 +9,9 @@
 	"wisteriacroft/hold"
 )
 
-// A scheduler looks at the endpoints twenty times a second, and takes them in anew only
-// when the list is another one.
-func TestListIsAnotherOnceAnEndpointChanges(t *testing.T) {
+// Guards against a scheduler missing a change: it reads the endpoints again only if the list is
+// not the same.
+func TestListReplacedOnChange(t *testing.T) {
 	di := manyEndpoints()
 	changes := []struct {
 		name   string
@@ -22,7 +22,7 @@
 			en.Models = []ModelVersion{{Model: "m", Version: 2}}
 			di.SetEndpoint(en)
 		}},
-		{"left", func() { di.RemoveEndpoint("endpoint-0002", time.Time{}) }},
+		{"removed", func() { di.RemoveEndpoint("endpoint-0002", time.Time{}) }},
 		{"operator's hold", func() { di.SetHolds(&hold.Set{}) }},
 	}
 	for _, tc := range changes {
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -15,79 +15,75 @@
 	"wisteriacroft/quarantine"
 )
 
-// Bounds of feeding processes with endpoints.
+// Settings of the feed, a long poll for changes.
 const (
-	// feedMethod asks for the endpoints.
 	feedMethod = "directory.Feed"
-	// feedWait is how long an answer waits for news.
-	feedWait = 800 * time.Millisecond
-	// feedTimeout bounds one call.
+	// feedWait is how long a response waits for changes.
+	feedWait    = 800 * time.Millisecond
 	feedTimeout = feedWait + 400*time.Millisecond
-	// feedAge is how old the feeder's own knowledge may be. With the time of one
-	// call it stays under the 2 s within which an endpoint that leaves must get
-	// no new work.
-	feedAge = 1100 * time.Millisecond
-	// feedPoll is how often a feeder looks for news.
+	// maxFeedAge bounds the age of the endpoints that a feeder sends. Together with the
+	// duration of a call it stays below the 2 s after which a leaving endpoint must get no new
+	// work.
+	maxFeedAge = 1100 * time.Millisecond
+	// feedPoll is the interval at which a feeder checks for changes.
 	feedPoll = 20 * time.Millisecond
 )
 
-// unknownGeneration is the generation of endpoints that were not fed.
+// unknownGeneration is the generation of endpoints that did not come from a feeder.
 const unknownGeneration = math.MaxUint64
 
-// Errors of a process that is asked for endpoints.
+// Errors of the feed.
 var (
-	// ErrNotFeeder means that it does not follow the endpoints itself.
-	ErrNotFeeder = errors.New("does not feed")
-	// ErrOldEndpoints means that it follows them and has not heard of late.
-	ErrOldEndpoints = errors.New("endpoints are old")
+	// ErrNotFeeder means that the process does not follow the endpoints itself.
+	ErrNotFeeder = errors.New("process is not a feeder")
+	// ErrOldEndpoints means that the feeder has not confirmed its endpoints recently.
+	ErrOldEndpoints = errors.New("endpoints are stale")
 )
 
-// errNoFeeder means that no feeder is known.
 var errNoFeeder = errors.New("no feeder is known")
 
-// A FeedRequest asks for the endpoints if they are not those of a generation, for
-// the configuration if it is newer than a version, and for the quarantined
-// requests if they are not those of a generation of theirs.
+// A FeedRequest asks for everything that differs from the caller's state: the endpoints, the
+// configuration, the holds and the quarantined requests.
 type FeedRequest struct {
-	Boot       string // of the process whose generations they are
+	Boot       string // boot ID of the process that Generation and Held belong to
 	Generation uint64
 	Held       uint64              // generation of the quarantined requests
 	Holds      int64               // version of the operators' holds; 0 for none
-	Unsaved    []quarantine.Record `cbor:",omitempty"` // what the caller could not save yet
+	Unsaved    []quarantine.Record `cbor:",omitempty"` // records that the caller could not save yet
 	Version    int64               // of the configuration; 0 for none
 }
 
-// A FeedResponse holds the endpoints, if Fresh, and the configuration and the
-// quarantined requests, if newer.
+// A FeedResponse holds the changes: the endpoints, if Fresh, and the configuration and the
+// quarantined requests, if newer than the caller's.
 type FeedResponse struct {
 	Boot          string
 	Configuration *Configuration `cbor:",omitempty"`
 	Endpoints     []Endpoint
-	Fresh         bool // they are not those that were asked with
+	Fresh         bool // Endpoints is set, as the caller's generation differs
 	Generation    uint64
 	Held          uint64
 	Holds         *hold.Set           `cbor:",omitempty"` // if other than the caller's
 	Quarantine    []quarantine.Record `cbor:",omitempty"`
-	// Stale means that there is nothing but Quarantine: the process does not feed,
-	// or its endpoints are old.
+	// Stale means that only Quarantine is set: the process is not a feeder, or its endpoints
+	// are stale.
 	Stale bool `cbor:",omitempty"`
 }
 
-// news reports whether a response holds anything that is newer than what was asked with.
-// Older holds are told with the next response: the caller may know more than the feeder.
-func (re *FeedResponse) news(rq FeedRequest) bool {
+// hasUpdate reports whether a response has anything newer than the caller's state. Holds older
+// than the caller's don't count, as the feeder may lag behind; they go with the next response.
+func (re *FeedResponse) hasUpdate(rq FeedRequest) bool {
 	return re.Fresh || re.Configuration != nil || re.Holds.Version() > rq.Holds || len(re.Quarantine) > 0
 }
 
-// RegisterFeed lets other processes take their endpoints from a follower.
+// RegisterFeed registers the RPC method by which other processes get a follower's state. Boot
+// identifies this run of the process.
 func RegisterFeed(sv *peer.Server, fo *Follower, boot string) {
 	peer.Handle(sv, feedMethod, func(ctx context.Context, _ message.Header, rq FeedRequest) (FeedResponse, error) {
 		return fo.feed(ctx, boot, rq)
 	})
 }
 
-// feed answers once the endpoints or the configuration are others than those that
-// the caller has.
+// feed responds once there are changes for the caller, or after feedWait.
 func (fo *Follower) feed(ctx context.Context, boot string, rq FeedRequest) (FeedResponse, error) {
 	end := time.Now().Add(feedWait)
 	fo.quarantine().MergeUnsaved(rq.Unsaved, time.Now())
@@ -100,7 +96,7 @@
 		re := FeedResponse{Boot: boot, Generation: generation, Held: fo.quarantine().Generation()}
 		re.Quarantine = fo.quarantine().Since(held, time.Now())
 		switch {
-		case fo.direct() && known && age <= feedAge:
+		case fo.direct() && known && age <= maxFeedAge:
 		case len(re.Quarantine) > 0:
 			return FeedResponse{Boot: boot, Held: re.Held, Quarantine: re.Quarantine, Stale: true}, nil
 		case !fo.direct() || !known:
@@ -111,59 +107,58 @@
 		if co := fo.Directory.Configuration(); co != nil && co.Version > rq.Version {
 			re.Configuration = co
 		}
-		if sh := fo.Directory.Holds(); sh.Version() != rq.Holds {
-			re.Holds = sh.WithVersion(sh.Version())
+		if se := fo.Directory.Holds(); se.Version() != rq.Holds {
+			re.Holds = se.WithVersion(se.Version())
 		}
 		if rq.Boot != boot || rq.Generation != generation {
 			re.Endpoints, re.Fresh = fo.Directory.entries(), true
 		}
-		if re.news(rq) || !time.Now().Before(end) {
+		if re.hasUpdate(rq) || !time.Now().Before(end) {
 			return re, nil
 		}
 		sleep(ctx, feedPoll)
 	}
 }
 
-// takeFeed takes the endpoints and the configuration from the feeder for as long
-// as it can be reached, and reads them itself meanwhile.
+// followFeeder gets updates from the feeder until ctx ends, and reads from the key-value
+// service itself while no feeder is reachable.
 //
-// Each call to the key-value service is paid for, and an endpoint's entry
-// changes with each version of its weights. Fed by one process, 27 entries make
-// a tenth of the calls that each would make for itself.
-func (fo *Follower) takeFeed(ctx context.Context) {
+// Calls to the key-value service are billed, and an endpoint's entry changes with each version
+// of its weights, so that it is cheaper if one process reads on behalf of all.
+func (fo *Follower) followFeeder(ctx context.Context) {
 	var rq FeedRequest
-	var un unfed
-	defer un.end()
-	fo.glance(ctx)
-	heard := time.Now() // of the feeder
+	var fb feedFallback
+	defer fb.end()
+	fo.readStale(ctx)
+	contact := time.Now() // last response of the feeder
 	for ctx.Err() == nil {
 		if co := fo.Directory.Configuration(); co != nil {
 			rq.Version = co.Version
 		}
 		rq.Holds = fo.Directory.Holds().Version()
 		rq.Unsaved = fo.quarantine().Unsaved()
-		re, err := fo.askFeed(ctx, rq)
-		fo.hear(err)
-		fo.takeQuarantine("feeder", re.Quarantine)
+		re, err := fo.callFeed(ctx, rq)
+		fo.recordContact(err)
+		fo.mergeQuarantine("feeder", re.Quarantine)
 		if err == nil && !re.Stale {
-			un.end()
-			fo.takeResponse(ctx, re)
+			fb.end()
+			fo.applyResponse(ctx, re)
 			rq = FeedRequest{Boot: re.Boot, Generation: re.Generation, Held: re.Held}
-			heard = time.Now()
+			contact = time.Now()
 			continue
 		}
 		if err == nil {
 			rq.Boot, rq.Held = re.Boot, re.Held
 		}
-		rq.Generation = unknownGeneration // what is read meanwhile replaces what was fed
-		if time.Since(heard) < fo.Patience {
-			sleep(ctx, patiencePause)
+		rq.Generation = unknownGeneration // the endpoints may be replaced by a direct read
+		if time.Since(contact) < fo.Patience {
+			sleep(ctx, feederRetryPause)
 			continue
 		}
-		un.begin(ctx, fo)
+		fb.begin(ctx, fo)
 		ch, err := fo.scanEndpoints(ctx)
-		fo.hear(err)
-		fo.away(fo.Source.EndpointPrefix, err)
+		fo.recordContact(err)
+		fo.setUnavailable(fo.Source.EndpointPrefix, err)
 		if err == nil {
 			fo.applyEndpoints(ch.Items, true)
 			fo.readQuarantine(ctx)
@@ -172,19 +167,18 @@
 	}
 }
 
-// takeResponse takes in what the feeder said.
+// applyResponse applies a response of the feeder.
 //
-// It feeds only while the key-value service answers it, so that the service is
-// not away. A process that is fed asks it nothing itself, and would go on taking
-// an outage for one that lasts: what left long after it would stay for 2.5 s more
-// as if it might come back.
-func (fo *Follower) takeResponse(ctx context.Context, re FeedResponse) {
-	fo.away(fo.Source.EndpointPrefix, nil)
+// A feeder responds only while the key-value service is available to it, so that any outage is
+// over. Without recording that, an endpoint removed long after an outage would be kept for
+// reregisterGrace, as this process does not call the service itself.
+func (fo *Follower) applyResponse(ctx context.Context, re FeedResponse) {
+	fo.setUnavailable(fo.Source.EndpointPrefix, nil)
 	fo.Directory.ConfirmConfiguration(time.Now())
-	fo.takeHolds("feeder", re.Holds)
-	if re.Holds != nil && time.Since(fo.doubtedAt) >= doubtPause {
-		fo.doubtedAt = time.Now()
-		defer fo.doubtHolds(ctx, re.Holds.Version())
+	fo.setHolds("feeder", re.Holds)
+	if re.Holds != nil && time.Since(fo.holdsCheckedAt) >= holdsCheckPause {
+		fo.holdsCheckedAt = time.Now()
+		defer fo.checkHolds(ctx, re.Holds.Version())
 	}
 	if re.Fresh {
 		fo.Directory.replaceEndpoints(re.Endpoints)
@@ -194,38 +188,37 @@
 	}
 }
 
-// doubtPause is the pause between two questions to the key-value service for holds of
-// which the feeder knows an older version: it may be behind for a while.
-const doubtPause = 2 * time.Second
+// holdsCheckPause is the minimum interval between reads of the holds from the key-value service
+// after the feeder sent an older version: it may lag behind for a while.
+const holdsCheckPause = 2 * time.Second
 
-// An unfed follows the configuration and the holds while there is no feeder.
-type unfed struct{ cancel context.CancelFunc }
+// A feedFallback follows the configuration and the holds while no feeder is reachable.
+type feedFallback struct{ cancel context.CancelFunc }
 
-// begin starts following, with a reading first: what came while the process was
-// fed may be missing.
-func (un *unfed) begin(ctx context.Context, fo *Follower) {
-	if un.cancel != nil {
+// begin starts following, with a scan first to get changes that the feeder had not sent yet.
+func (fb *feedFallback) begin(ctx context.Context, fo *Follower) {
+	if fb.cancel != nil {
 		return
 	}
-	ctx, un.cancel = context.WithCancel(ctx)
+	ctx, fb.cancel = context.WithCancel(ctx)
 	go fo.Prefix(ctx, fo.Source.ConfigurationKey, followWait, 0, fo.applyOperator)
 	go fo.followHolds(ctx)
 }
 
-func (un *unfed) end() {
-	if un.cancel != nil {
-		un.cancel()
-		un.cancel = nil
+func (fb *feedFallback) end() {
+	if fb.cancel != nil {
+		fb.cancel()
+		fb.cancel = nil
 	}
 }
 
-// glance reads the configuration and the endpoints in the cheap way, for a process
-// that has just started and is patient: what it reads may be seconds old, and a
-// feeder brings what is new within its patience.
+// readStale initializes a process that waits for a feeder with a cheap stale read of the
+// configuration, the endpoints and the quarantined requests. They may be seconds old, until
+// the feeder sends its state.
 //
-// All processes may start at once, and the feeder some tenths of a second later.
-// Without it, 58 entries refused 33 requests of live callers meanwhile.
-func (fo *Follower) glance(ctx context.Context) {
+// If all processes start at once, the feeder starts slightly later. Without it, entries would
+// reject requests of live callers meanwhile.
+func (fo *Follower) readStale(ctx context.Context) {
 	if fo.Patience == 0 || fo.Directory.Ready() {
 		return
 	}
@@ -236,22 +229,21 @@
 		quarantine.Key: fo.applyQuarantine,
 	} {
 		ch, err := fo.Client.ScanStale(ctx, prefix)
-		fo.hear(err)
-		fo.away(prefix, err)
+		fo.recordContact(err)
+		fo.setUnavailable(prefix, err)
 		if err == nil {
 			apply(ch.Items, true)
 		}
 	}
 }
 
-// patiencePause is the pause before a feeder is asked for again.
-const patiencePause = 100 * time.Millisecond
+// feederRetryPause is the pause before the next call to a feeder after a failed one.
+const feederRetryPause = 100 * time.Millisecond
 
-// scanPause is the pause between readings of all endpoints while there is no
-// feeder.
+// scanPause is the pause between scans of all endpoints while no feeder is reachable.
 const scanPause = 500 * time.Millisecond
 
-func (fo *Follower) askFeed(ctx context.Context, rq FeedRequest) (FeedResponse, error) {
+func (fo *Follower) callFeed(ctx context.Context, rq FeedRequest) (FeedResponse, error) {
 	address := fo.feederAddress(ctx)
 	if address == "" {
 		return FeedResponse{}, errNoFeeder
@@ -265,12 +257,11 @@
 	return re, err
 }
 
-// feederAddress returns where to ask for endpoints, or "".
+// feederAddress returns the address of the current or the last known feeder, or "".
 //
-// While the service is away, feeders lose their leases and none is known. The
-// process that fed last still answers then, though only that it feeds no longer,
-// and so tells an outage of the service from a cut of this process. Taken for
-// one another, all entries would refuse all steps at once for the outage's time.
+// During an outage of the key-value service, feeders lose their leases and none is known. The
+// last one still responds with ErrNotFeeder, which shows that this process is not cut off.
+// Otherwise all entries would reject all steps during an outage.
 func (fo *Follower) feederAddress(ctx context.Context) string {
 	if address := fo.Feeder.Address(ctx); address != "" {
 		fo.lastFeeder = address
@@ -278,9 +269,8 @@
 	return fo.lastFeeder
 }
 
-// scanTimeout bounds a reading of all endpoints while there is no feeder: with
-// the pause it stays under the time after which the process counts as cut off.
-// A service that is 60 times slower than usual answers in 0.24 s.
+// scanTimeout bounds a scan of all endpoints while no feeder is reachable. Together with
+// scanPause it stays below contactTimeout.
 const scanTimeout = 800 * time.Millisecond
 
 func (fo *Follower) scanEndpoints(ctx context.Context) (keyvalue.Changes, error) {
--- a/directory/feed_test.go
+++ b/directory/feed_test.go
@@ -32,7 +32,7 @@
 		begun := time.Now()
 		second, err := fo.feed(t.Context(), "boot", known)
 		assert.NilError(t, err)
-		assert.Assert(t, !second.Fresh, "new weights are no news")
+		assert.Assert(t, !second.Fresh, "a new version does not change the generation")
 		assert.Assert(t, time.Since(begun) >= feedWait)
 
 		di.ConfirmEndpoints(time.Now())
@@ -49,8 +49,8 @@
 }
 
 func TestConfigurationIsFed(t *testing.T) {
-	// A process that is fed makes no call to the key-value service for the
-	// configuration, and a newer one reaches it at once.
+	// The feeder sends a newer configuration at once, so that the other process need not read
+	// it from the key-value service.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.SetConfiguration(&Configuration{Version: 3})
@@ -71,17 +71,15 @@
 		logger := logrus.New()
 		logger.SetLevel(logrus.PanicLevel)
 		fed := &Follower{Directory: &Directory{}, Log: logrus.NewEntry(logger)}
-		fed.takeResponse(t.Context(), second)
+		fed.applyResponse(t.Context(), second)
 		assert.Equal(t, fed.Directory.Configuration().Version, int64(5))
-		fed.takeResponse(t.Context(), first) // an answer that was overtaken
+		fed.applyResponse(t.Context(), first) // a delayed response
 		assert.Equal(t, fed.Directory.Configuration().Version, int64(5))
 	})
 }
 
-func TestConfigurationOfAProcessThatIsNotFed(t *testing.T) {
-	// Symptom: requests go by an old route for as long as no scheduler is there.
-	// Sequence: the feeder is gone; operators change the configuration.
-	// Cause: a process that is fed as a rule did not follow the key itself.
+func TestConfigurationWithoutFeeder(t *testing.T) {
+	// Guards against using an old configuration while no feeder is reachable.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
@@ -104,36 +102,31 @@
 	})
 }
 
-func TestFedProcessKnowsOfTheServicesReturn(t *testing.T) {
-	// Symptom: an endpoint that has left gets requests for 2.5 s more.
-	// Sequence: the key-value service is away and returns, and the process is fed
-	// from then on; a minute later the feeder is gone, and the process reads that an
-	// endpoint has left.
-	// Cause: the process had not heard of the service itself since the outage.
+func TestFeedEndsOutage(t *testing.T) {
+	// Guards against keeping a removed endpoint for the grace period of an outage that ended
+	// long ago, if the process got its state from a feeder since.
 	synctest.Test(t, func(t *testing.T) {
 		logger := logrus.New()
 		logger.SetLevel(logrus.PanicLevel)
 		fo := &Follower{Directory: withEndpoint(), Log: logrus.NewEntry(logger), Source: source()}
-		fo.away("servers/", keyvalue.ErrUnavailable)
+		fo.setUnavailable("servers/", keyvalue.ErrUnavailable)
 		time.Sleep(4 * time.Second)
-		fo.takeResponse(t.Context(), FeedResponse{})
+		fo.applyResponse(t.Context(), FeedResponse{})
 		time.Sleep(time.Minute)
-		fo.away("servers/", nil)
+		fo.setUnavailable("servers/", nil)
 		fo.applyEndpoints(nil, true)
 		assert.Assert(t, !known(fo.Directory, "a"))
 	})
 }
 
-func TestOldKnowledgeIsNotFed(t *testing.T) {
-	// Symptom: entries that are well send requests to an endpoint that has left.
-	// Sequence: the feeder loses its path to the key-value service, and entries
-	// go on taking their endpoints from it.
-	// Cause: the feeder answered with what it had last heard, however old.
+func TestStaleEndpointsNotFed(t *testing.T) {
+	// Guards against requests to a removed endpoint because a feeder that is cut off from the
+	// key-value service keeps sending stale endpoints.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.ConfirmEndpoints(time.Now())
 		fo := &Follower{Directory: di}
-		time.Sleep(feedAge + time.Millisecond)
+		time.Sleep(maxFeedAge + time.Millisecond)
 		_, err := fo.feed(t.Context(), "boot", FeedRequest{})
 		assert.Assert(t, errors.Is(err, ErrOldEndpoints))
 		fo.DirectFunc = func() bool { return false }
@@ -144,44 +137,39 @@
 }
 
 func TestCutOff(t *testing.T) {
-	// Symptom: a trainer's step is 5 s late, though most entries could keep it.
-	// Sequence: a third of the entries are cut off from the service and from the
-	// schedulers, and stay in the balancer's rotation; the trainer meets three.
-	// Cause: an entry that had read the routes once counted as ready for good.
+	// Guards against entries that are cut off staying ready, and so in the load balancer's
+	// rotation, where they reject steps that other entries could store.
 	for _, tc := range []struct {
 		name   string
 		err    error // of each call
 		cutOff bool
 	}{
-		{"calls are answered", nil, false},
-		{"history is gone", keyvalue.ErrHistoryGone, false},
-		{"the feeder has lost the service", ErrOldEndpoints, false},
-		{"the process feeds no longer", ErrNotFeeder, false},
-		{"nothing answers", context.DeadlineExceeded, true},
-		{"the service turns this process away", keyvalue.ErrUnavailable, true},
+		{"success", nil, false},
+		{"history lost", keyvalue.ErrHistoryGone, false},
+		{"feeder cut off", ErrOldEndpoints, false},
+		{"no longer a feeder", ErrNotFeeder, false},
+		{"timeout", context.DeadlineExceeded, true},
+		{"rejected by the key-value service", keyvalue.ErrUnavailable, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fo := &Follower{Directory: &Directory{}}
-				fo.hear(nil)
+				fo.recordContact(nil)
 				for range 20 {
 					time.Sleep(feedWait)
-					fo.hear(tc.err)
+					fo.recordContact(tc.err)
 				}
 				assert.Equal(t, fo.Directory.CutOff(time.Now()), tc.cutOff)
-				fo.hear(nil)
+				fo.recordContact(nil)
 				assert.Assert(t, !fo.Directory.CutOff(time.Now()))
 			})
 		})
 	}
 }
 
-func TestLastFeederTellsAnOutageFromACut(t *testing.T) {
-	// Symptom: all trainers' steps of an outage are refused and never come again.
-	// Sequence: the service goes away for longer than a lease lasts; no feeder is
-	// known any longer.
-	// Cause: an entry without a feeder took itself for cut off, as all others did,
-	// though the process that had fed it still answered.
+func TestNotCutOffDuringOutage(t *testing.T) {
+	// Guards against all entries considering themselves cut off, and rejecting all steps, during
+	// an outage of the key-value service in which the last feeder still responds.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		logger := logrus.New()
@@ -192,22 +180,22 @@
 		}
 		me.SetFaults(keyvalue.Faults{Outage: true})
 		assert.Equal(t, fo.feederAddress(t.Context()), "10.0.0.1:1")
-		fo.hear(ErrNotFeeder)
-		time.Sleep(cutOffAfter - time.Millisecond)
+		fo.recordContact(ErrNotFeeder)
+		time.Sleep(contactTimeout - time.Millisecond)
 		assert.Assert(t, !fo.Directory.CutOff(time.Now()))
 	})
 }
 
 func TestPatience(t *testing.T) {
-	// Load pattern: 58 entries lose their feeder at the same moment, and another one is
-	// there a second later. Each that reads all itself meanwhile makes five calls.
+	// Guards against a burst of calls to the key-value service from all entries while a lost
+	// feeder is replaced.
 	for _, tc := range []struct {
 		name     string
 		patience time.Duration
 		reads    bool
 	}{
 		{"none", 0, true},
-		{"longer than it takes", 1200 * time.Millisecond, false},
+		{"longer than the replacement", 1200 * time.Millisecond, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -218,9 +206,9 @@
 				logger.SetLevel(logrus.PanicLevel)
 				log := logrus.NewEntry(logger)
 				cl := me.Client()
-				var looks atomic.Int64
+				var lookups atomic.Int64
 				cl.GetStaleFunc = func(context.Context, string) (keyvalue.Item, error) {
-					looks.Add(1)
+					lookups.Add(1)
 					return keyvalue.Item{}, keyvalue.ErrNotFound
 				}
 				fo := &Follower{
@@ -234,13 +222,13 @@
 				}
 				go fo.Run(ctx)
 				time.Sleep(time.Second)
-				version := map[bool]int64{false: 2, true: 3}[tc.reads] // 2 is the cheap reading's
+				version := map[bool]int64{false: 2, true: 3}[tc.reads] // 2 is from the stale read
 				assert.Equal(t, fo.Directory.Configuration().Version, version)
 				// The configuration, the endpoints and the quarantined requests.
 				assert.Equal(t, stale.Load(), map[bool]int64{false: 3, true: 0}[tc.reads])
 				time.Sleep(500 * time.Millisecond)
-				assert.Equal(t, fo.Directory.Configuration().Version, int64(3), "a feeder that does not come")
-				assert.Assert(t, looks.Load() > 0)
+				assert.Equal(t, fo.Directory.Configuration().Version, int64(3), "no feeder within the patience")
+				assert.Assert(t, lookups.Load() > 0)
 				cancel()
 				synctest.Wait()
 			})
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -16,39 +16,39 @@
 	"wisteriacroft/quarantine"
 )
 
-// Bounds of following the key-value service.
+// Settings of following the key-value service.
 const (
-	// followWait is how long one call waits for changes. Each call is paid for;
-	// a waiting one shows a silent connection only when it ends.
+	// followWait is how long one call waits for changes. Calls are billed, but a dead
+	// connection is detected only at the end of the wait.
 	followWait = 10 * time.Second
-	// followSlack is how much longer the answer may take.
+	// followSlack is added to followWait for the timeout of a call.
 	followSlack = time.Second
-	// followPause is the pause after changes, so that many in a row cost one
-	// call. With the call's own time it stays well under the 2 s within which
-	// an endpoint that leaves must get no new work.
+	// followPause is the pause after changes, to batch them into one call. Together with the
+	// duration of a call it stays well below the 2 s after which a leaving endpoint must get
+	// no new work.
 	followPause = 250 * time.Millisecond
 	// retryPause is the pause after a failed call.
 	retryPause = 250 * time.Millisecond
-	// expireEvery is how often endpoints that stay missing are looked for.
+	// expireEvery is the interval at which missing endpoints are expired.
 	expireEvery = 100 * time.Millisecond
-	// endpointsWait is how long one call waits for changes of endpoints. Those
-	// who are fed need to know that the feeder is in touch.
+	// endpointsWait is how long one call waits for changes of endpoints. It is shorter than
+	// followWait as a feeder must confirm its endpoints within maxFeedAge.
 	endpointsWait = 800 * time.Millisecond
 )
 
-// maxUnreadLogged bounds the parts of a configuration that one log line names.
+// maxUnreadLogged bounds the undecodable parts of a configuration in one log entry.
 const maxUnreadLogged = 20
 
-// revisionField is the field of log lines that holds a key's version.
+// revisionField is the log field with a key's version.
 const revisionField = "revision"
 
-// A Schema says where in the key-value service things lie and how they read.
+// A Schema defines the keys of the key-value service and how to decode their values.
 type Schema struct {
 	ConfigurationKey string
 	EndpointPrefix   string
-	VersionPrefix    string // after it stands the model's name
-	// OperatorPrefix is a prefix of the configuration's key and of
-	// VersionPrefix, so that one call follows both.
+	VersionPrefix    string // followed by the model's name
+	// OperatorPrefix is a prefix of ConfigurationKey and VersionPrefix, so that one call
+	// follows both.
 	OperatorPrefix string
 
 	DecodeConfigurationFunc func(value []byte) (*Configuration, error)
@@ -62,35 +62,31 @@
 	Directory *Directory
 	Log       *logrus.Entry
 	Source    Schema
-	// DirectFunc reports whether the process reads all from the key-value
-	// service itself. Else it takes endpoints and the configuration from Feeder,
-	// which it reaches over Pool, and reads only what concerns its own instance.
-	// Nil means that it does.
+	// DirectFunc reports whether the process follows the key-value service itself. If not, it
+	// gets its state from Feeder over Pool, and follows only the key Own. Nil means true.
 	DirectFunc func() bool
 	Feeder     *lease.Resolver
-	// Own is the key of what the operators ask of this instance, or "".
+	// Own is the key of the operators' requests to this instance, or "".
 	Own  string
 	Pool *peer.Pool
-	// Patience is for how long after the feeder's last answer, or after the start, the
-	// process waits for a feeder before it reads all itself. Of a day's calls of 58
-	// entries, half were of such readings, most of them in the second in which a lost
-	// feeder is replaced. Zero waits for none.
+	// Patience is how long after its start or the feeder's last response the process waits for
+	// a feeder before it reads from the key-value service itself. It avoids billed calls while
+	// a lost feeder is replaced.
 	Patience time.Duration
-	// OperatorFunc is told of items under OperatorPrefix that are neither the
-	// configuration nor a version. Nil ignores them.
+	// OperatorFunc handles items under OperatorPrefix that are neither the configuration nor a
+	// version. Nil ignores them.
 	OperatorFunc func(it keyvalue.Item)
 
-	// Quarantine is what is known of requests that end their endpoints. Nil knows
-	// of none.
+	// Quarantine tracks requests that crash their endpoints. Nil tracks none.
 	Quarantine *quarantine.Table
 
-	doubtedAt    time.Time // when the feeder's holds were last doubted
-	lastFeeder   string    // address of the feeder that was known last
-	noQuarantine quarantine.Table
-	unusable     entries
+	holdsCheckedAt  time.Time // last read of the holds because the feeder sent older ones
+	lastFeeder      string    // address of the last known feeder
+	emptyQuarantine quarantine.Table
+	unusable        unusableEntries
 }
 
-// Run follows until ctx ends.
+// Run keeps the directory up to date until ctx ends.
 func (fo *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		direct := fo.direct()
@@ -108,10 +104,10 @@
 	}
 }
 
-// direct reports whether the process reads all from the service itself.
+// direct reports whether the process follows the key-value service itself.
 func (fo *Follower) direct() bool { return fo.DirectFunc == nil || fo.DirectFunc() }
 
-// tasks returns what follows what.
+// tasks returns the functions that keep the directory up to date, to run concurrently.
 func (fo *Follower) tasks(direct bool) []func(ctx context.Context) {
 	prefix := func(prefix string, wait, pause time.Duration, apply func([]keyvalue.Item, bool)) func(ctx context.Context) {
 		return func(ctx context.Context) { fo.Prefix(ctx, prefix, wait, pause, apply) }
@@ -124,20 +120,21 @@
 			fo.followHolds,
 		}
 	}
-	tasks := []func(ctx context.Context){fo.takeFeed}
+	tasks := []func(ctx context.Context){fo.followFeeder}
 	if fo.Own != "" {
 		tasks = append(tasks, prefix(fo.Own, followWait, 0, fo.applyOperator))
 	}
 	return tasks
 }
 
-// followHolds keeps what operators hold up to date until ctx ends.
+// followHolds keeps the operators' holds up to date until ctx ends.
 func (fo *Follower) followHolds(ctx context.Context) {
-	fo.Prefix(ctx, hold.Key, followWait, 0, func(its []keyvalue.Item, whole bool) { fo.applyHolds(ctx, its, whole) })
+	fo.Prefix(ctx, hold.Key, followWait, 0, func(its []keyvalue.Item, full bool) { fo.applyHolds(ctx, its, full) })
 }
 
-// Prefix scans a prefix and follows it until ctx ends. Apply gets whole
-// listings first and after history was lost or went back, and changes else.
+// Prefix scans a prefix and follows its changes until ctx ends. Apply is called with a complete
+// listing (true) first and after the history was lost or the revision went back, and with
+// changes (false) otherwise.
 func (fo *Follower) Prefix(
 	ctx context.Context, prefix string, wait, pause time.Duration, apply func([]keyvalue.Item, bool),
 ) {
@@ -148,8 +145,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		fo.hear(err)
-		fo.away(prefix, err)
+		fo.recordContact(err)
+		fo.setUnavailable(prefix, err)
 		if errors.Is(err, keyvalue.ErrHistoryGone) {
 			fo.Log.WithFields(logrus.Fields{"prefix": prefix, "after": after}).Info("history lost, scanning again")
 			scan = true
@@ -160,7 +157,7 @@
 			continue
 		}
 		if back := ch.Version < after; back && !scan {
-			// Restored from an older copy, the service would show no change until its
+			// After a restore from an older backup, no changes would be reported until the
 			// revision is as high again.
 			fo.Log.WithFields(logrus.Fields{"prefix": prefix, "after": after, revisionField: ch.Version}).Warn("revision went back, scanning again")
 			scan = true
@@ -194,21 +191,22 @@
 	return fo.Client.Follow(ctx, prefix, after, wait)
 }
 
-// hear takes in the outcome of a call. What a process refuses it has answered.
-func (fo *Follower) hear(err error) {
+// recordContact records a contact if the call got a response, even a rejection.
+func (fo *Follower) recordContact(err error) {
 	if err == nil || errors.IsAny(err, keyvalue.ErrHistoryGone, ErrNotFeeder, ErrOldEndpoints) {
 		fo.Directory.RecordContact(time.Now())
 	}
 }
 
-// away notes whether the service answers.
-func (fo *Follower) away(prefix string, err error) {
-	gone := err != nil && !errors.Is(err, keyvalue.ErrHistoryGone)
-	if !fo.Directory.SetUnavailable(gone, time.Now()) {
+// setUnavailable records from the result of a call whether the key-value service is
+// unavailable, and logs a change.
+func (fo *Follower) setUnavailable(prefix string, err error) {
+	unavailable := err != nil && !errors.Is(err, keyvalue.ErrHistoryGone)
+	if !fo.Directory.SetUnavailable(unavailable, time.Now()) {
 		return
 	}
 	en := fo.Log.WithFields(logrus.Fields{"dependency": "key-value", "prefix": prefix})
-	if gone {
+	if unavailable {
 		en.WithError(err).Warn("dependency lost")
 		return
 	}
@@ -243,7 +241,7 @@
 	co, err := fo.Source.DecodeConfigurationFunc(it.Value)
 	en := fo.Log.WithFields(logrus.Fields{"key": it.Key, revisionField: it.Version})
 	if err != nil {
-		en.WithError(err).Error("configuration does not decode, the one in force stays")
+		en.WithError(err).Error("cannot decode configuration, keeping the current one")
 		return
 	}
 	taken := fo.Directory.SetConfiguration(co)
@@ -251,7 +249,7 @@
 	if taken && len(co.Unread) > 0 {
 		en.WithFields(logrus.Fields{
 			"count": len(co.Unread), "unread": co.Unread[:min(len(co.Unread), maxUnreadLogged)], "version": co.Version,
-		}).Error("parts of the configuration do not decode, they count as absent")
+		}).Error("cannot decode parts of the configuration, treating them as absent")
 	}
 }
 
@@ -259,7 +257,7 @@
 	model, version, err := fo.Source.DecodeVersionFunc(it.Value)
 	en := fo.Log.WithFields(logrus.Fields{"key": it.Key, revisionField: it.Version})
 	if err != nil {
-		en.WithError(err).Error("named version does not decode")
+		en.WithError(err).Error("cannot decode announced version")
 		return
 	}
 	if fo.Directory.SetVersion(model, version) {
@@ -267,13 +265,13 @@
 	}
 }
 
-// applyEndpoints applies changes in the order in which they were made: the last
-// word on an endpoint counts.
-func (fo *Follower) applyEndpoints(its []keyvalue.Item, whole bool) {
+// applyEndpoints applies changes in their order, so that the last one of an endpoint wins. Full
+// means that the items are a complete listing.
+func (fo *Follower) applyEndpoints(its []keyvalue.Item, full bool) {
 	var ens []Endpoint
 	now := time.Now()
-	if whole {
-		fo.unusable.keepOnly(its)
+	if full {
+		fo.unusable.retain(its)
 	}
 	for _, it := range its {
 		id := strings.TrimPrefix(it.Key, fo.Source.EndpointPrefix)
@@ -284,7 +282,7 @@
 			continue
 		}
 		en, err := fo.decodeEndpoint(id, it)
-		if fo.noteUnusable(it, err) {
+		if fo.isUnusable(it, err) {
 			fo.Directory.RemoveEndpoint(id, now)
 			continue
 		}
@@ -294,12 +292,12 @@
 		}
 		ens = append(ens, en)
 	}
-	if whole {
+	if full {
 		fo.Directory.SetEndpoints(ens, now)
 	}
 }
 
-// decodeEndpoint returns the endpoint that an entry names.
+// decodeEndpoint returns the endpoint that an entry describes.
 func (fo *Follower) decodeEndpoint(id string, it keyvalue.Item) (Endpoint, error) {
 	if len(it.Value) > maxEntry {
 		return Endpoint{}, errors.Wrapf(errLargeEntry, "%d bytes", len(it.Value))
@@ -309,7 +307,7 @@
 	return en, err
 }
 
-// logEndpoint writes a line if an endpoint is new or begins to leave.
+// logEndpoint logs an endpoint if it is new or its Leaving has changed.
 func (fo *Follower) logEndpoint(en Endpoint) {
 	old, known := fo.Directory.entry(en.ID)
 	if known && old.Leaving == en.Leaving {
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// follow runs a follower of a service until the test's bubble ends it.
+// follow runs a follower until ctx ends, and returns its directory.
 func follow(ctx context.Context, me *keyvalue.Memory) *Directory {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
@@ -55,10 +55,8 @@
 }
 
 func TestChangesOfOneEndpointStayInOrder(t *testing.T) {
-	// Symptom: an endpoint that has left gets work until it is gone, seconds later.
-	// Sequence: its entry changes and is removed while the follower pauses, so
-	// that both changes come in one answer.
-	// Cause: removals were applied first, and the change brought the entry back.
+	// Guards against a removed endpoint reappearing if its entry is changed and removed within
+	// one response.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -79,10 +77,8 @@
 }
 
 func TestLostHistory(t *testing.T) {
-	// Symptom: requests go to an endpoint that has left.
-	// Sequence: its entry is removed, and the service drops its history before
-	// the follower has asked for it.
-	// Cause: a follower that only goes on from now on never hears of it.
+	// Guards against missing a removal if the service drops its history before the follower
+	// has read it.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -102,10 +98,9 @@
 	})
 }
 
-func TestConfigurationThatDoesNotDecode(t *testing.T) {
-	// Symptom: every request is refused.
-	// Sequence: operators write a configuration that this version can't read.
-	// Cause: the one in force was given up for it.
+func TestUndecodableConfiguration(t *testing.T) {
+	// Guards against losing the current configuration if operators write one that cannot be
+	// decoded.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -123,7 +118,7 @@
 	})
 }
 
-// Parts of a configuration that can't be read are logged once for each version.
+// Parts of a configuration that cannot be decoded are logged once for each version.
 func TestUnreadPartsAreLoggedOnce(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	fo := &Follower{Directory: &Directory{}, Log: logrus.NewEntry(logger), Source: source()}
--- a/directory/holds.go
+++ b/directory/holds.go
@@ -10,66 +10,64 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Holds returns what operators hold back, or nil before it is known. It is kept while
-// the key-value service is away.
+// Holds returns the operators' holds, or nil before they are known. They stay in force while
+// the key-value service is unavailable.
 func (di *Directory) Holds() *hold.Set {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.holds
 }
 
-// SetHolds puts a sheet in force unless a newer one is. It returns whether it did.
-func (di *Directory) SetHolds(sh *hold.Set) bool {
+// SetHolds replaces the holds if the new set has a higher version, and reports whether it did.
+func (di *Directory) SetHolds(se *hold.Set) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	if sh == nil || di.holds != nil && sh.Version() <= di.holds.Version() {
+	if se == nil || di.holds != nil && se.Version() <= di.holds.Version() {
 		return false
 	}
-	di.putHolds(sh.After(di.holds))
+	di.replaceHolds(se.After(di.holds))
 	return true
 }
 
-// restoreHolds puts a sheet in force that is older than the one that is. Known is the sheet
-// that was in force when the key-value service was asked; its answer counts only if that
-// one still is. It returns whether the sheet is in force now.
+// restoreHolds replaces the holds with an older set, and reports whether it did. Known is the
+// set that was in force when the older one was requested from the key-value service; if it has
+// been replaced since, nothing changes.
 //
-// Symptom without it: operators restore the service from an older copy, its revision goes
-// back, and what was held after the copy stays held until the revision is as high again.
-// A lower version from another process may just be late. But the service's own answer, asked
-// for after the higher one was known, is what lasts.
-func (di *Directory) restoreHolds(sh, known *hold.Set) bool {
+// After a restore of the service from an older backup, later holds would otherwise stay in
+// force until its revision is as high again. An older set is accepted only from the service
+// itself, as one from another process may be stale.
+func (di *Directory) restoreHolds(se, known *hold.Set) bool {
 	di.mu.Lock()
 	defer di.mu.Unlock()
-	if known == nil || di.holds != known || sh.Version() >= known.Version() {
+	if known == nil || di.holds != known || se.Version() >= known.Version() {
 		return false
 	}
-	di.putHolds(sh.AsRestored(known))
+	di.replaceHolds(se.AsRestored(known))
 	return true
 }
 
-// putHolds replaces the sheet, and the lists of endpoints, which say who drains. The lock is
-// held.
-func (di *Directory) putHolds(sh *hold.Set) {
-	di.holds = sh
-	di.endpoints.forgetLists()
+// replaceHolds replaces the holds and drops the cached lists of endpoints, which depend on
+// them. The lock is held.
+func (di *Directory) replaceHolds(se *hold.Set) {
+	di.holds = se
+	di.endpoints.clearLists()
 }
 
-// ReadHolds reads what operators hold from the key-value service itself and puts it in
-// force, also if it is older than what is known. It returns the sheet that it put in force,
-// nil if it put none.
-func (di *Directory) ReadHolds(ctx context.Context, ke *hold.Store) (*hold.Set, error) {
+// ReadHolds reads the holds from the key-value service and puts them in force, even if they are
+// older than the current ones. It returns the new set, or nil if nothing changed.
+func (di *Directory) ReadHolds(ctx context.Context, st *hold.Store) (*hold.Set, error) {
 	known := di.Holds()
-	sh, err := ke.Read(ctx)
+	se, err := st.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if sh.Version() > 0 && di.SetHolds(sh) || di.restoreHolds(sh, known) {
+	if se.Version() > 0 && di.SetHolds(se) || di.restoreHolds(se, known) {
 		return di.Holds(), nil
 	}
-	return nil, nil //nolint:nilnil // there is nothing new
+	return nil, nil //nolint:nilnil // nothing changed
 }
 
-// drained returns an endpoint as one that leaves if an operator drains it.
+// drained returns an endpoint, marked as leaving if an operator drains it. The lock is held.
 func (di *Directory) drained(en Endpoint) Endpoint {
 	if _, ok := di.holds.Endpoint(en.ID, en.Address); ok {
 		en.Leaving = true
@@ -77,39 +75,39 @@
 	return en
 }
 
-// entry returns an endpoint as its entry names it, drained or not.
+// entry returns an endpoint as in its entry, without the effect of holds.
 func (di *Directory) entry(id string) (Endpoint, bool) {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return di.endpoints.get(id)
 }
 
-// entries returns the endpoints as their entries name them, for a process that gets the
-// holds besides and applies them itself.
+// entries returns the endpoints as in their entries, without the effect of holds, for a process
+// that gets the holds too and applies them itself.
 func (di *Directory) entries() []Endpoint {
 	di.mu.RLock()
 	defer di.mu.RUnlock()
 	return sortedEndpoints(di.endpoints.byID, "")
 }
 
-// applyHolds takes in the sheet if it is among items of the key-value service. Whole means
-// that these are all items, so that without the sheet there is none.
-func (fo *Follower) applyHolds(ctx context.Context, its []keyvalue.Item, whole bool) {
+// applyHolds applies the holds if they are among the items. Full means that the items are a
+// complete listing, so that there are no holds if they are missing.
+func (fo *Follower) applyHolds(ctx context.Context, its []keyvalue.Item, full bool) {
 	var version int64
 	for _, it := range its {
 		if it.Key != hold.Key || it.Value == nil {
 			continue
 		}
 		version = it.Version
-		sh, err := hold.Decode(it)
+		se, err := hold.Decode(it)
 		if err != nil {
 			fo.logUndecodable(err)
 			continue
 		}
-		fo.takeHolds("key-value", sh)
+		fo.setHolds("key-value", se)
 	}
-	if whole {
-		fo.doubtHolds(ctx, version)
+	if full {
+		fo.checkHolds(ctx, version)
 	}
 }
 
@@ -117,50 +115,50 @@
 	fo.Log.WithError(err).Error("holds do not decode, those known stay")
 }
 
-// takeHolds puts a sheet in force and logs it.
-func (fo *Follower) takeHolds(from string, sh *hold.Set) {
-	if fo.Directory.SetHolds(sh) {
-		fo.logHolds(from, sh)
+// setHolds puts holds in force if they are newer, and logs them.
+func (fo *Follower) setHolds(from string, se *hold.Set) {
+	if fo.Directory.SetHolds(se) {
+		fo.logHolds(from, se)
 	}
 }
 
-func (fo *Follower) logHolds(from string, sh *hold.Set) {
-	fields := logrus.Fields{"from": from, revisionField: sh.Version()}
+func (fo *Follower) logHolds(from string, se *hold.Set) {
+	fields := logrus.Fields{"from": from, revisionField: se.Version()}
 	for _, ki := range hold.Kinds {
-		fields[string(ki)+"s"] = sh.Count(ki)
+		fields[string(ki)+"s"] = se.Count(ki)
 	}
-	if chs := sh.Changes(); len(chs) > 0 {
+	if chs := se.Changes(); len(chs) > 0 {
 		last := chs[len(chs)-1]
 		fields["action"], fields["by"], fields["of"], fields["why"] = last.Action, last.By, last.String(), last.Why
 	}
 	fo.Log.WithFields(fields).Info("holds")
 }
 
-// doubtHolds asks the key-value service itself for the holds if another source gave an older
-// version than this process knows, or none (0): the service may have been restored.
-func (fo *Follower) doubtHolds(ctx context.Context, version int64) {
+// checkHolds reads the holds from the key-value service if another source has an older version
+// than this process, or none (0): the service may have been restored from a backup.
+func (fo *Follower) checkHolds(ctx context.Context, version int64) {
 	if version < fo.Directory.Holds().Version() {
 		fo.readHolds(ctx)
 	}
 }
 
-// readHolds asks the key-value service itself for the holds. Those that are known stay in
-// force until it answers.
+// readHolds reads the holds from the key-value service. On an error the current ones stay in
+// force.
 func (fo *Follower) readHolds(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
 	before := fo.Directory.Holds().Version()
-	sh, err := fo.Directory.ReadHolds(ctx, &hold.Store{Client: fo.Client})
-	fo.hear(err)
+	se, err := fo.Directory.ReadHolds(ctx, &hold.Store{Client: fo.Client})
+	fo.recordContact(err)
 	switch {
 	case errors.Is(err, hold.ErrUndecodable):
 		fo.logUndecodable(err)
 	case err != nil:
-		fo.Log.WithError(err).Warn("holds can't be read")
-	case sh != nil:
-		if sh.Version() < before {
-			fo.Log.WithFields(logrus.Fields{"before": before, revisionField: sh.Version()}).Warn("holds went back with the key-value service")
+		fo.Log.WithError(err).Warn("cannot read holds")
+	case se != nil:
+		if se.Version() < before {
+			fo.Log.WithFields(logrus.Fields{"before": before, revisionField: se.Version()}).Warn("holds went back with the key-value service")
 		}
-		fo.logHolds("key-value", sh)
+		fo.logHolds("key-value", se)
 	}
 }
--- a/directory/holds_test.go
+++ b/directory/holds_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestDrainByOperator(t *testing.T) {
-	// An operator drains an endpoint and lets it serve again. Those who place work see
-	// it leave; those who are fed get its entry as it is, and the hold beside.
+	// A drained endpoint is shown as leaving, but its entry is fed unchanged, as the other
+	// process applies the hold itself.
 	var me keyvalue.Memory
 	di := withEndpoint()
 	fo := &Follower{Directory: di, Log: quiet()}
@@ -70,20 +70,17 @@
 		assert.Assert(t, time.Since(begun) < 150*time.Millisecond)
 
 		fed := &Follower{Directory: &Directory{}, Log: quiet()}
-		fed.takeResponse(t.Context(), second)
+		fed.applyResponse(t.Context(), second)
 		_, held := fed.Directory.Holds().Customer("bakery")
 		assert.Assert(t, held)
-		fed.takeResponse(t.Context(), first) // an answer that was overtaken
+		fed.applyResponse(t.Context(), first) // a delayed response
 		_, held = fed.Directory.Holds().Customer("bakery")
 		assert.Assert(t, held)
 	})
 }
 
 func TestHoldsOutlastAnOutage(t *testing.T) {
-	// Symptom: what an operator holds begins to run in an outage.
-	// Sequence: the key-value service is away; the process that fed this one is lost
-	// too, and this one reads for itself.
-	// Cause: what can't be read was taken for nothing that is held.
+	// Guards against releasing all holds if they cannot be read during an outage.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		change(t, me.Client(), hold.Held, hold.Customer, "bakery")
@@ -109,7 +106,7 @@
 	})
 }
 
-// A value of another writer leaves what is known in force.
+// An undecodable value leaves the current holds in force.
 func TestUndecodableHolds(t *testing.T) {
 	var me keyvalue.Memory
 	change(t, me.Client(), hold.Held, hold.Customer, "bakery")
@@ -121,8 +118,8 @@
 	assert.Assert(t, held)
 }
 
-// lone returns a follower that has no feeder and isn't one, and runs until ctx ends.
-func lone(ctx context.Context, me *keyvalue.Memory) *Follower {
+// withoutFeeder returns a follower that has no feeder and isn't one, and runs until ctx ends.
+func withoutFeeder(ctx context.Context, me *keyvalue.Memory) *Follower {
 	fo := &Follower{
 		Client: me.Client(), DirectFunc: func() bool { return false }, Directory: &Directory{},
 		Feeder: &lease.Resolver{Client: me.Client(), Log: quiet(), Name: "scheduler"}, Log: quiet(), Source: source(),
@@ -136,15 +133,13 @@
 	return held
 }
 
-// Symptom: what an operator released is refused, and what one holds runs, for as long as
-// no scheduler is there. Events: the feeder is gone, and holds change after that. Cause: a
-// process without a feeder read them once.
-func TestHoldsOfAProcessThatIsNotFed(t *testing.T) {
+// Guards against missing changes of holds while no feeder is reachable.
+func TestHoldsWithoutFeeder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
 		change(t, me.Client(), hold.Held, hold.Customer, "bakery")
-		fo := lone(ctx, &me)
+		fo := withoutFeeder(ctx, &me)
 		time.Sleep(time.Second)
 		assert.Assert(t, isHeld(fo, "bakery"))
 		change(t, me.Client(), hold.Released, hold.Customer, "bakery")
@@ -157,18 +152,16 @@
 	})
 }
 
-// Symptom: a customer stays refused that no operator holds. Events: the key-value service
-// is restored from a copy that is older than the hold, and its revision goes back. Cause:
-// a sheet of a lower version counted as old, and what was followed from the higher
-// revision on never came.
-func TestHoldsGoBackWithTheService(t *testing.T) {
+// Guards against keeping a hold that no longer exists, and missing later changes, after the
+// key-value service is restored from a backup and its revision goes back.
+func TestHoldsAfterRestore(t *testing.T) {
 	for name, start := range map[string]func(ctx context.Context, me *keyvalue.Memory) *Follower{
-		"reads itself": func(ctx context.Context, me *keyvalue.Memory) *Follower {
+		"direct": func(ctx context.Context, me *keyvalue.Memory) *Follower {
 			fo := &Follower{Client: me.Client(), Directory: &Directory{}, Log: quiet(), Source: source()}
 			go fo.Run(ctx)
 			return fo
 		},
-		"no feeder": lone,
+		"no feeder": withoutFeeder,
 	} {
 		for _, empty := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
@@ -193,7 +186,7 @@
 					assert.Equal(t, isHeld(fo, "mill"), !empty)
 					change(t, me.Client(), hold.Held, hold.Customer, "inn")
 					time.Sleep(time.Second)
-					assert.Assert(t, isHeld(fo, "inn"), "news at a lower revision")
+					assert.Assert(t, isHeld(fo, "inn"), "change at a lower revision")
 					cancel()
 					synctest.Wait()
 				})
@@ -202,9 +195,9 @@
 	}
 }
 
-// A feeder that is behind, as one that has just begun to feed, lifts no hold; one whose
-// service went back does. The process asks the service itself which it is.
-func TestFedHoldsGoBackWithTheService(t *testing.T) {
+// Older holds from a feeder release a hold only if the key-value service was restored from a
+// backup, not if the feeder lags behind.
+func TestFedHoldsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		change(t, me.Client(), hold.Held, hold.Customer, "mill")
@@ -215,26 +208,26 @@
 		fed := &Follower{Client: me.Client(), Directory: &Directory{}, Log: quiet()}
 		fed.readHolds(t.Context())
 		assert.Assert(t, isHeld(fed, "bakery"))
-		ask := func() {
+		call := func() {
 			feeder.Directory.ConfirmEndpoints(time.Now())
 			begun := time.Now()
 			re, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: 1, Holds: fed.Directory.Holds().Version()})
 			assert.NilError(t, err)
-			assert.Assert(t, re.Fresh || time.Since(begun) >= feedWait, "what is older is no news")
-			fed.takeResponse(t.Context(), re)
+			assert.Assert(t, re.Fresh || time.Since(begun) >= feedWait, "older holds are no update")
+			fed.applyResponse(t.Context(), re)
 		}
-		ask()
-		assert.Assert(t, isHeld(fed, "bakery"), "the feeder is behind")
+		call()
+		assert.Assert(t, isHeld(fed, "bakery"), "the feeder lags behind")
 		time.Sleep(time.Minute)
 		me.Restore(old)
-		ask()
+		call()
 		assert.Assert(t, !isHeld(fed, "bakery"))
 		assert.Assert(t, isHeld(fed, "mill"))
 		me.Restore(keyvalue.Copy{})
 		feeder.readHolds(t.Context())
 		assert.Assert(t, !isHeld(feeder, "mill"))
 		time.Sleep(time.Minute)
-		ask()
+		call()
 		assert.Assert(t, !isHeld(fed, "mill"))
 	})
 }
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -7,12 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEndpointStartsAgainUnderItsID(t *testing.T) {
-	// Symptom: an endpoint that is ready gets nothing, or one that is gone gets
-	// requests.
-	// Sequence: an endpoint crashes while it leaves and starts again under its ID;
-	// an entry of its former start is written or read late.
-	// Cause: the entry that came last was taken for the newest.
+func TestEndpointRestart(t *testing.T) {
+	// Guards against a late entry of an endpoint's previous incarnation replacing the current
+	// one after a restart under the same ID.
 	now := Endpoint{Address: "10.0.0.1:80", ID: "a", Incarnation: 20, Revision: 5, Service: "desk"}
 	for _, tc := range []struct {
 		name    string
@@ -20,10 +17,10 @@
 		address string
 		leaving bool
 	}{
-		{"its former start", Endpoint{Address: "10.0.0.9:80", Incarnation: 10, Leaving: true, Revision: 6}, "10.0.0.1:80", false},
-		{"the same start", Endpoint{Address: "10.0.0.1:80", Incarnation: 20, Leaving: true, Revision: 6}, "10.0.0.1:80", true},
-		{"a later start elsewhere", Endpoint{Address: "10.0.0.9:80", Incarnation: 30, Revision: 6}, "10.0.0.9:80", false},
-		{"no start is named", Endpoint{Address: "10.0.0.1:80", Leaving: true, Revision: 6}, "10.0.0.1:80", true},
+		{"previous incarnation", Endpoint{Address: "10.0.0.9:80", Incarnation: 10, Leaving: true, Revision: 6}, "10.0.0.1:80", false},
+		{"same incarnation", Endpoint{Address: "10.0.0.1:80", Incarnation: 20, Leaving: true, Revision: 6}, "10.0.0.1:80", true},
+		{"later incarnation at another address", Endpoint{Address: "10.0.0.9:80", Incarnation: 30, Revision: 6}, "10.0.0.9:80", false},
+		{"no incarnation", Endpoint{Address: "10.0.0.1:80", Leaving: true, Revision: 6}, "10.0.0.1:80", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.entry.ID, tc.entry.Service = "a", "desk"
@@ -39,17 +36,15 @@
 				assert.Assert(t, ok)
 				assert.Equal(t, en.Address, tc.address)
 				assert.Equal(t, en.Leaving, tc.leaving)
-				assert.Assert(t, en.Incarnation >= 20, "its start is not forgotten")
+				assert.Assert(t, en.Incarnation >= 20, "the incarnation is kept")
 			}
 		})
 	}
 }
 
-func TestTwoEntriesClaimOneAddress(t *testing.T) {
-	// Symptom: an endpoint that serves gets no request.
-	// Sequence: another writer's entry, with a field missing or of a service that no
-	// one named, has the address of an endpoint.
-	// Cause: of two entries with one address the one that was written last counted.
+func TestAddressConflict(t *testing.T) {
+	// Guards against an incomplete entry, or one of an undefined service, replacing a serving
+	// endpoint with the same address.
 	co := &Configuration{Version: 1, Services: []Service{{Name: "desk"}, {Name: "lm"}}}
 	serving := Endpoint{Address: "10.0.0.1:80", ID: "serving", Incarnation: 20, Revision: 5, Service: "desk"}
 	for _, tc := range []struct {
@@ -57,17 +52,17 @@
 		incoming Endpoint
 		wins     bool
 	}{
-		{"it started later", Endpoint{Incarnation: 30, Revision: 4, Service: "lm"}, true},
-		{"it started earlier", Endpoint{Incarnation: 10, Revision: 9, Service: "lm"}, false},
-		{"its start is not known", Endpoint{Revision: 9, Service: "desk"}, false},
-		{"its service is unknown", Endpoint{Incarnation: 30, Revision: 9, Service: "none"}, false},
+		{"later incarnation", Endpoint{Incarnation: 30, Revision: 4, Service: "lm"}, true},
+		{"earlier incarnation", Endpoint{Incarnation: 10, Revision: 9, Service: "lm"}, false},
+		{"no incarnation", Endpoint{Revision: 9, Service: "desk"}, false},
+		{"undefined service", Endpoint{Incarnation: 30, Revision: 9, Service: "none"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.incoming.ID, tc.incoming.Address = "incoming", serving.Address
-			for _, order := range []string{"configuration first", "configuration last", "the other way round"} {
+			for _, order := range []string{"configuration first", "configuration last", "reversed"} {
 				var di Directory
 				ens := []Endpoint{serving, tc.incoming}
-				if order == "the other way round" {
+				if order == "reversed" {
 					ens = []Endpoint{tc.incoming, serving}
 				}
 				if order == "configuration first" {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -11,16 +11,15 @@
 	"wisteriacroft/quarantine"
 )
 
-// quarantine returns the table of requests that are kept from endpoints.
+// quarantine returns the quarantine table, an empty one if none is set.
 func (fo *Follower) quarantine() *quarantine.Table {
 	if fo.Quarantine == nil {
-		return &fo.noQuarantine
+		return &fo.emptyQuarantine
 	}
 	return fo.Quarantine
 }
 
-// applyQuarantine takes in what the key-value service holds of quarantined
-// requests.
+// applyQuarantine loads the quarantine if it is among items of the key-value service.
 func (fo *Follower) applyQuarantine(its []keyvalue.Item, _ bool) {
 	for _, it := range its {
 		if it.Key != quarantine.Key || it.Value == nil {
@@ -31,33 +30,34 @@
 		lo := fo.Log.WithFields(logrus.Fields{"from": "key-value", revisionField: it.Version})
 		switch {
 		case err != nil:
-			lo.WithError(err).Error("quarantine does not decode, what is known stays")
+			lo.WithError(err).Error("cannot decode quarantine, keeping the current one")
 		case fo.quarantine().Generation() != before:
 			lo.Info("quarantine")
 		}
 	}
 }
 
-// readQuarantine reads it once, for a process that has no feeder.
+// readQuarantine reads the quarantine from the key-value service once, for a process without a
+// feeder.
 func (fo *Follower) readQuarantine(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, scanTimeout)
 	defer cancel()
 	it, err := fo.Client.Get(ctx, quarantine.Key)
-	fo.hear(err)
+	fo.recordContact(err)
 	switch {
 	case err == nil:
 		fo.applyQuarantine([]keyvalue.Item{it}, true)
 	case !errors.Is(err, keyvalue.ErrNotFound):
-		fo.Log.WithError(err).Warn("quarantine can't be read")
+		fo.Log.WithError(err).Warn("cannot read quarantine")
 	}
 }
 
-// takeQuarantine takes in what another process knows of quarantined requests.
+// mergeQuarantine merges quarantine records from another process.
 //
-// It also does while the key-value service is away and nobody feeds: a request
-// that ends its endpoints comes to one entry after the other, and each would let
-// it end two more until the service is back.
-func (fo *Follower) takeQuarantine(from string, res []quarantine.Record) {
+// This also works while the key-value service is unavailable. Otherwise a request that crashes
+// its endpoints could be retried at one entry after the other, and crash more endpoints at
+// each.
+func (fo *Follower) mergeQuarantine(from string, res []quarantine.Record) {
 	if fo.quarantine().Merge(res, time.Now()) {
 		fo.Log.WithFields(logrus.Fields{"from": from, "records": len(res)}).Info("quarantine")
 	}
--- a/directory/quarantine_test.go
+++ b/directory/quarantine_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestQuarantineIsFed(t *testing.T) {
-	// An endpoint has ended under a request, and its client's next try comes to
-	// another entry within half a second. That one must know of it by then.
+	// Guards against another entry retrying a request that crashed an endpoint before it gets
+	// the quarantine record.
 	synctest.Test(t, func(t *testing.T) {
 		di := withEndpoint()
 		di.ConfirmEndpoints(time.Now())
@@ -34,10 +34,9 @@
 	})
 }
 
-func TestQuarantineWhileNobodyFeeds(t *testing.T) {
-	// While the key-value service is away no process holds the scheduler's lease, so
-	// that none feeds. An entry that can't save what it has seen tells the one that
-	// fed last, from which the others hear it.
+func TestQuarantineWithoutFeeder(t *testing.T) {
+	// During an outage of the key-value service there is no feeder. Unsaved records are
+	// exchanged through the last one.
 	synctest.Test(t, func(t *testing.T) {
 		last := &Follower{DirectFunc: func() bool { return false }, Directory: withEndpoint(), Quarantine: &quarantine.Table{}}
 		_, err := last.feed(t.Context(), "boot", FeedRequest{})
@@ -45,34 +44,34 @@
 		var seen quarantine.Table
 		seen.RecordCrash("request", "a", time.Now())
 		seen.RecordCrash("request", "b", time.Now())
-		told, err := last.feed(t.Context(), "boot", FeedRequest{Unsaved: seen.Unsaved()})
+		sent, err := last.feed(t.Context(), "boot", FeedRequest{Unsaved: seen.Unsaved()})
 		assert.NilError(t, err)
-		assert.Assert(t, told.Stale && !told.Fresh && told.Configuration == nil)
-		assert.Equal(t, len(last.Quarantine.Unsaved()), 2, "it saves them too")
+		assert.Assert(t, sent.Stale && !sent.Fresh && sent.Configuration == nil)
+		assert.Equal(t, len(last.Quarantine.Unsaved()), 2, "the last feeder saves them too")
 
-		heard, err := last.feed(t.Context(), "boot", FeedRequest{})
+		received, err := last.feed(t.Context(), "boot", FeedRequest{})
 		assert.NilError(t, err)
 		logger := logrus.New()
 		logger.SetLevel(logrus.PanicLevel)
 		other := &Follower{Directory: &Directory{}, Log: logrus.NewEntry(logger), Quarantine: &quarantine.Table{}}
-		other.takeQuarantine("feeder", heard.Quarantine)
+		other.mergeQuarantine("feeder", received.Quarantine)
 		assert.Assert(t, other.Quarantine.Check("request", time.Now()).Held())
-		_, err = last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Held: heard.Held})
+		_, err = last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Held: received.Held})
 		assert.ErrorIs(t, err, ErrNotFeeder, "nothing new")
 
-		// It feeds again: what the other has read meanwhile is replaced, and what it
-		// has heard is not told again.
+		// Once it is a feeder again, it sends the endpoints, but no records that were
+		// already sent.
 		last.DirectFunc = nil
 		last.Directory.ConfirmEndpoints(time.Now())
-		fed, err := last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: unknownGeneration, Held: heard.Held})
+		fed, err := last.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: unknownGeneration, Held: received.Held})
 		assert.NilError(t, err)
 		assert.Assert(t, fed.Fresh && !fed.Stale && len(fed.Quarantine) == 0)
 	})
 }
 
-func TestQuarantineAfterAStart(t *testing.T) {
-	// All processes have been killed and start again, and a request under which
-	// three endpoints had ended comes at once.
+func TestQuarantineAfterRestart(t *testing.T) {
+	// Guards against a quarantined request reaching endpoints right after a restart of all
+	// processes.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var me keyvalue.Memory
--- a/directory/scale_bench_test.go
+++ b/directory/scale_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// manyEndpoints returns a directory of 3,000 endpoints, of which each sixth is a desk.
+// manyEndpoints returns a directory of 3,000 endpoints, every sixth of them a desk.
 func manyEndpoints() *Directory {
 	di := &Directory{}
 	di.SetConfiguration(&Configuration{Services: []Service{{Name: "desk"}, {Name: "engine"}}, Version: 1})
@@ -21,7 +21,7 @@
 	return di
 }
 
-// BenchmarkEndpoints is what a live request or a reward call asks for, a few times each.
+// BenchmarkEndpoints measures the lookup that live requests and reward calls make.
 func BenchmarkEndpoints(b *testing.B) {
 	di := manyEndpoints()
 	b.ReportAllocs()
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkSetEndpoint is a change of an endpoint's entry.
+// BenchmarkSetEndpoint measures a change of an endpoint's entry.
 func BenchmarkSetEndpoint(b *testing.B) {
 	di := manyEndpoints()
 	en, _ := di.Endpoint("endpoint-1500")
--- a/directory/entries_test.go
+++ b/directory/unusable_test.go
@@ -17,38 +17,34 @@
 )
 
 func TestCheckEndpoint(t *testing.T) {
-	whole := Endpoint{Address: "10.0.0.1:80", Domain: "z", ID: "i-1", Service: "desk", Slots: 6}
-	assert.NilError(t, whole.Check())
+	valid := Endpoint{Address: "10.0.0.1:80", Domain: "z", ID: "i-1", Service: "desk", Slots: 6}
+	assert.NilError(t, valid.Check())
 	for _, tc := range []struct {
 		name   string
 		change func(en *Endpoint)
 		err    error
 	}{
 		{"no id", func(en *Endpoint) { en.ID = "" }, errNoID},
-		{"an id that is no header", func(en *Endpoint) { en.ID = "a\nb" }, errNoID},
+		{"id not a valid header", func(en *Endpoint) { en.ID = "a\nb" }, errNoID},
 		{"no address", func(en *Endpoint) { en.Address = "" }, errNoAddress},
-		{"an address that is a name", func(en *Endpoint) { en.Address = "host:80" }, errNoAddress},
-		{"an address without a port", func(en *Endpoint) { en.Address = "10.0.0.1" }, errNoAddress},
+		{"address with a host name", func(en *Endpoint) { en.Address = "host:80" }, errNoAddress},
+		{"address without a port", func(en *Endpoint) { en.Address = "10.0.0.1" }, errNoAddress},
 		{"no service", func(en *Endpoint) { en.Service = "" }, errNoService},
 		{"no failure domain", func(en *Endpoint) { en.Domain = "" }, errNoDomain},
 		{"no slots", func(en *Endpoint) { en.Slots = 0 }, errNoSlots},
 		{"negative slots", func(en *Endpoint) { en.Slots = -1 }, errNoSlots},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			en := whole
+			en := valid
 			tc.change(&en)
 			assert.Assert(t, errors.Is(en.Check(), tc.err))
 		})
 	}
 }
 
-func TestEntriesThatNameNoEndpoint(t *testing.T) {
-	// Symptom: requests fail at an endpoint that is none, or the log fills with one
-	// line each half second.
-	// Sequence: another writer puts bytes that can't be read beside the entries of
-	// endpoints, and over one of them; all entries are read again and again.
-	// Cause: an entry that does not decode left the former one in force, and was
-	// logged at each reading.
+func TestUnusableEntries(t *testing.T) {
+	// Guards against keeping the previous endpoint if its entry is overwritten with one that
+	// cannot be decoded, and against logging such an entry at each read.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -69,7 +65,7 @@
 		}
 		assert.Equal(t, fo.Unusable(), 3)
 		for range 5 {
-			me.Forget() // all is read again
+			me.Forget() // forces a full scan
 			time.Sleep(followWait)
 		}
 		lines := 0
