--- a/membership/benchmark_test.go
+++ b/membership/benchmark_test.go
@@ -14,13 +14,13 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{10, 100, 400} {
 		b.Run(fmt.Sprintf("attendants=%d", n), func(b *testing.B) {
-			pl := newPlant(max(2, n/25), n, 3*n, 9)
+			cl := newCluster(max(2, n/25), n, 3*n, 9)
 			for range 100 {
-				for _, at := range pl.attendants {
+				for _, at := range cl.attendants {
 					at.reporter.Systems()[0].Run(time.Now())
 				}
 			}
-			ta := pl.entries[0].table
+			ta := cl.entries[0].table
 			for b.Loop() {
 				for _, sy := range ta.Systems() {
 					sy.Run(time.Now())
@@ -36,7 +36,7 @@
 			ta := &membership.Table{Instance: "entry-00"}
 			ta.ObserveList([]instancelist.Instance{{ID: "entry-01", Role: "entry", State: instancelist.Live}})
 			for i := range n {
-				ta.Report(message.Header{}, news(i, 1))
+				ta.Report(message.Header{}, report(i, 1))
 			}
 			for b.Loop() {
 				ta.Exchange(message.Header{Sender: "entry-01"}, membership.ExchangeRequest{})
@@ -48,16 +48,16 @@
 func BenchmarkReport(b *testing.B) {
 	ta := &membership.Table{Instance: "entry-00"}
 	for i := range 400 {
-		ta.Report(message.Header{}, news(i, 1))
+		ta.Report(message.Header{}, report(i, 1))
 	}
 	beat := uint64(1)
 	for b.Loop() {
 		beat++
-		ta.Report(message.Header{}, news(int(beat%400), beat))
+		ta.Report(message.Header{}, report(int(beat%400), beat))
 	}
 }
 
-func news(i int, beat uint64) membership.ReportRequest {
+func report(i int, beat uint64) membership.ReportRequest {
 	id := fmt.Sprintf("attendant-%03d", i)
 	ne := membership.StateUpdate{Beat: beat, Incarnation: 1, Instance: id, Card: &membership.Descriptor{Address: id, FailureDomain: "derby-hall"}}
 	for e := range 3 {
@@ -76,7 +76,7 @@
 				runtime.ReadMemStats(&before)
 				ta := &membership.Table{Instance: "entry-00"}
 				for i := range n {
-					ta.Report(message.Header{}, news(i, 1))
+					ta.Report(message.Header{}, report(i, 1))
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -8,12 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Digest sums up a set of attendants. Two entries whose digests are equal
-// hold the same.
+// A Digest is an order-independent hash of the states of a set of attendants. Equal digests
+// mean equal sets.
 type Digest struct {
 	_       struct{} `cbor:",toarray"`
 	All     uint64
-	Leaving uint64 // of those that leave
+	Leaving uint64 // of the leaving attendants
 }
 
 // A DomainDigest is the digest of the attendants of one failure domain.
@@ -23,38 +23,38 @@
 	FailureDomain string
 }
 
-// add takes an attendant's news into the digest. The order does not matter.
-func (di *Digest) add(ne *StateUpdate) {
+// add adds an attendant's state to the digest. The order does not matter.
+func (di *Digest) add(up *StateUpdate) {
 	buf := make([]byte, 0, 64)
-	buf = append(buf, ne.Instance...)
-	buf = binary.BigEndian.AppendUint64(buf, ne.Incarnation)
-	if ne.Leaving {
+	buf = append(buf, up.Instance...)
+	buf = binary.BigEndian.AppendUint64(buf, up.Incarnation)
+	if up.Leaving {
 		di.Leaving ^= xxhash.Sum64(buf)
 	}
-	buf = binary.BigEndian.AppendUint64(buf, ne.Sequence)
-	di.All ^= xxhash.Sum64(append(buf, byte(ne.Doubt)))
+	buf = binary.BigEndian.AppendUint64(buf, up.Sequence)
+	di.All ^= xxhash.Sum64(append(buf, byte(up.Doubt)))
 }
 
-// domains returns the digests of the table's failure domains, by name.
-func (ta *Table) domains() []DomainDigest {
+// domainDigests returns the digests of the table's failure domains, ordered by name.
+func (ta *Table) domainDigests() []DomainDigest {
 	var dos []DomainDigest
 	for _, ro := range ta.rows.values() {
-		if ro.news.Doubt == Gone {
+		if ro.state.Doubt == Gone {
 			continue
 		}
-		at, ok := slices.BinarySearchFunc(dos, ro.card.FailureDomain, func(do DomainDigest, name string) int {
+		at, ok := slices.BinarySearchFunc(dos, ro.descriptor.FailureDomain, func(do DomainDigest, name string) int {
 			return strings.Compare(do.FailureDomain, name)
 		})
 		if !ok {
-			dos = slices.Insert(dos, at, DomainDigest{FailureDomain: ro.card.FailureDomain})
+			dos = slices.Insert(dos, at, DomainDigest{FailureDomain: ro.descriptor.FailureDomain})
 		}
-		dos[at].Digest.add(&ro.news)
+		dos[at].Digest.add(&ro.state)
 	}
 	return dos
 }
 
-// total returns the digest of all domains.
-func total(dos []DomainDigest) Digest {
+// combine returns the digest of all failure domains.
+func combine(dos []DomainDigest) Digest {
 	var di Digest
 	for _, do := range dos {
 		di.All ^= do.Digest.All
@@ -63,8 +63,7 @@
 	return di
 }
 
-// differences returns the failure domains of which two entries hold something
-// else. Both lists are by name.
+// differences returns the failure domains whose digests differ. Both lists are ordered by name.
 func differences(own, other []DomainDigest) []string {
 	var names []string
 	for len(own) > 0 || len(other) > 0 {
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -7,118 +7,119 @@
 	"time"
 )
 
-// tellAll notes that each other entry has to be told of an attendant.
-func (ta *Table) tellAll(attendant string, ur urgency) {
+// markAllDirty marks an attendant's state to be sent to all other entries. Urgent state is
+// also sent to entries whose last exchange has just failed.
+func (ta *Table) markAllDirty(attendant string, ur urgency) {
 	for _, er := range ta.entries.values() {
-		er.tell(attendant, ur)
+		er.markDirty(attendant, ur)
 		if ur == urgent {
-			er.retry = time.Time{}
+			er.retryAt = time.Time{}
 		}
 	}
 }
 
-// tell notes that the entry has to be told of an attendant.
-func (er *entryRow) tell(attendant string, ur urgency) {
+// markDirty marks an attendant's state to be sent to the entry, with at least this urgency.
+func (er *entryRow) markDirty(attendant string, ur urgency) {
 	was, _ := er.dirty.get(attendant)
 	er.dirty.set(attendant, max(was, ur))
 }
 
-// exchange sends urgent news at once, greets entries that are new to it, and
-// talks to one other entry each interval, so that what one entry missed
-// reaches it through any other.
+// exchange starts exchanges with entries that have urgent updates or were never contacted, and
+// once in each interval with the next entry in turn, so that an update that was lost reaches
+// an entry through another one.
 func (ta *Table) exchange(now time.Time) {
-	ta.earn(now)
+	ta.refillTokens(now)
 	for _, er := range ta.entries.values() {
-		if !er.busy && !now.Before(er.retry) && (er.hasUrgent() || !er.greeted) {
-			ta.talk(er, now)
+		if !er.inFlight && !now.Before(er.retryAt) && (er.hasUrgent() || !er.contacted) {
+			ta.startExchange(er, now)
 		}
 	}
-	if now.Before(ta.nextTurn) {
+	if now.Before(ta.nextExchange) {
 		return
 	}
-	ta.nextTurn = now.Add(cmp.Or(ta.ExchangeInterval, DefaultExchangeInterval))
-	if er := ta.next(); er != nil && !er.busy {
-		ta.talk(er, now)
+	ta.nextExchange = now.Add(cmp.Or(ta.ExchangeInterval, DefaultExchangeInterval))
+	if er := ta.nextEntry(); er != nil && !er.inFlight {
+		ta.startExchange(er, now)
 	}
 }
 
-// earn adds to the bytes that may be sent. Some seconds' worth can gather, so
-// that a start of everything spreads soon; and no more can be owed, so that
-// urgent news don't hold up the others for long.
-func (ta *Table) earn(now time.Time) {
+// refillTokens refills the token bucket of bytes to send. It holds up to burstSeconds' worth,
+// for bursts such as a start of all processes. Urgent updates may overdraw it by the same
+// amount, so that they don't delay others for long.
+func (ta *Table) refillTokens(now time.Time) {
 	rate := float64(cmp.Or(ta.NewsRate, DefaultGossipRate))
 	if ta.tokensAt.IsZero() {
-		ta.tokens = burst * rate
+		ta.tokens = burstSeconds * rate
 	}
 	ta.tokens += rate * now.Sub(ta.tokensAt).Seconds()
-	ta.tokens = max(min(ta.tokens, burst*rate), -burst*rate)
+	ta.tokens = max(min(ta.tokens, burstSeconds*rate), -burstSeconds*rate)
 	ta.tokensAt = now
 }
 
-// next returns the entry whose turn it is, or nil if there is none.
-func (ta *Table) next() *entryRow {
+// nextEntry returns the next entry in round-robin order, or nil if there is none.
+func (ta *Table) nextEntry() *entryRow {
 	ers := ta.entries.values()
 	if len(ers) == 0 {
 		return nil
 	}
 	next := ers[0]
 	for _, er := range ers {
-		if er.instance.ID > ta.turn {
+		if er.instance.ID > ta.lastEntry {
 			next = er
 			break
 		}
 	}
-	ta.turn = next.instance.ID
+	ta.lastEntry = next.instance.ID
 	return next
 }
 
-// hasUrgent reports whether urgent news wait to be told to the entry.
+// hasUrgent reports whether urgent updates are to be sent to the entry.
 func (er *entryRow) hasUrgent() bool {
 	return slices.Contains(er.dirty.values(), urgent)
 }
 
-// pending reports whether changes wait to be told to the entry.
+// pending reports whether updates other than of load are to be sent to the entry.
 func (er *entryRow) pending() bool {
-	return er.hasUrgent() || slices.Contains(er.dirty.values(), waits)
+	return er.hasUrgent() || slices.Contains(er.dirty.values(), normal)
 }
 
-// spare returns how many bytes are kept back for changes.
-func (ta *Table) spare() float64 {
-	return burst / 2 * float64(cmp.Or(ta.NewsRate, DefaultGossipRate))
+// reservedTokens returns the bytes that are reserved for updates other than of load.
+func (ta *Table) reservedTokens() float64 {
+	return burstSeconds / 2 * float64(cmp.Or(ta.NewsRate, DefaultGossipRate))
 }
 
-// talk sends an entry the news that it lacks, as far as the rate allows.
-func (ta *Table) talk(er *entryRow, now time.Time) {
-	sent := ta.pick(er)
-	rq := ExchangeRequest{Digest: total(ta.domains()), Leaving: ta.leaving}
-	for _, to := range sent {
-		rq.News = append(rq.News, to.news)
+// startExchange queues an exchange with an entry, with the updates that the rate limit allows.
+func (ta *Table) startExchange(er *entryRow, now time.Time) {
+	sent := ta.takeUpdates(er)
+	rq := ExchangeRequest{Digest: combine(ta.domainDigests()), Leaving: ta.leaving}
+	for _, su := range sent {
+		rq.News = append(rq.News, su.update)
 	}
-	er.busy = true
+	er.inFlight = true
 	ta.tokens -= messageSize
 	address := er.instance.Address
 	ta.sends = append(ta.sends, func() {
-		ta.SendExchangeFunc(address, rq, func(an ExchangeResponse, err error) {
-			ta.run(time.Now(), func(now time.Time) { ta.told(er, sent, an, err, now) })
+		ta.SendExchangeFunc(address, rq, func(re ExchangeResponse, err error) {
+			ta.run(time.Now(), func(now time.Time) { ta.finishExchange(er, sent, re, err, now) })
 		})
 	})
-	er.retry = now.Add(retryInterval)
+	er.retryAt = now.Add(retryInterval)
 }
 
-// A telling is one attendant's news on its way to an entry.
-type telling struct {
-	news    StateUpdate
+// A sentUpdate is an attendant's state that was sent but not acknowledged yet.
+type sentUpdate struct {
+	update  StateUpdate
 	urgency urgency
 }
 
-// pick takes out of an entry's list what is sent now: the most urgent first,
-// so that loads cannot use up what changes need.
-func (ta *Table) pick(er *entryRow) []telling {
-	var sent []telling
+// takeUpdates removes the updates that are sent now from an entry's dirty set, the most urgent
+// first, so that updates of load cannot use up the rate that others need.
+func (ta *Table) takeUpdates(er *entryRow) []sentUpdate {
+	var sent []sentUpdate
 	for _, level := range []struct {
 		urgency urgency
 		tokens  float64
-	}{{urgent, math.Inf(-1)}, {waits, 0}, {rough, ta.spare()}} {
+	}{{urgent, math.Inf(-1)}, {normal, 0}, {low, ta.reservedTokens()}} {
 		for _, instance := range slices.Clone(er.dirty.keys) {
 			ur, _ := er.dirty.get(instance)
 			if ur != level.urgency || ta.tokens <= level.tokens {
@@ -126,117 +127,116 @@
 			}
 			er.dirty.remove(instance)
 			if ro, ok := ta.rows.get(instance); ok {
-				ne := er.newsOf(ro)
-				ta.tokens -= float64(ne.size())
-				sent = append(sent, telling{news: ne, urgency: ur})
+				up := er.updateFor(ro)
+				ta.tokens -= float64(up.size())
+				sent = append(sent, sentUpdate{update: up, urgency: ur})
 			}
 		}
 	}
 	return sent
 }
 
-// newsOf returns an attendant's news, with the card if the entry lacks it.
-func (er *entryRow) newsOf(ro *row) StateUpdate {
-	if !ro.carded || ro.news.Doubt == Gone || er.carded[ro.news.Instance] == ro.news.Incarnation {
-		return ro.news
+// updateFor returns an attendant's state, with its descriptor if the entry lacks it.
+func (er *entryRow) updateFor(ro *row) StateUpdate {
+	if !ro.hasDescriptor || ro.state.Doubt == Gone || er.descriptors[ro.state.Instance] == ro.state.Incarnation {
+		return ro.state
 	}
-	er.carded[ro.news.Instance] = ro.news.Incarnation
+	er.descriptors[ro.state.Instance] = ro.state.Incarnation
 	return ro.full()
 }
 
-// size returns about how many bytes news take in a message.
-func (ne *StateUpdate) size() int {
-	size := 20 + len(ne.Instance) + 8*len(ne.Endpoints)
-	if ne.Card != nil {
-		size += len(ne.Card.Address) + len(ne.Card.FailureDomain)
-		for _, ce := range ne.Card.Endpoints {
-			size += 4 + len(ce.ID) + len(ce.Service)
+// size returns the approximate size of the update in a message, in bytes.
+func (up *StateUpdate) size() int {
+	size := 20 + len(up.Instance) + 8*len(up.Endpoints)
+	if up.Card != nil {
+		size += len(up.Card.Address) + len(up.Card.FailureDomain)
+		for _, ed := range up.Card.Endpoints {
+			size += 4 + len(ed.ID) + len(ed.Service)
 		}
 	}
 	return size
 }
 
-// told takes the outcome of an exchange. News that may not have arrived are
-// to be told again: only an answer says that they were taken.
-func (ta *Table) told(er *entryRow, sent []telling, an ExchangeResponse, err error, now time.Time) {
-	er.busy = false
+// finishExchange handles the result of an exchange. If there was no response, the updates are
+// marked to be sent again.
+func (ta *Table) finishExchange(er *entryRow, sent []sentUpdate, re ExchangeResponse, err error, now time.Time) {
+	er.inFlight = false
 	if err != nil {
-		for _, to := range sent {
-			er.tell(to.news.Instance, to.urgency)
-			delete(er.carded, to.news.Instance)
+		for _, su := range sent {
+			er.markDirty(su.update.Instance, su.urgency)
+			delete(er.descriptors, su.update.Instance)
 		}
 		return
 	}
-	ta.hear(er, an.Leaving, now)
-	er.greeted = true
-	for _, instance := range an.Missing {
-		delete(er.carded, instance)
-		er.tell(instance, urgent)
+	ta.recordContact(er, re.Leaving, now)
+	er.contacted = true
+	for _, instance := range re.Missing {
+		delete(er.descriptors, instance)
+		er.markDirty(instance, urgent)
 	}
-	if an.LeavingDiffer {
-		ta.sync(er, SyncRequest{Known: ta.known((*row).leaving), Leaving: true})
+	if re.LeavingDiffer {
+		ta.sync(er, SyncRequest{Known: ta.knownStates((*row).leaving), Leaving: true})
 	}
-	if an.Domains != nil && !er.pending() && ta.tokens > ta.spare() {
-		ta.repair(er, an.Domains)
+	if re.Domains != nil && !er.pending() && ta.tokens > ta.reservedTokens() {
+		ta.repair(er, re.Domains)
 	}
 }
 
-// repair asks an entry about the first failure domain that differs. The rest
-// waits for its turn, as a repair takes much of the rate.
+// repair syncs the first failure domain that differs with an entry. The others follow at later
+// exchanges, as a sync uses much of the rate.
 func (ta *Table) repair(er *entryRow, theirs []DomainDigest) {
-	names := differences(ta.domains(), theirs)
+	names := differences(ta.domainDigests(), theirs)
 	if len(names) == 0 {
 		return
 	}
-	in := func(ro *row) bool { return ro.card.FailureDomain == names[0] }
-	ta.sync(er, SyncRequest{Domains: names[:1], Known: ta.known(in)})
+	in := func(ro *row) bool { return ro.descriptor.FailureDomain == names[0] }
+	ta.sync(er, SyncRequest{Domains: names[:1], Known: ta.knownStates(in)})
 }
 
-// sync asks an entry for what it holds besides what the request names.
+// sync queues a request for the states of attendants that differ at an entry.
 func (ta *Table) sync(er *entryRow, rq SyncRequest) {
 	ta.tokens -= float64(messageSize + knownSize*len(rq.Known))
 	address := er.instance.Address
 	ta.sends = append(ta.sends, func() {
-		ta.SendSyncFunc(address, rq, func(an SyncResponse, err error) {
-			ta.run(time.Now(), func(now time.Time) { ta.synced(er, an, err, now) })
+		ta.SendSyncFunc(address, rq, func(re SyncResponse, err error) {
+			ta.run(time.Now(), func(now time.Time) { ta.finishSync(er, re, err, now) })
 		})
 	})
 }
 
-// known returns what the table holds of some attendants, in short.
-func (ta *Table) known(in func(ro *row) bool) []KnownState {
+// knownStates returns summaries of the attendants that match in.
+func (ta *Table) knownStates(in func(ro *row) bool) []KnownState {
 	var kns []KnownState
 	for _, ro := range ta.rows.values() {
-		if ro.news.Doubt != Gone && in(ro) {
+		if ro.state.Doubt != Gone && in(ro) {
 			kns = append(kns, KnownState{
-				Doubt:       ro.news.Doubt,
-				Incarnation: ro.news.Incarnation,
-				Instance:    ro.news.Instance,
-				Leaving:     ro.news.Leaving,
-				Sequence:    ro.news.Sequence,
+				Doubt:       ro.state.Doubt,
+				Incarnation: ro.state.Incarnation,
+				Instance:    ro.state.Instance,
+				Leaving:     ro.state.Leaving,
+				Sequence:    ro.state.Sequence,
 			})
 		}
 	}
 	return kns
 }
 
-// leaving reports whether the row's attendant takes no new work.
-func (ro *row) leaving() bool { return ro.news.Leaving }
+// leaving reports whether the row's attendant accepts no new work.
+func (ro *row) leaving() bool { return ro.state.Leaving }
 
-// synced takes what another entry gave to repair this table. Whoever tells of
-// a leaving attendant first may be dead by now, so what was learnt this way is
-// told to all.
-func (ta *Table) synced(er *entryRow, an SyncResponse, err error, now time.Time) {
+// finishSync merges the response to a sync. Attendants found to be leaving are propagated to
+// all entries, as the entry that first knew may have died.
+func (ta *Table) finishSync(er *entryRow, re SyncResponse, err error, now time.Time) {
 	if err != nil {
 		return
 	}
-	for _, ne := range an.News {
-		if _, left := ta.merge(ne, er.instance.ID, now); left {
-			ta.tellAll(ne.Instance, urgent)
+	for _, up := range re.News {
+		if _, left := ta.merge(up, er.instance.ID, now); left {
+			ta.markAllDirty(up.Instance, urgent)
 		}
 	}
-	for _, instance := range an.Wanted {
-		er.tell(instance, urgent)
-		delete(er.carded, instance)
+	for _, instance := range re.Wanted {
+		er.markDirty(instance, urgent)
+		delete(er.descriptors, instance)
 	}
 }
--- a/membership/handler.go
+++ b/membership/handler.go
@@ -9,231 +9,230 @@
 	"wisteriacroft/message"
 )
 
-// Report takes an attendant's report.
+// Report handles an attendant's report.
 func (ta *Table) Report(_ message.Header, rq ReportRequest) ReportResponse {
-	var an ReportResponse
-	ta.run(time.Now(), func(now time.Time) { an = ta.report(rq, now) })
-	return an
+	var re ReportResponse
+	ta.run(time.Now(), func(now time.Time) { re = ta.handleReport(rq, now) })
+	return re
 }
 
-// report merges an attendant's own news and notes whom to tell how soon.
-func (ta *Table) report(rq ReportRequest, now time.Time) ReportResponse {
+// handleReport merges an attendant's state and marks it to be sent to other entries.
+func (ta *Table) handleReport(rq ReportRequest, now time.Time) ReportResponse {
 	before, known := ta.rows.get(rq.News.Instance)
 	var was StateUpdate
 	var via string
 	if known {
-		was, via = before.news, before.via
+		was, via = before.state, before.via
 	}
 	ro, left := ta.merge(rq.News, "", now)
 	switch {
 	case left:
-		ta.tellAll(rq.News.Instance, urgent)
-	case !known || via != ro.via || differ(&was, &ro.news):
-		ta.tellAll(rq.News.Instance, waits)
+		ta.markAllDirty(rq.News.Instance, urgent)
+	case !known || via != ro.via || stateChanged(&was, &ro.state):
+		ta.markAllDirty(rq.News.Instance, normal)
 	case ta.loadChanged(ro):
-		ta.tellAll(rq.News.Instance, rough)
+		ta.markAllDirty(rq.News.Instance, low)
 	}
-	return ReportResponse{EntryLeaving: ta.leaving, Leaving: ro.news.Leaving, WantCard: !ro.carded}
+	return ReportResponse{EntryLeaving: ta.leaving, Leaving: ro.state.Leaving, WantCard: !ro.hasDescriptor}
 }
 
-// differ reports whether more than loads and beats differ.
-func differ(a, b *StateUpdate) bool {
+// stateChanged reports whether more than loads and heartbeats differ.
+func stateChanged(a, b *StateUpdate) bool {
 	return a.Incarnation != b.Incarnation || a.Sequence != b.Sequence || a.Doubt != b.Doubt
 }
 
-// loadChanged reports whether the load differs enough from what other entries
-// were last told, and notes it as told.
+// loadChanged reports whether the load differs enough from what was last sent to other entries,
+// and if so records it as sent.
 //
-// Load changes with each request. Told exactly, it alone would take more than
-// a node may spend on control; other entries need it only roughly, as the
-// attendant's answers carry it too.
+// Load changes with each request, and sending each change would use too much bandwidth. Other
+// entries need it only roughly, as the attendant's responses carry it too.
 func (ta *Table) loadChanged(ro *row) bool {
 	share := cmp.Or(ta.LoadShare, DefaultLoadShare)
-	changed := len(ro.told) != len(ro.news.Endpoints)
-	for i, ne := range ro.news.Endpoints {
+	changed := len(ro.sentLoads) != len(ro.state.Endpoints)
+	for i, up := range ro.state.Endpoints {
 		if changed {
 			break
 		}
-		load := ne.Running + ne.Waiting
-		changed = float64(max(load-ro.told[i], ro.told[i]-load)) > share*float64(max(ro.told[i], smallLoad))
+		load := up.Running + up.Waiting
+		changed = float64(max(load-ro.sentLoads[i], ro.sentLoads[i]-load)) > share*float64(max(ro.sentLoads[i], minLoadBase))
 	}
 	if !changed {
 		return false
 	}
-	ro.told = ro.told[:0]
-	for _, ne := range ro.news.Endpoints {
-		ro.told = append(ro.told, ne.Running+ne.Waiting)
+	ro.sentLoads = ro.sentLoads[:0]
+	for _, up := range ro.state.Endpoints {
+		ro.sentLoads = append(ro.sentLoads, up.Running+up.Waiting)
 	}
 	return true
 }
 
-// Exchange takes news from another entry.
+// Exchange handles another entry's updates.
 func (ta *Table) Exchange(he message.Header, rq ExchangeRequest) ExchangeResponse {
-	var an ExchangeResponse
-	ta.run(time.Now(), func(now time.Time) { an = ta.takeExchange(he, rq, now) })
-	return an
+	var re ExchangeResponse
+	ta.run(time.Now(), func(now time.Time) { re = ta.handleExchange(he, rq, now) })
+	return re
 }
 
-// takeExchange merges another entry's news and says what differs after it.
-func (ta *Table) takeExchange(he message.Header, rq ExchangeRequest, now time.Time) ExchangeResponse {
-	an := ExchangeResponse{Leaving: ta.leaving, Missing: ta.take(rq.News, he.Sender, now)}
+// handleExchange merges another entry's updates and returns what still differs.
+func (ta *Table) handleExchange(he message.Header, rq ExchangeRequest, now time.Time) ExchangeResponse {
+	re := ExchangeResponse{Leaving: ta.leaving, Missing: ta.mergeAll(rq.News, he.Sender, now)}
 	er, ok := ta.entries.get(he.Sender)
 	if !ok {
-		return an // not on the list yet
+		return re // not on the list yet
 	}
-	ta.hear(er, rq.Leaving, now)
+	ta.recordContact(er, rq.Leaving, now)
 	if he.Incarnation > er.incarnation {
 		er.incarnation = he.Incarnation
-		er.leaving = rq.Leaving || leaves(er.instance)
-		ta.tellWhole(er)
-	}
-	dos := ta.domains()
-	own := total(dos)
-	settled := own == er.own && rq.Digest == er.theirs && !er.pending()
-	er.own, er.theirs = own, rq.Digest
-	// Differing leavings cannot wait: one of the two gives work to an endpoint
-	// that leaves. Other differences are mostly news on their way, and to ask
-	// for them would cost what the news need.
-	an.LeavingDiffer = own.Leaving != rq.Digest.Leaving
+		er.leaving = rq.Leaving || isLeaving(er.instance)
+		ta.markOwnDirty(er)
+	}
+	dos := ta.domainDigests()
+	own := combine(dos)
+	settled := own == er.ownDigest && rq.Digest == er.theirDigest && !er.pending()
+	er.ownDigest, er.theirDigest = own, rq.Digest
+	// A difference in leaving attendants is urgent: one of the two entries sends work to a
+	// leaving endpoint. Other differences are mostly updates on their way, so that a sync is
+	// worth its bandwidth only once both sides are stable.
+	re.LeavingDiffer = own.Leaving != rq.Digest.Leaving
 	if settled && own.All != rq.Digest.All {
-		an.Domains = dos
+		re.Domains = dos
 	}
-	return an
+	return re
 }
 
-// take merges news that came from an entry. It returns whose cards are wanted.
-func (ta *Table) take(news []StateUpdate, sender string, now time.Time) (missing []string) {
-	for _, ne := range news {
-		ro, _ := ta.merge(ne, sender, now)
-		if !ro.carded && ro.news.Doubt != Gone {
-			missing = append(missing, ne.Instance)
+// mergeAll merges updates from an entry. It returns the attendants whose descriptors are
+// missing.
+func (ta *Table) mergeAll(news []StateUpdate, sender string, now time.Time) (missing []string) {
+	for _, up := range news {
+		ro, _ := ta.merge(up, sender, now)
+		if !ro.hasDescriptor && ro.state.Doubt != Gone {
+			missing = append(missing, up.Instance)
 		}
 	}
 	return missing
 }
 
-// Sync answers another entry that found its digest to differ.
+// Sync handles the request of an entry whose digest differs.
 func (ta *Table) Sync(he message.Header, rq SyncRequest) SyncResponse {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	var an SyncResponse
+	var re SyncResponse
 	known := map[string]KnownState{}
 	for _, kn := range rq.Known {
 		known[kn.Instance] = kn
 		if _, ok := ta.rows.get(kn.Instance); !ok {
-			an.Wanted = append(an.Wanted, kn.Instance)
+			re.Wanted = append(re.Wanted, kn.Instance)
 		}
 	}
 	for _, ro := range ta.rows.values() {
-		kn, ok := known[ro.news.Instance]
-		if !ok && !rq.asks(ro) {
+		kn, ok := known[ro.state.Instance]
+		if !ok && !rq.matches(ro) {
 			continue
 		}
-		gives, wants := compare(&ro.news, kn, ok)
+		gives, wants := compare(&ro.state, kn, ok)
 		switch {
-		case gives && ok && kn.Incarnation == ro.news.Incarnation:
-			an.News = append(an.News, ro.news)
+		case gives && ok && kn.Incarnation == ro.state.Incarnation:
+			re.News = append(re.News, ro.state)
 		case gives:
-			an.News = append(an.News, ro.full())
+			re.News = append(re.News, ro.full())
 		}
 		if wants {
-			an.Wanted = append(an.Wanted, ro.news.Instance)
+			re.Wanted = append(re.Wanted, ro.state.Instance)
 		}
 	}
-	return an
+	return re
 }
 
-// asks reports whether a row is in what the request is about.
-func (rq *SyncRequest) asks(ro *row) bool {
-	if ro.news.Doubt == Gone {
+// matches reports whether a row is in the scope of the request.
+func (rq *SyncRequest) matches(ro *row) bool {
+	if ro.state.Doubt == Gone {
 		return false
 	}
-	return rq.Leaving && ro.news.Leaving || slices.Contains(rq.Domains, ro.card.FailureDomain)
+	return rq.Leaving && ro.state.Leaving || slices.Contains(rq.Domains, ro.descriptor.FailureDomain)
 }
 
-// compare reports whether a row has something that its short form elsewhere
-// lacks, and the other way round.
-func compare(ne *StateUpdate, kn KnownState, ok bool) (gives, wants bool) {
-	if !ok || ne.Incarnation != kn.Incarnation {
-		return !ok || ne.Incarnation > kn.Incarnation, ok && ne.Incarnation < kn.Incarnation
+// compare reports whether a row has something newer than its summary from another entry, and
+// the other way round. Both may be true.
+func compare(up *StateUpdate, kn KnownState, ok bool) (gives, wants bool) {
+	if !ok || up.Incarnation != kn.Incarnation {
+		return !ok || up.Incarnation > kn.Incarnation, ok && up.Incarnation < kn.Incarnation
 	}
-	differs := ne.Sequence == kn.Sequence && ne.Doubt != kn.Doubt // the beats tell who is right
-	gives = ne.Sequence > kn.Sequence || ne.Leaving && !kn.Leaving || differs
-	wants = ne.Sequence < kn.Sequence || kn.Leaving && !ne.Leaving || differs
+	differs := up.Sequence == kn.Sequence && up.Doubt != kn.Doubt // merge decides by the heartbeat
+	gives = up.Sequence > kn.Sequence || up.Leaving && !kn.Leaving || differs
+	wants = up.Sequence < kn.Sequence || kn.Leaving && !up.Leaving || differs
 	return gives, wants
 }
 
-// full returns the row's news with its card.
+// full returns the row's state with its descriptor.
 func (ro *row) full() StateUpdate {
-	ne := ro.news
-	if ro.carded {
-		card := ro.card
-		ne.Card = &card
+	up := ro.state
+	if ro.hasDescriptor {
+		card := ro.descriptor
+		up.Card = &card
 	}
-	return ne
+	return up
 }
 
-// ObserveList takes the platform's list of instances. The list lags: an
-// instance that it does not hold may be new, and one that it holds may be
-// dead. Only its word that an instance leaves counts at once.
+// ObserveList applies the platform's list of instances. The list lags behind: a missing instance
+// may be new, and a listed one may be dead. Only the state Leaving takes effect at once.
 func (ta *Table) ObserveList(ins []instancelist.Instance) {
-	ta.run(time.Now(), func(now time.Time) { ta.takeList(ins, now) })
+	ta.run(time.Now(), func(now time.Time) { ta.applyList(ins, now) })
 }
 
-// takeList takes the states of the listed instances, and forgets entries that
-// are neither listed nor heard.
-func (ta *Table) takeList(ins []instancelist.Instance, now time.Time) {
+// applyList applies the states of the listed instances, and removes entries that are neither
+// listed nor reachable.
+func (ta *Table) applyList(ins []instancelist.Instance, now time.Time) {
 	ta.listed = map[string]instancelist.Instance{}
 	for _, in := range ins {
 		ta.listed[in.ID] = in
 		if in.Role == entryRole && in.ID != ta.Instance {
-			ta.takeEntry(in, now)
+			ta.upsertEntry(in, now)
 		}
-		if ro, ok := ta.rows.get(in.ID); ok && leaves(in) && !ro.news.Leaving {
-			ro.news.Leaving = true
+		if ro, ok := ta.rows.get(in.ID); ok && isLeaving(in) && !ro.state.Leaving {
+			ro.state.Leaving = true
 			ta.refresh(ro)
-			ta.tellAll(in.ID, urgent)
+			ta.markAllDirty(in.ID, urgent)
 		}
 	}
 	for _, er := range ta.entries.values() {
 		_, listed := ta.listed[er.instance.ID]
-		if !listed && now.Sub(er.heard) > cmp.Or(ta.RemoveTimeout, DefaultRemoveTimeout) {
+		if !listed && now.Sub(er.lastContact) > cmp.Or(ta.RemoveTimeout, DefaultRemoveTimeout) {
 			ta.entries.remove(er.instance.ID)
 		}
 	}
 }
 
-// takeEntry adds or updates another entry.
-func (ta *Table) takeEntry(in instancelist.Instance, now time.Time) {
+// upsertEntry adds or updates another entry.
+func (ta *Table) upsertEntry(in instancelist.Instance, now time.Time) {
 	er, ok := ta.entries.get(in.ID)
 	if !ok {
-		er = &entryRow{carded: map[string]uint64{}, heard: now}
+		er = &entryRow{descriptors: map[string]uint64{}, lastContact: now}
 		ta.entries.set(in.ID, er)
 	}
 	er.instance = in
-	er.leaving = er.leaving || leaves(in)
+	er.leaving = er.leaving || isLeaving(in)
 }
 
-// tellWhole has an entry that started anew, and holds nothing, told of all
-// attendants whose home this entry is. Until then it can't serve their callers.
-func (ta *Table) tellWhole(er *entryRow) {
-	clear(er.carded)
+// markOwnDirty marks all attendants that report to this entry to be sent to an entry that has
+// restarted with an empty table, and cannot use their endpoints until then.
+func (ta *Table) markOwnDirty(er *entryRow) {
+	clear(er.descriptors)
 	for _, ro := range ta.rows.values() {
 		if ro.via == "" {
-			er.tell(ro.news.Instance, urgent)
+			er.markDirty(ro.state.Instance, urgent)
 		}
 	}
 }
 
-// hear notes that a call to or from another entry succeeded.
-func (ta *Table) hear(er *entryRow, leaving bool, now time.Time) {
+// recordContact records a successful call to or from another entry.
+func (ta *Table) recordContact(er *entryRow, leaving bool, now time.Time) {
 	er.leaving = er.leaving || leaving
-	er.heard = now
+	er.lastContact = now
 	if er.lost {
 		er.lost = false
 		ta.refreshVia(er.instance.ID)
 	}
 }
 
-// leaves reports whether the platform's list says that an instance leaves.
-func leaves(in instancelist.Instance) bool { return in.State == instancelist.Leaving }
+// isLeaving reports whether an instance is leaving according to the platform's list.
+func isLeaving(in instancelist.Instance) bool { return in.State == instancelist.Leaving }
--- a/membership/harness_test.go
+++ b/membership/harness_test.go
@@ -22,12 +22,12 @@
 
 var errLost = errors.New("lost")
 
-// A plant is entries and attendants that talk by direct calls, in one
-// goroutine, with each message encoded as it would be on the wire.
-type plant struct {
+// A cluster simulates entries and attendants in one goroutine, with direct calls. Each message is
+// encoded as on the wire to count its bytes.
+type cluster struct {
 	attendants []*attendant
 	entries    []*entry
-	late       []late
+	timeouts   []timeout
 	list       []instancelist.Instance
 	log        strings.Builder
 	lose       func(from, to, method string) bool
@@ -36,8 +36,8 @@
 	start      time.Time
 }
 
-// A late is the end of a call that gets no answer.
-type late struct {
+// A timeout ends a call that gets no response.
+type timeout struct {
 	at time.Time
 	fn func()
 }
@@ -56,50 +56,50 @@
 	reporter    *membership.Reporter
 }
 
-// newPlant returns a plant whose instances are spread over failure domains.
-func newPlant(entries, attendants, endpoints, domains int) *plant {
-	pl := &plant{
+// newCluster returns a cluster whose instances are spread over failure domains.
+func newCluster(entries, attendants, endpoints, domains int) *cluster {
+	cl := &cluster{
 		lose: func(string, string, string) bool { return false },
 		sent: map[string]int{}, messages: map[string]int{}, start: time.Now(),
 	}
 	for i := range entries {
 		id := fmt.Sprintf("entry-%02d", i)
-		pl.add(id, "entry", i%domains)
+		cl.add(id, "entry", i%domains)
 		en := &entry{id: id, incarnation: 1764696000}
-		pl.restartEntry(en)
-		pl.entries = append(pl.entries, en)
+		cl.restartEntry(en)
+		cl.entries = append(cl.entries, en)
 	}
 	for i := range attendants {
 		at := &attendant{id: fmt.Sprintf("attendant-%03d", i)}
-		pl.add(at.id, "attendant", i%domains)
-		pl.attendants = append(pl.attendants, at)
-		pl.restart(at, i%domains, endpoints/attendants)
+		cl.add(at.id, "attendant", i%domains)
+		cl.attendants = append(cl.attendants, at)
+		cl.restart(at, i%domains, endpoints/attendants)
 	}
-	pl.poll()
-	return pl
+	cl.poll()
+	return cl
 }
 
 // restartEntry starts an entry with an empty table.
-func (pl *plant) restartEntry(en *entry) {
+func (cl *cluster) restartEntry(en *entry) {
 	en.incarnation++
 	he := message.Header{Incarnation: en.incarnation, Sender: en.id}
 	en.table = &membership.Table{
 		Address: en.id, Instance: en.id,
 		SendExchangeFunc: func(to string, rq membership.ExchangeRequest, done func(membership.ExchangeResponse, error)) {
-			call(pl, en.id, to, membership.ExchangeMethod, rq, done, func(other *entry) membership.ExchangeResponse {
+			call(cl, en.id, to, membership.ExchangeMethod, rq, done, func(other *entry) membership.ExchangeResponse {
 				return other.table.Exchange(he, rq)
 			})
 		},
 		SendSyncFunc: func(to string, rq membership.SyncRequest, done func(membership.SyncResponse, error)) {
-			call(pl, en.id, to, membership.SyncMethod, rq, done, func(other *entry) membership.SyncResponse {
+			call(cl, en.id, to, membership.SyncMethod, rq, done, func(other *entry) membership.SyncResponse {
 				return other.table.Sync(he, rq)
 			})
 		},
 	}
 }
 
-func (pl *plant) add(id, role string, domain int) {
-	pl.list = append(pl.list, instancelist.Instance{
+func (cl *cluster) add(id, role string, domain int) {
+	cl.list = append(cl.list, instancelist.Instance{
 		Address: id, FailureDomain: domainName(domain), ID: id, Role: role, State: instancelist.Live,
 	})
 }
@@ -108,14 +108,14 @@
 	return [...]string{"coventry-hall", "derby-hall", "walsall-hall"}[domain%3] + strings.Repeat("'", domain/3)
 }
 
-// restart starts an attendant with a higher incarnation.
-func (pl *plant) restart(at *attendant, domain, endpoints int) {
+// restart starts an attendant with a new incarnation.
+func (cl *cluster) restart(at *attendant, domain, endpoints int) {
 	at.incarnation = max(at.incarnation, 1764696000) + 1
 	rp := &membership.Reporter{
 		Address: at.id, FailureDomain: domainName(domain), Incarnation: at.incarnation, Instance: at.id,
-		LeavingFunc: func() { pl.say("%s is told that it leaves", at.id) },
+		LeavingFunc: func() { cl.say("%s is notified that it is leaving", at.id) },
 		SendFunc: func(to string, rq membership.ReportRequest, done func(membership.ReportResponse, error)) {
-			call(pl, at.id, to, membership.ReportMethod, rq, done, func(en *entry) membership.ReportResponse {
+			call(cl, at.id, to, membership.ReportMethod, rq, done, func(en *entry) membership.ReportResponse {
 				return en.table.Report(message.Header{Sender: at.id}, rq)
 			})
 		},
@@ -125,38 +125,38 @@
 		rp.Add(id, "marker-llm")
 		rp.Set(id, membership.Ready, 6, 0, 0)
 	}
-	rp.ObserveList(pl.list)
+	rp.ObserveList(cl.list)
 	at.reporter = rp
 }
 
-// poll makes all that live read the list.
-func (pl *plant) poll() {
-	for _, en := range pl.entries {
-		en.table.ObserveList(pl.list)
+// poll makes all entries and attendants read the list.
+func (cl *cluster) poll() {
+	for _, en := range cl.entries {
+		en.table.ObserveList(cl.list)
 	}
-	for _, at := range pl.attendants {
-		at.reporter.ObserveList(pl.list)
+	for _, at := range cl.attendants {
+		at.reporter.ObserveList(cl.list)
 	}
 }
 
-// call carries a message there and back, and counts the bytes of both.
+// call delivers a request and its response, and counts the bytes of both.
 func call[Req, Resp any](
-	pl *plant, from, to, method string, rq Req, done func(Resp, error), serve func(en *entry) Resp,
+	cl *cluster, from, to, method string, rq Req, done func(Resp, error), serve func(en *entry) Resp,
 ) {
 	var none Resp
-	pl.count(from, to, method, rq)
-	at := slices.IndexFunc(pl.entries, func(en *entry) bool { return en.id == to })
-	if at < 0 || pl.entries[at].dead || pl.lose(from, to, method) {
-		pl.late = append(pl.late, late{at: time.Now().Add(time.Second), fn: func() { done(none, errLost) }})
+	cl.count(from, to, method, rq)
+	at := slices.IndexFunc(cl.entries, func(en *entry) bool { return en.id == to })
+	if at < 0 || cl.entries[at].dead || cl.lose(from, to, method) {
+		cl.timeouts = append(cl.timeouts, timeout{at: time.Now().Add(time.Second), fn: func() { done(none, errLost) }})
 		return
 	}
-	resp := serve(pl.entries[at])
-	pl.count(to, from, "", resp)
+	resp := serve(cl.entries[at])
+	cl.count(to, from, "", resp)
 	done(resp, nil)
 }
 
-// count adds the size of a message as the peer package would send it.
-func (pl *plant) count(from, to, method string, value any) {
+// count counts a message with its size as sent by the peer package.
+func (cl *cluster) count(from, to, method string, value any) {
 	payload, _ := peer.Encode(value)
 	var frame any = &peer.Response{Seq: 1000, Sender: from, Incarnation: 1764696000, Revision: 1000, Payload: payload}
 	if method != "" {
@@ -169,33 +169,33 @@
 		panic(err)
 	}
 	for _, id := range []string{from, to} {
-		pl.sent[id] += len(data)
-		pl.messages[id]++
+		cl.sent[id] += len(data)
+		cl.messages[id]++
 	}
 }
 
-// deliver tells callers that their calls have timed out.
-func (pl *plant) deliver() {
-	for len(pl.late) > 0 && !time.Now().Before(pl.late[0].at) {
-		fn := pl.late[0].fn
-		pl.late = pl.late[1:]
+// deliver ends the calls that have timed out.
+func (cl *cluster) deliver() {
+	for len(cl.timeouts) > 0 && !time.Now().Before(cl.timeouts[0].at) {
+		fn := cl.timeouts[0].fn
+		cl.timeouts = cl.timeouts[1:]
 		fn()
 	}
 }
 
-// run lets time pass in steps.
-func (pl *plant) run(d time.Duration, check func()) {
+// run advances the time in steps, and calls check, if any, after each.
+func (cl *cluster) run(d time.Duration, check func()) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
-		pl.deliver()
-		for _, at := range pl.attendants {
+		cl.deliver()
+		for _, at := range cl.attendants {
 			if !at.dead {
 				for _, sy := range at.reporter.Systems() {
 					sy.Run(time.Now())
 				}
 			}
 		}
-		for _, en := range pl.entries {
+		for _, en := range cl.entries {
 			if !en.dead {
 				for _, sy := range en.table.Systems() {
 					sy.Run(time.Now())
@@ -208,28 +208,28 @@
 	}
 }
 
-func (pl *plant) say(format string, args ...any) {
-	fmt.Fprintf(&pl.log, "%6.1fs ", time.Since(pl.start).Seconds())
-	fmt.Fprintf(&pl.log, format+"\n", args...)
+func (cl *cluster) say(format string, args ...any) {
+	fmt.Fprintf(&cl.log, "%6.1fs ", time.Since(cl.start).Seconds())
+	fmt.Fprintf(&cl.log, format+"\n", args...)
 }
 
-// watch makes an entry's view of an endpoint part of the log.
-func (pl *plant) watch(endpoint string) {
-	for _, en := range pl.entries {
+// watch logs changes of an endpoint at each entry.
+func (cl *cluster) watch(endpoint string) {
+	for _, en := range cl.entries {
 		en.table.UpsertFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
-				pl.say("%s sees %s %v, incarnation %d, version %d", en.id, ep.ID(), ep.State(), ep.Incarnation()-1764696000, ep.Version())
+				cl.say("%s sees %s %v, incarnation %d, version %d", en.id, ep.ID(), ep.State(), ep.Incarnation()-1764696000, ep.Version())
 			}
 		}
 		en.table.RemoveFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
-				pl.say("%s sees %s no more", en.id, ep.ID())
+				cl.say("%s sees %s removed", en.id, ep.ID())
 			}
 		}
 	}
 }
 
-// count returns how many endpoints an entry sees in a state.
+// count returns the number of endpoints in a state at an entry.
 func (en *entry) count(st membership.State) int {
 	n := 0
 	for _, ep := range en.table.Endpoints("marker-llm") {
@@ -240,16 +240,16 @@
 	return n
 }
 
-// session runs fn on a plant and compares what happened with a golden file.
-func session(t *testing.T, entries, attendants, endpoints int, fn func(t *testing.T, pl *plant)) {
+// session runs fn on a cluster and compares the log with a golden file.
+func session(t *testing.T, entries, attendants, endpoints int, fn func(t *testing.T, cl *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		pl := newPlant(entries, attendants, endpoints, 3)
-		pl.run(20*time.Second, nil)
-		for _, en := range pl.entries {
+		cl := newCluster(entries, attendants, endpoints, 3)
+		cl.run(20*time.Second, nil)
+		for _, en := range cl.entries {
 			assert.Equal(t, en.count(membership.Ready), endpoints, en.id)
 		}
-		pl.start = time.Now()
-		fn(t, pl)
-		golden.Assert(t, pl.log.String(), t.Name()+".golden")
+		cl.start = time.Now()
+		fn(t, cl)
+		golden.Assert(t, cl.log.String(), t.Name()+".golden")
 	})
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership keeps each entry's view of the endpoints: attendants report
-// to an entry near them, and entries pass on what changed to each other. No
-// view is authoritative: the attendant still decides whether work may run.
+// Package membership keeps each entry's view of the endpoints: attendants report to a nearby
+// entry, and entries exchange updates by gossip. No view is authoritative: the attendant decides
+// whether it accepts work.
 package membership
 
 import "time"
@@ -17,36 +17,34 @@
 )
 
 const (
-	// retryInterval is how soon urgent news are sent again to an entry that
-	// did not acknowledge them.
+	// retryInterval is the pause before urgent updates are sent again to an entry that did not
+	// acknowledge them.
 	retryInterval = 500 * time.Millisecond
-	// tombstoneLife is how long a removed attendant is remembered, so that a
-	// late message does not bring it back.
-	tombstoneLife = time.Hour
-	// smallGroup is how many may go silent at once without its telling
-	// anything of this entry's own connection.
-	smallGroup = 2
-	// smallLoad is the load below which a change counts as of this load.
-	smallLoad = 4
-	// burst is how many seconds' worth of bytes may be sent at once.
-	burst = 60
-	// messageSize and knownSize are about how many bytes a message and a
-	// Known take.
+	// tombstoneTTL is how long a removed attendant is kept as a tombstone, so that a late
+	// message does not add it again.
+	tombstoneTTL = time.Hour
+	// cutOffThreshold is the number of silent attendants or entries up to which this entry
+	// does not consider itself cut off.
+	cutOffThreshold = 2
+	// minLoadBase is the lowest load that the relative change of a load is based on.
+	minLoadBase = 4
+	// burstSeconds is the capacity of the token bucket, in seconds of the rate.
+	burstSeconds = 60
+	// messageSize and knownSize are the approximate sizes of a message and a KnownState, in
+	// bytes.
 	messageSize = 100
 	knownSize   = 32
-	// callTimeout bounds a call between an attendant and an entry or between
-	// entries; each is answered from memory.
+	// callTimeout bounds calls of attendants and entries to entries.
 	callTimeout = time.Second
-	// startSpread is over how long the first readings of the platform's list
-	// spread when everything starts at once.
-	startSpread = time.Second
-	// shortestFailure and longestFailure bound how long an attendant leaves
-	// out an entry that did not answer.
-	shortestFailure = 10 * time.Second
-	longestFailure  = 10 * time.Minute
-	// leavingHomes is how many entries an attendant tells that it leaves.
-	leavingHomes = 2
+	// startupJitter spreads the first reads of the platform's list.
+	startupJitter = time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed report to an entry.
+	minBackoff = 10 * time.Second
+	maxBackoff = 10 * time.Minute
+	// leavingReports is the number of entries to which an attendant reports that it is
+	// leaving.
+	leavingReports = 2
 )
 
-// entryRole is an entry's role in the platform's list.
+// entryRole is the role of entries in the platform's list.
 const entryRole = "entry"
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// An urgency says for how long news may wait.
+// An urgency is the priority of an update under the rate limit.
 type urgency int
 
 const (
-	rough  urgency = iota // a load: while much of the rate is left
-	waits                 // a change: while the rate allows, and in turn
-	urgent                // who leaves: not at all
+	low    urgency = iota // a load: sent while more than the reserved tokens are left
+	normal                // other changes: sent while tokens are left
+	urgent                // a leaving attendant: sent at once
 )
 
 // newer reports whether a replaces b, both of the same incarnation.
@@ -19,56 +19,55 @@
 	return a.Doubt > b.Doubt
 }
 
-// merge takes news that came through an entry, or from the attendant itself
-// (via ""). It returns the row, and whether it is from now on that it leaves.
+// merge merges an update that came via an entry, or from the attendant itself (via ""). It
+// returns the row, and whether its attendant is leaving now but was not before.
 //
-// Messages overtake each other, and a restarted attendant's earlier self may
-// still speak: its late word would put a dead process's endpoints back into
-// service. Only a higher incarnation replaces an incarnation, only a later
-// beat a beat, and leaving is never taken back within one.
-func (ta *Table) merge(ne StateUpdate, via string, now time.Time) (ro *row, left bool) {
-	ro, ok := ta.rows.get(ne.Instance)
+// Messages may be reordered, and messages of a previous incarnation may arrive late. To keep
+// endpoints of a dead process from returning, only a higher incarnation or, within one, a later
+// heartbeat replaces the state, and leaving is permanent within an incarnation.
+func (ta *Table) merge(up StateUpdate, via string, now time.Time) (ro *row, left bool) {
+	ro, ok := ta.rows.get(up.Instance)
 	if !ok {
 		ro = &row{}
-		ta.rows.set(ne.Instance, ro)
+		ta.rows.set(up.Instance, ro)
 	}
 	switch {
-	case !ok || ne.Incarnation > ro.news.Incarnation:
-		*ro = row{endpoints: ro.endpoints, heard: now, news: ne, via: via}
-		left = ne.Leaving
-	case ne.Incarnation < ro.news.Incarnation:
+	case !ok || up.Incarnation > ro.state.Incarnation:
+		*ro = row{endpoints: ro.endpoints, lastSeen: now, state: up, via: via}
+		left = up.Leaving
+	case up.Incarnation < ro.state.Incarnation:
 		ta.stale++
 		return ro, false
 	default:
-		left = ne.Leaving && !ro.news.Leaving
-		ro.update(ne, via, now)
+		left = up.Leaving && !ro.state.Leaving
+		ro.update(up, via, now)
 	}
-	if ne.Card != nil {
-		ro.card, ro.carded = *ne.Card, true
+	if up.Card != nil {
+		ro.descriptor, ro.hasDescriptor = *up.Card, true
 	}
-	ro.news.Card = nil
-	if in, listed := ta.listed[ne.Instance]; listed && leaves(in) && !ro.news.Leaving {
-		ro.news.Leaving = true
+	ro.state.Card = nil
+	if in, listed := ta.listed[up.Instance]; listed && isLeaving(in) && !ro.state.Leaving {
+		ro.state.Leaving = true
 		left = true
 	}
-	if ro.news.Doubt == Gone && ro.gone.IsZero() {
-		ro.gone = now
+	if ro.state.Doubt == Gone && ro.removedAt.IsZero() {
+		ro.removedAt = now
 	}
 	ta.refresh(ro)
 	return ro, left
 }
 
-// update takes news of the incarnation that the row holds.
-func (ro *row) update(ne StateUpdate, via string, now time.Time) {
-	leaving := ro.news.Leaving || ne.Leaving
-	if newer(&ne, &ro.news) {
-		if ne.Beat > ro.news.Beat {
-			ro.heard, ro.via = now, via
+// update merges an update of the row's current incarnation.
+func (ro *row) update(up StateUpdate, via string, now time.Time) {
+	leaving := ro.state.Leaving || up.Leaving
+	if newer(&up, &ro.state) {
+		if up.Beat > ro.state.Beat {
+			ro.lastSeen, ro.via = now, via
 		}
-		ro.news = ne
-		if ne.Doubt != Gone {
-			ro.gone = time.Time{}
+		ro.state = up
+		if up.Doubt != Gone {
+			ro.removedAt = time.Time{}
 		}
 	}
-	ro.news.Leaving = leaving
+	ro.state.Leaving = leaving
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -2,95 +2,94 @@
 
 import "wisteriacroft/engine"
 
-// Methods of the calls between attendants and entries.
+// RPC methods of entries.
 const (
 	ExchangeMethod = "roster.exchange"
 	ReportMethod   = "roster.report"
 	SyncMethod     = "roster.sync"
 )
 
-// A Descriptor is what never changes while an attendant runs.
+// A Descriptor holds the properties of an attendant that don't change while it runs.
 type Descriptor struct {
 	_             struct{} `cbor:",toarray"`
 	Address       string   // IP:port
 	Endpoints     []EndpointDescriptor
 	FailureDomain string
-	DataFolder    bool // takes payloads
+	DataFolder    bool // accepts payloads
 }
 
-// An EndpointDescriptor is an endpoint's part of a Card.
+// An EndpointDescriptor is an endpoint's part of a Descriptor.
 type EndpointDescriptor struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
 	Service string
 }
 
-// A StateUpdate is the state of an attendant and its endpoints, as one unit: it is
-// taken whole, replaces what is older, and may come twice or out of order.
+// A StateUpdate is the state of an attendant and its endpoints. It replaces older states as a
+// whole, and may arrive more than once or out of order.
 type StateUpdate struct {
 	_           struct{} `cbor:",toarray"`
 	Instance    string
 	Incarnation uint64
-	Sequence    uint64 // counts changes, but not those of load
+	Sequence    uint64 // counts changes except those of load
 	Beat        uint64 // counts reports
 	Doubt       Suspicion
-	Leaving     bool             // never taken back for the incarnation
-	Endpoints   []EndpointUpdate // in the order of the card
-	Card        *Descriptor      // nil where the receiver is believed to have it
+	Leaving     bool             // permanent for the incarnation
+	Endpoints   []EndpointUpdate // in the order of the descriptor
+	Card        *Descriptor      // nil if the receiver should have it already
 }
 
-// An EndpointUpdate is an endpoint's part of a News.
+// An EndpointUpdate is an endpoint's part of a StateUpdate.
 type EndpointUpdate struct {
 	_       struct{} `cbor:",toarray"`
 	State   State
-	Version engine.Version // as the engine reported it
+	Version engine.Version // as reported by the engine
 	Running int
 	Waiting int
 }
 
-// A ReportRequest brings an attendant's news to an entry.
+// A ReportRequest carries an attendant's state to an entry.
 type ReportRequest struct {
 	_    struct{} `cbor:",toarray"`
 	News StateUpdate
 }
 
-// A ReportResponse tells an attendant what its entry knows of it.
+// A ReportResponse is an entry's response to an attendant's report.
 type ReportResponse struct {
 	_            struct{} `cbor:",toarray"`
-	EntryLeaving bool     // report to another entry
-	Leaving      bool     // the platform's list says that the attendant's instance leaves
-	WantCard     bool     // send the card
+	EntryLeaving bool     // the attendant should report to another entry
+	Leaving      bool     // the attendant's instance is leaving, such as by the platform's list
+	WantCard     bool     // the descriptor is missing
 }
 
-// An ExchangeRequest brings an entry's news to another entry, with digests of
-// all that it holds.
+// An ExchangeRequest carries an entry's updates to another entry, with the digest of its whole
+// table.
 type ExchangeRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Digest  Digest
-	Leaving bool // the sender leaves
+	Leaving bool // the sender is leaving
 	News    []StateUpdate
 }
 
-// An ExchangeResponse acknowledges news, and says what differs after they were
-// taken.
+// An ExchangeResponse acknowledges updates, and reports what differs after merging them.
 type ExchangeResponse struct {
 	_             struct{}       `cbor:",toarray"`
-	Domains       []DomainDigest // set if all differs, and neither side has changed since they last talked
-	Leaving       bool           // the answering entry leaves
-	LeavingDiffer bool           // one side knows of more that leave
-	Missing       []string       // attendants whose card is wanted
+	Domains       []DomainDigest // set if the digests differ and neither has changed since the last exchange
+	Leaving       bool           // the responding entry is leaving
+	LeavingDiffer bool           // the digests of leaving attendants differ
+	Missing       []string       // attendants whose descriptor is missing
 }
 
-// A SyncRequest names what an entry holds of some failure domains, or all that
-// it knows to leave.
+// A SyncRequest summarizes an entry's attendants of some failure domains, or all that are
+// leaving.
 type SyncRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Domains []string
 	Known   []KnownState
-	Leaving bool // about those that leave, of any failure domain
+	Leaving bool // the scope is the leaving attendants of all failure domains
 }
 
-// A KnownState is what an entry holds of an attendant, in short.
+// A KnownState summarizes an attendant's state at an entry.
 type KnownState struct {
 	_           struct{} `cbor:",toarray"`
 	Instance    string
@@ -100,8 +99,8 @@
 	Leaving     bool
 }
 
-// A SyncResponse brings what the asking entry lacks, and names what the
-// answering one lacks.
+// A SyncResponse holds the states that the requester lacks, and the attendants whose states the
+// responder wants.
 type SyncResponse struct {
 	_      struct{} `cbor:",toarray"`
 	News   []StateUpdate
--- a/membership/poller.go
+++ b/membership/poller.go
@@ -11,29 +11,28 @@
 	"wisteriacroft/instancelist"
 )
 
-// pollPerInstance makes the interval grow with the list, so that reading it
-// costs a node less than 1 KB/s at any size. What one entry reads it tells the
-// others at once, and there are more of them where the list is long.
+// pollPerInstance is the interval per listed instance: a longer list is read less often, to
+// bound the bandwidth of reading it.
 const pollPerInstance = 150 * time.Millisecond
 
-// A Poller reads the platform's list of instances again and again.
+// A Poller reads the platform's list of instances periodically.
 type Poller struct {
 	Client *instancelist.Client
-	// Interval is the mean time between two readings of a short list; default
-	// DefaultPollInterval. Long lists are read less often.
+	// Interval is the mean time between reads of a short list; default DefaultPollInterval.
+	// Long lists are read less often.
 	Interval time.Duration
-	// Log is told when the list can't be read; may be nil.
+	// Log is optional.
 	Log *logrus.Entry
-	// ObserveFunc is told each list that was read.
+	// ObserveFunc handles each list that was read.
 	ObserveFunc func(ins []instancelist.Instance)
-	// Rand spreads the readings of processes that start together; may be nil.
+	// Rand is the source of jitter; nil means the default one.
 	Rand *rand.Rand
 }
 
-// Run reads until ctx ends. A list that can't be read changes nothing.
+// Run polls until ctx ends. Failed reads are logged and retried after the interval.
 func (po *Poller) Run(ctx context.Context) {
 	interval := cmp.Or(po.Interval, DefaultPollInterval)
-	wait := po.upTo(startSpread)
+	wait := po.jitter(startupJitter)
 	for {
 		select {
 		case <-ctx.Done():
@@ -44,14 +43,14 @@
 			po.ObserveFunc(ins)
 			interval = max(cmp.Or(po.Interval, DefaultPollInterval), time.Duration(len(ins))*pollPerInstance)
 		} else if po.Log != nil {
-			po.Log.WithError(err).Warn("read the instance list")
+			po.Log.WithError(err).Warn("cannot read the instance list")
 		}
-		wait = interval/2 + po.upTo(interval)
+		wait = interval/2 + po.jitter(interval)
 	}
 }
 
-// upTo returns a random time below limit.
-func (po *Poller) upTo(limit time.Duration) time.Duration {
+// jitter returns a random duration below limit.
+func (po *Poller) jitter(limit time.Duration) time.Duration {
 	if po.Rand == nil {
 		return rand.N(limit)
 	}
--- a/membership/choice.go
+++ b/membership/rank.go
@@ -9,13 +9,12 @@
 	"wisteriacroft/instancelist"
 )
 
-// choose orders entries by how well each suits an attendant: those of its own
-// failure domain first, and among them by rendezvous hashing.
+// rankEntries orders entries by preference of an attendant: those of its own failure domain
+// first, then by rendezvous hashing.
 //
-// With rendezvous hashing every attendant finds its home from the list alone,
-// homes spread evenly, and an entry that comes or goes moves only its own
-// share of the attendants. A failure domain without an entry spreads over all.
-func choose(attendant, failureDomain string, entries []instancelist.Instance) []instancelist.Instance {
+// Rendezvous hashing spreads attendants evenly without coordination, and an entry that joins or
+// leaves moves only its own share of them.
+func rankEntries(attendant, failureDomain string, entries []instancelist.Instance) []instancelist.Instance {
 	chosen := slices.Clone(entries)
 	slices.SortFunc(chosen, func(a, b instancelist.Instance) int {
 		if near := cmp.Compare(distance(a, failureDomain), distance(b, failureDomain)); near != 0 {
@@ -34,5 +33,5 @@
 	return 1
 }
 
-// weight returns the hash by which an attendant ranks an entry.
+// weight returns the rendezvous hash of an attendant and an entry.
 func weight(attendant, entry string) uint64 { return xxhash.Sum64String(attendant + " " + entry) }
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -10,75 +10,72 @@
 	"wisteriacroft/tick"
 )
 
-// A Reporter tells entries of an attendant's endpoints: what changed at once,
-// and all of it seldom. The zero Reporter is ready to use; set its fields and
-// add the endpoints before the first tick. Its methods may be called from
-// several goroutines.
+// A Reporter reports an attendant's endpoints to an entry, on each change and periodically. The
+// zero value is ready to use; set its fields and add the endpoints before the first tick. It is
+// safe for concurrent use.
 type Reporter struct {
 	// Address is the IP:port of this attendant.
 	Address string
-	// BeatInterval is how often it reports when nothing changes.
+	// BeatInterval is the interval of reports without changes; default
+	// DefaultHeartbeatInterval.
 	BeatInterval time.Duration
-	// DataFolder says that this attendant takes payloads.
+	// DataFolder means that this attendant accepts payloads.
 	DataFolder bool
 	// FailureDomain is where it runs.
 	FailureDomain string
-	// Incarnation is higher than that of any earlier start of the instance.
+	// Incarnation is higher than those of earlier runs of the instance.
 	Incarnation uint64
-	// Instance is its id.
+	// Instance is the ID of this attendant's instance.
 	Instance string
-	// LeavingFunc is told once when an entry says that the platform takes the
-	// instance away.
+	// LeavingFunc is called once if an entry responds that the instance is leaving.
 	LeavingFunc func()
-	// SendFunc sends to an entry and returns at once; it calls done later,
-	// exactly once.
+	// SendFunc sends to an entry without blocking; it calls done later, exactly once.
 	SendFunc func(address string, rq ReportRequest, done func(ReportResponse, error))
 
-	busy     map[string]bool // entries that a report is on its way to
-	carded   map[string]bool // entries that have the card
-	changed  bool            // since the last report that was answered
-	entries  []instancelist.Instance
-	failed   map[string]time.Time // entries not to be asked before
-	failures map[string]int       // in a row
-	home     string
-	mu       sync.Mutex
-	news     StateUpdate
-	card     Descriptor
-	next     time.Time
-	sends    []func()
-	spread   []string // entries that have still to be told that it leaves
+	inFlight      map[string]bool // entries with an unfinished report
+	hasDescriptor map[string]bool // entries that have the descriptor
+	changed       bool            // since the last acknowledged report
+	entries       []instancelist.Instance
+	retryAt       map[string]time.Time // when failed entries may be used again
+	failures      map[string]int       // consecutive failures by entry
+	entryID       string
+	mu            sync.Mutex
+	state         StateUpdate
+	descriptor    Descriptor
+	nextReport    time.Time
+	sends         []func()
+	notifyLeaving []string // entries still to be notified that it is leaving
 }
 
-// Add adds an endpoint, which is Unhealthy until Set says better.
+// Add adds an endpoint, which is Unhealthy until the first Set.
 func (rp *Reporter) Add(id, service string) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	rp.card.Endpoints = append(rp.card.Endpoints, EndpointDescriptor{ID: id, Service: service})
-	rp.news.Endpoints = append(rp.news.Endpoints, EndpointUpdate{State: Unhealthy})
+	rp.descriptor.Endpoints = append(rp.descriptor.Endpoints, EndpointDescriptor{ID: id, Service: service})
+	rp.state.Endpoints = append(rp.state.Endpoints, EndpointUpdate{State: Unhealthy})
 }
 
-// Set notes what an endpoint's state, observed version and load are now. A
-// Leaving endpoint stays Leaving.
+// Set sets an endpoint's state, observed version and load. A Leaving endpoint stays Leaving.
 func (rp *Reporter) Set(id string, st State, ve engine.Version, running, waiting int) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	for i, ce := range rp.card.Endpoints {
-		if ce.ID != id {
+	for i, ed := range rp.descriptor.Endpoints {
+		if ed.ID != id {
 			continue
 		}
-		ne := &rp.news.Endpoints[i]
-		if ne.State == Leaving {
+		up := &rp.state.Endpoints[i]
+		if up.State == Leaving {
 			st = Leaving
 		}
-		if ne.State != st || ne.Version != ve {
-			rp.news.Sequence++
+		if up.State != st || up.Version != ve {
+			rp.state.Sequence++
 			rp.changed = true
 		}
-		*ne = EndpointUpdate{State: st, Version: ve, Running: running, Waiting: waiting}
+		*up = EndpointUpdate{State: st, Version: ve, Running: running, Waiting: waiting}
 	}
 }
 
-// Leave makes the attendant tell that it takes no new work, for good.
+// Leave makes the attendant report that it is leaving, permanently.
 func (rp *Reporter) Leave() {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
@@ -87,17 +84,16 @@
 
 // leave is Leave for callers that hold mu.
 func (rp *Reporter) leave() {
-	if rp.news.Leaving {
+	if rp.state.Leaving {
 		return
 	}
-	rp.news.Leaving = true
-	rp.news.Sequence++
+	rp.state.Leaving = true
+	rp.state.Sequence++
 	rp.changed = true
-	// The home may die right after it took the word, so a second entry spreads
-	// it too.
+	// The first entry may die before it propagates this, so it is reported to a second one too.
 	for i, in := range rp.candidates(time.Now()) {
-		if i < leavingHomes {
-			rp.spread = append(rp.spread, in.ID)
+		if i < leavingReports {
+			rp.notifyLeaving = append(rp.notifyLeaving, in.ID)
 		}
 	}
 }
@@ -106,30 +102,31 @@
 func (rp *Reporter) EntryID() string {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
-	return rp.home
+	return rp.entryID
 }
 
-// ObserveList takes the platform's list of instances.
+// ObserveList updates the entries from the platform's list of instances. A list without usable
+// entries is ignored.
 func (rp *Reporter) ObserveList(ins []instancelist.Instance) {
 	rp.mu.Lock()
 	defer rp.mu.Unlock()
 	var entries []instancelist.Instance
 	for _, in := range ins {
-		if in.Role == entryRole && !leaves(in) {
+		if in.Role == entryRole && !isLeaving(in) {
 			entries = append(entries, in)
 		}
 	}
 	if len(entries) > 0 {
-		rp.entries = choose(rp.Instance, rp.FailureDomain, entries)
+		rp.entries = rankEntries(rp.Instance, rp.FailureDomain, entries)
 	}
 }
 
-// Systems returns the systems that run for the reporter.
+// Systems returns the systems to run periodically for the reporter.
 func (rp *Reporter) Systems() []tick.System {
 	return []tick.System{{Name: "roster-report", Run: func(now time.Time) { rp.run(now, rp.report) }}}
 }
 
-// run makes a step under the lock, and sends after it what the step queued.
+// run calls step under the lock, and afterwards sends what it queued.
 func (rp *Reporter) run(now time.Time, step func(now time.Time)) {
 	rp.mu.Lock()
 	step(now)
@@ -141,27 +138,28 @@
 	}
 }
 
-// report sends a report if something changed or a beat is due.
+// report queues a report if something changed or a heartbeat is due.
 func (rp *Reporter) report(now time.Time) {
 	ins := rp.candidates(now)
 	if len(ins) == 0 {
 		return
 	}
-	rp.tellLeaving(ins)
+	rp.sendLeaving(ins)
 	home := ins[0]
-	moved := home.ID != rp.home
-	if rp.busy[home.ID] || !rp.changed && !moved && now.Before(rp.next) {
+	moved := home.ID != rp.entryID
+	if rp.inFlight[home.ID] || !rp.changed && !moved && now.Before(rp.nextReport) {
 		return
 	}
-	rp.home = home.ID
-	rp.next = now.Add(cmp.Or(rp.BeatInterval, DefaultHeartbeatInterval))
+	rp.entryID = home.ID
+	rp.nextReport = now.Add(cmp.Or(rp.BeatInterval, DefaultHeartbeatInterval))
 	rp.send(home)
 }
 
-// tellLeaving tells a second entry that the attendant leaves.
-func (rp *Reporter) tellLeaving(ins []instancelist.Instance) {
-	spread := rp.spread
-	rp.spread = nil
+// sendLeaving queues reports to the entries in notifyLeaving other than the preferred one, which
+// gets a regular report.
+func (rp *Reporter) sendLeaving(ins []instancelist.Instance) {
+	spread := rp.notifyLeaving
+	rp.notifyLeaving = nil
 	for _, in := range ins {
 		for _, id := range spread {
 			if in.ID == id && id != ins[0].ID {
@@ -171,76 +169,76 @@
 	}
 }
 
-// candidates returns the entries that may be asked, the best first; all, if
-// each has failed lately.
+// candidates returns the entries that may be used, by preference. If all are in backoff and a
+// heartbeat is due, it returns all.
 func (rp *Reporter) candidates(now time.Time) []instancelist.Instance {
 	var ins []instancelist.Instance
 	for _, in := range rp.entries {
-		if !now.Before(rp.failed[in.ID]) {
+		if !now.Before(rp.retryAt[in.ID]) {
 			ins = append(ins, in)
 		}
 	}
-	if len(ins) == 0 && !now.Before(rp.next) {
+	if len(ins) == 0 && !now.Before(rp.nextReport) {
 		return rp.entries
 	}
 	return ins
 }
 
-// send queues a report to an entry, with the card if the entry may lack it.
+// send queues a report to an entry, with the descriptor if the entry may lack it.
 func (rp *Reporter) send(in instancelist.Instance) {
-	if rp.busy == nil {
-		rp.busy, rp.carded = map[string]bool{}, map[string]bool{}
-		rp.failed, rp.failures = map[string]time.Time{}, map[string]int{}
-	}
-	rp.news.Beat++
-	ne := rp.news
-	ne.Instance, ne.Incarnation = rp.Instance, rp.Incarnation
-	ne.Endpoints = append([]EndpointUpdate(nil), rp.news.Endpoints...)
-	if !rp.carded[in.ID] {
-		ne.Card = &Descriptor{
+	if rp.inFlight == nil {
+		rp.inFlight, rp.hasDescriptor = map[string]bool{}, map[string]bool{}
+		rp.retryAt, rp.failures = map[string]time.Time{}, map[string]int{}
+	}
+	rp.state.Beat++
+	up := rp.state
+	up.Instance, up.Incarnation = rp.Instance, rp.Incarnation
+	up.Endpoints = append([]EndpointUpdate(nil), rp.state.Endpoints...)
+	if !rp.hasDescriptor[in.ID] {
+		up.Card = &Descriptor{
 			Address:       rp.Address,
 			DataFolder:    rp.DataFolder,
-			Endpoints:     rp.card.Endpoints,
+			Endpoints:     rp.descriptor.Endpoints,
 			FailureDomain: rp.FailureDomain,
 		}
 	}
-	rq := ReportRequest{News: ne}
-	rp.busy[in.ID] = true
-	if in.ID == rp.home {
+	rq := ReportRequest{News: up}
+	rp.inFlight[in.ID] = true
+	if in.ID == rp.entryID {
 		rp.changed = false
 	}
 	rp.sends = append(rp.sends, func() {
-		rp.SendFunc(in.Address, rq, func(an ReportResponse, err error) { rp.sent(in.ID, an, err) })
+		rp.SendFunc(in.Address, rq, func(re ReportResponse, err error) { rp.handleResponse(in.ID, re, err) })
 	})
 }
 
-// fail leaves out an entry that did not answer, longer each time: each try
-// costs the time of a call in which nothing is reported.
-func (rp *Reporter) fail(entry string) {
-	wait := min(shortestFailure<<min(rp.failures[entry], 10), longestFailure)
+// backOff excludes an entry that did not respond, with exponential backoff: during each failing
+// call nothing is reported.
+func (rp *Reporter) backOff(entry string) {
+	wait := min(minBackoff<<min(rp.failures[entry], 10), maxBackoff)
 	rp.failures[entry]++
-	rp.failed[entry] = time.Now().Add(wait)
+	rp.retryAt[entry] = time.Now().Add(wait)
 }
 
-// sent takes the outcome of a report.
-func (rp *Reporter) sent(entry string, an ReportResponse, err error) {
+// handleResponse handles the result of a report.
+func (rp *Reporter) handleResponse(entry string, re ReportResponse, err error) {
 	rp.mu.Lock()
-	rp.busy[entry] = false
+	rp.inFlight[entry] = false
 	warn := false
 	switch {
 	case err != nil:
-		rp.fail(entry)
-		rp.carded[entry] = false
+		rp.backOff(entry)
+		rp.hasDescriptor[entry] = false
 		rp.changed = true
-	case an.EntryLeaving:
-		rp.failed[entry] = time.Now().Add(longestFailure)
-		rp.carded[entry] = true
+	case re.EntryLeaving:
+		rp.retryAt[entry] = time.Now().Add(maxBackoff)
+		rp.hasDescriptor[entry] = true
 	default:
 		rp.failures[entry] = 0
-		rp.carded[entry] = !an.WantCard
-		rp.changed = rp.changed || an.WantCard
+		rp.hasDescriptor[entry] = !re.WantCard
+		rp.changed = rp.changed || re.WantCard
 	}
-	if err == nil && an.Leaving && !rp.news.Leaving {
+	if err == nil && re.Leaving && !rp.state.Leaving {
 		warn = true
 		rp.leave()
 	}
--- a/membership/edge.go
+++ b/membership/rpc.go
@@ -7,7 +7,7 @@
 	"wisteriacroft/peer"
 )
 
-// Register makes a server answer the calls that a table takes.
+// Register registers a table's RPC methods with a server.
 func Register(sv *peer.Server, ta *Table) {
 	peer.Handle(sv, ReportMethod,
 		func(_ context.Context, he message.Header, rq ReportRequest) (ReportResponse, error) {
@@ -23,13 +23,13 @@
 		})
 }
 
-// Connect makes a table send through a pool, until ctx ends.
+// Connect makes a table send its calls through a pool until ctx ends.
 func Connect(ctx context.Context, po *peer.Pool, ta *Table) {
 	ta.SendExchangeFunc = peer.Sender[ExchangeRequest, ExchangeResponse](ctx, po, ExchangeMethod, callTimeout)
 	ta.SendSyncFunc = peer.Sender[SyncRequest, SyncResponse](ctx, po, SyncMethod, callTimeout)
 }
 
-// ConnectReporter makes a reporter send through a pool, until ctx ends.
+// ConnectReporter makes a reporter send its calls through a pool until ctx ends.
 func ConnectReporter(ctx context.Context, po *peer.Pool, rp *Reporter) {
 	rp.SendFunc = peer.Sender[ReportRequest, ReportResponse](ctx, po, ReportMethod, callTimeout)
 }
--- a/membership/silence.go
+++ b/membership/silence.go
@@ -5,45 +5,43 @@
 	"time"
 )
 
-// judge doubts attendants that stay silent towards this entry, their home.
+// detectSilence marks attendants that report to this entry and have not done so in time.
 //
-// When an entry's own connection fails, all its attendants go silent to it at
-// once. Were it to say so, it would take every endpoint of its failure domain
-// out of service elsewhere too. So when most are silent it blames itself,
-// keeps its view and says that it is cut off.
-func (ta *Table) judge(now time.Time) {
+// If the entry's own connection fails, all its attendants become silent at once. Propagating that
+// would take all endpoints of its failure domain out of service everywhere. So if most are
+// silent, the entry considers itself cut off and keeps its view.
+func (ta *Table) detectSilence(now time.Time) {
 	timeout := cmp.Or(ta.SilenceTimeout, DefaultSilenceTimeout)
 	var silent []*row
-	homed := 0
+	total := 0
 	for _, ro := range ta.rows.values() {
-		if ro.via != "" || ro.news.Doubt == Gone || ro.news.Leaving {
+		if ro.via != "" || ro.state.Doubt == Gone || ro.state.Leaving {
 			continue
 		}
-		homed++
-		if now.Sub(ro.heard) > timeout {
+		total++
+		if now.Sub(ro.lastSeen) > timeout {
 			silent = append(silent, ro)
 		}
 	}
-	lost := ta.lostEntries(now)
-	cutOff := most(len(silent), homed) || most(lost, len(ta.entries.keys))
+	lost := ta.countLost(now)
+	cutOff := majority(len(silent), total) || majority(lost, len(ta.entries.keys))
 	ta.setCutOff(cutOff, now)
 	if cutOff {
 		return
 	}
 	for _, ro := range silent {
-		if ro.news.Doubt == Alive {
-			ro.news.Doubt = Silent
+		if ro.state.Doubt == Alive {
+			ro.state.Doubt = Silent
 			ta.refresh(ro)
-			ta.tellAll(ro.news.Instance, waits)
+			ta.markAllDirty(ro.state.Instance, normal)
 		}
 	}
 }
 
-// most reports whether part is more than half of whole, and not just a few.
-func most(part, whole int) bool { return part > smallGroup && 2*part > whole }
+// majority reports whether part is more than half of whole and above cutOffThreshold.
+func majority(part, whole int) bool { return part > cutOffThreshold && 2*part > whole }
 
-// setCutOff notes since when this entry is cut off. Its endpoints' states
-// depend on that.
+// setCutOff records whether this entry is cut off, and refreshes all rows if that has changed.
 func (ta *Table) setCutOff(cutOff bool, now time.Time) {
 	was := !ta.cutOff.IsZero()
 	if cutOff == was {
@@ -58,12 +56,12 @@
 	}
 }
 
-// lostEntries counts the other entries that can't be reached, and refreshes
-// the attendants that are known through one that was lost just now.
-func (ta *Table) lostEntries(now time.Time) int {
+// countLost returns the number of unreachable entries, and refreshes the attendants known via
+// those that have just become unreachable.
+func (ta *Table) countLost(now time.Time) int {
 	lost := 0
 	for _, er := range ta.entries.values() {
-		if ta.reach(er, now) {
+		if ta.reachable(er, now) {
 			continue
 		}
 		lost++
@@ -75,15 +73,15 @@
 	return lost
 }
 
-// reach reports whether another entry was heard of in time. Entries talk to
-// each other more seldom the more there are, so the time grows with them.
-func (ta *Table) reach(er *entryRow, now time.Time) bool {
+// reachable reports whether the last contact with another entry is recent. The timeout grows
+// with the number of entries, as they are contacted in turn.
+func (ta *Table) reachable(er *entryRow, now time.Time) bool {
 	round := time.Duration(len(ta.entries.keys)) * cmp.Or(ta.ExchangeInterval, DefaultExchangeInterval)
-	return now.Sub(er.heard) <= cmp.Or(ta.SilenceTimeout, DefaultSilenceTimeout)+2*round
+	return now.Sub(er.lastContact) <= cmp.Or(ta.SilenceTimeout, DefaultSilenceTimeout)+2*round
 }
 
-// unreachable reports whether the entry that hears an attendant's beats is
-// lost to this one. This judgement is this entry's own: it tells no one.
+// unreachable reports whether the entry that an attendant reports to is unreachable from this
+// one. This is not propagated to other entries.
 func (ta *Table) unreachable(via string) bool {
 	if via == "" || !ta.cutOff.IsZero() {
 		return false
@@ -92,7 +90,7 @@
 	return ok && er.lost
 }
 
-// refreshVia refreshes the attendants that are known through an entry.
+// refreshVia refreshes the attendants known via an entry.
 func (ta *Table) refreshVia(entry string) {
 	for _, ro := range ta.rows.values() {
 		if ro.via == entry {
@@ -101,33 +99,33 @@
 	}
 }
 
-// expire removes attendants that are silent and off the platform's list, and
-// forgets those that were removed long ago.
+// expire removes attendants that are both silent and missing from the platform's list, and
+// deletes old tombstones.
 //
-// Neither sign is enough: the list lags behind a start, and a silent
-// attendant may only be cut off.
+// Neither condition alone is enough: the list lags behind a start, and a silent attendant may
+// only be cut off.
 func (ta *Table) expire(now time.Time) {
 	for _, ro := range ta.rows.values() {
-		_, listed := ta.listed[ro.news.Instance]
+		_, listed := ta.listed[ro.state.Instance]
 		switch {
-		case ro.news.Doubt == Gone:
-			if now.Sub(ro.gone) > tombstoneLife {
-				ta.rows.remove(ro.news.Instance)
+		case ro.state.Doubt == Gone:
+			if now.Sub(ro.removedAt) > tombstoneTTL {
+				ta.rows.remove(ro.state.Instance)
 			}
-		case ta.listed == nil || listed || ro.via != "" && !ta.orphan(ro):
-		case (ro.news.Doubt == Silent || ro.news.Leaving || ro.via != "") &&
-			now.Sub(ro.heard) > cmp.Or(ta.RemoveTimeout, DefaultRemoveTimeout):
-			ro.news.Doubt = Gone
-			ro.gone = now
+		case ta.listed == nil || listed || ro.via != "" && !ta.orphaned(ro):
+		case (ro.state.Doubt == Silent || ro.state.Leaving || ro.via != "") &&
+			now.Sub(ro.lastSeen) > cmp.Or(ta.RemoveTimeout, DefaultRemoveTimeout):
+			ro.state.Doubt = Gone
+			ro.removedAt = now
 			ta.refresh(ro)
-			ta.tellAll(ro.news.Instance, waits)
+			ta.markAllDirty(ro.state.Instance, normal)
 		}
 	}
 }
 
-// orphan reports whether the entry that heard an attendant's beats is no more,
-// so that no home is left to judge it.
-func (ta *Table) orphan(ro *row) bool {
+// orphaned reports whether the entry that an attendant reported to was removed, so that no entry
+// detects its silence.
+func (ta *Table) orphaned(ro *row) bool {
 	_, ok := ta.entries.get(ro.via)
 	return !ok && ro.via != ta.Instance
 }
--- a/membership/sorted.go
+++ b/membership/sortedmap.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// A sorted is a map that is walked by key, so that decisions do not depend on
-// the order of a Go map. The zero sorted is empty and ready to use.
-type sorted[V any] struct {
+// A sortedMap is a map with deterministic iteration in the order of its keys. The zero value is
+// empty and ready to use.
+type sortedMap[V any] struct {
 	byKey map[string]V
 	keys  []string
 }
 
-// get returns the value of a key, and whether there is one.
-func (so *sorted[V]) get(key string) (V, bool) {
+// get returns the value of a key and whether it exists.
+func (so *sortedMap[V]) get(key string) (V, bool) {
 	value, ok := so.byKey[key]
 	return value, ok
 }
 
 // set adds or replaces the value of a key.
-func (so *sorted[V]) set(key string, value V) {
+func (so *sortedMap[V]) set(key string, value V) {
 	if so.byKey == nil {
 		so.byKey = map[string]V{}
 	}
@@ -27,8 +27,8 @@
 	so.byKey[key] = value
 }
 
-// remove drops a key, if it is there.
-func (so *sorted[V]) remove(key string) {
+// remove removes a key if it exists.
+func (so *sortedMap[V]) remove(key string) {
 	if _, ok := so.byKey[key]; !ok {
 		return
 	}
@@ -37,8 +37,8 @@
 	so.keys = slices.Delete(so.keys, at, at+1)
 }
 
-// values returns the values by key. They may be removed while it is walked.
-func (so *sorted[V]) values() []V {
+// values returns a copy of the values in the order of their keys.
+func (so *sortedMap[V]) values() []V {
 	values := make([]V, len(so.keys))
 	for i, key := range so.keys {
 		values[i] = so.byKey[key]
--- a/membership/state.go
+++ b/membership/state.go
@@ -1,16 +1,16 @@
 package membership
 
-// A State says what an endpoint may be given.
+// A State determines which work may be sent to an endpoint.
 type State uint8
 
-// The states. Attendants report the first four; Suspect is an entry's own
-// judgement of an attendant that it has not heard of.
+// The states. Attendants report the first four; an entry sets Suspect for attendants that are
+// silent.
 const (
 	Ready     State = iota // any work
-	Loading                // weights change: no work that is bound to a version
-	Unhealthy              // no work: the endpoint does not answer its attendant
-	Leaving                // no new work, for good
-	Suspect                // work only where no other endpoint is left
+	Loading                // loading weights: no work that requires a version
+	Unhealthy              // no work: the endpoint does not respond to its attendant
+	Leaving                // no new work, permanently
+	Suspect                // work only if no other endpoint is left
 )
 
 var stateNames = [...]string{
@@ -20,13 +20,13 @@
 // String returns the state's name.
 func (st State) String() string { return stateNames[st] }
 
-// A Suspicion is what an entry holds against an attendant that has gone silent. A
-// later beat of the attendant clears it.
+// A Suspicion is an entry's assessment of whether an attendant is alive. A later heartbeat
+// resets it to Alive.
 type Suspicion uint8
 
-// The doubts, in the order in which they may rise.
+// The levels of suspicion, in ascending order.
 const (
 	Alive  Suspicion = iota
-	Silent           // its home has not heard of it in time
-	Gone             // silent, and no longer on the platform's list
+	Silent           // has not reported to its entry in time
+	Gone             // silent, and no longer on the platform's list; kept as a tombstone
 )
