--- a/lease/resolver.go
+++ b/lease/resolver.go
@@ -10,65 +10,64 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Bounds of looking for a holder.
+// Settings of looking up a holder.
 const (
-	// lookEvery is how often the service is asked while no holder is known.
-	lookEvery = 300 * time.Millisecond
-	// lookTimeout bounds one such question.
-	lookTimeout = 800 * time.Millisecond
-	// freshLook is which look asks for the record as it is now. The others may get
-	// one that is seconds old, at a tenth of the price: as a rule it is not, and a
-	// holder that is gone is found out when it is called.
-	freshLook = 3
+	// lookupInterval is the minimum interval of lookups while no holder is known.
+	lookupInterval = 300 * time.Millisecond
+	lookupTimeout  = 800 * time.Millisecond
+	// freshLookupEvery makes every third lookup a consistent read. The others are stale reads,
+	// which cost less and may return a record that is seconds old.
+	freshLookupEvery = 3
 )
 
-// A Resolver knows where the holder of a name is. Fill the exported fields before
-// use.
+// A Resolver looks up and caches the address of the holder of a name. Set the exported fields
+// before use. It is safe for concurrent use.
 type Resolver struct {
 	Client *keyvalue.Client
 	Log    *logrus.Entry
 	Name   string
 
-	address  string // empty if not known
-	looks    int    // made until now
-	lookedAt time.Time
-	mu       sync.Mutex
+	address    string // empty if unknown
+	lookups    int
+	lookedUpAt time.Time
+	mu         sync.Mutex
 }
 
-// Address returns where the holder is, or "".
-func (fi *Resolver) Address(ctx context.Context) string {
-	fi.mu.Lock()
-	if fi.address != "" || time.Since(fi.lookedAt) < lookEvery {
-		defer fi.mu.Unlock()
-		return fi.address
+// Address returns the holder's address, or "" if it is unknown.
+func (re *Resolver) Address(ctx context.Context) string {
+	re.mu.Lock()
+	if re.address != "" || time.Since(re.lookedUpAt) < lookupInterval {
+		defer re.mu.Unlock()
+		return re.address
 	}
-	fi.lookedAt = time.Now()
-	fi.looks++
-	look := lately
-	if fi.looks%freshLook == 0 {
-		look = Current
+	re.lookedUpAt = time.Now()
+	re.lookups++
+	lookup := currentStale
+	if re.lookups%freshLookupEvery == 0 {
+		lookup = Current
 	}
-	fi.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	re.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rec, err := look(ctx, fi.Client, fi.Name)
-	fi.Log.WithFields(logrus.Fields{"address": rec.Owner, "epoch": rec.Epoch, "error": err, "lease": fi.Name}).
+	rec, err := lookup(ctx, re.Client, re.Name)
+	re.Log.WithFields(logrus.Fields{"address": rec.Owner, "epoch": rec.Epoch, "error": err, "lease": re.Name}).
 		Info("looked for the holder")
 	if err != nil {
 		return ""
 	}
-	fi.mu.Lock()
-	defer fi.mu.Unlock()
-	fi.address = rec.Owner
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	re.address = rec.Owner
 	return rec.Owner
 }
 
-// Invalidate forgets a holder that can't be reached, or holds the name no longer.
-func (fi *Resolver) Invalidate(address string, err error) {
-	fi.mu.Lock()
-	defer fi.mu.Unlock()
-	if fi.address == address && address != "" {
-		fi.address = ""
-		fi.Log.WithFields(logrus.Fields{"address": address, "dependency": fi.Name, "error": err}).Warn("dependency lost")
+// Invalidate drops the cached address if it is the given one, whose process is unreachable or no
+// longer holds the name.
+func (re *Resolver) Invalidate(address string, err error) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	if re.address == address && address != "" {
+		re.address = ""
+		re.Log.WithFields(logrus.Fields{"address": address, "dependency": re.Name, "error": err}).Warn("dependency lost")
 	}
 }
