--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -9,12 +9,11 @@
 	"wisteriacroft/outcome"
 )
 
-// acknowledge marks the batches up to the cursor's as taken. It does not wait
-// for the ledger: the next cursor says the same again.
+// acknowledge marks the batches up to the cursor as taken. It need not wait for the ledger, since
+// the next cursor repeats the acknowledgement.
 //
-// Each start of a trainer has a higher incarnation. A pull that the trainer
-// sent before it restarted may arrive late, and would acknowledge batches that
-// the restarted trainer wants again; so a lower incarnation is refused.
+// A lower incarnation is refused: a late pull from before the trainer's restart would acknowledge
+// batches that the restarted trainer needs again.
 func (ow *Owner) acknowledge(tr *trainer, cu message.Cursor, po position, st lease.State) error {
 	if cu.Incarnation < tr.cursor.Incarnation {
 		return refuse(outcome.BadRequest, "trainer has restarted: incarnation %d after %d", cu.Incarnation, tr.cursor.Incarnation)
@@ -28,7 +27,7 @@
 		return refuse(outcome.Refused, "ledger: %v", err)
 	}
 	if at.before(po) && tr.batch(po) == nil {
-		if err := ow.skip(tr, cu, po); err != nil {
+		if err := ow.skipTo(tr, cu, po); err != nil {
 			return err
 		}
 	}
@@ -45,76 +44,74 @@
 		tr.cursor = cu
 		tr.touch()
 	}
-	tr.noteVersion(cu, po, restarted)
+	tr.recordVersion(cu, po, restarted)
 	return nil
 }
 
-// noteVersion notes the version that the trainer trains, and its pace. A late pull must not set it
-// back, but a restart may.
-func (tr *trainer) noteVersion(cu message.Cursor, po position, restarted bool) {
+// recordVersion records the trainer's version and pace. Only a restart may lower the version, not a
+// late pull.
+func (tr *trainer) recordVersion(cu message.Cursor, po position, restarted bool) {
 	if restarted || cu.Version > tr.version {
 		tr.version = cu.Version
 	}
 	if po.step >= 0 {
-		tr.pace.note(po.step, cu.Version, time.Now())
+		tr.pace.record(po.step, cu.Version, time.Now())
 	}
 }
 
-// droppedAt returns the position of the last batch that is not kept any more.
+// droppedAt returns the position of the last batch that is no longer kept.
 func (tr *trainer) droppedAt() position {
-	id, err := ledger.ParseBatchID(tr.dropped)
+	id, err := ledger.ParseBatchID(tr.droppedBatch)
 	if err != nil {
 		return origin
 	}
 	return position{step: id.Step, ordinal: id.Ordinal}
 }
 
-// skip follows a cursor to a batch that the rows don't hold. The ledger holds
-// each batch before it is handed over, so this one was lost with an older state
-// of the service. The cursor counts: what the trainer has taken is not made
-// again. Of a step that it has taken in part, the ledger can't tell which groups.
-func (ow *Owner) skip(tr *trainer, cu message.Cursor, po position) error {
+// skipTo follows a cursor to a batch that is not in the ledger, which has lost writes. All steps up
+// to the cursor count as taken. If only a part of the step was taken, its groups are unknown, so
+// the cursor is refused.
+func (ow *Owner) skipTo(tr *trainer, cu message.Cursor, po position) error {
 	if tr.step(po.step) != nil && !tr.policy.WholeSteps {
-		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
+		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit the rest of step %d as a new step", cu.Batch, po.step)
 	}
-	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that the ledger does not hold")
+	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that is not in the ledger")
 	for len(tr.steps) > 0 && tr.steps[0].number <= po.step {
-		ow.forget(tr, tr.steps[0])
+		ow.dropStep(tr, tr.steps[0])
 		tr.steps = tr.steps[1:]
 	}
-	tr.dropped = cu.Batch
+	tr.droppedBatch = cu.Batch
 	return nil
 }
 
-// rewind follows a trainer that has restarted from a checkpoint older than the
-// steps that are kept. All steps after its cursor are forgotten; it must submit
-// them again. The same incarnation can't go back: that is a late pull. Nor can
-// it go back into the middle of a step, of which it is not known any more which
-// groups the trainer has taken: the others would be lost to it.
+// rewind follows a trainer that has restarted from a checkpoint older than the kept steps. It drops
+// all steps; the trainer must submit those after its cursor again. It refuses a cursor with an
+// unchanged incarnation, which is a late pull, and one in the middle of a step, whose taken groups
+// are no longer known.
 func (ow *Owner) rewind(tr *trainer, cu message.Cursor, po position, restarted bool, st lease.State) error {
 	if !restarted {
-		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is before the kept steps", cu.Batch)
 	}
 	if id, err := ledger.ParseBatchID(cu.Batch); err == nil && !id.Whole {
-		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept: go back to the end of a step", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is before the kept steps: go back to the end of a step", cu.Batch)
 	}
 	if st != lease.Held {
-		return refuse(outcome.Refused, "the key-value service is away: can't go back to step %d", po.step)
+		return refuse(outcome.Refused, "the key-value service is unavailable: can't go back to step %d", po.step)
 	}
-	ow.log(tr).WithField("batch", cu.Batch).Warn("trainer goes back behind the steps that are kept")
+	ow.log(tr).WithField("batch", cu.Batch).Warn("trainer restarts before the kept steps")
 	for _, sp := range tr.steps {
-		ow.forget(tr, sp)
+		ow.dropStep(tr, sp)
 	}
 	tr.steps = nil
-	tr.cursor, tr.dropped = cu, cu.Batch
+	tr.cursor, tr.droppedBatch = cu, cu.Batch
 	tr.touch()
-	tr.noteVersion(cu, po, restarted)
-	tr.wake()
+	tr.recordVersion(cu, po, restarted)
+	tr.notify()
 	return nil
 }
 
-// forget ends the work for a step.
-func (ow *Owner) forget(tr *trainer, sp *step) {
+// dropStep cancels the attempts of a step and discards its payloads.
+func (ow *Owner) dropStep(tr *trainer, sp *step) {
 	for i := len(tr.running) - 1; i >= 0; i-- {
 		if tr.running[i].step == sp {
 			ow.cancel(tr.running[i])
--- a/batch/attempt.go
+++ b/batch/attempt.go
@@ -7,32 +7,32 @@
 	"wisteriacroft/message"
 )
 
-// An Attempt is an order to make the sample of a slot. The entry picks an
-// endpoint for it, sends a message.SampleRequest and reports what comes back.
+// An Attempt is a request for the sample of a slot. The entry picks an endpoint, sends a
+// message.SampleRequest and reports the results.
 type Attempt struct {
-	Avoid      string // endpoint that the slot's last attempt failed or stalled on, or ""
-	ID         string // unique over all owners
+	Avoid      string // endpoint of the slot's last failed or stalled attempt, or ""
+	ID         string // unique across owners
 	MaxTokens  int
-	MinVersion engine.Version // older weights would be stale
+	MinVersion engine.Version // tokens of lower versions would be stale
 	Profile    string
 	Prompt     string
-	ResumeFrom *message.ResumeFrom // attendant that may hold the tokens of an earlier attempt, or nil
-	Seed       uint64              // the same for all attempts of a slot
+	ResumeFrom *message.ResumeFrom // location of an earlier attempt's tokens, or nil
+	Seed       uint64              // same for all attempts of a slot
 	Slot       SlotID
 }
 
-// An attempt is a running Attempt.
+// An attempt is the state of a running Attempt.
 type attempt struct {
 	address     string    // of the attendant, once started
 	endpoint    string    // once started
-	firstTokens int       // that the first report of any named
-	heardAt     time.Time // last report of any kind
+	firstTokens int       // tokens in the first report with any
+	reportedAt  time.Time // time of the last report
 	id          string
-	moved       bool           // another attempt was started because of this one
-	oldest      engine.Version // that has made tokens so far, or 0
+	replaced    bool           // another attempt was started to replace this one
+	oldest      engine.Version // lowest version of the tokens so far, or 0
 	progressAt  time.Time
 	slot        *slot
-	startedAt   time.Time // when it had made its first tokens, or zero
+	startedAt   time.Time // time of the first report with tokens, or zero
 	step        *step
 	tokens      int
 	trainer     *trainer
--- a/batch/bench_test.go
+++ b/batch/bench_test.go
@@ -12,8 +12,8 @@
 
 var sizes = []int{256, 1024, MaxSamples}
 
-// lap runs each system once.
-func lap(ow *Owner) {
+// runSystems runs each system once.
+func runSystems(ow *Owner) {
 	for _, sy := range ow.Systems() {
 		sy.Run(time.Now())
 	}
@@ -24,7 +24,7 @@
 	ow := newOwner(me, &[]Attempt{})
 	ow.StartFunc = func(Attempt) bool { return start }
 	ow.Add("a", Policy{WholeSteps: true})
-	lap(ow)
+	runSystems(ow)
 	req := message.StepRequest{}
 	for range samples / 8 {
 		req.Groups = append(req.Groups, message.Group{MaxTokens: 20_000, Members: 8, Prompt: "a"})
@@ -39,7 +39,7 @@
 			}
 			return ow
 		case <-time.After(time.Millisecond):
-			lap(ow)
+			runSystems(ow)
 		}
 	}
 }
@@ -54,11 +54,11 @@
 				empty := heap()
 				ow := accepted(b, &me, samples, true)
 				for range 1 + samples/maxStarts {
-					lap(ow)
+					runSystems(ow)
 				}
 				running := heap()
 				fill(ow, "a")
-				lap(ow)
+				runSystems(ow)
 				sealed := heap()
 				pu, err := ow.Pull(b.Context(), "a", message.PullRequest{})
 				if err != nil {
@@ -66,7 +66,7 @@
 				}
 				cu := message.Cursor{Batch: pu.Batch, Digest: pu.Digest}
 				_, _ = ow.Pull(b.Context(), "a", message.PullRequest{Cursor: cu})
-				lap(ow)
+				runSystems(ow)
 				b.ReportMetric(float64(running-empty)/float64(samples), "B/running-slot")
 				b.ReportMetric(float64(sealed-empty)/float64(samples), "B/sealed-slot")
 				b.ReportMetric(float64(me.Calls().Writes), "kv-writes/step")
@@ -84,10 +84,10 @@
 				var me keyvalue.Memory
 				ow := accepted(b, &me, samples, start)
 				for range 1 + samples/maxStarts {
-					lap(ow)
+					runSystems(ow)
 				}
 				for b.Loop() {
-					lap(ow)
+					runSystems(ow)
 				}
 			})
 		}
--- a/batch/estimate.go
+++ b/batch/estimate.go
@@ -10,28 +10,27 @@
 	"wisteriacroft/engine"
 )
 
-// weightOfNew is the part that a new observation has in a running mean.
-const weightOfNew = 0.3
+// smoothing is the weight of a new observation in a moving average.
+const smoothing = 0.3
 
-// maxLengths bounds how many prompts' lengths are remembered.
+// maxLengths bounds the number of prompts with a recorded length.
 const maxLengths = 4096
 
-// lengths remembers how long the samples of prompts were. The zero lengths is
-// empty and ready to use.
+// lengths holds the mean sample length of recent prompts. The zero value is empty and ready to use.
 type lengths struct {
 	means  map[uint64]float64 // by hash of the prompt
 	oldest []uint64
 }
 
-// note adds an observed length, in tokens.
-func (le *lengths) note(prompt string, tokens int) {
+// record records a length in tokens.
+func (le *lengths) record(prompt string, tokens int) {
 	if le.means == nil {
 		le.means = map[uint64]float64{}
 	}
 	key := xxhash.Sum64String(prompt)
 	mean, ok := le.means[key]
 	if ok {
-		le.means[key] = mean + weightOfNew*(float64(tokens)-mean)
+		le.means[key] = mean + smoothing*(float64(tokens)-mean)
 		return
 	}
 	if len(le.oldest) == maxLengths {
@@ -42,7 +41,7 @@
 	le.means[key] = float64(tokens)
 }
 
-// expect returns the length to expect of a prompt's samples, or fallback.
+// expect returns the expected length of a prompt's samples, or fallback if there is none.
 func (le *lengths) expect(prompt string, fallback int) float64 {
 	if mean, ok := le.means[xxhash.Sum64String(prompt)]; ok {
 		return mean
@@ -50,24 +49,24 @@
 	return float64(fallback)
 }
 
-// A pace is how fast a trainer takes steps, and how many versions it moves on
-// with each. The zero pace expects one version a step.
+// A pace estimates the duration of a trainer's steps and the versions it advances with each. The
+// zero pace expects one version per step.
 type pace struct {
-	perStep float64 // versions
+	perStep float64 // versions per step
 	seen    bool
 	since   time.Time // when step was first seen
 	step    int
-	took    time.Duration // a step, mean; 0 while not known
+	took    time.Duration // mean duration of a step; 0 if unknown
 	version engine.Version
 }
 
-// note adds that the trainer is at version after it took a batch of step.
-func (pa *pace) note(step int, version engine.Version, now time.Time) {
+// record records that the trainer has version after it took a batch of step.
+func (pa *pace) record(step int, version engine.Version, now time.Time) {
 	if pa.seen && step > pa.step && version >= pa.version {
 		steps := step - pa.step
 		moved := float64(version-pa.version) / float64(steps)
 		pa.perStep = cmp.Or(pa.perStep, 1)
-		pa.perStep += weightOfNew * (moved - pa.perStep)
+		pa.perStep += smoothing * (moved - pa.perStep)
 		pa.took = mean(pa.took, now.Sub(pa.since)/time.Duration(steps))
 	}
 	if !pa.seen || step != pa.step {
@@ -75,27 +74,25 @@
 	}
 }
 
-// versions returns how many versions pass in a number of steps.
+// versions returns the expected number of versions in a number of steps.
 func (pa *pace) versions(steps int) engine.Version {
 	return engine.Version(math.Round(cmp.Or(pa.perStep, 1) * float64(steps)))
 }
 
-// takes returns when the trainer will likely take the step that lies a number
-// of steps ahead.
-func (pa *pace) takes(ahead int) time.Time {
+// takenAt returns when the trainer will probably take the step that is ahead steps away.
+func (pa *pace) takenAt(ahead int) time.Time {
 	return pa.since.Add(pa.took * time.Duration(ahead))
 }
 
-// releases are the versions that engines come to serve. The zero value has
-// seen none.
+// releases estimates which versions engines serve. The zero value has no observation.
 type releases struct {
 	at       time.Time // when newest was first seen
 	interval time.Duration
 	newest   engine.Version
 }
 
-// note adds that engines serve a version.
-func (re *releases) note(version engine.Version, now time.Time) {
+// record records that engines serve a version.
+func (re *releases) record(version engine.Version, now time.Time) {
 	if version <= re.newest {
 		return
 	}
@@ -105,19 +102,18 @@
 	re.newest, re.at = version, now
 }
 
-// by returns the version that engines will likely serve at a time.
-func (re *releases) by(at time.Time) engine.Version {
+// expectedAt returns the version that engines will probably serve at a time.
+func (re *releases) expectedAt(at time.Time) engine.Version {
 	if re.interval <= 0 || !at.After(re.at) {
 		return re.newest
 	}
 	return re.newest + engine.Version((at.Sub(re.at)+re.interval/4)/re.interval)
 }
 
-// mean returns a running mean with a new observation; 0 means that there was
-// none before.
+// mean adds an observation to a moving average. before is 0 if there is none yet.
 func mean(before, observed time.Duration) time.Duration {
 	if before == 0 {
 		return observed
 	}
-	return before + time.Duration(weightOfNew*float64(observed-before))
+	return before + time.Duration(smoothing*float64(observed-before))
 }
--- a/batch/event.go
+++ b/batch/event.go
@@ -11,11 +11,11 @@
 	"wisteriacroft/message"
 )
 
-// errInvalid means that a result is no sample that a trainer could use.
-var errInvalid = errors.New("sample is not valid")
+// errInvalid means that a result is not a usable sample.
+var errInvalid = errors.New("invalid sample")
 
-// Started reports which endpoint an attempt was sent to, and the address of its
-// attendant, where it may wait before it runs.
+// Started reports the endpoint that an attempt was sent to and the address of its attendant. The
+// attempt may still be queued there.
 func (ow *Owner) Started(id, endpoint, address string) {
 	now := time.Now()
 	ow.locked(func() {
@@ -24,13 +24,12 @@
 			return
 		}
 		at.address, at.endpoint = address, endpoint
-		at.heardAt, at.progressAt = now, now
+		at.reportedAt, at.progressAt = now, now
 	})
 }
 
-// Progress reports that an attempt has made tokens so far, the last of them by
-// version (0 if the engine named none). Without new tokens, it says that the
-// attempt still waits or runs.
+// Progress reports the number of tokens generated so far and the version of the last one, 0 if
+// unknown. Without new tokens it reports that the attempt still waits or runs.
 func (ow *Owner) Progress(id string, tokens int, version engine.Version) {
 	now := time.Now()
 	ow.locked(func() {
@@ -38,7 +37,7 @@
 		if at == nil {
 			return
 		}
-		at.heardAt = now
+		at.reportedAt = now
 		if tokens <= at.tokens {
 			return
 		}
@@ -46,21 +45,20 @@
 			at.firstTokens, at.startedAt = tokens, now
 		}
 		at.tokens, at.progressAt = tokens, now
-		at.trainer.releases.note(version, now)
+		at.trainer.releases.record(version, now)
 		if version > 0 && (at.oldest == 0 || version < at.oldest) {
 			at.oldest = version
 		}
 	})
 }
 
-// Finished reports the whole sample of an attempt. It fills the slot if it is
-// the first that is valid and fresh. Any other is dropped: its payload goes
-// when it has reached the age that its data folder allows.
+// Finished reports the sample of an attempt. The first valid and fresh sample fills the slot. The
+// payloads of others are deleted by age in their data folders.
 func (ow *Owner) Finished(id string, sr message.SampleResult) {
 	ow.locked(func() {
 		at := ow.attempts[id]
 		if at == nil {
-			return // late, doubled or of an owner before this one
+			return // late, repeated, or of a former owner
 		}
 		tr := at.trainer
 		if err := validate(&sr); err != nil {
@@ -86,7 +84,7 @@
 	})
 }
 
-// fill gives a slot its sample and ends the slot's other attempts.
+// fill assigns a sample to a slot and cancels the slot's other attempts.
 func (ow *Owner) fill(at *attempt, sr *message.SampleResult) {
 	tr, sl := at.trainer, at.slot
 	ow.remove(at)
@@ -100,15 +98,15 @@
 		Digest:   sr.Digest,
 		Group:    int(sl.group),
 		Member:   int(sl.member),
-		Places:   ow.interned(sr.Places),
+		Places:   ow.intern(sr.Places),
 		Segments: sr.Segments,
 		Size:     sr.Size,
 	}
-	ow.lengths.note(at.step.request.Groups[sl.group].Prompt, sr.Tokens)
+	ow.lengths.record(at.step.request.Groups[sl.group].Prompt, sr.Tokens)
 	tr.counts.Samples++
 }
 
-// fail ends an attempt's row and sets when its slot may be tried again.
+// fail removes a failed attempt and sets the retry time of its slot.
 func (ow *Owner) fail(at *attempt, err error) {
 	tr, sl := at.trainer, at.slot
 	ow.log(tr).WithError(err).WithField("attempt", at.id).Info("attempt failed")
@@ -120,9 +118,9 @@
 	sl.retryAt = time.Now().Add(tr.policy.retryAfter(sl.failures))
 }
 
-// interned returns places that share their strings with equal ones, of which a
-// step names thousands.
-func (ow *Owner) interned(pls []message.BlobLocation) []message.BlobLocation {
+// intern returns a shared copy of equal places, since thousands of samples of a step have the
+// same.
+func (ow *Owner) intern(pls []message.BlobLocation) []message.BlobLocation {
 	for _, known := range ow.places {
 		if slices.Equal(known, pls) {
 			return known
@@ -135,11 +133,10 @@
 	return pls
 }
 
-// maxPlaces bounds the combinations of places that are kept to be shared.
+// maxPlaces bounds the number of shared places.
 const maxPlaces = 256
 
-// validate returns an error if a result is not a whole sample with a payload
-// and a version for each of its tokens.
+// validate returns an error unless a result has a payload and a version for each token.
 func validate(sr *message.SampleResult) error {
 	if !blob.ValidDigest(sr.Digest) || len(sr.Places) == 0 {
 		return errors.Wrapf(errInvalid, "digest %q in %d places", sr.Digest, len(sr.Places))
--- a/batch/fresh.go
+++ b/batch/fresh.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/message"
 )
 
-// freshen drops what is stale under the trainer's version: attempts that can no
-// longer be fresh at hand-over, and samples that wait for their batch.
+// freshen cancels stale attempts, and reopens slots whose samples became stale before their batch
+// was sealed.
 func (ow *Owner) freshen(time.Time) {
 	for _, tr := range ow.trainers {
 		ow.cancelStale(tr)
@@ -20,7 +20,7 @@
 	}
 }
 
-// cancelStale cancels the attempts whose oldest token is stale.
+// cancelStale cancels attempts with a stale token.
 func (ow *Owner) cancelStale(tr *trainer) {
 	for i := len(tr.running) - 1; i >= 0; i-- {
 		at := tr.running[i]
@@ -32,7 +32,7 @@
 	}
 }
 
-// reopenStale reopens the filled slots whose sample is stale.
+// reopenStale reopens filled slots whose sample is stale.
 func (tr *trainer) reopenStale() {
 	for _, sp := range tr.steps {
 		for i := range sp.slots {
@@ -46,25 +46,23 @@
 	}
 }
 
-// reopen makes a slot want a sample again.
+// reopen resets a slot so that it needs a sample again.
 func (sl *slot) reopen() {
 	*sl = slot{attempts: sl.attempts, group: sl.group, member: sl.member}
 }
 
-// staleEntry reports whether a sample would be stale if it were handed over
-// now.
+// staleEntry reports whether a sample is stale under the trainer's current version.
 func (tr *trainer) staleEntry(en *message.SampleEntry) bool {
 	return tr.policy.stale(oldest(en.Segments), tr.version)
 }
 
-// refresh reopens the samples of a sealed batch that are stale, and reports
-// whether there were any.
-func (tr *trainer) refresh(ba *batch) bool {
+// reopenStaleEntries reopens the stale samples of a sealed batch and reports whether there were any.
+func (tr *trainer) reopenStaleEntries(ba *batch) bool {
 	found := false
 	for i := range ba.entries {
 		en := &ba.entries[i]
 		key := slotKey{group: en.Group, member: en.Member}
-		if !ba.wanting[key] && tr.staleEntry(en) {
+		if !ba.reopened[key] && tr.staleEntry(en) {
 			tr.counts.Stale++
 			tr.counts.WastedTokens += tokens(en.Segments)
 			ba.reopen(key)
@@ -74,13 +72,13 @@
 	return found
 }
 
-// reopen makes a sealed batch want a slot again. The ledger keeps the batch as
-// it is until the new seal, so that a next owner finds the same fault again.
+// reopen marks a slot of a sealed batch to be filled again. The ledger keeps the batch until it is
+// sealed again, so that a new owner detects the same fault.
 func (ba *batch) reopen(key slotKey) {
-	if ba.wanting == nil {
-		ba.wanting = map[slotKey]bool{}
+	if ba.reopened == nil {
+		ba.reopened = map[slotKey]bool{}
 	}
-	ba.wanting[key] = true
+	ba.reopened[key] = true
 	if ba.step.request != nil {
 		ba.step.slot(key).reopen()
 	}
@@ -103,8 +101,8 @@
 	return sum
 }
 
-// ahead returns how many steps the trainer takes before it takes sp.
-func (tr *trainer) ahead(sp *step) int {
+// stepsBefore returns the number of steps that the trainer takes before sp.
+func (tr *trainer) stepsBefore(sp *step) int {
 	steps := 0
 	for _, other := range tr.steps {
 		if other.number >= sp.number {
@@ -117,58 +115,55 @@
 	return steps
 }
 
-// expected returns the version that the trainer will likely train when it takes
-// a step that lies a number of steps ahead. A trainer that publishes moves on
-// with its own steps; any other, with what engines are given meanwhile. Were
-// that left out, its samples would be over the bound at hand-over, and be made
-// again while it waits.
+// expected returns the version that the trainer will probably have when it takes a step that is
+// ahead steps away. For a trainer that publishes, this follows its own pace; for any other, the
+// versions released to the engines. Without the latter its samples would be stale at hand-over and
+// be generated again.
 func (tr *trainer) expected(ahead int) engine.Version {
 	if ahead == 0 {
 		return tr.version
 	}
-	return max(tr.version+tr.pace.versions(ahead), tr.releases.by(tr.pace.takes(ahead)))
+	return max(tr.version+tr.pace.versions(ahead), tr.releases.expectedAt(tr.pace.takenAt(ahead)))
 }
 
-// minVersion returns the oldest weights that a sample of sp may start on. While
-// the trainer's patience lasts, the freshness weight asks for newer ones than
-// the bound does: with weight 1 for those that the trainer will train.
+// minVersion returns the lowest version on which a sample of sp may start. Until the trainer's
+// patience ends, the freshness weight requires newer versions than the staleness bound: with weight
+// 1 the version that the trainer will have.
 func (tr *trainer) minVersion(sp *step, now time.Time) engine.Version {
 	po := &tr.policy
 	if po.Gate == StartAtOnce {
 		return versionsBefore(tr.version, po.StalenessBound)
 	}
-	ahead := tr.ahead(sp)
+	ahead := tr.stepsBefore(sp)
 	if ahead == 0 && sp.headAt.IsZero() {
 		sp.headAt = now
 	}
 	if ahead == 0 && now.Sub(sp.headAt) >= po.patience() {
 		return tr.boundVersion(sp)
 	}
-	return versionsBefore(tr.expected(ahead), po.allowed(sp))
+	return versionsBefore(tr.expected(ahead), po.allowedLag(sp))
 }
 
-// boundVersion returns the oldest weights that leave a sample of sp within the
-// bound.
+// boundVersion returns the lowest version that keeps a sample of sp within the staleness bound.
 func (tr *trainer) boundVersion(sp *step) engine.Version {
-	return versionsBefore(tr.expected(tr.ahead(sp)), tr.policy.StalenessBound)
+	return versionsBefore(tr.expected(tr.stepsBefore(sp)), tr.policy.StalenessBound)
 }
 
-// allowed returns how many versions behind the next sample of sp may start. The
-// bound by the weight is no whole number: the first samples of a step, which
-// are the longest, get the fraction, one version each. So a trainer finds its
-// longest samples under way when it comes to the step, for a small loss of
-// freshness.
-func (po *Policy) allowed(sp *step) engine.Version {
+// allowedLag returns how many versions behind the next sample of sp may start. Bound times weight may
+// be fractional: the fraction allows one more version to that part of the step's samples that
+// starts first, which are the longest. These are then in progress when the trainer reaches the
+// step.
+func (po *Policy) allowedLag(sp *step) engine.Version {
 	soft := float64(po.StalenessBound) * (1 - min(max(po.FreshnessWeight, 0), 1))
 	whole := math.Floor(soft)
-	if float64(sp.begun()) < (soft-whole)*float64(len(sp.slots)) {
+	if float64(sp.started()) < (soft-whole)*float64(len(sp.slots)) {
 		whole++
 	}
 	return engine.Version(whole)
 }
 
-// begun returns how many slots of the step have a sample or an attempt at one.
-func (sp *step) begun() int {
+// started returns the number of slots with a sample or an attempt.
+func (sp *step) started() int {
 	count := 0
 	for i := range sp.slots {
 		if sp.slots[i].state != slotOpen || len(sp.slots[i].attempts) > 0 {
@@ -178,7 +173,7 @@
 	return count
 }
 
-// versionsBefore returns the version that is count versions before ve, or 0.
+// versionsBefore returns ve - count, or 0 if that is negative.
 func versionsBefore(ve, count engine.Version) engine.Version {
 	if ve < count {
 		return 0
--- a/batch/launch.go
+++ b/batch/launch.go
@@ -11,24 +11,22 @@
 	"wisteriacroft/engine"
 )
 
-// maxRejections is how many attempts of a trainer may find no endpoint before
-// the rest of its attempts in a tick are left for the next. Other trainers may
-// still find one: what they may start on can be older.
+// maxRejections is the number of a trainer's attempts without an endpoint after which its other
+// attempts wait for the next tick. Other trainers may allow older weights and still find endpoints.
 const maxRejections = 8
 
-// queueing is how many times a straggler's wait an attempt may be without tokens.
-const queueing = 4
+// queuedFactor is the time limit for an attempt without tokens, in multiples of StragglerAfter.
+const queuedFactor = 4
 
-// silences is how many times a straggler's wait an attempt may be silent.
-const silences = 10
+// silentFactor is the time limit for an attempt without reports, in multiples of StragglerAfter.
+const silentFactor = 10
 
-// errSilent means that an attempt was given up on.
-var errSilent = errors.New("nothing was heard of the attempt")
+// errNoReports means that an attempt has not reported for too long.
+var errNoReports = errors.New("attempt stopped reporting")
 
-// launch makes an attempt at a slot, on weights no older than a version, and
-// returns it for dispatch. It goes on from where an earlier one stopped, if the
-// slot knows of one whose tokens are still fresh: then on any weights that leave
-// it within the bound.
+// launch creates an attempt at a slot, for dispatch. oldest is the lowest version to start on. If
+// the slot has an earlier attempt with fresh tokens, the new one resumes it, on any version within
+// the staleness bound.
 func (ow *Owner) launch(tr *trainer, sp *step, sl *slot, oldest engine.Version, now time.Time) Attempt {
 	ow.lastID++
 	gr := &sp.request.Groups[sl.group]
@@ -50,7 +48,7 @@
 	if resume.from != nil {
 		at.MinVersion = min(oldest, tr.boundVersion(sp))
 	}
-	row := &attempt{heardAt: now, id: at.ID, oldest: resume.oldest, progressAt: now, slot: sl, step: sp, trainer: tr}
+	row := &attempt{reportedAt: now, id: at.ID, oldest: resume.oldest, progressAt: now, slot: sl, step: sp, trainer: tr}
 	if ow.attempts == nil {
 		ow.attempts = map[string]*attempt{}
 	}
@@ -61,18 +59,18 @@
 	return at
 }
 
-// seed returns the seed of a slot, which is the same for each owner.
+// seed returns the seed of a slot. It is the same for all owners.
 func seed(tr *trainer, sp *step, sl *slot) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d/%d/%d", tr.name, sp.number, sl.group, sl.member))
 }
 
-// dispatch hands attempts to the entry, in order, but for those of trainers of
-// which too many find no endpoint.
+// dispatch starts attempts in order. After maxRejections rejections it skips the other attempts of
+// a trainer.
 func (ow *Owner) dispatch(ats []Attempt) {
 	if len(ats) == 0 {
 		return
 	}
-	ow.later(func() {
+	ow.enqueue(func() {
 		rejected := map[string]int{}
 		for _, at := range ats {
 			if rejected[at.Slot.Trainer] < maxRejections && ow.StartFunc(at) {
@@ -84,7 +82,7 @@
 	})
 }
 
-// reject takes back an attempt that was never started.
+// reject removes an attempt that was not started.
 func (ow *Owner) reject(at Attempt) {
 	row := ow.attempts[at.ID]
 	if row == nil {
@@ -94,22 +92,22 @@
 	ow.remove(row)
 	if at.ResumeFrom != nil {
 		if old := ow.attempts[at.ResumeFrom.Attempt]; old != nil {
-			old.moved = false
+			old.replaced = false
 		}
 	}
 }
 
-// remove ends an attempt's row.
+// remove removes an attempt from all indexes.
 func (ow *Owner) remove(at *attempt) {
 	delete(ow.attempts, at.id)
 	at.trainer.running = without(at.trainer.running, at)
 	at.slot.attempts = without(at.slot.attempts, at)
 }
 
-// cancel ends an attempt whose answer is no longer wanted.
+// cancel cancels an attempt whose result is no longer needed.
 func (ow *Owner) cancel(at *attempt) {
 	ow.remove(at)
-	ow.later(func() { ow.CancelFunc(at.id) })
+	ow.enqueue(func() { ow.CancelFunc(at.id) })
 }
 
 func without(ats []*attempt, at *attempt) []*attempt {
@@ -120,21 +118,20 @@
 	return slices.Delete(ats, i, i+1)
 }
 
-// straggle starts second attempts beside those that make no progress, or far
-// less than others.
+// straggle starts additional attempts for those that stall or are much slower than the others.
 func (ow *Owner) straggle(now time.Time) {
 	for _, tr := range ow.trainers {
-		ow.giveUp(tr, now)
+		ow.failSilent(tr, now)
 		if tr.policy.Straggling == KeepStragglers {
 			continue
 		}
 		slow := tr.policy.stragglerRate() * medianRate(tr.running)
 		var ats []Attempt
 		for _, at := range slices.Clone(tr.running) {
-			if at.moved || len(at.slot.attempts) >= tr.policy.maxAttempts() || !at.straggles(now, slow, &tr.policy) {
+			if at.replaced || len(at.slot.attempts) >= tr.policy.maxAttempts() || !at.isStraggler(now, slow, &tr.policy) {
 				continue
 			}
-			at.moved = true
+			at.replaced = true
 			at.slot.avoid, at.slot.resume = at.endpoint, at.resumption()
 			tr.counts.Stragglers++
 			ats = append(ats, ow.launch(tr, at.step, at.slot, tr.boundVersion(at.step), now))
@@ -143,25 +140,25 @@
 	}
 }
 
-// giveUp ends attempts of which nothing was heard for long, whatever the policy
-// says of stragglers. Their reports may be lost; their slots would stay open.
-func (ow *Owner) giveUp(tr *trainer, now time.Time) {
+// failSilent fails attempts without reports for too long, whatever the straggler policy. Otherwise a
+// lost report would leave the slot open for good.
+func (ow *Owner) failSilent(tr *trainer, now time.Time) {
 	for i := len(tr.running) - 1; i >= 0; i-- {
 		at := tr.running[i]
-		if now.Sub(at.heardAt) >= silences*tr.policy.stragglerAfter() {
-			ow.later(func() { ow.CancelFunc(at.id) })
-			ow.fail(at, errSilent)
+		if now.Sub(at.reportedAt) >= silentFactor*tr.policy.stragglerAfter() {
+			ow.enqueue(func() { ow.CancelFunc(at.id) })
+			ow.fail(at, errNoReports)
 		}
 	}
 }
 
-// straggles reports whether an attempt has stalled or is slower than a rate, in
-// tokens a second. One without tokens may wait in its attendant's queue, where a
-// second attempt would only wait too, so it is given more time.
-func (at *attempt) straggles(now time.Time, slow float64, po *Policy) bool {
+// isStraggler reports whether an attempt has stalled or is slower than slow, in tokens per second. An
+// attempt without tokens may be queued at its attendant, where another one would only queue too, so
+// it has a longer time limit.
+func (at *attempt) isStraggler(now time.Time, slow float64, po *Policy) bool {
 	stalled := now.Sub(at.progressAt)
 	if at.tokens == 0 {
-		return stalled >= queueing*po.stragglerAfter()
+		return stalled >= queuedFactor*po.stragglerAfter()
 	}
 	if stalled >= po.stragglerAfter() {
 		return true
@@ -169,14 +166,13 @@
 	return now.Sub(at.startedAt) >= po.stragglerAfter() && at.rate(now) < slow
 }
 
-// rate returns the tokens that an attempt has made a second, since its first
-// report of any: those may have been made by the attempt that it goes on from.
+// rate returns the tokens per second since the first report with tokens. Earlier tokens may come
+// from a resumed attempt.
 func (at *attempt) rate(now time.Time) float64 {
 	return float64(at.tokens-at.firstTokens) / max(now.Sub(at.startedAt).Seconds(), 1e-3)
 }
 
-// medianRate returns the median of the attempts' rates up to their last
-// progress.
+// medianRate returns the median of the attempts' rates up to their last progress.
 func medianRate(ats []*attempt) float64 {
 	var rates []float64
 	for _, at := range ats {
--- a/batch/load.go
+++ b/batch/load.go
@@ -12,18 +12,18 @@
 	"wisteriacroft/message"
 )
 
-// lostAfter is how long a payload may be out of reach before it counts as
-// lost. Its instances may have been replaced: their addresses never answer.
+// lostAfter is how long a payload may be unreachable before it counts as lost. The addresses of
+// replaced instances never answer.
 const lostAfter = 30 * time.Second
 
 // load fetches the requests of steps that a former owner accepted.
 func (ow *Owner) load(now time.Time) {
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.NotHeld {
+		if ow.leaseState(tr, now) == lease.NotHeld {
 			continue
 		}
 		for _, sp := range tr.steps {
-			if sp.request == nil && sp.wants() && !sp.loading && !sp.lost && !now.Before(sp.retryAt) {
+			if sp.request == nil && sp.mayHaveOpenSlots() && !sp.loading && !sp.lost && !now.Before(sp.retryAt) {
 				ow.fetch(tr, sp)
 			}
 		}
@@ -43,27 +43,27 @@
 	})
 }
 
-// fetched takes the answer of fetch. A request that is lost is asked of the
-// trainer again, by the refusal of its next pull.
+// fetched processes the result of fetch. The refusal of the trainer's next pull asks for a lost
+// request.
 func (ow *Owner) fetched(tr *trainer, sp *step, req *message.StepRequest, err error) {
 	sp.loading = false
 	now := time.Now()
 	switch {
 	case sp.request != nil:
-		return // submitted again meanwhile
+		return // submitted again in the meantime
 	case err == nil && count(req) == sp.samples:
 		sp.setRequest(req)
 	case err == nil || errors.Is(err, blob.ErrMissing) || unreachableTooLong(&sp.unreachable, now):
 		sp.lost = true
 		ow.log(tr).WithError(err).WithField("step", sp.number).Error("request of the step is lost")
 	default:
-		sp.retryAt = now.Add(retryLedger)
+		sp.retryAt = now.Add(ledgerBackoff)
 	}
-	tr.wake()
+	tr.notify()
 }
 
-// unreachableTooLong reports whether something has been out of reach for
-// lostAfter. It sets since, the time when that was first seen, if it is zero.
+// unreachableTooLong reports whether something has been unreachable for lostAfter. It sets a zero
+// since to now.
 func unreachableTooLong(since *time.Time, now time.Time) bool {
 	if since.IsZero() {
 		*since = now
@@ -71,7 +71,7 @@
 	return now.Sub(*since) >= lostAfter
 }
 
-// count returns how many samples a request asks for.
+// count returns the number of samples that a request asks for.
 func count(req *message.StepRequest) int {
 	samples := 0
 	for _, gr := range req.Groups {
--- a/batch/machine_test.go
+++ b/batch/machine_test.go
@@ -21,12 +21,12 @@
 type machine struct {
 	*world
 	done []*run // finished runs, whose results may be delivered again
-	held []held
+	held []heldAnswer
 	rt   *rapid.T
 }
 
-// A held is a pull answer that the trainer has not processed yet.
-type held struct {
+// A heldAnswer is a pull answer that the trainer has not processed yet.
+type heldAnswer struct {
 	answer message.PullResponse
 	cursor message.Cursor
 	node   *node
@@ -38,10 +38,10 @@
 
 func (ma *machine) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"go-on":      ma.goOn,
-		"go-on-2":    ma.goOn,
-		"go-on-3":    ma.goOn,
-		"go-on-4":    ma.goOn,
+		"go-on":      ma.runTicks,
+		"go-on-2":    ma.runTicks,
+		"go-on-3":    ma.runTicks,
+		"go-on-4":    ma.runTicks,
 		"service-up": func(*rapid.T) { ma.me.SetFaults(keyvalue.Faults{}) },
 		"mend": func(*rapid.T) {
 			for _, no := range ma.nodes {
@@ -92,8 +92,8 @@
 	}
 }
 
-// goOn runs some ticks, with or without the trainer.
-func (ma *machine) goOn(rt *rapid.T) {
+// runTicks runs some ticks, with or without the trainer.
+func (ma *machine) runTicks(rt *rapid.T) {
 	acts := rapid.Bool().Draw(rt, "trainer-acts")
 	for range rapid.IntRange(1, 25).Draw(rt, "ticks") {
 		ma.step()
@@ -167,7 +167,7 @@
 	}
 	cu := ma.trainer.cursor
 	if pu, err := ma.trainer.pull(no); err == nil && pu.Batch != "" {
-		ma.held = append(ma.held, held{answer: pu, cursor: cu, node: no})
+		ma.held = append(ma.held, heldAnswer{answer: pu, cursor: cu, node: no})
 	}
 }
 
@@ -202,11 +202,11 @@
 	}
 }
 
-// A broken is the panic value of a violated invariant; rapid reports it outside the bubble.
-type broken string
+// A violation is the panic value of a violated invariant; rapid reports it outside the bubble.
+type violation string
 
-// prefer sets a flag for this test unless the command line has set it.
-func prefer(t *testing.T, name, value string) {
+// setDefaultFlag sets a flag for this test unless the command line has set it.
+func setDefaultFlag(t *testing.T, name, value string) {
 	fl := flag.Lookup(name)
 	if fl.Value.String() != fl.DefValue {
 		return
@@ -218,10 +218,10 @@
 func TestMachine(t *testing.T) {
 	// Guards against samples that are doubled, lost, stale or wrongly attributed, under random
 	// faults.
-	prefer(t, "rapid.checks", "300")
-	prefer(t, "rapid.nofailfile", "true")
-	prefer(t, "rapid.seed", "1")
-	prefer(t, "rapid.steps", "100")
+	setDefaultFlag(t, "rapid.checks", "300")
+	setDefaultFlag(t, "rapid.nofailfile", "true")
+	setDefaultFlag(t, "rapid.seed", "1")
+	setDefaultFlag(t, "rapid.steps", "100")
 	rapid.Check(t, func(rt *rapid.T) {
 		po := Policy{
 			KeptSteps:      rapid.IntRange(1, 2).Draw(rt, "kept"),
@@ -239,12 +239,12 @@
 			ma := &machine{rt: rt, world: newWorld(t.Context(), po, "a", "b")}
 			ma.trainer.wanted, ma.trainer.ahead = 3, po.MaxOpenSteps-1
 			ma.fail = func(invariant, format string, args ...any) {
-				panic(broken(fmt.Sprintf(invariant+": "+format+"\n%s", append(args, strings.Join(ma.lines, "\n"))...)))
+				panic(violation(fmt.Sprintf(invariant+": "+format+"\n%s", append(args, strings.Join(ma.lines, "\n"))...)))
 			}
 			rt.Repeat(ma.actions())
 			ma.heal()
 		})
-		if br, ok := failure.(broken); ok {
+		if br, ok := failure.(violation); ok {
 			rt.Fatal(string(br))
 		}
 		if failure != nil {
--- a/batch/own.go
+++ b/batch/own.go
@@ -10,29 +10,28 @@
 	"wisteriacroft/ledger"
 )
 
-// Waits of an owner.
 const (
-	keepWithout = time.Minute // rows, while the lease is gone and no one else has written
-	retryLedger = time.Second
+	keepWithoutLease = time.Minute // how long the state is kept without the lease
+	ledgerBackoff    = time.Second
 )
 
-// own follows the leases: it adopts the ledger under each new epoch, and gives
-// the rows up when the lease stays away.
+// own follows the leases: it adopts the ledger under a new epoch, and drops the state after
+// keepWithoutLease without it.
 func (ow *Owner) own(now time.Time) {
 	for _, tr := range ow.trainers {
 		epoch, st := ow.LeaseFunc(tr.name, now)
-		if st != tr.standing {
-			ow.log(tr).WithField("standing", st.String()).Info("lease of the trainer")
-			tr.standing = st
-			tr.wake()
+		if st != tr.leaseState {
+			ow.log(tr).WithField("standing", st.String()).Info("lease standing of the trainer has changed")
+			tr.leaseState = st
+			tr.notify()
 		}
 		if st != lease.NotHeld {
-			tr.noneSince = time.Time{}
-		} else if tr.noneSince.IsZero() {
-			tr.noneSince = now
+			tr.lostSince = time.Time{}
+		} else if tr.lostSince.IsZero() {
+			tr.lostSince = now
 		}
-		if tr.loaded && !tr.noneSince.IsZero() && now.Sub(tr.noneSince) > keepWithout {
-			ow.drop(tr)
+		if tr.loaded && !tr.lostSince.IsZero() && now.Sub(tr.lostSince) > keepWithoutLease {
+			ow.dropState(tr)
 		}
 		if st == lease.Held && epoch != tr.epoch && !tr.adopting && !now.Before(tr.retryAt) {
 			ow.adopt(tr, epoch)
@@ -49,44 +48,44 @@
 	})
 }
 
-// adopted takes the answer of adopt. What the owner made before its lease ended
-// is kept if no one else has written to the ledger since: seals that waited out
-// an outage are then published under the new epoch.
+// adopted processes the result of adopt. The state from before the lease was lost is kept if no
+// other owner has written to the ledger, so that seals made during an outage can be published under
+// the new epoch.
 func (ow *Owner) adopted(tr *trainer, epoch uint64, rec ledger.Record, unchanged bool, err error) {
 	tr.adopting = false
 	if ow.trainer(tr.name) != tr {
 		return
 	}
 	if err != nil {
-		tr.retryAt = time.Now().Add(retryLedger)
+		tr.retryAt = time.Now().Add(ledgerBackoff)
 		ow.log(tr).WithError(err).Warn("could not adopt the ledger")
 		if errors.Is(err, ledger.ErrFenced) {
-			ow.drop(tr)
+			ow.dropState(tr)
 		}
 		return
 	}
 	if !unchanged || !tr.loaded {
-		ow.drop(tr)
+		ow.dropState(tr)
 		tr.restore(rec)
 	}
 	tr.epoch = epoch
-	tr.wake()
+	tr.notify()
 	ow.log(tr).WithField("kept", unchanged).Info("adopted the ledger")
 }
 
-// drop forgets the rows of a trainer that another owns now.
-func (ow *Owner) drop(tr *trainer) {
+// dropState cancels the attempts of a trainer and drops its state.
+func (ow *Owner) dropState(tr *trainer) {
 	for len(tr.running) > 0 {
 		ow.cancel(tr.running[0])
 	}
 	tr.epoch, tr.loaded = 0, false
 	tr.garbage, tr.steps = nil, nil
-	tr.wake()
+	tr.notify()
 }
 
-// stands returns how the trainer's lease stands for the rows at hand: None if
-// they are not those of the lease's epoch.
-func (ow *Owner) stands(tr *trainer, now time.Time) lease.State {
+// leaseState returns the state of the trainer's lease, or NotHeld if the state belongs to another
+// epoch.
+func (ow *Owner) leaseState(tr *trainer, now time.Time) lease.State {
 	epoch, st := ow.LeaseFunc(tr.name, now)
 	if !tr.loaded || epoch != tr.epoch {
 		return lease.NotHeld
--- a/batch/owner.go
+++ b/batch/owner.go
@@ -1,6 +1,6 @@
-// Package batch makes the batches of trainers: each slot of a step is filled by
-// the first whole, valid and fresh sample, a complete batch is sealed in the
-// ledger, and the trainer's own cursor says what it has taken.
+// Package batch creates the batches of trainers. The first valid and fresh sample fills a slot of a
+// step, complete batches are sealed in the ledger, and the trainer's cursor tells which ones it has
+// taken.
 package batch
 
 import (
@@ -18,52 +18,48 @@
 	"wisteriacroft/tick"
 )
 
-// An Owner makes the batches of the trainers that one entry may own. Fill the
-// exported fields, Add the trainers, then run Systems on a tick.Loop.
+// An Owner creates the batches of the trainers that one entry may own. Set the exported fields, Add
+// the trainers, then run Systems on a tick.Loop.
 //
-// What the entry must do:
-//   - run a lease.Holder for each trainer and answer LeaseFunc from it;
-//   - on StartFunc, return at once: pick an endpoint, send the sample request
-//     from another goroutine and report Started when it is sent, Progress as
-//     tokens are made (and now and then without any), and in the end Finished
-//     or Failed, each with the attempt's id; reports may come late, twice or in
-//     any order;
-//   - on CancelFunc, end that request; its later reports are dropped here;
-//   - route Submit, Pull and Payload of a trainer to the entry that
-//     lease.Current names, and answer with the *fate.Refusal that they return;
-//     a refusal with the code fate.NotHome means that the owner has changed;
-//   - when Payload fails after it has written, break the connection, so that
-//     the trainer does not take a part for the whole.
+// The entry must
+//   - run a lease.Holder for each trainer and implement LeaseFunc with it;
+//   - implement StartFunc without blocking: pick an endpoint, send the sample request from another
+//     goroutine and report Started when it is sent, Progress repeatedly, and finally Finished or
+//     Failed, each with the attempt's id; reports may be late, repeated or out of order;
+//   - cancel the request on CancelFunc; later reports are ignored;
+//   - route Submit, Pull and Payload of a trainer to the entry that lease.Current names, and return
+//     their *outcome.Refusal; code outcome.NotHome means that the owner has changed;
+//   - abort the connection when Payload fails after it has written, so that the trainer can detect
+//     the truncation.
 type Owner struct {
-	// CancelFunc ends an attempt whose answer is no longer wanted.
+	// CancelFunc cancels an attempt whose result is no longer needed.
 	CancelFunc func(id string)
 	Client     *keyvalue.Client
-	// DropFunc deletes a payload that no batch needs any more. Optional.
+	// DropFunc deletes a payload that no batch refers to. Optional.
 	DropFunc func(ctx context.Context, places []message.BlobLocation, digest string)
-	// FetchFunc returns a payload, or depot.ErrMissing if no copy is left.
+	// FetchFunc returns a payload, or blob.ErrMissing if no copy is left.
 	FetchFunc func(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error)
-	// GoFunc runs a function that does I/O; nil means in a new goroutine.
+	// GoFunc runs a function that does I/O; in a new goroutine if nil.
 	GoFunc func(run func(ctx context.Context))
-	// LeaseFunc returns how the trainer's lease stands, without waiting.
+	// LeaseFunc returns the state of the trainer's lease without blocking.
 	LeaseFunc  func(trainer string, now time.Time) (epoch uint64, standing lease.State)
 	Log        *logrus.Entry // optional
 	MaxRunning int           // attempts of all trainers; 0 means no bound
-	// ReplicateFunc puts a step's request into the data folders.
+	// ReplicateFunc stores a step's request in the data folders.
 	ReplicateFunc func(ctx context.Context, data []byte) ([]message.BlobLocation, error)
-	// StartFunc starts an attempt, or returns false if no endpoint can take it
-	// now.
+	// StartFunc starts an attempt, or returns false if no endpoint is available.
 	StartFunc func(at Attempt) bool
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	attempts map[string]*attempt
-	lastID   uint64 // counts attempts
+	lastID   uint64 // attempts so far
 	lengths  lengths
-	outbox   []func()                 // decisions to act on once mu is free
+	outbox   []func()                 // calls to make after mu is released
 	places   [][]message.BlobLocation // shared by samples
-	trainers []*trainer               // by name
+	trainers []*trainer               // sorted by name
 }
 
-// Add makes the owner ready to own a trainer, or changes its policy.
+// Add adds a trainer, or changes its policy.
 func (ow *Owner) Add(name string, po Policy) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -81,12 +77,12 @@
 	sort.Slice(ow.trainers, func(i, j int) bool { return ow.trainers[i].name < ow.trainers[j].name })
 }
 
-// Remove ends the work for a trainer. What is in the ledger stays there.
+// Remove removes a trainer. Its ledger is unchanged.
 func (ow *Owner) Remove(name string) {
 	ow.locked(func() {
 		for i, tr := range ow.trainers {
 			if tr.name == name {
-				ow.drop(tr)
+				ow.dropState(tr)
 				ow.trainers = append(ow.trainers[:i:i], ow.trainers[i+1:]...)
 				return
 			}
@@ -108,8 +104,7 @@
 	}
 }
 
-// system makes a tick.System of run, which holds mu and leaves its decisions in
-// the outbox.
+// system returns a tick.System that runs a function with locked.
 func (ow *Owner) system(name string, run func(now time.Time)) tick.System {
 	return tick.System{
 		Name: "batch-" + name,
@@ -117,8 +112,8 @@
 	}
 }
 
-// locked runs a change under mu and then acts on what it decided. Decisions go
-// out without mu, since they may come back as events at once.
+// locked runs change under mu and then makes the calls in the outbox, without mu since they may
+// report events synchronously.
 func (ow *Owner) locked(change func()) {
 	ow.mu.Lock()
 	change()
@@ -130,12 +125,12 @@
 	}
 }
 
-// later puts a decision into the outbox.
-func (ow *Owner) later(act func()) { ow.outbox = append(ow.outbox, act) }
+// enqueue adds a call to the outbox.
+func (ow *Owner) enqueue(act func()) { ow.outbox = append(ow.outbox, act) }
 
-// spawn puts a function that does I/O into the outbox.
+// spawn adds a function that does I/O to the outbox.
 func (ow *Owner) spawn(run func(ctx context.Context)) {
-	ow.later(func() {
+	ow.enqueue(func() {
 		if ow.GoFunc != nil {
 			ow.GoFunc(run)
 			return
@@ -148,10 +143,10 @@
 	})
 }
 
-// ioTimeout bounds one exchange with the key-value service or a data folder.
+// ioTimeout is the timeout of one access to the key-value service or a data folder.
 const ioTimeout = 30 * time.Second
 
-// trainer returns the row of a trainer, or nil.
+// trainer returns the state of a trainer, or nil.
 func (ow *Owner) trainer(name string) *trainer {
 	i := sort.Search(len(ow.trainers), func(i int) bool { return ow.trainers[i].name >= name })
 	if i < len(ow.trainers) && ow.trainers[i].name == name {
--- a/batch/payload.go
+++ b/batch/payload.go
@@ -16,13 +16,12 @@
 	"wisteriacroft/outcome"
 )
 
-// Manifest returns the samples of a batch that the ledger holds. A refusal is a
-// *fate.Refusal.
+// Manifest returns the samples of a batch that the ledger holds. A refusal is a *outcome.Refusal.
 func (ow *Owner) Manifest(name, id string) ([]message.SampleEntry, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	tr := ow.trainer(name)
-	if tr == nil || ow.stands(tr, time.Now()) == lease.NotHeld {
+	if tr == nil || ow.leaseState(tr, time.Now()) == lease.NotHeld {
 		return nil, notHome(name)
 	}
 	ba := tr.sealed(id)
@@ -32,8 +31,8 @@
 	return ba.entries, nil
 }
 
-// Payload writes the samples of a batch, one JSON line each, in the manifest's
-// order. A refusal is a *fate.Refusal; it may come after some were written.
+// Payload writes the samples of a batch as JSON lines in the manifest's order. It may return a
+// *outcome.Refusal after it has written some of them.
 func (ow *Owner) Payload(ctx context.Context, name, id string, wr io.Writer) error {
 	entries, err := ow.Manifest(name, id)
 	if err != nil {
@@ -42,8 +41,8 @@
 	for i, en := range entries {
 		data, err := ow.FetchFunc(ctx, en.Places, en.Digest)
 		if err != nil {
-			ow.locked(func() { ow.missed(name, id, en, err) })
-			ow.probe(ctx, name, id, entries[i+1:])
+			ow.locked(func() { ow.payloadMissing(name, id, en, err) })
+			ow.probePayloads(ctx, name, id, entries[i+1:])
 			return refuse(outcome.Refused, "batch %s: sample %d of group %d: %v", id, en.Member, en.Group, err)
 		}
 		line := append(bytes.TrimSpace(data), '\n')
@@ -51,12 +50,12 @@
 			return errors.Wrapf(err, "write batch %s", id)
 		}
 	}
-	ow.locked(func() { ow.reached(name, id) })
+	ow.locked(func() { ow.payloadsReachable(name, id) })
 	return nil
 }
 
-// reached notes that all payloads of a batch could be had.
-func (ow *Owner) reached(name, id string) {
+// payloadsReachable records that all payloads of a batch are reachable.
+func (ow *Owner) payloadsReachable(name, id string) {
 	if tr := ow.trainer(name); tr != nil {
 		if ba := tr.sealed(id); ba != nil {
 			ba.unreachable = time.Time{}
@@ -64,23 +63,22 @@
 	}
 }
 
-// probe looks for the rest of a batch of which a payload is missing, so that all
-// that were lost with a data folder are made again at one time.
-func (ow *Owner) probe(ctx context.Context, name, id string, entries []message.SampleEntry) {
+// probePayloads checks the remaining payloads of a batch, so that all lost ones are generated again at the
+// same time.
+func (ow *Owner) probePayloads(ctx context.Context, name, id string, entries []message.SampleEntry) {
 	for _, en := range entries {
 		if _, err := ow.FetchFunc(ctx, en.Places, en.Digest); errors.Is(err, blob.ErrMissing) {
-			ow.locked(func() { ow.missed(name, id, en, err) })
+			ow.locked(func() { ow.payloadMissing(name, id, en, err) })
 		} else if err != nil {
-			return // out of reach: no use to wait for each
+			return // unreachable; don't wait for each
 		}
 	}
 }
 
-// missed notes that a payload could not be had. One that is lost is made again,
-// and only that: the trainer has not taken the batch whole, since it asks for
-// it, and every seal of a batch is of the same slots. If its folders have been
-// out of reach for long, so are the others that are there.
-func (ow *Owner) missed(name, id string, en message.SampleEntry, err error) {
+// payloadMissing reopens the slot of a lost payload. The trainer can't have taken the batch, since it
+// requests it, and each seal of a batch has the same slots. If the payload's data folders have been
+// unreachable for too long, all payloads with the same places count as lost.
+func (ow *Owner) payloadMissing(name, id string, en message.SampleEntry, err error) {
 	tr := ow.trainer(name)
 	if tr == nil {
 		return
@@ -96,16 +94,16 @@
 	for _, other := range ba.entries {
 		key := slotKey{group: other.Group, member: other.Member}
 		same := other.Digest == en.Digest
-		if !ba.wanting[key] && (same || !missing && slices.Equal(other.Places, en.Places)) {
+		if !ba.reopened[key] && (same || !missing && slices.Equal(other.Places, en.Places)) {
 			tr.counts.Lost++
 			ba.reopen(key)
 		}
 	}
-	ow.log(tr).WithError(err).WithField("batch", id).Warn("payloads are lost: their samples are made again")
-	tr.wake()
+	ow.log(tr).WithError(err).WithField("batch", id).Warn("payloads are lost: generating their samples again")
+	tr.notify()
 }
 
-// sealed returns the batch of an id, if that names its current seal.
+// sealed returns the batch with an id, or nil if the id is not that of its current seal.
 func (tr *trainer) sealed(id string) *batch {
 	bi, err := ledger.ParseBatchID(id)
 	if err != nil {
--- a/batch/policy_test.go
+++ b/batch/policy_test.go
@@ -62,19 +62,19 @@
 		releases releases
 		want     string // least versions for the first and the second step
 	}{
-		"fresh at hand-over":  {policy: Policy{StalenessBound: 1}, want: "4 5"},
-		"at once":             {policy: Policy{StalenessBound: 1, Gate: StartAtOnce}, want: "4 4"},
-		"as fresh as can be":  {policy: Policy{StalenessBound: 2, FreshnessWeight: 1}, want: "5 6"},
-		"patience has an end": {policy: Policy{StalenessBound: 2, FreshnessWeight: 1}, after: time.Minute, want: "3 6"},
-		"half and half":       {policy: Policy{StalenessBound: 2, FreshnessWeight: 0.5}, want: "4 5"},
-		"a part may be older": {policy: Policy{StalenessBound: 1, FreshnessWeight: 0.5}, want: "4 5"},
-		"the rest waits":      {policy: Policy{StalenessBound: 1, FreshnessWeight: 0.5}, begun: 1, want: "5 6"},
-		"others publish too": {
+		"fresh at hand-over":    {policy: Policy{StalenessBound: 1}, want: "4 5"},
+		"at once":               {policy: Policy{StalenessBound: 1, Gate: StartAtOnce}, want: "4 4"},
+		"full freshness weight": {policy: Policy{StalenessBound: 2, FreshnessWeight: 1}, want: "5 6"},
+		"after the patience":    {policy: Policy{StalenessBound: 2, FreshnessWeight: 1}, after: time.Minute, want: "3 6"},
+		"half freshness weight": {policy: Policy{StalenessBound: 2, FreshnessWeight: 0.5}, want: "4 5"},
+		"fractional lag":        {policy: Policy{StalenessBound: 1, FreshnessWeight: 0.5}, want: "4 5"},
+		"rest of the step":      {policy: Policy{StalenessBound: 1, FreshnessWeight: 0.5}, begun: 1, want: "5 6"},
+		"versions of other trainers": {
 			policy:   Policy{StalenessBound: 1},
 			releases: releases{at: time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).Add(-time.Minute), interval: time.Minute, newest: 6},
 			want:     "4 6",
 		},
-		"nothing is older than 0": {policy: Policy{StalenessBound: 9}, want: "0 0"},
+		"never below version 0": {policy: Policy{StalenessBound: 9}, want: "0 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -109,13 +109,13 @@
 		groups []message.Group
 		step   int
 	}{
-		"the same again":   {groups: []message.Group{group}},
-		"the next":         {groups: []message.Group{group}, step: 1},
-		"other content":    {groups: []message.Group{group, group}, code: outcome.BadRequest},
-		"a gap":            {groups: []message.Group{group}, step: 2, code: outcome.BadRequest},
-		"no group":         {step: 1, code: outcome.BadRequest},
-		"no member":        {groups: []message.Group{{MaxTokens: 1}}, step: 1, code: outcome.BadRequest},
-		"too many members": {groups: []message.Group{{MaxTokens: 1, Members: MaxSamples + 1}}, step: 1, code: outcome.BadRequest},
+		"same request again": {groups: []message.Group{group}},
+		"next step":          {groups: []message.Group{group}, step: 1},
+		"other content":      {groups: []message.Group{group, group}, code: outcome.BadRequest},
+		"gap in numbers":     {groups: []message.Group{group}, step: 2, code: outcome.BadRequest},
+		"no group":           {step: 1, code: outcome.BadRequest},
+		"no member":          {groups: []message.Group{{MaxTokens: 1}}, step: 1, code: outcome.BadRequest},
+		"too many members":   {groups: []message.Group{{MaxTokens: 1, Members: MaxSamples + 1}}, step: 1, code: outcome.BadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -145,15 +145,15 @@
 		number int
 		want   bool
 	}{
-		"late submission": {cursor: message.Cursor{Incarnation: 1, Step: -1}, number: 2},
-		"from the start":  {cursor: message.Cursor{Incarnation: 1, Step: -1}, number: 0, want: true},
-		"never pulled":    {number: 7, want: true},
-		"goes on at 500":  {cursor: message.Cursor{Incarnation: 1, Step: 499}, number: 500, want: true},
-		"says 0 for none": {cursor: message.Cursor{Incarnation: 1}, number: 0, want: true},
+		"late submission":  {cursor: message.Cursor{Incarnation: 1, Step: -1}, number: 2},
+		"from the start":   {cursor: message.Cursor{Incarnation: 1, Step: -1}, number: 0, want: true},
+		"never pulled":     {number: 7, want: true},
+		"continues at 500": {cursor: message.Cursor{Incarnation: 1, Step: 499}, number: 500, want: true},
+		"0 for no step":    {cursor: message.Cursor{Incarnation: 1}, number: 0, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := trainer{cursor: tc.cursor}
-			assert.Equal(t, tr.expects(tc.number), tc.want)
+			assert.Equal(t, tr.isNextStep(tc.number), tc.want)
 		})
 	}
 }
@@ -173,9 +173,9 @@
 				var me keyvalue.Memory
 				var started []Attempt
 				ow := newOwner(&me, &started)
-				ow.lengths.note("a", 20)
-				ow.lengths.note("b", 90)
-				ow.lengths.note("c", 50)
+				ow.lengths.record("a", 20)
+				ow.lengths.record("b", 90)
+				ow.lengths.record("c", 50)
 				ow.Add("a", tc.policy)
 				ticks(ow, 1)
 				submit(ow, "a", 0, 3, 2)
@@ -301,7 +301,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			at := attempt{progressAt: now.Add(-tc.quiet), startedAt: now.Add(-tc.running), tokens: tc.tokens}
-			assert.Equal(t, at.straggles(now, slow, &Policy{}), tc.want)
+			assert.Equal(t, at.isStraggler(now, slow, &Policy{}), tc.want)
 		})
 	}
 }
--- a/batch/position.go
+++ b/batch/position.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/message"
 )
 
-// A position is a place in a trainer's sequence of batches.
+// A position is a position in a trainer's sequence of batches.
 type position struct {
 	step    int
 	ordinal int
@@ -18,12 +18,12 @@
 // origin is the position before the first batch.
 var origin = position{step: -1, ordinal: -1}
 
-// before reports whether po comes before other.
+// before reports whether po is before other.
 func (po position) before(other position) bool {
 	return cmp.Or(cmp.Compare(po.step, other.step), cmp.Compare(po.ordinal, other.ordinal)) < 0
 }
 
-// positionOf returns the position that a cursor names.
+// positionOf returns the position of a cursor.
 func positionOf(cu message.Cursor) (position, error) {
 	if cu.Batch == "" {
 		return origin, nil
--- a/batch/publish.go
+++ b/batch/publish.go
@@ -10,12 +10,11 @@
 	"wisteriacroft/ledger"
 )
 
-// publish brings the ledgers up to what they should hold. There is one write at
-// a time for a trainer, and it carries all that has changed until then.
+// publish writes changed states to the ledger, with one write at a time per trainer.
 func (ow *Owner) publish(now time.Time) {
 	for _, tr := range ow.trainers {
 		idle := tr.published == tr.wanted || tr.writing || now.Before(tr.retryAt)
-		if idle || ow.stands(tr, now) == lease.NotHeld {
+		if idle || ow.leaseState(tr, now) == lease.NotHeld {
 			continue
 		}
 		tr.writing = true
@@ -27,27 +26,26 @@
 	}
 }
 
-// written takes the answer of a write. Without one, the same or newer content
-// is written again later; the ledger settles whether the first took effect.
+// written processes the result of a write. After an unknown outcome the same or a newer state is
+// written again.
 func (ow *Owner) written(tr *trainer, epoch, seq uint64, err error) {
 	tr.writing = false
 	if epoch != tr.epoch {
-		return // of rows that are gone, or adopted anew meanwhile
+		return // the state was dropped or adopted again in the meantime
 	}
 	if err == nil {
 		tr.published = seq
-		tr.wake()
+		tr.notify()
 		return
 	}
-	tr.retryAt = time.Now().Add(retryLedger)
+	tr.retryAt = time.Now().Add(ledgerBackoff)
 	ow.log(tr).WithError(err).Warn("could not write the ledger")
 	if errors.Is(err, ledger.ErrFenced) {
-		ow.drop(tr)
+		ow.dropState(tr)
 	}
 }
 
-// clean drops payloads that the ledger no longer names, and steps that their
-// trainer has taken.
+// clean drops old steps and deletes payloads that the ledger no longer refers to.
 func (ow *Owner) clean(time.Time) {
 	for _, tr := range ow.trainers {
 		tr.retire()
@@ -71,8 +69,8 @@
 	}
 }
 
-// unused returns those payloads that no row refers to. A sample that is made
-// again may come out the same, and then has the name of the one it replaces.
+// unused returns the payloads that nothing refers to. A regenerated sample may have the same digest
+// as the one it replaces.
 func (tr *trainer) unused(gas []garbage) []garbage {
 	used := map[string]bool{}
 	for _, sp := range tr.steps {
@@ -97,8 +95,7 @@
 	return free
 }
 
-// retire lets go of taken steps, but for the newest ones, which a trainer that
-// restarts with an older cursor may ask for again.
+// retire drops taken steps except the newest ones, which a restarted trainer may request again.
 func (tr *trainer) retire() {
 	taken := 0
 	for taken < len(tr.steps) && tr.steps[taken].taken() {
@@ -107,12 +104,12 @@
 	for ; taken > tr.policy.keptSteps(); taken-- {
 		sp := tr.steps[0]
 		tr.steps = tr.steps[1:]
-		tr.dropped = sp.batches[len(sp.batches)-1].id()
+		tr.droppedBatch = sp.batches[len(sp.batches)-1].id()
 		tr.discardStep(sp)
 	}
 }
 
-// discardStep notes all payloads of a step.
+// discardStep discards all payloads of a step.
 func (tr *trainer) discardStep(sp *step) {
 	tr.discard(sp.places, sp.digest)
 	for _, ba := range sp.batches {
--- a/batch/pull.go
+++ b/batch/pull.go
@@ -10,10 +10,9 @@
 	"wisteriacroft/outcome"
 )
 
-// Pull acknowledges the batch that the cursor names and returns the next one,
-// waiting for it as long as the request says. Until the next acknowledgement
-// it returns the same batch, unless that has become stale or was lost: then a
-// new seal of the same slots. A refusal is a *fate.Refusal.
+// Pull acknowledges the batch in the cursor and returns the next one, waiting for it as long as the
+// request allows. Until the acknowledgement it returns the same batch, or a new seal of the same
+// slots if a sample has become stale or lost. A refusal is a *outcome.Refusal.
 func (ow *Owner) Pull(
 	ctx context.Context, name string, req message.PullRequest,
 ) (message.PullResponse, error) {
@@ -40,26 +39,24 @@
 		case <-ctx.Done():
 			return message.PullResponse{}, refuse(outcome.DeadlineExceeded, "no batch in time")
 		case <-timeout.C:
-			return message.PullResponse{RetryAfter: comeBack.String()}, pu.idle
+			return message.PullResponse{RetryAfter: refusalRetryAfter.String()}, pu.idle
 		case <-pu.changed:
 		}
 	}
 }
 
-// A pulled is the outcome of a pull: an answer, a refusal or a change to wait
-// for.
+// A pulled is the result of a pull: an answer, a refusal, or a change to wait for.
 type pulled struct {
 	answer  *message.PullResponse
 	changed <-chan struct{}
 	err     error
-	idle    error // why there is nothing to wait for, unless that changes
+	idle    error // returned when the wait ends without a change
 }
 
-// pull decides on a pull as of now.
+// pull decides on a pull at time now.
 //
-// Whether an owner whose lease is unconfirmed may answer is argued in
-// docs/design/leases.md: it hands over only what the ledger holds, and only to
-// a trainer whose last batch it knows.
+// An owner whose lease is unconfirmed may only hand over batches that the ledger holds, to a
+// trainer whose last batch it has (see docs/design/leases.md).
 func (ow *Owner) pull(name string, cu message.Cursor, po position, now time.Time) pulled {
 	tr := ow.trainer(name)
 	if tr == nil {
@@ -71,7 +68,7 @@
 		return pulled{err: notHome(name)}
 	case !mine && st == lease.Held:
 		return pulled{changed: tr.changed}
-	case !mine, st == lease.Unconfirmed && !tr.follows(cu, po):
+	case !mine, st == lease.Unconfirmed && !tr.hasCursor(cu, po):
 		return pulled{err: notHome(name)}
 	}
 	if err := ow.acknowledge(tr, cu, po, st); err != nil {
@@ -82,25 +79,25 @@
 	switch {
 	case lost != nil:
 		return pulled{err: refuse(outcome.Refused, "the request of step %d is lost: submit it again", lost.number)}
-	case ba != nil && ba.seq <= tr.published && len(ba.wanting) == 0 && !tr.refresh(ba):
+	case ba != nil && ba.seq <= tr.published && len(ba.reopened) == 0 && !tr.reopenStaleEntries(ba):
 		return pulled{answer: tr.handOver(ba)}
 	case st == lease.Unconfirmed:
-		return pulled{err: notHome(name)} // another may have it
+		return pulled{err: notHome(name)} // another owner may have it
 	}
 	pu := pulled{changed: tr.changed}
-	if last := tr.last(); last <= po.step && tr.next(po) == nil && !tr.unfinished(po.step) {
+	if last := tr.last(); last <= po.step && tr.next(po) == nil && !tr.incomplete(po.step) {
 		pu.idle = refuse(outcome.Refused, "no step is open: submit the one after step %d", last)
 	}
 	return pu
 }
 
-// unfinished reports whether a step has batches to come.
-func (tr *trainer) unfinished(number int) bool {
+// incomplete reports whether a step has more batches to come.
+func (tr *trainer) incomplete(number int) bool {
 	sp := tr.step(number)
 	return sp != nil && !sp.sealedWhole()
 }
 
-// handOver returns the answer that hands a batch over.
+// handOver returns the answer that hands over a batch.
 func (tr *trainer) handOver(ba *batch) *message.PullResponse {
 	tr.counts.HandOvers++
 	return &message.PullResponse{
@@ -112,14 +109,14 @@
 	}
 }
 
-// lostAt returns the step that must go on before the trainer at a position can,
-// if its request is lost. Next is the batch after the position, if there is one.
+// lostAt returns the step that blocks a trainer at a position because its request is lost, or nil.
+// next is the batch after the position, or nil.
 func (tr *trainer) lostAt(po position, next *batch) *step {
-	if next != nil && len(next.wanting) == 0 {
+	if next != nil && len(next.reopened) == 0 {
 		return nil
 	}
 	for _, sp := range tr.steps {
-		if sp.number < po.step || !sp.wants() {
+		if sp.number < po.step || !sp.mayHaveOpenSlots() {
 			continue
 		}
 		if sp.lost {
@@ -130,13 +127,12 @@
 	return nil
 }
 
-// follows reports whether the cursor names a batch exactly as the rows know it.
-// It is asked of an owner whose lease is unconfirmed. A later owner may have
-// made other batches since; a trainer that has taken one of those carries its
-// id and digest, and must not be answered from here.
-func (tr *trainer) follows(cu message.Cursor, po position) bool {
+// hasCursor reports whether the state has the batch of a cursor with the same digest. With an
+// unconfirmed lease a later owner may have sealed other batches; a trainer that has taken one of
+// these must not be answered.
+func (tr *trainer) hasCursor(cu message.Cursor, po position) bool {
 	if cu.Batch == "" {
-		return tr.dropped == "" && cu.Incarnation == tr.cursor.Incarnation
+		return tr.droppedBatch == "" && cu.Incarnation == tr.cursor.Incarnation
 	}
 	if cu.Batch == tr.cursor.Batch {
 		return cu.Digest == tr.cursor.Digest
--- a/batch/refusal.go
+++ b/batch/refusal.go
@@ -7,14 +7,14 @@
 	"wisteriacroft/outcome"
 )
 
-// comeBack is when a refused trainer should ask again.
-const comeBack = time.Second
+// refusalRetryAfter is the Retry-After time of refusals.
+const refusalRetryAfter = time.Second
 
-// refuse returns a refusal, with a time to come back where that can help.
+// refuse returns a refusal, with a Retry-After time unless the request is invalid.
 func refuse(code outcome.Code, format string, args ...any) *outcome.Refusal {
 	re := outcome.NewRefusal(code, "", fmt.Sprintf(format, args...))
 	if code != outcome.BadRequest {
-		re.RetryAfter = comeBack.String()
+		re.RetryAfter = refusalRetryAfter.String()
 	}
 	return re
 }
--- a/batch/seal.go
+++ b/batch/seal.go
@@ -9,16 +9,14 @@
 	"wisteriacroft/message"
 )
 
-// maxWaiting is how many batches of a trainer may be sealed and not yet taken
-// before groups that complete wait for a common seal. It bounds the writes of
-// a trainer that takes its groups slowly.
-const maxWaiting = 2
+// maxUntakenBatches is the number of sealed batches not yet taken above which complete groups wait for a
+// common seal. It bounds the ledger writes for a slow trainer.
+const maxUntakenBatches = 2
 
-// seal makes batches of what is complete. They are handed over only once the
-// ledger holds them.
+// seal seals batches of complete groups. They are handed over only after the ledger holds them.
 func (ow *Owner) seal(now time.Time) {
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.NotHeld {
+		if ow.leaseState(tr, now) == lease.NotHeld {
 			continue
 		}
 		for _, sp := range tr.steps {
@@ -26,24 +24,24 @@
 				continue
 			}
 			for _, ba := range sp.batches {
-				tr.sealAnew(ba)
+				tr.reseal(ba)
 			}
 			tr.sealStep(sp)
 		}
 	}
 }
 
-// sealStep seals a new batch of the step's complete groups, or of all of them
-// where the policy hands steps over whole.
+// sealStep seals a batch of the step's complete groups, or of the whole step if the policy requires
+// it.
 func (tr *trainer) sealStep(sp *step) {
-	if sp.sealedWhole() || !tr.policy.WholeSteps && tr.waiting(sp.number) >= maxWaiting {
+	if sp.sealedWhole() || !tr.policy.WholeSteps && tr.untakenBatches(sp.number) >= maxUntakenBatches {
 		return
 	}
 	var ready []int
 	left := false
 	for gi := range sp.request.Groups {
 		switch {
-		case sp.grouped[gi]:
+		case sp.inBatch[gi]:
 		case complete(sp.group(gi)):
 			ready = append(ready, gi)
 		default:
@@ -61,7 +59,7 @@
 	ba.entries = make([]message.SampleEntry, 0, samples)
 	for _, gi := range ready {
 		group := sp.group(gi)
-		sp.grouped[gi] = true
+		sp.inBatch[gi] = true
 		for i := range group {
 			sl := &group[i]
 			ba.entries = append(ba.entries, *sl.entry)
@@ -69,16 +67,16 @@
 		}
 	}
 	sp.batches = append(sp.batches, ba)
-	tr.finish(ba)
+	tr.completeSeal(ba)
 }
 
-// sealAnew seals a batch again once the slots that it wanted are filled. The
-// other samples stay as they are, if they are still fresh.
-func (tr *trainer) sealAnew(ba *batch) {
-	if len(ba.wanting) == 0 || tr.refresh(ba) {
+// reseal seals a batch again after its reopened slots are filled. Its other samples stay unless
+// they are stale.
+func (tr *trainer) reseal(ba *batch) {
+	if len(ba.reopened) == 0 || tr.reopenStaleEntries(ba) {
 		return
 	}
-	for key := range ba.wanting {
+	for key := range ba.reopened {
 		if ba.step.slot(key).state != slotFilled {
 			return
 		}
@@ -93,12 +91,12 @@
 		}
 		entries[i] = en
 	}
-	ba.entries, ba.wanting = entries, nil
-	tr.finish(ba)
+	ba.entries, ba.reopened = entries, nil
+	tr.completeSeal(ba)
 }
 
-// finish completes a seal: from here on the batch does not change under its id.
-func (tr *trainer) finish(ba *batch) {
+// completeSeal completes a seal. The batch is immutable under its id from now on.
+func (tr *trainer) completeSeal(ba *batch) {
 	tr.seals++
 	ba.seal = tr.seals
 	ba.digest = manifestDigest(tr.name, ba)
@@ -106,14 +104,13 @@
 	tr.counts.Seals++
 }
 
-// discard notes a payload that can go once the ledger holds what is now wanted.
+// discard records a payload to be deleted after the next ledger write.
 func (tr *trainer) discard(places []message.BlobLocation, digest string) {
 	tr.garbage = append(tr.garbage, garbage{digest: digest, places: places, seq: tr.touch()})
 }
 
-// waiting returns how many batches up to a step are sealed and not taken. Those
-// of later steps don't count: they are taken after it.
-func (tr *trainer) waiting(number int) int {
+// untakenBatches returns the number of batches up to a step that are sealed and not taken.
+func (tr *trainer) untakenBatches(number int) int {
 	sum := 0
 	for _, sp := range tr.steps {
 		if sp.number > number {
@@ -137,7 +134,7 @@
 	return true
 }
 
-// manifestDigest returns the digest of what a batch holds, apart from where.
+// manifestDigest returns the digest of a batch's samples, independent of their locations.
 func manifestDigest(trainer string, ba *batch) string {
 	type line struct {
 		Digest string
@@ -150,7 +147,7 @@
 	}
 	data, err := json.Marshal(lines)
 	if err != nil {
-		panic(err) // strings and numbers only
+		panic(err) // strings and integers always encode
 	}
 	return blob.Digest(data)
 }
--- a/batch/session_test.go
+++ b/batch/session_test.go
@@ -37,8 +37,8 @@
 
 // faults injects faults of the key-value service for a period.
 func faults(wo *world, after, length time.Duration, fa keyvalue.Faults) {
-	wo.at(after, func() { wo.me.SetFaults(fa); wo.note("key-value service misbehaves") })
-	wo.at(after+length, func() { wo.me.SetFaults(keyvalue.Faults{}); wo.note("key-value service is well") })
+	wo.at(after, func() { wo.me.SetFaults(fa); wo.note("key-value service has faults") })
+	wo.at(after+length, func() { wo.me.SetFaults(keyvalue.Faults{}); wo.note("key-value service has recovered") })
 }
 
 // sessions guard against samples that are doubled, lost, stale or wrongly attributed after the
@@ -66,7 +66,7 @@
 	}},
 	"owner-is-paused-and-wakes": {fault: func(wo *world) {
 		wo.at(time.Second, func() { wo.nodes[0].paused = true; wo.note("a is paused") })
-		wo.at(9*time.Second, func() { wo.nodes[0].paused = false; wo.note("a wakes") })
+		wo.at(9*time.Second, func() { wo.nodes[0].paused = false; wo.note("a resumes") })
 	}, steps: 4},
 	"owner-is-cut-off": {fault: func(wo *world) {
 		wo.at(time.Second, func() { wo.nodes[0].cut = true; wo.note("a is cut off") })
@@ -150,7 +150,7 @@
 		wo.onHandOver = func() {
 			wo.note("all payloads are out of reach")
 			wo.cutOff = map[string]bool{}
-			for digest := range wo.truth {
+			for digest := range wo.generated {
 				wo.cutOff[digest] = true
 			}
 			wo.trainer.version, wo.serving = 2, 2 // samples generated again then differ in version
--- a/batch/start.go
+++ b/batch/start.go
@@ -9,30 +9,29 @@
 	"wisteriacroft/lease"
 )
 
-// A candidate is a slot that an attempt may be started for.
+// A candidate is a slot for which an attempt may start.
 type candidate struct {
 	expected float64 // length in tokens
 	slot     *slot
 	step     *step
 }
 
-// A queue is the candidates of a trainer, first to start first.
+// A queue is a trainer's candidates in start order.
 type queue struct {
 	candidates []candidate
-	refused    map[int]int // attempts that found no endpoint, by step
-	room       int         // for more attempts
+	refused    map[int]int // attempts without an endpoint, by step
+	room       int         // number of further attempts allowed
 	trainer    *trainer
 }
 
-// maxRefusals is how many attempts of a step may find no endpoint before the
-// rest of the step's are left for the next tick.
+// maxRefusals is the number of a step's attempts without an endpoint after which its other attempts
+// wait for the next tick.
 const maxRefusals = 2
 
-// maxStarts bounds the attempts that start in a tick.
+// maxStarts bounds the attempts started per tick.
 const maxStarts = 128
 
-// start starts attempts while there is room, each for the trainer that is
-// furthest below its share.
+// start starts attempts within the bounds, each for the trainer furthest below its share.
 func (ow *Owner) start(now time.Time) {
 	room := maxStarts
 	if ow.MaxRunning > 0 {
@@ -42,7 +41,7 @@
 	if room <= 0 || len(qus) == 0 {
 		return
 	}
-	ow.later(func() {
+	ow.enqueue(func() {
 		for room > 0 && ow.startNext(qus, now) {
 			room--
 		}
@@ -51,10 +50,9 @@
 
 // startNext starts one attempt and reports whether there was one to start.
 //
-// Attempts are made one by one, each only when the one before has found an
-// endpoint. And a step whose attempts find none, because no endpoint has its
-// weights yet, does not keep those of other steps and trainers from theirs:
-// otherwise all engines idle before one trainer that waits for weights.
+// It creates the next attempt only after the previous one has found an endpoint. A step that no
+// endpoint has the weights for is skipped; otherwise it would block the other steps and trainers
+// while engines are idle.
 func (ow *Owner) startNext(qus []*queue, now time.Time) bool {
 	for {
 		var at Attempt
@@ -73,17 +71,17 @@
 	}
 }
 
-// launchNext makes the attempt that starts next, or returns no queue. Events
-// may have come since the queues were made.
+// launchNext creates the next attempt, or returns no queue if there is none. It skips candidates
+// that have changed since the queues were made.
 func (ow *Owner) launchNext(qus []*queue, now time.Time) (Attempt, *queue) {
 	for {
-		qu := neediest(qus)
+		qu := furthestBelowShare(qus)
 		if qu == nil {
 			return Attempt{}, nil
 		}
 		ca := qu.candidates[0]
 		qu.candidates = qu.candidates[1:]
-		gone := ow.trainer(qu.trainer.name) != qu.trainer || ow.stands(qu.trainer, now) == lease.NotHeld
+		gone := ow.trainer(qu.trainer.name) != qu.trainer || ow.leaseState(qu.trainer, now) == lease.NotHeld
 		if gone || ca.slot.state != slotOpen || len(ca.slot.attempts) > 0 {
 			continue
 		}
@@ -92,7 +90,7 @@
 	}
 }
 
-// refuse notes that an attempt of a step found no endpoint.
+// refuse records that an attempt of a step found no endpoint.
 func (qu *queue) refuse(number int) {
 	qu.room++
 	if qu.refused == nil {
@@ -104,9 +102,9 @@
 	}
 }
 
-// neediest returns the queue whose trainer has the fewest attempts for its
-// share, or nil if none has a candidate and room.
-func neediest(qus []*queue) *queue {
+// furthestBelowShare returns the queue whose trainer has the fewest attempts relative to its share, or nil if
+// no queue may start one.
+func furthestBelowShare(qus []*queue) *queue {
 	var best *queue
 	var least float64
 	for _, qu := range qus {
@@ -121,12 +119,11 @@
 	return best
 }
 
-// queues returns the candidates of each owned trainer that has room for more
-// attempts.
+// queues returns the queues of all owned trainers that may start attempts.
 func (ow *Owner) queues(now time.Time) []*queue {
 	var qus []*queue
 	for _, tr := range ow.trainers {
-		if ow.stands(tr, now) == lease.NotHeld {
+		if ow.leaseState(tr, now) == lease.NotHeld {
 			continue
 		}
 		qu := &queue{room: math.MaxInt, trainer: tr}
@@ -141,12 +138,12 @@
 	return qus
 }
 
-// candidates returns the slots of a trainer that want an attempt. Steps come in
-// order; a step is not begun before the ledger holds it.
+// candidates returns a trainer's slots that need an attempt, ordered by step. A step starts only
+// after the ledger holds it.
 func (ow *Owner) candidates(tr *trainer, now time.Time) []candidate {
 	var cas []candidate
 	for _, sp := range tr.steps {
-		if sp.request == nil || sp.seq > tr.published || !sp.wants() {
+		if sp.request == nil || sp.seq > tr.published || !sp.mayHaveOpenSlots() {
 			continue
 		}
 		from := len(cas)
@@ -159,37 +156,38 @@
 					continue
 				}
 				if expected < 0 {
-					expected = ow.expect(sp, gi)
+					expected = ow.expectedLength(sp, gi)
 				}
 				cas = append(cas, candidate{expected: expected, slot: sl, step: sp})
 			}
 		}
-		if tr.policy.Order == LongestFirst && !tr.policy.feeds() {
+		if tr.policy.Order == LongestFirst && !tr.policy.groupsFirst() {
 			slices.SortStableFunc(cas[from:], longer)
 		}
 	}
 	return cas
 }
 
-// feedWeight is the freshness weight from which samples are mostly started when
-// their trainer already waits for them.
-const feedWeight = 0.5
+// groupsFirstWeight is the least freshness weight with which most samples start only when their trainer
+// waits for them.
+const groupsFirstWeight = 0.5
 
-// feeds reports whether slots are started group by group, though the policy
-// says longest first. Longest first completes most groups late. That suits steps
-// which are made ahead, but a trainer that takes groups as they complete and
-// has them made on fresh weights would idle until then.
-func (po *Policy) feeds() bool { return !po.WholeSteps && po.FreshnessWeight >= feedWeight }
+// groupsFirst reports whether slots start group by group instead of longest first. Longest first
+// completes most groups late, so a trainer that takes groups as they complete, on fresh weights,
+// would idle.
+func (po *Policy) groupsFirst() bool {
+	return !po.WholeSteps && po.FreshnessWeight >= groupsFirstWeight
+}
 
-// longer orders candidates by expected length, longest first. Among equals the
-// first members go first, so that each group's length is learned early.
+// longer sorts candidates by expected length, longest first, then by member, so that the length of
+// each group is observed early.
 func longer(a, b candidate) int {
 	return cmp.Or(cmp.Compare(b.expected, a.expected), cmp.Compare(a.slot.member, b.slot.member))
 }
 
-// expect returns the length to expect of a group's next sample: the mean of
-// those finished, and not less than what one that runs has already made.
-func (ow *Owner) expect(sp *step, group int) float64 {
+// expectedLength returns the expected length of a group's next sample: the mean of its finished ones, but
+// at least the tokens of a running one.
+func (ow *Owner) expectedLength(sp *step, group int) float64 {
 	gr := &sp.request.Groups[group]
 	expected := ow.lengths.expect(gr.Prompt, gr.MaxTokens)
 	finished, sum, running := 0, 0, 0
--- a/batch/status.go
+++ b/batch/status.go
@@ -7,48 +7,47 @@
 	"wisteriacroft/message"
 )
 
-// A Counts counts what has happened for a trainer since its owner started.
+// A Counts counts events of a trainer since its owner's process started.
 type Counts struct {
 	Attempts     int `json:"attempts"` // started
 	Failures     int `json:"failures"`
-	HandOvers    int `json:"hand-overs"` // answers to pulls that named a batch
-	Lost         int `json:"lost"`       // payloads made again because no copy was left
-	Samples      int `json:"samples"`    // that filled a slot
+	HandOvers    int `json:"hand-overs"` // pull answers with a batch
+	Lost         int `json:"lost"`       // payloads generated again since no copy is left
+	Samples      int `json:"samples"`    // samples that filled a slot
 	Seals        int `json:"seals"`
-	Stale        int `json:"stale"` // attempts and samples dropped for their age
+	Stale        int `json:"stale"` // attempts and samples dropped as stale
 	Stragglers   int `json:"stragglers"`
-	WastedTokens int `json:"wasted-tokens"` // of what was cancelled, failed or dropped
+	WastedTokens int `json:"wasted-tokens"` // of canceled, failed and dropped attempts and samples
 }
 
-// A Row is a batch that an owner holds. What is not yet in a batch of a step
-// stands in one open row.
+// A Row is a batch of an owner, or the samples of a step that are in no batch yet.
 type Row struct {
 	ID        string `json:"id"`        // of a sealed batch
 	Published bool   `json:"published"` // the ledger holds the seal
-	Samples   int    `json:"samples"`   // that are there
+	Samples   int    `json:"samples"`   // available
 	Sealed    bool   `json:"sealed"`
 	Step      int    `json:"step"`
 	Wanted    int    `json:"wanted"`
 }
 
-// A Status is what an owner holds for a trainer.
+// A Status is an owner's state for a trainer.
 type Status struct {
-	Batches   []Row          `json:"batches"` // not yet taken
+	Batches   []Row          `json:"batches"` // not taken yet
 	Counts    Counts         `json:"counts"`
 	Cursor    message.Cursor `json:"cursor"`
 	Epoch     uint64         `json:"epoch"`
 	OpenSteps int            `json:"open-steps"`
-	Overdue   int            `json:"overdue"` // open steps past their deadline
+	Overdue   int            `json:"overdue"` // open steps after their deadline
 	Running   int            `json:"running"` // attempts
-	Sealed    int            `json:"sealed"`  // batches not yet taken
+	Sealed    int            `json:"sealed"`  // batches not taken yet
 	Standing  string         `json:"standing"`
 	Trainer   string         `json:"trainer"`
 	Unfilled  int            `json:"unfilled"`  // slots without a sample
 	Unwritten bool           `json:"unwritten"` // the ledger is behind
-	Version   engine.Version `json:"version"`   // that the trainer trains
+	Version   engine.Version `json:"version"`   // current version of the trainer
 }
 
-// Status returns what the owner holds, by trainer.
+// Status returns the state of each trainer, sorted by name.
 func (ow *Owner) Status() []Status {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -63,7 +62,7 @@
 			OpenSteps: tr.open(),
 			Overdue:   tr.overdue(time.Now()),
 			Running:   len(tr.running),
-			Sealed:    tr.waiting(tr.last()),
+			Sealed:    tr.untakenBatches(tr.last()),
 			Standing:  st.String(),
 			Trainer:   tr.name,
 			Unfilled:  tr.unfilled(),
@@ -74,7 +73,7 @@
 	return sts
 }
 
-// unfilled returns how many slots of all steps want a sample.
+// unfilled returns the number of slots that need a sample.
 func (tr *trainer) unfilled() int {
 	sum := 0
 	for _, sp := range tr.steps {
@@ -87,7 +86,7 @@
 	return sum
 }
 
-// rows returns the batches that the trainer has not yet taken, oldest first.
+// rows returns the batches that the trainer has not taken, oldest first.
 func (tr *trainer) rows() []Row {
 	var ros []Row
 	for _, sp := range tr.steps {
@@ -114,15 +113,15 @@
 	return Row{
 		ID:        ba.id(),
 		Published: ba.seq <= tr.published,
-		Samples:   len(ba.entries) - len(ba.wanting),
+		Samples:   len(ba.entries) - len(ba.reopened),
 		Sealed:    true,
 		Step:      ba.step.number,
 		Wanted:    len(ba.entries),
 	}
 }
 
-// overdue returns how many steps still want samples past their deadline. They
-// go on: to drop what is missing would bias the batch.
+// overdue returns the number of incomplete steps after their deadline. They continue: dropping the
+// missing samples would bias the batch.
 func (tr *trainer) overdue(now time.Time) int {
 	count := 0
 	for _, sp := range tr.steps {
@@ -134,7 +133,7 @@
 	return count
 }
 
-// filled reports whether no slot of the step wants a sample.
+// filled reports whether no slot of the step needs a sample.
 func (sp *step) filled() bool {
 	for i := range sp.slots {
 		if sp.slots[i].state == slotOpen {
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -11,14 +11,13 @@
 	"wisteriacroft/outcome"
 )
 
-// MaxSamples bounds a step, so that the manifests that a trainer's ledger keeps
-// fit in one value of the key-value service.
+// MaxSamples bounds the samples of a step, so that a trainer's manifests fit into one value of the
+// key-value service.
 const MaxSamples = 2048
 
-// Submit accepts the request for a step's samples: its body is in the data
-// folders and the ledger names it before the answer goes out. A refusal is a
-// *fate.Refusal; if the fate is unknown, submit the same again. A trainer that
-// has restarted pulls before it submits, so that its cursor is known.
+// Submit accepts the request for a step. When it returns, the request's body is in the data folders
+// and the ledger refers to it. An error is a *outcome.Refusal; if its outcome is unknown, submit
+// the same request again. A restarted trainer must pull first, so that its cursor is known.
 func (ow *Owner) Submit(
 	ctx context.Context, name string, number int, req message.StepRequest,
 ) (message.StepResponse, error) {
@@ -48,21 +47,21 @@
 		}
 		places, err := ow.ReplicateFunc(ctx, body)
 		if len(places) == 0 {
-			return message.StepResponse{}, refuse(outcome.Overloaded, "no data folder took step %d: %v", number, err)
+			return message.StepResponse{}, refuse(outcome.Overloaded, "no data folder accepted step %d: %v", number, err)
 		}
 		ow.locked(func() { ow.accept(name, number, digest, places, &req) })
 	}
 }
 
-// A submission is how far the request for a step is. With neither an error, nor
-// acceptance, nor a change to wait for, its body is to be replicated.
+// A submission is the state of a request for a step. In its zero value the body has yet to be
+// replicated.
 type submission struct {
 	accepted bool
 	changed  <-chan struct{}
 	err      error
 }
 
-// submitted returns how far a request is.
+// submitted returns the state of a request.
 func (ow *Owner) submitted(name string, number int, digest string) submission {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -80,8 +79,8 @@
 	case !tr.loaded || epoch != tr.epoch:
 		return submission{err: notHome(name)}
 	case st == lease.Unconfirmed:
-		// A later owner may have gone back behind the step with its trainer.
-		return submission{err: refuse(outcome.Refused, "the key-value service is away: step %d can't be recorded", number)}
+		// A later owner may have rewound the trainer behind the step.
+		return submission{err: refuse(outcome.Refused, "the key-value service is unavailable: step %d can't be recorded", number)}
 	case sp != nil && sp.digest != digest:
 		return submission{err: refuse(outcome.BadRequest, "step %d was submitted with other content", number)}
 	case sp != nil && sp.lost:
@@ -90,7 +89,7 @@
 		return submission{changed: tr.changed}
 	case sp != nil:
 		return submission{accepted: true}
-	case !tr.expects(number):
+	case !tr.isNextStep(number):
 		return submission{err: refuse(outcome.BadRequest, "step %d does not follow step %d", number, tr.last())}
 	case tr.pending() >= tr.policy.maxOpenSteps():
 		return submission{err: refuse(outcome.Overloaded, "%d steps are open", tr.open())}
@@ -99,27 +98,27 @@
 	}
 }
 
-// accept adds a step, or gives one its lost request back.
+// accept adds a step, or restores its lost request.
 func (ow *Owner) accept(name string, number int, digest string, places []message.BlobLocation, req *message.StepRequest) {
 	tr := ow.trainer(name)
-	if tr == nil || ow.stands(tr, time.Now()) == lease.NotHeld {
+	if tr == nil || ow.leaseState(tr, time.Now()) == lease.NotHeld {
 		return
 	}
 	sp := tr.step(number)
 	switch {
-	case sp == nil && tr.expects(number) && tr.pending() < tr.policy.maxOpenSteps():
+	case sp == nil && tr.isNextStep(number) && tr.pending() < tr.policy.maxOpenSteps():
 		sp = &step{accepted: time.Now(), digest: digest, number: number, profile: req.Profile, samples: count(req)}
 		tr.steps = append(tr.steps, sp)
 	case sp == nil || !sp.lost || sp.digest != digest:
-		return // submitted twice at one time
+		return // submitted twice concurrently
 	}
 	sp.places = places
 	sp.seq = tr.touch()
 	sp.setRequest(req)
-	tr.wake()
+	tr.notify()
 }
 
-// last returns the highest step that was submitted or taken, or -1.
+// last returns the highest submitted or taken step, or -1.
 func (tr *trainer) last() int {
 	last := -1
 	if po, err := positionOf(tr.cursor); err == nil {
@@ -131,17 +130,16 @@
 	return last
 }
 
-// expects reports whether a step is the next to be submitted. Steps follow each
-// other without gaps: a request that was long on its way could else put a step
-// in place of one that the trainer has submitted and that was forgotten when it
-// went back. Before the first pull of all, any number may be the first.
-func (tr *trainer) expects(number int) bool {
+// isNextStep reports whether a step is the next to be submitted. Numbers must be contiguous: a late
+// request could otherwise replace a step that was dropped by a rewind. Before the first pull any
+// number is accepted.
+func (tr *trainer) isNextStep(number int) bool {
 	switch {
 	case len(tr.steps) > 0 || tr.cursor.Batch != "":
 		return number == tr.last()+1
 	case tr.cursor == message.Cursor{}:
 		return true
-	default: // some trainers say 0, not -1, before their first step
+	default: // some trainers send 0 instead of -1 before their first step
 		return number == tr.cursor.Step+1 || number == tr.cursor.Step
 	}
 }
--- a/batch/trainer.go
+++ b/batch/trainer.go
@@ -9,55 +9,54 @@
 	"wisteriacroft/message"
 )
 
-// A trainer is what its owner knows of a trainer.
+// A trainer is the owner's state of a trainer.
 type trainer struct {
-	adopting  bool
-	book      *ledger.Writer
-	changed   chan struct{} // closed and replaced on each change that a call may wait for
-	counts    Counts
-	cursor    message.Cursor // newest
-	dropped   string         // id of the last batch that is not kept any more
-	epoch     uint64         // adopted
-	freshened engine.Version // that the filled slots were last checked against
-	garbage   []garbage
-	loaded    bool // the rows below are those of the ledger, or newer
-	name      string
-	noneSince time.Time // when the lease was first seen gone, or zero
-	pace      pace
-	policy    Policy
-	published uint64 // last sequence number that the ledger holds
-	releases  releases
-	retryAt   time.Time  // of the next exchange with the ledger
-	running   []*attempt // oldest first
-	seals     int        // made so far
-	standing  lease.State
-	steps     []*step        // by number
-	version   engine.Version // that the trainer trains, as last heard
-	wanted    uint64         // last sequence number that the ledger should hold
-	writing   bool
+	adopting     bool
+	book         *ledger.Writer
+	changed      chan struct{} // closed and replaced on each change that a call may wait for
+	counts       Counts
+	cursor       message.Cursor // latest
+	droppedBatch string         // id of the last batch that is no longer kept
+	epoch        uint64         // epoch under which the ledger was adopted
+	freshened    engine.Version // version against which filled slots were last checked
+	garbage      []garbage
+	loaded       bool // the steps are those of the ledger, or newer
+	name         string
+	lostSince    time.Time // when the lease was first seen lost, or zero
+	pace         pace
+	policy       Policy
+	published    uint64 // last sequence number in the ledger
+	releases     releases
+	retryAt      time.Time  // of the next ledger access
+	running      []*attempt // oldest first
+	seals        int        // number of seals
+	leaseState   lease.State
+	steps        []*step        // by number
+	version      engine.Version // latest version of the trainer
+	wanted       uint64         // last sequence number to be written to the ledger
+	writing      bool
 }
 
-// A garbage is a payload that can go once the ledger no longer names it.
+// A garbage is a payload to be deleted once the ledger no longer refers to it.
 type garbage struct {
 	digest string
 	places []message.BlobLocation
 	seq    uint64
 }
 
-// touch notes a change that the ledger must hold, and returns the sequence
-// number of the write that will do so.
+// touch records a change to be written to the ledger and returns its sequence number.
 func (tr *trainer) touch() uint64 {
 	tr.wanted++
 	return tr.wanted
 }
 
-// wake lets the calls that wait for the trainer look again.
-func (tr *trainer) wake() {
+// notify makes waiting calls check the trainer again.
+func (tr *trainer) notify() {
 	close(tr.changed)
 	tr.changed = make(chan struct{})
 }
 
-// step returns the step of a number, or nil.
+// step returns the step with a number, or nil.
 func (tr *trainer) step(number int) *step {
 	for _, sp := range tr.steps {
 		if sp.number == number {
@@ -67,7 +66,7 @@
 	return nil
 }
 
-// open returns how many steps the trainer has not taken whole.
+// open returns the number of steps that the trainer has not taken completely.
 func (tr *trainer) open() int {
 	count := 0
 	for _, sp := range tr.steps {
@@ -78,10 +77,9 @@
 	return count
 }
 
-// pending returns how many steps count against the bound of open ones. The
-// first does not once it is sealed whole: a trainer that has taken it says so
-// in its next pull only, and one that submits its next step before that pull
-// would be refused for ever, since it never comes to the pull.
+// pending returns the number of steps that count against MaxOpenSteps. The first one does not count
+// once it is sealed completely: a trainer that submits its next step before the pull that
+// acknowledges it would otherwise be refused forever.
 func (tr *trainer) pending() int {
 	count := tr.open()
 	for _, sp := range tr.steps {
@@ -123,9 +121,9 @@
 	return sp.batches[po.ordinal]
 }
 
-// record returns what the ledger should hold.
+// record returns the ledger record of the current state.
 func (tr *trainer) record() ledger.Record {
-	rec := ledger.Record{Cursor: tr.cursor, Dropped: tr.dropped, Epoch: tr.epoch, Seals: tr.seals}
+	rec := ledger.Record{Cursor: tr.cursor, Dropped: tr.droppedBatch, Epoch: tr.epoch, Seals: tr.seals}
 	for _, sp := range tr.steps {
 		rec.Steps = append(rec.Steps, ledger.Step{
 			Digest:  sp.digest,
@@ -135,15 +133,15 @@
 			Samples: sp.samples,
 		})
 		for _, ba := range sp.batches {
-			rec.Batches = append(rec.Batches, ba.form())
+			rec.Batches = append(rec.Batches, ba.ledgerForm())
 		}
 	}
 	return rec
 }
 
-// restore replaces the rows by those of the ledger.
+// restore replaces the state by that of the ledger.
 func (tr *trainer) restore(rec ledger.Record) {
-	tr.cursor, tr.dropped, tr.version = rec.Cursor, rec.Dropped, rec.Cursor.Version
+	tr.cursor, tr.droppedBatch, tr.version = rec.Cursor, rec.Dropped, rec.Cursor.Version
 	tr.seals, tr.steps, tr.garbage = rec.Seals, nil, nil
 	for _, fo := range rec.Steps {
 		tr.steps = append(tr.steps, &step{
@@ -158,7 +156,7 @@
 	for _, fo := range rec.Batches {
 		sp := tr.step(fo.Step)
 		if sp == nil {
-			continue // of a step that is not kept
+			continue // the step is no longer kept
 		}
 		sp.batches = append(sp.batches, &batch{
 			acked:   fo.Acked,
--- a/batch/trainer_test.go
+++ b/batch/trainer_test.go
@@ -144,13 +144,13 @@
 	synctest.Wait()
 	if err != nil || len(pas) != len(pu.Manifest) {
 		tr.wo.note("trainer can't fetch %s", pu.Batch)
-		tr.retryAt = time.Now().Add(5 * comeBack)
+		tr.retryAt = time.Now().Add(5 * refusalRetryAfter)
 		return false
 	}
 	tr.older = append(tr.older, checkpoint{cursor: tr.cursor, taken: maps.Clone(tr.taken)})
 	for i, pa := range pas {
 		en := pu.Manifest[i]
-		if diff := cmp.Diff(tr.wo.truth[en.Digest], pa); diff != "" {
+		if diff := cmp.Diff(tr.wo.generated[en.Digest], pa); diff != "" {
 			tr.wo.fail("attribution", "payload of %s: %s", pu.Batch, diff)
 		}
 		if diff := cmp.Diff(pa.Segments, en.Segments); diff != "" {
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -77,19 +77,19 @@
 	slow        func(ru *run) bool // reports whether a run makes no progress
 	started     time.Time
 	trainer     *fakeTrainer
-	truth       map[string]message.Payload // payloads by digest, as generated
+	generated   map[string]message.Payload // payloads by digest, as generated
 	manifest    map[string]string          // digests of handed-over batches, by id
 }
 
 func newWorld(ctx context.Context, po Policy, names ...string) *world {
 	wo := &world{
-		ctx:      ctx,
-		folders:  map[string]map[string][]byte{storeOne.Instance: {}, storeTwo.Instance: {}},
-		manifest: map[string]string{},
-		policy:   po,
-		serving:  1,
-		started:  time.Now(),
-		truth:    map[string]message.Payload{},
+		ctx:       ctx,
+		folders:   map[string]map[string][]byte{storeOne.Instance: {}, storeTwo.Instance: {}},
+		manifest:  map[string]string{},
+		policy:    po,
+		serving:   1,
+		started:   time.Now(),
+		generated: map[string]message.Payload{},
 	}
 	wo.trainer = newTrainer(wo)
 	for _, na := range names {
@@ -323,7 +323,7 @@
 	pa := message.Payload{Group: sl.Group, Member: sl.Member, Prompt: ru.at.Prompt, Segments: ru.segments, Step: sl.Step, Trainer: sl.Trainer}
 	data, _ := json.Marshal(pa)
 	digest := blob.Digest(data)
-	wo.truth[digest] = pa
+	wo.generated[digest] = pa
 	pls, _ := blob.Replicate(wo.ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
 	if ru.node.dead || ru.node.paused {
 		return
