--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -35,29 +35,29 @@
 
 // An Attendant serves the endpoints of one instance.
 type Attendant struct {
-	applied   uint64 // applied revision
-	depot     *blob.Client
-	done      chan struct{} // closed to stop the systems
-	endpoints []*endpoint   // in the order of the options
-	entries   []instancelist.Instance
-	fence     *rollout.Fence
-	handOver  chan struct{} // closed when running samples are to be resumed elsewhere
-	http      *http.Server
-	loop      sync.WaitGroup
-	mu        sync.Mutex // guards entries
-	options   Options
-	partials  *partialTable
-	pool      *peer.Pool
-	profiles  *profile.Replica
-	random    *rand.Rand // used by systems only
-	reporter  *membership.Reporter
-	router    *mux.Router
-	server    *peer.Server
-	settleAt  time.Time // next time to ask former homes
-	spreader  *profile.Syncer
-	startedAt time.Time
-	sweepAt   time.Time // next sweep of the data folder
-	inflight  *inflight
+	applied     uint64 // applied revision
+	depot       *blob.Client
+	done        chan struct{} // closed to stop the systems
+	endpoints   []*endpoint   // in the order of the options
+	entries     []instancelist.Instance
+	fence       *rollout.Fence
+	handOver    chan struct{} // closed when running samples are to be resumed elsewhere
+	http        *http.Server
+	loop        sync.WaitGroup
+	mu          sync.Mutex // guards entries
+	options     Options
+	partials    *partialTable
+	pool        *peer.Pool
+	profiles    *profile.Replica
+	random      *rand.Rand // used by systems only
+	reporter    *membership.Reporter
+	router      *mux.Router
+	server      *peer.Server
+	nextYieldAt time.Time // next time to ask former homes
+	spreader    *profile.Syncer
+	startedAt   time.Time
+	nextSweepAt time.Time // next sweep of the data folder
+	inflight    *inflight
 }
 
 // New returns an attendant for the endpoints of op.
@@ -220,10 +220,10 @@
 
 // sweepStore deletes old payloads from the data folder.
 func (at *Attendant) sweepStore(now time.Time) {
-	if at.options.Store == nil || now.Before(at.sweepAt) {
+	if at.options.Store == nil || now.Before(at.nextSweepAt) {
 		return
 	}
-	at.sweepAt = now.Add(at.jitter(sweepEvery))
+	at.nextSweepAt = now.Add(at.jitter(sweepEvery))
 	at.loop.Go(func() {
 		count, err := at.options.Store.Sweep(now)
 		lo := at.options.Log.WithField("data-folder", at.options.Store.Folder)
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -32,12 +32,12 @@
 	service    string
 	runs       atomic.Int64 // counts requests, for unique ids
 
-	mu      sync.Mutex
-	chunkAt time.Time // time of the last chunk with a version
-	poller  poller
-	report  engine.Report // latest
-	seenAt  time.Time     // time of the last answer
-	version engine.Version
+	mu            sync.Mutex
+	versionSeenAt time.Time // time of the last chunk with a version
+	poller        poller
+	report        engine.Report // latest
+	seenAt        time.Time     // time of the last answer
+	version       engine.Version
 }
 
 // uniqueID returns a unique id for one run of a request. A caller may repeat an id while its previous
@@ -77,7 +77,7 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.chunkAt, en.seenAt, en.version = now, now, ve
+	en.versionSeenAt, en.seenAt, en.version = now, now, ve
 }
 
 // observeReport records an engine's report. Its version may be older than that of recent chunks, so
@@ -86,7 +86,7 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.report, en.seenAt = rp, now
-	if rp.Version > en.version || now.Sub(en.chunkAt) > chunkPrecedence {
+	if rp.Version > en.version || now.Sub(en.versionSeenAt) > chunkPrecedence {
 		en.version = rp.Version
 	}
 }
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -15,8 +15,8 @@
 // YieldMethod is the RPC method of Yield.
 const YieldMethod = "Attendant.Yield"
 
-// settleEvery is the mean time between rounds of yield requests.
-const settleEvery = time.Second
+// yieldInterval is the mean time between rounds of yield requests.
+const yieldInterval = time.Second
 
 // A YieldRequest asks a former home to run no key under sets older than a revision.
 type YieldRequest struct {
@@ -51,10 +51,10 @@
 // While attendants hold different revisions, two of them may consider themselves home of a key. So
 // the new home runs no key that the former one may have run until that one has yielded.
 func (at *Attendant) settleHomes(now time.Time) {
-	if now.Before(at.settleAt) {
+	if now.Before(at.nextYieldAt) {
 		return
 	}
-	at.settleAt = now.Add(at.jitter(settleEvery))
+	at.nextYieldAt = now.Add(at.jitter(yieldInterval))
 	for _, en := range at.endpoints {
 		for _, former := range en.once.PendingYields() {
 			at.loop.Go(func() { at.settleHome(en, former) })
@@ -66,7 +66,7 @@
 func (at *Attendant) settleHome(en *endpoint, former string) {
 	ctx, cancel := withDone(context.Background(), at.done, nil)
 	defer cancel()
-	ctx, cancel = context.WithTimeout(ctx, settleEvery)
+	ctx, cancel = context.WithTimeout(ctx, yieldInterval)
 	defer cancel()
 	revision := at.profiles.Revision()
 	lo, err := at.locate(ctx, former)
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -128,7 +128,7 @@
 	if atm.request.ResumeFrom != nil {
 		at.resume(ctx, en, atm)
 	}
-	ti, err := at.enterSample(ctx, en, atm)
+	ti, err := at.admitSample(ctx, en, atm)
 	if err != nil {
 		return err
 	}
@@ -145,9 +145,9 @@
 	return err
 }
 
-// enterSample waits for permission to send an attempt to the engine. During shutdown waiting
+// admitSample waits for permission to send an attempt to the engine. During shutdown waiting
 // attempts are refused, since they start sooner elsewhere.
-func (at *Attendant) enterSample(ctx context.Context, en *endpoint, atm *attempt) (*gate.Ticket, error) {
+func (at *Attendant) admitSample(ctx context.Context, en *endpoint, atm *attempt) (*gate.Ticket, error) {
 	ctx, cancel := withDone(ctx, at.inflight.left, errLeaving)
 	defer cancel()
 	ti, err := en.admit(ctx, gate.Request{
--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -36,13 +36,13 @@
 			taken := !po.before(ba.position())
 			if taken != ba.acked && (taken || restarted) {
 				ba.acked = taken
-				tr.touch()
+				tr.markChanged()
 			}
 		}
 	}
 	if at.before(po) || restarted {
 		tr.cursor = cu
-		tr.touch()
+		tr.markChanged()
 	}
 	tr.recordVersion(cu, po, restarted)
 	return nil
@@ -104,7 +104,7 @@
 	}
 	tr.steps = nil
 	tr.cursor, tr.droppedBatch = cu, cu.Batch
-	tr.touch()
+	tr.markChanged()
 	tr.recordVersion(cu, po, restarted)
 	tr.notify()
 	return nil
--- a/batch/fresh.go
+++ b/batch/fresh.go
@@ -37,7 +37,7 @@
 	for _, sp := range tr.steps {
 		for i := range sp.slots {
 			sl := &sp.slots[i]
-			if sl.state == slotFilled && tr.staleEntry(sl.entry) {
+			if sl.state == slotFilled && tr.isStale(sl.entry) {
 				tr.counts.Stale++
 				tr.counts.WastedTokens += tokens(sl.entry.Segments)
 				sl.reopen()
@@ -51,8 +51,8 @@
 	*sl = slot{attempts: sl.attempts, group: sl.group, member: sl.member}
 }
 
-// staleEntry reports whether a sample is stale under the trainer's current version.
-func (tr *trainer) staleEntry(en *message.SampleEntry) bool {
+// isStale reports whether a sample is stale under the trainer's current version.
+func (tr *trainer) isStale(en *message.SampleEntry) bool {
 	return tr.policy.stale(oldest(en.Segments), tr.version)
 }
 
@@ -62,7 +62,7 @@
 	for i := range ba.entries {
 		en := &ba.entries[i]
 		key := slotKey{group: en.Group, member: en.Member}
-		if !ba.reopened[key] && tr.staleEntry(en) {
+		if !ba.reopened[key] && tr.isStale(en) {
 			tr.counts.Stale++
 			tr.counts.WastedTokens += tokens(en.Segments)
 			ba.reopen(key)
@@ -108,7 +108,7 @@
 		if other.number >= sp.number {
 			break
 		}
-		if !other.taken() {
+		if !other.fullyTaken() {
 			steps++
 		}
 	}
--- a/batch/launch.go
+++ b/batch/launch.go
@@ -100,8 +100,8 @@
 // remove removes an attempt from all indexes.
 func (ow *Owner) remove(at *attempt) {
 	delete(ow.attempts, at.id)
-	at.trainer.running = without(at.trainer.running, at)
-	at.slot.attempts = without(at.slot.attempts, at)
+	at.trainer.running = removeAttempt(at.trainer.running, at)
+	at.slot.attempts = removeAttempt(at.slot.attempts, at)
 }
 
 // cancel cancels an attempt whose result is no longer needed.
@@ -110,7 +110,7 @@
 	ow.enqueue(func() { ow.CancelFunc(at.id) })
 }
 
-func without(ats []*attempt, at *attempt) []*attempt {
+func removeAttempt(ats []*attempt, at *attempt) []*attempt {
 	i := slices.Index(ats, at)
 	if i < 0 {
 		return ats
--- a/batch/payload.go
+++ b/batch/payload.go
@@ -22,7 +22,7 @@
 	defer ow.mu.Unlock()
 	tr := ow.trainer(name)
 	if tr == nil || ow.leaseState(tr, time.Now()) == lease.NotHeld {
-		return nil, notHome(name)
+		return nil, notOwned(name)
 	}
 	ba := tr.sealed(id)
 	if ba == nil || ba.seq > tr.published {
--- a/batch/publish.go
+++ b/batch/publish.go
@@ -98,7 +98,7 @@
 // retire drops taken steps except the newest ones, which a restarted trainer may request again.
 func (tr *trainer) retire() {
 	taken := 0
-	for taken < len(tr.steps) && tr.steps[taken].taken() {
+	for taken < len(tr.steps) && tr.steps[taken].fullyTaken() {
 		taken++
 	}
 	for ; taken > tr.policy.keptSteps(); taken-- {
--- a/batch/pull.go
+++ b/batch/pull.go
@@ -60,16 +60,16 @@
 func (ow *Owner) pull(name string, cu message.Cursor, po position, now time.Time) pulled {
 	tr := ow.trainer(name)
 	if tr == nil {
-		return pulled{err: notHome(name)}
+		return pulled{err: notOwned(name)}
 	}
 	epoch, st := ow.LeaseFunc(name, now)
 	switch mine := tr.loaded && epoch == tr.epoch; {
 	case st == lease.NotHeld:
-		return pulled{err: notHome(name)}
+		return pulled{err: notOwned(name)}
 	case !mine && st == lease.Held:
 		return pulled{changed: tr.changed}
 	case !mine, st == lease.Unconfirmed && !tr.hasCursor(cu, po):
-		return pulled{err: notHome(name)}
+		return pulled{err: notOwned(name)}
 	}
 	if err := ow.acknowledge(tr, cu, po, st); err != nil {
 		return pulled{err: err}
@@ -82,10 +82,10 @@
 	case ba != nil && ba.seq <= tr.published && len(ba.reopened) == 0 && !tr.reopenStaleEntries(ba):
 		return pulled{answer: tr.handOver(ba)}
 	case st == lease.Unconfirmed:
-		return pulled{err: notHome(name)} // another owner may have it
+		return pulled{err: notOwned(name)} // another owner may have it
 	}
 	pu := pulled{changed: tr.changed}
-	if last := tr.last(); last <= po.step && tr.next(po) == nil && !tr.incomplete(po.step) {
+	if last := tr.lastStep(); last <= po.step && tr.next(po) == nil && !tr.incomplete(po.step) {
 		pu.idle = refuse(outcome.Refused, "no step is open: submit the one after step %d", last)
 	}
 	return pu
--- a/batch/refusal.go
+++ b/batch/refusal.go
@@ -19,6 +19,6 @@
 	return re
 }
 
-func notHome(trainer string) *outcome.Refusal {
+func notOwned(trainer string) *outcome.Refusal {
 	return refuse(outcome.NotHome, "trainer %s is not owned here", trainer)
 }
--- a/batch/seal.go
+++ b/batch/seal.go
@@ -100,13 +100,13 @@
 	tr.seals++
 	ba.seal = tr.seals
 	ba.digest = manifestDigest(tr.name, ba)
-	ba.seq = tr.touch()
+	ba.seq = tr.markChanged()
 	tr.counts.Seals++
 }
 
 // discard records a payload to be deleted after the next ledger write.
 func (tr *trainer) discard(places []message.BlobLocation, digest string) {
-	tr.garbage = append(tr.garbage, garbage{digest: digest, places: places, seq: tr.touch()})
+	tr.garbage = append(tr.garbage, garbage{digest: digest, places: places, seq: tr.markChanged()})
 }
 
 // untakenBatches returns the number of batches up to a step that are sealed and not taken.
--- a/batch/status.go
+++ b/batch/status.go
@@ -62,7 +62,7 @@
 			OpenSteps: tr.open(),
 			Overdue:   tr.overdue(time.Now()),
 			Running:   len(tr.running),
-			Sealed:    tr.untakenBatches(tr.last()),
+			Sealed:    tr.untakenBatches(tr.lastStep()),
 			Standing:  st.String(),
 			Trainer:   tr.name,
 			Unfilled:  tr.unfilled(),
--- a/batch/step.go
+++ b/batch/step.go
@@ -106,8 +106,8 @@
 	return len(sp.batches) > 0 && sp.batches[len(sp.batches)-1].whole
 }
 
-// taken reports whether the trainer has taken the whole step.
-func (sp *step) taken() bool {
+// fullyTaken reports whether the trainer has taken the whole step.
+func (sp *step) fullyTaken() bool {
 	return sp.sealedWhole() && sp.batches[len(sp.batches)-1].acked
 }
 
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -67,17 +67,17 @@
 	defer ow.mu.Unlock()
 	tr := ow.trainer(name)
 	if tr == nil {
-		return submission{err: notHome(name)}
+		return submission{err: notOwned(name)}
 	}
 	epoch, st := ow.LeaseFunc(name, time.Now())
 	sp := tr.step(number)
 	switch {
 	case st == lease.NotHeld:
-		return submission{err: notHome(name)}
+		return submission{err: notOwned(name)}
 	case st == lease.Held && (!tr.loaded || epoch != tr.epoch):
 		return submission{changed: tr.changed}
 	case !tr.loaded || epoch != tr.epoch:
-		return submission{err: notHome(name)}
+		return submission{err: notOwned(name)}
 	case st == lease.Unconfirmed:
 		// A later owner may have rewound the trainer behind the step.
 		return submission{err: refuse(outcome.Refused, "the key-value service is unavailable: step %d can't be recorded", number)}
@@ -90,7 +90,7 @@
 	case sp != nil:
 		return submission{accepted: true}
 	case !tr.isNextStep(number):
-		return submission{err: refuse(outcome.BadRequest, "step %d does not follow step %d", number, tr.last())}
+		return submission{err: refuse(outcome.BadRequest, "step %d does not follow step %d", number, tr.lastStep())}
 	case tr.pending() >= tr.policy.maxOpenSteps():
 		return submission{err: refuse(outcome.Overloaded, "%d steps are open", tr.open())}
 	default:
@@ -113,13 +113,13 @@
 		return // submitted twice concurrently
 	}
 	sp.places = places
-	sp.seq = tr.touch()
+	sp.seq = tr.markChanged()
 	sp.setRequest(req)
 	tr.notify()
 }
 
-// last returns the highest submitted or taken step, or -1.
-func (tr *trainer) last() int {
+// lastStep returns the highest submitted or taken step, or -1.
+func (tr *trainer) lastStep() int {
 	last := -1
 	if po, err := positionOf(tr.cursor); err == nil {
 		last = po.step
@@ -136,7 +136,7 @@
 func (tr *trainer) isNextStep(number int) bool {
 	switch {
 	case len(tr.steps) > 0 || tr.cursor.Batch != "":
-		return number == tr.last()+1
+		return number == tr.lastStep()+1
 	case tr.cursor == message.Cursor{}:
 		return true
 	default: // some trainers send 0 instead of -1 before their first step
--- a/batch/trainer.go
+++ b/batch/trainer.go
@@ -44,8 +44,8 @@
 	seq    uint64
 }
 
-// touch records a change to be written to the ledger and returns its sequence number.
-func (tr *trainer) touch() uint64 {
+// markChanged records a change to be written to the ledger and returns its sequence number.
+func (tr *trainer) markChanged() uint64 {
 	tr.wanted++
 	return tr.wanted
 }
@@ -70,7 +70,7 @@
 func (tr *trainer) open() int {
 	count := 0
 	for _, sp := range tr.steps {
-		if !sp.taken() {
+		if !sp.fullyTaken() {
 			count++
 		}
 	}
@@ -83,7 +83,7 @@
 func (tr *trainer) pending() int {
 	count := tr.open()
 	for _, sp := range tr.steps {
-		if sp.taken() {
+		if sp.fullyTaken() {
 			continue
 		}
 		if sp.sealedWhole() {
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -65,7 +65,7 @@
 	if echo != at.id && (echo != "" || !at.echoPerLine) {
 		ex.close()
 		crossed(at.call.policy.Service).Inc()
-		return nil, errors.Wrapf(errCrossed, "answer of %q", echo)
+		return nil, errors.Wrapf(errMismatchedResponse, "answer of %q", echo)
 	}
 	se.observe(at, ex.answer.Header)
 	return ex, nil
--- a/call/client.go
+++ b/call/client.go
@@ -17,10 +17,10 @@
 
 // Errors of an exchange with an attendant.
 var (
-	errBroken  = errors.New("connection to the attendant broke")
-	errCrossed = errors.New("answer belongs to another request")
-	errNotSent = errors.New("no connection to the attendant")
-	errStalled = errors.New("connection to the attendant stalled")
+	errBroken             = errors.New("connection to the attendant broke")
+	errMismatchedResponse = errors.New("answer belongs to another request")
+	errNotSent            = errors.New("no connection to the attendant")
+	errStalled            = errors.New("connection to the attendant stalled")
 )
 
 const (
--- a/call/quarantine.go
+++ b/call/quarantine.go
@@ -38,5 +38,5 @@
 	}
 	re := ru.request.refusal(outcome.Refused, "endpoints ended while they ran this call")
 	re.RetryAfter = ve.HeldFor.Round(time.Second).String()
-	return ru.correctFate(re)
+	return ru.correctOutcome(re)
 }
--- a/call/request.go
+++ b/call/request.go
@@ -50,13 +50,13 @@
 func (req *request) refusal(code outcome.Code, text string) *outcome.Refusal {
 	re := outcome.NewRefusal(code, req.id, text)
 	if req.keyed {
-		setFateUnknown(re)
+		setOutcomeUnknown(re)
 	}
 	return re
 }
 
-// setFateUnknown sets the outcome of a refusal to unknown.
-func setFateUnknown(re *outcome.Refusal) {
+// setOutcomeUnknown sets the outcome of a refusal to unknown.
+func setOutcomeUnknown(re *outcome.Refusal) {
 	re.Fate = outcome.Unknown.String()
 	if re.Code == outcome.Refused {
 		re.Code = outcome.OutcomeUnknown
--- a/call/run.go
+++ b/call/run.go
@@ -140,13 +140,13 @@
 	}
 	re = req.refusal(outcome.Overloaded, "no endpoint accepts requests now")
 	re.RetryAfter = noEndpointWait.String()
-	return en, ru.correctFate(re)
+	return en, ru.correctOutcome(re)
 }
 
-// correctFate removes outcome not-run from a refusal if an attempt may have run.
-func (ru *run) correctFate(re *outcome.Refusal) *outcome.Refusal {
+// correctOutcome removes outcome not-run from a refusal if an attempt may have run.
+func (ru *run) correctOutcome(re *outcome.Refusal) *outcome.Refusal {
 	if ru.mayHaveRun {
-		setFateUnknown(re)
+		setOutcomeUnknown(re)
 	}
 	return re
 }
@@ -257,9 +257,9 @@
 	out := *re
 	out.RequestID = req.id
 	if req.keyed && !concernsKey(re) {
-		setFateUnknown(&out)
+		setOutcomeUnknown(&out)
 	}
-	return ru.correctFate(&out)
+	return ru.correctOutcome(&out)
 }
 
 // finalRefusal returns the refusal of a call after its last attempt.
@@ -280,7 +280,7 @@
 	if outcomeOf(err) == outcome.NotRun && !req.keyed {
 		re.Fate = outcome.NotRun.String()
 	}
-	return ru.correctFate(re)
+	return ru.correctOutcome(re)
 }
 
 // sleep waits and reports whether ctx is still active.
--- a/idempotency/homes.go
+++ b/idempotency/homes.go
@@ -127,8 +127,8 @@
 	return slices.Compact(names)
 }
 
-// forget drops the oldest periods that all other endpoints left before a time.
-func (ho *homes) forget(endpoint string, before time.Time) {
+// dropOld drops the oldest periods that all other endpoints left before a time.
+func (ho *homes) dropOld(endpoint string, before time.Time) {
 	for len(ho.periods) > 1 && ho.periods[0].leftBefore(endpoint, before) {
 		ho.periods = ho.periods[1:]
 	}
--- a/idempotency/row.go
+++ b/idempotency/row.go
@@ -23,9 +23,9 @@
 }
 
 // size returns the approximate size of the answer in bytes.
-func (an *Response) size() int {
-	size := len(an.Body)
-	for name, values := range an.Header {
+func (rs *Response) size() int {
+	size := len(rs.Body)
+	for name, values := range rs.Header {
 		size += len(name)
 		for _, value := range values {
 			size += len(value)
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -261,7 +261,7 @@
 	defer ta.mu.Unlock()
 	ta.observeTime(now)
 	ta.sweep(now)
-	ta.homes.forget(ta.options.Endpoint, ta.latest.Add(-ta.options.Keep))
+	ta.homes.dropOld(ta.options.Endpoint, ta.latest.Add(-ta.options.Keep))
 }
 
 // sweep drops expired keys that are not running.
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -181,13 +181,13 @@
 			ro.mu.Lock()
 			defer ro.mu.Unlock()
 			rw.callPending = false
-			ro.applyAnswer(rw, rq, an, err, time.Now())
+			ro.applyResponse(rw, rq, an, err, time.Now())
 		})
 	})
 }
 
-// applyAnswer processes the outcome of an order.
-func (ro *Rollout) applyAnswer(rw *row, rq Request, an Response, err error, now time.Time) {
+// applyResponse processes the outcome of an order.
+func (ro *Rollout) applyResponse(rw *row, rq Request, an Response, err error, now time.Time) {
 	if rq.Order.Epoch != ro.epoch || rq.Incarnation != rw.incarnation() {
 		return // the engine has been reset to Unknown and will be probed
 	}
