--- a/batch/owner.go
+++ b/batch/owner.go
@@ -42,7 +42,7 @@
 	// GoFunc runs a function that does I/O; in a new goroutine if nil.
 	GoFunc func(run func(ctx context.Context))
 	// LeaseFunc returns the state of the trainer's lease without blocking.
-	LeaseFunc  func(trainer string, now time.Time) (epoch uint64, standing lease.State)
+	LeaseFunc  func(trainer string, now time.Time) (epoch uint64, state lease.State)
 	Log        *logrus.Entry // optional
 	MaxRunning int           // attempts of all trainers; 0 means no bound
 	// ReplicateFunc stores a step's request in the data folders.
--- a/batch/session_test.go
+++ b/batch/session_test.go
@@ -75,7 +75,7 @@
 	"owner-is-cut-off-after-seal": {fault: func(wo *world) {
 		wo.onHandOver = func() {
 			wo.nodes[0].cut, wo.trainer.idle = true, true
-			wo.note("a is cut off, trainer gives up")
+			wo.note("a is cut off, trainer stops pulling")
 		}
 		wo.at(8*time.Second, func() { wo.trainer.idle = false })
 		wo.at(12*time.Second, func() { wo.nodes[0].cut = false; wo.note("a is connected") })
@@ -148,7 +148,7 @@
 	}},
 	"both-folders-out-of-reach": {fault: func(wo *world) {
 		wo.onHandOver = func() {
-			wo.note("all payloads are out of reach")
+			wo.note("all payloads are unreachable")
 			wo.cutOff = map[string]bool{}
 			for digest := range wo.generated {
 				wo.cutOff[digest] = true
--- a/call/run.go
+++ b/call/run.go
@@ -37,8 +37,8 @@
 	tried      []string // endpoints tried
 }
 
-// runAttempts makes attempts until try succeeds or no further attempt is allowed. It returns the refusal
-// for the caller, or nil.
+// runAttempts makes attempts until try succeeds or no further attempt is allowed. It returns the
+// refusal for the caller, or nil.
 func (ru *run) runAttempts(ctx context.Context, try func(context.Context, *attempt) error) *outcome.Refusal {
 	bu := ru.server.budgetOf(ru.request.policy)
 	bu.Deposit()
