--- a/allocation/allocation.go
+++ b/allocation/allocation.go
@@ -1,6 +1,6 @@
-// Package allocation brings between entries and the scheduler what live requests of
-// customers may have: entries tell what they see, and are told how many places they may
-// give each customer. What is decided is decided in package fairshare.
+// Package allocation limits customers across all entries: entries report demand to the scheduler that
+// holds the lease, which returns their limits of slots per customer, and grants them tokens of quotas.
+// Packages fairshare and quota make the decisions.
 package allocation
 
 import (
@@ -13,42 +13,38 @@
 	"wisteriacroft/scale"
 )
 
-// tellMethod is the call by which an entry tells the holder what it has seen.
-const tellMethod = "allotment.Tell"
+// reportMethod is the RPC method for reports of entries.
+const reportMethod = "allotment.Tell"
 
-// Times of telling.
+// Times of reports.
 const (
-	// tellEvery is how often an entry tells while customers compete: what is decided
-	// on it holds about as long as a few requests take.
-	tellEvery = 500 * time.Millisecond
-	// tellTimeout bounds one call.
-	tellTimeout = 500 * time.Millisecond
-	// shortFor is for how long endpoints count as short of places after one refused a
-	// request.
+	// reportInterval is the interval between reports while customers compete.
+	reportInterval = 500 * time.Millisecond
+	// reportTimeout is the timeout of a report.
+	reportTimeout = 500 * time.Millisecond
+	// shortFor is how long a service counts as short of slots after a rejection.
 	shortFor = 2 * time.Second
-	// entryLife is for how long the holder counts with what an entry told, and an entry
-	// with what it was told.
-	entryLife = 3 * tellEvery
+	// reportTTL is how long a report is valid at the holder, and its answer at the entry.
+	reportTTL = 3 * reportInterval
 )
 
-// ErrNotHolder means that the process doesn't decide now, or doesn't know enough yet.
-var ErrNotHolder = errors.New("does not divide places")
+// ErrNotHolder means that the process does not hold the lease, or has held it for too short to decide.
+var ErrNotHolder = errors.New("does not divide slots")
 
-// Codes returns the errors of this package that cross processes.
+// Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-allotment-holder"}} }
 
-// A DemandRequest holds what an entry has seen since it told before.
+// A DemandRequest is an entry's report for the time since its previous one.
 type DemandRequest struct {
-	Boot string // of the entry; changes with each of its starts
-	// Demands are customers' of services; nil while none compete, so that nothing is
-	// divided by them.
+	Boot string // ID of the entry's process, new at each start
+	// Demands are the demands of customers by service; nil while none compete.
 	Demands  map[string]fairshare.ServiceDemand
-	Instance string                       `cbor:",omitempty"` // of the entry; stays when it starts anew
-	Loads    map[string]scale.Observation `cbor:",omitempty"` // of plain services whose endpoints may be ordered
+	Instance string                       `cbor:",omitempty"` // of the entry; kept across restarts
+	Loads    map[string]scale.Observation `cbor:",omitempty"` // of scaled plain services
 }
 
-// A DemandResponse is what the entry may give.
+// A DemandResponse is the holder's answer to a report.
 type DemandResponse struct {
-	Bounds  fairshare.Bounds
-	Entries int // that tell
+	Bounds  fairshare.Bounds // limits of the entry
+	Entries int              // that report demands
 }
--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -15,92 +15,92 @@
 	"wisteriacroft/fairshare"
 )
 
-// A desk simulates a service, whose endpoints have slots and queues, and the entries in front of it.
-type desk struct {
-	cut     map[int]bool // entries that cannot reach the holder
-	entries []*deskEntry
-	epoch   uint64
-	held    bool
-	holder  *Allocator
-	mu      sync.Mutex  // guards all fields: entries report in the background
-	ends    []time.Time // end times of running and queued requests
-	places  int
-	rng     *rand.Rand
+// A simulation simulates a service, whose endpoints have slots and queues, and the entries in front of it.
+type simulation struct {
+	cut       map[int]bool // entries that cannot reach the holder
+	entries   []*simEntry
+	epoch     uint64
+	held      bool
+	allocator *Allocator
+	mu        sync.Mutex  // guards all fields: entries report in the background
+	ends      []time.Time // end times of running and queued requests
+	places    int
+	rng       *rand.Rand
 }
 
-type deskEntry struct {
-	demands map[string]fairshare.Demand
-	ends    map[string][]time.Time
-	short   bool
-	teller  *DemandReporter
+type simEntry struct {
+	demands  map[string]fairshare.Demand
+	ends     map[string][]time.Time
+	short    bool
+	reporter *DemandReporter
 }
 
-// A score counts a customer's requests.
-type score struct{ asked, served int }
+// A tally counts a customer's requests.
+type tally struct{ asked, served int }
 
-func quiet() *logrus.Entry {
+func quietLogger() *logrus.Entry {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
 	return logrus.NewEntry(logger)
 }
 
-func newDesk(t *testing.T, entries, places int) *desk {
+func newSimulation(t *testing.T, entries, places int) *simulation {
 	t.Helper()
-	de := &desk{cut: map[int]bool{}, epoch: 1, held: true, places: places, rng: rand.New(rand.NewPCG(1, 2))}
+	si := &simulation{cut: map[int]bool{}, epoch: 1, held: true, places: places, rng: rand.New(rand.NewPCG(1, 2))}
 	weights := func() map[string]float64 { return nil }
-	de.newHolder(weights)
+	si.newAllocator(weights)
 	for i := range entries {
-		en := &deskEntry{demands: map[string]fairshare.Demand{}, ends: map[string][]time.Time{}}
-		en.teller = &DemandReporter{
+		en := &simEntry{demands: map[string]fairshare.Demand{}, ends: map[string][]time.Time{}}
+		en.reporter = &DemandReporter{
 			CallFunc: func(_ context.Context, rq DemandRequest) (DemandResponse, error) {
-				de.mu.Lock()
-				defer de.mu.Unlock()
-				if de.cut[i] {
+				si.mu.Lock()
+				defer si.mu.Unlock()
+				if si.cut[i] {
 					return DemandResponse{}, context.DeadlineExceeded
 				}
-				return de.holder.tell(rq, time.Now())
+				return si.allocator.handleReport(rq, time.Now())
 			},
-			DemandsFunc: de.take(en), Log: quiet(), Metrics: metrics.NewSet(), WeightsFunc: weights,
+			DemandsFunc: si.collect(en), Log: quietLogger(), Metrics: metrics.NewSet(), WeightsFunc: weights,
 		}
-		de.entries = append(de.entries, en)
-		go en.teller.Run(t.Context())
+		si.entries = append(si.entries, en)
+		go en.reporter.Run(t.Context())
 	}
-	return de
+	return si
 }
 
-func (de *desk) newHolder(weights func() map[string]float64) {
-	de.holder = &Allocator{
-		Log: quiet(), Metrics: metrics.NewSet(), StandingFunc: func(time.Time) (uint64, bool) { return de.epoch, de.held },
+func (si *simulation) newAllocator(weights func() map[string]float64) {
+	si.allocator = &Allocator{
+		Log: quietLogger(), Metrics: metrics.NewSet(), StandingFunc: func(time.Time) (uint64, bool) { return si.epoch, si.held },
 		WeightsFunc: weights,
 	}
 }
 
-// take returns and resets an entry's demands, as a forwarder does.
-func (de *desk) take(en *deskEntry) func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
+// collect returns and resets an entry's demands, as a forwarder does.
+func (si *simulation) collect(en *simEntry) func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
 	return func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
-		de.mu.Lock()
-		defer de.mu.Unlock()
-		sd := fairshare.ServiceDemand{Customers: en.demands, Places: de.places, Short: en.short}
+		si.mu.Lock()
+		defer si.mu.Unlock()
+		sd := fairshare.ServiceDemand{Customers: en.demands, Places: si.places, Short: en.short}
 		en.demands, en.short = map[string]fairshare.Demand{}, false
 		return map[string]fairshare.ServiceDemand{"desk": sd}
 	}
 }
 
 const (
-	deskQueue = 2 // queued requests per slot
-	deskTick  = 5 * time.Millisecond
-	deskWork  = 50 * time.Millisecond // duration of a request
+	queuePerSlot = 2 // maximum
+	simTick      = 5 * time.Millisecond
+	requestTime  = 50 * time.Millisecond // duration of a request
 )
 
-// ask sends a customer's request to an entry and reports whether it was served.
-func (de *desk) ask(entry int, customer string) bool {
-	de.mu.Lock()
-	defer de.mu.Unlock()
-	en, now := de.entries[entry], time.Now()
+// request sends a customer's request to an entry and reports whether it was served.
+func (si *simulation) request(entry int, customer string) bool {
+	si.mu.Lock()
+	defer si.mu.Unlock()
+	en, now := si.entries[entry], time.Now()
 	running := expire(en.ends[customer], now)
 	dem := en.demands[customer]
 	dem.Asked++
-	bound := en.teller.CustomerBound(customer, "desk")
+	bound := en.reporter.CustomerBound(customer, "desk")
 	if bound >= 0 && len(running) >= bound {
 		dem.Refused++
 		dem.Met += len(running)
@@ -109,25 +109,25 @@
 	}
 	dem.Met += len(running) + 1
 	en.demands[customer] = dem
-	de.ends = expire(de.ends, now)
-	if len(de.ends) >= (1+deskQueue)*de.places {
+	si.ends = expire(si.ends, now)
+	if len(si.ends) >= (1+queuePerSlot)*si.places {
 		en.short = true
 		return false
 	}
 	begun := now
-	if len(de.ends) >= de.places {
-		begun = de.ends[len(de.ends)-de.places]
+	if len(si.ends) >= si.places {
+		begun = si.ends[len(si.ends)-si.places]
 	}
-	end := begun.Add(deskWork)
-	de.ends = append(de.ends, end)
+	end := begun.Add(requestTime)
+	si.ends = append(si.ends, end)
 	en.ends[customer] = append(running, end)
 	return true
 }
 
-// change runs a function under the lock.
-func (de *desk) change(what func()) {
-	de.mu.Lock()
-	defer de.mu.Unlock()
+// withLock runs a function under the lock.
+func (si *simulation) withLock(what func()) {
+	si.mu.Lock()
+	defer si.mu.Unlock()
 	what()
 }
 
@@ -139,73 +139,73 @@
 }
 
 // play sends requests of customers, at rates a second, to random entries for a period.
-func (de *desk) play(rates map[string]float64, length time.Duration, entries []int) map[string]score {
-	scores := map[string]score{}
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(deskTick) {
+func (si *simulation) play(rates map[string]float64, length time.Duration, entries []int) map[string]tally {
+	tallies := map[string]tally{}
+	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(simTick) {
 		var calls []string
 		for _, customer := range []string{"large", "small"} {
-			mean := rates[customer] * deskTick.Seconds()
+			mean := rates[customer] * simTick.Seconds()
 			for range int(mean) {
 				calls = append(calls, customer)
 			}
-			if de.rng.Float64() < mean-float64(int(mean)) {
+			if si.rng.Float64() < mean-float64(int(mean)) {
 				calls = append(calls, customer)
 			}
 		}
-		de.rng.Shuffle(len(calls), func(i, j int) { calls[i], calls[j] = calls[j], calls[i] })
+		si.rng.Shuffle(len(calls), func(i, j int) { calls[i], calls[j] = calls[j], calls[i] })
 		for _, customer := range calls {
-			sc := scores[customer]
-			sc.asked++
-			if de.ask(entries[de.rng.IntN(len(entries))], customer) {
-				sc.served++
+			ta := tallies[customer]
+			ta.asked++
+			if si.request(entries[si.rng.IntN(len(entries))], customer) {
+				ta.served++
 			}
-			scores[customer] = sc
+			tallies[customer] = ta
 		}
 	}
-	return scores
+	return tallies
 }
 
-func (sc score) part() float64 { return float64(sc.served) / float64(max(sc.asked, 1)) }
+func (ta tally) part() float64 { return float64(ta.served) / float64(max(ta.asked, 1)) }
 
 var allEntries = []int{0, 1, 2, 3, 4, 5}
 
 // A customer that requests ten times the capacity must not take more than a tenth of the requests of
 // one that asks for a third of it, and the endpoints stay busy.
-func TestCustomerAtTenTimesBesideASmallOne(t *testing.T) {
+func TestLargeCustomerDoesNotStarveSmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		de := newDesk(t, 6, 18)
+		si := newSimulation(t, 6, 18)
 		const capacity = 18 / 0.05
 		rates := map[string]float64{"large": 10 * capacity, "small": capacity / 3}
-		before := de.play(rates, time.Second, allEntries)
-		de.play(rates, 2*time.Second, allEntries)
-		scores := de.play(rates, 10*time.Second, allEntries)
-		t.Logf("small %.3f before bounds, %.3f with them; large %.3f", before["small"].part(), scores["small"].part(), scores["large"].part())
+		before := si.play(rates, time.Second, allEntries)
+		si.play(rates, 2*time.Second, allEntries)
+		tallies := si.play(rates, 10*time.Second, allEntries)
+		t.Logf("small %.3f before limits, %.3f with them; large %.3f", before["small"].part(), tallies["small"].part(), tallies["large"].part())
 		assert.Assert(t, before["small"].part() < 0.3)
-		assert.Assert(t, scores["small"].part() >= 0.9)
-		served := float64(scores["small"].served+scores["large"].served) / 10
+		assert.Assert(t, tallies["small"].part() >= 0.9)
+		served := float64(tallies["small"].served+tallies["large"].served) / 10
 		assert.Assert(t, served > 0.9*capacity, "%.0f of %.0f served a second", served, capacity)
 		// Limits end with the overload.
-		de.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 3*time.Second, allEntries)
-		scores = de.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 5*time.Second, allEntries)
-		assert.Assert(t, scores["large"].part() > 0.99 && scores["small"].part() > 0.99, "%v", scores)
+		si.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 3*time.Second, allEntries)
+		tallies = si.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 5*time.Second, allEntries)
+		assert.Assert(t, tallies["large"].part() > 0.99 && tallies["small"].part() > 0.99, "%v", tallies)
 	})
 }
 
-func TestEntryThatIsCutOff(t *testing.T) {
+func TestEntryWithoutHolder(t *testing.T) {
 	// An entry that cannot reach the scheduler must keep limiting customers, and must not reject
 	// everything.
 	synctest.Test(t, func(t *testing.T) {
-		de := newDesk(t, 6, 18)
+		si := newSimulation(t, 6, 18)
 		const capacity = 18 / 0.05
 		rates := map[string]float64{"large": 10 * capacity, "small": capacity / 3}
-		de.play(rates, 4*time.Second, allEntries)
-		de.change(func() { de.cut[0] = true })
-		de.play(rates, 3*time.Second, allEntries)
-		bound := de.entries[0].teller.CustomerBound("large", "desk")
-		t.Logf("the entry gives the large customer %d places by itself", bound)
+		si.play(rates, 4*time.Second, allEntries)
+		si.withLock(func() { si.cut[0] = true })
+		si.play(rates, 3*time.Second, allEntries)
+		bound := si.entries[0].reporter.CustomerBound("large", "desk")
+		t.Logf("the entry limits the large customer to %d slots by itself", bound)
 		assert.Assert(t, bound >= 1 && bound <= 18)
-		scores := de.play(rates, 10*time.Second, allEntries)
-		assert.Assert(t, scores["small"].part() >= 0.9, "%v", scores)
+		tallies := si.play(rates, 10*time.Second, allEntries)
+		assert.Assert(t, tallies["small"].part() >= 0.9, "%v", tallies)
 	})
 }
 
@@ -213,24 +213,24 @@
 	// A new scheduler must not divide all slots among the first few entries that report to it, which
 	// would overload the endpoints.
 	synctest.Test(t, func(t *testing.T) {
-		de := newDesk(t, 6, 18)
+		si := newSimulation(t, 6, 18)
 		const capacity = 18 / 0.05
 		rates := map[string]float64{"large": 10 * capacity, "small": capacity / 3}
-		de.play(rates, 4*time.Second, allEntries)
-		de.change(func() {
-			de.epoch++
-			de.newHolder(func() map[string]float64 { return nil })
+		si.play(rates, 4*time.Second, allEntries)
+		si.withLock(func() {
+			si.epoch++
+			si.newAllocator(func() map[string]float64 { return nil })
 		})
-		scores := de.play(rates, 6*time.Second, allEntries)
-		assert.Assert(t, scores["small"].part() >= 0.9, "%v", scores)
+		tallies := si.play(rates, 6*time.Second, allEntries)
+		assert.Assert(t, tallies["small"].part() >= 0.9, "%v", tallies)
 	})
 }
 
-func TestIdleEntriesTellNothing(t *testing.T) {
+func TestIdleEntriesSendNoReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		de := newDesk(t, 6, 18)
-		de.play(map[string]float64{"large": 100, "small": 100}, 5*time.Second, allEntries)
-		assert.Equal(t, len(de.holder.entries), 0)
-		assert.Equal(t, len(de.holder.Parts(time.Now())), 0)
+		si := newSimulation(t, 6, 18)
+		si.play(map[string]float64{"large": 100, "small": 100}, 5*time.Second, allEntries)
+		assert.Equal(t, len(si.allocator.entries), 0)
+		assert.Equal(t, len(si.allocator.Parts(time.Now())), 0)
 	})
 }
--- a/allocation/call.go
+++ b/allocation/call.go
@@ -9,8 +9,8 @@
 	"wisteriacroft/peer"
 )
 
-// callHolder makes a call to the holder of the lease. A holder that can't be reached is
-// looked for anew by the next call; one that is not sure that it holds stays.
+// callHolder makes a call to the holder of the lease. After a failure the next call looks the holder up
+// again, unless the holder answered with ErrNotHolder.
 func callHolder[Req, Resp any](ctx context.Context, fi *lease.Resolver, po *peer.Pool, method string, rq Req) (Resp, error) {
 	address := fi.Address(ctx)
 	if address == "" {
--- a/allocation/loads_test.go
+++ b/allocation/loads_test.go
@@ -15,46 +15,46 @@
 
 // An entry reports the load of plain services also while customers do not compete. Such reports must
 // not limit customers, neither at the holder nor, if it is unreachable, at the entry.
-func TestLoadsAreTold(t *testing.T) {
+func TestLoadsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := func() map[string]float64 { return nil }
 		held, cut := true, false
-		ho := &Allocator{
-			Census: &scale.LoadAggregator{}, Log: quiet(), Metrics: metrics.NewSet(),
+		al := &Allocator{
+			Census: &scale.LoadAggregator{}, Log: quietLogger(), Metrics: metrics.NewSet(),
 			StandingFunc: func(time.Time) (uint64, bool) { return 1, held }, WeightsFunc: weights,
 		}
-		te := &DemandReporter{
+		dr := &DemandReporter{
 			CallFunc: func(_ context.Context, rq DemandRequest) (DemandResponse, error) {
 				if cut {
 					return DemandResponse{}, context.DeadlineExceeded
 				}
-				return ho.tell(rq, time.Now())
+				return al.handleReport(rq, time.Now())
 			},
 			DemandsFunc: func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
 				return map[string]fairshare.ServiceDemand{"desk": {Customers: map[string]fairshare.Demand{"a": {Asked: 9, Met: 9}}, Places: 1, Short: true}}
 			},
-			Instance: "entry-1", Log: quiet(),
+			Instance: "entry-1", Log: quietLogger(),
 			LoadsFunc: func(time.Time) map[string]scale.Observation {
-				return map[string]scale.Observation{"desk": {Begun: 5, Span: tellEvery}}
+				return map[string]scale.Observation{"desk": {Begun: 5, Span: reportInterval}}
 			},
 			Metrics: metrics.NewSet(), WeightsFunc: weights,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go te.Run(ctx)
+		go dr.Run(ctx)
 		time.Sleep(3 * time.Second)
-		loads, known := ho.Census.Loads(time.Now())
+		loads, known := al.Census.Loads(time.Now())
 		assert.Assert(t, known)
 		assert.Equal(t, loads["desk"].Begun, 10.0)
-		assert.Equal(t, len(ho.entries), 0)
+		assert.Equal(t, len(al.entries), 0)
 		cut = true
 		time.Sleep(3 * time.Second)
-		_, known = ho.Census.Loads(time.Now())
-		assert.Assert(t, !known, "it was cut off")
-		assert.Equal(t, te.CustomerBound("a", "desk"), fairshare.NoBound)
+		_, known = al.Census.Loads(time.Now())
+		assert.Assert(t, !known, "the holder is unreachable")
+		assert.Equal(t, dr.CustomerBound("a", "desk"), fairshare.NoBound)
 		cut, held = false, false
 		time.Sleep(3 * time.Second)
-		_, known = ho.Census.Loads(time.Now())
-		assert.Assert(t, !known, "who doesn't hold the lease takes nothing in")
+		_, known = al.Census.Loads(time.Now())
+		assert.Assert(t, !known, "a process without the lease ignores reports")
 		cancel()
 		synctest.Wait()
 	})
