--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -1,53 +1,50 @@
-// Package quota keeps customers' requests to so many a second over all entries: a holder
-// grants tokens, and entries spend what they were granted. It talks to nothing and reads
-// no clock.
+// Package quota limits the request rate of customers over all entries with token buckets: a holder
+// grants tokens to entries, which spend them. It does no I/O and reads no clock.
 package quota
 
 import "time"
 
-// window is the time in which a quota may be exceeded by no more than its overshoot.
+// window is the time over which the overshoot of a quota is limited.
 const window = 10 * time.Second
 
-// leastLife is the shortest life of tokens: a call to the holder and back.
-const leastLife = 50 * time.Millisecond
+// minTTL is the minimum lifetime of tokens: about the duration of a call to the holder.
+const minTTL = 50 * time.Millisecond
 
-// Limit are what a customer may have.
+// A Limit is the quota of a customer.
 type Limit struct {
-	Overshoot float64 // by which part of it a quota may be exceeded within ten seconds
+	Overshoot float64 // fraction by which the quota may be exceeded within window
 	Rate      float64 // requests a second
 }
 
-// TokenTTL returns for how long tokens may be spent after they were granted.
+// TokenTTL returns the lifetime of tokens.
 //
-// In any window of ten seconds, two things come on top of the rate: tokens that were granted
-// before it and are spent in it, and those that the bucket had gathered. Each may be half of
-// the overshoot; see burst.
-func (te Limit) TokenTTL() time.Duration {
-	return max(time.Duration(te.Overshoot*float64(window)/2), leastLife)
+// A window may exceed the rate by the tokens granted before it and spent in it, and by those saved in
+// the bucket. Each may be half of the overshoot; see capacity.
+func (li Limit) TokenTTL() time.Duration {
+	return max(time.Duration(li.Overshoot*float64(window)/2), minTTL)
 }
 
-// burst returns how many tokens a bucket gathers, and at least one.
-func (te Limit) burst() float64 { return max(te.Rate*te.Overshoot*window.Seconds()/2, 1) }
+// capacity returns the capacity of a bucket, at least one token.
+func (li Limit) capacity() float64 { return max(li.Rate*li.Overshoot*window.Seconds()/2, 1) }
 
-// A Bucket holds the tokens of a customer that are not granted. The zero Bucket is empty:
-// a new holder doesn't know what the one before it granted, and must not grant it twice.
+// A Bucket is the token bucket of a customer at the holder. The zero Bucket is empty, so that a new
+// holder does not grant again what the previous one may have granted.
 type Bucket struct {
 	at    time.Time
 	level float64
 }
 
-// Take grants tokens, at most as many as are wanted, and returns after how long there is
-// one again if there is none.
-func (bu *Bucket) Take(te Limit, want int, now time.Time) (granted int, next time.Duration) {
+// Take grants at most want tokens. If it grants none, next is the time until there is one.
+func (bu *Bucket) Take(li Limit, want int, now time.Time) (granted int, next time.Duration) {
 	if !bu.at.IsZero() && now.After(bu.at) {
-		bu.level += te.Rate * now.Sub(bu.at).Seconds()
+		bu.level += li.Rate * now.Sub(bu.at).Seconds()
 	}
 	bu.at = now
-	bu.level = min(bu.level, te.burst())
+	bu.level = min(bu.level, li.capacity())
 	granted = max(min(want, int(bu.level)), 0)
 	bu.level -= float64(granted)
-	if granted == 0 && te.Rate > 0 {
-		next = time.Duration((1 - bu.level) / te.Rate * float64(time.Second))
+	if granted == 0 && li.Rate > 0 {
+		next = time.Duration((1 - bu.level) / li.Rate * float64(time.Second))
 	}
 	return granted, next
 }
--- a/quota/localbucket.go
+++ b/quota/localbucket.go
@@ -2,63 +2,62 @@
 
 import "time"
 
-// A LocalBucket holds the tokens of a customer that an entry was granted. The zero LocalBucket is
-// empty.
+// A LocalBucket holds the tokens of a customer that an entry was granted. The zero LocalBucket is empty.
+// It is not safe for concurrent use.
 type LocalBucket struct {
 	deniedUntil time.Time
-	rate        float64   // that the entry knew when it got the tokens
-	since       time.Time // the life of tokens that spent counts began
-	spent       int       // since then
-	before      int       // in the life before that
+	rate        float64   // quota for which the tokens were granted
+	periodStart time.Time // start of the current token lifetime
+	spent       int       // tokens spent in the current lifetime
+	previous    int       // tokens spent in the previous lifetime
 	tokens      int
-	until       time.Time // the tokens may be spent
+	expiresAt   time.Time // of the tokens
 }
 
-// Spend spends a token, if there is one. Tokens that were granted under another quota are
-// void: after one that is far lower they would be far too many.
-func (pu *LocalBucket) Spend(te Limit, now time.Time) bool {
-	if pu.rate != te.Rate || !now.Before(pu.until) {
-		pu.tokens = 0
+// Spend spends a token, if there is one. Tokens granted for a different rate are dropped, since they
+// may be too many for the new one.
+func (lb *LocalBucket) Spend(li Limit, now time.Time) bool {
+	if lb.rate != li.Rate || !now.Before(lb.expiresAt) {
+		lb.tokens = 0
 	}
-	if pu.tokens == 0 {
+	if lb.tokens == 0 {
 		return false
 	}
-	pu.tokens--
-	pu.note(te, now)
+	lb.tokens--
+	lb.count(li, now)
 	return true
 }
 
-// note counts what is spent.
-func (pu *LocalBucket) note(te Limit, now time.Time) {
-	if passed := now.Sub(pu.since); passed >= te.TokenTTL() {
-		pu.before = pu.spent
-		if passed >= 2*te.TokenTTL() {
-			pu.before = 0
+// count counts a spent token.
+func (lb *LocalBucket) count(li Limit, now time.Time) {
+	if passed := now.Sub(lb.periodStart); passed >= li.TokenTTL() {
+		lb.previous = lb.spent
+		if passed >= 2*li.TokenTTL() {
+			lb.previous = 0
 		}
-		pu.spent, pu.since = 0, now
+		lb.spent, lb.periodStart = 0, now
 	}
-	pu.spent++
+	lb.spent++
 }
 
-// RefillSize returns for how many tokens to ask: half of what is spent in their life, so that
-// few are left over and few calls are made.
-func (pu *LocalBucket) RefillSize() int { return max(max(pu.spent, pu.before)/2, 1) }
+// RefillSize returns how many tokens to request: half of those spent in a lifetime, which balances
+// expired tokens against calls.
+func (lb *LocalBucket) RefillSize() int { return max(max(lb.spent, lb.previous)/2, 1) }
 
-// Refill takes in the answer to a call that was made at asked: tokens, or none and how long
-// there won't be any.
-func (pu *LocalBucket) Refill(te Limit, tokens int, next time.Duration, asked time.Time) {
+// Refill records the answer to a call made at asked: tokens, or none for the duration next.
+func (lb *LocalBucket) Refill(li Limit, tokens int, next time.Duration, asked time.Time) {
 	if tokens <= 0 {
-		pu.deniedUntil = asked.Add(next)
+		lb.deniedUntil = asked.Add(next)
 		return
 	}
-	pu.tokens, pu.rate, pu.until = tokens, te.Rate, asked.Add(te.TokenTTL())
+	lb.tokens, lb.rate, lb.expiresAt = tokens, li.Rate, asked.Add(li.TokenTTL())
 }
 
-// RetryDelay returns for how long it is known that there are no tokens. A new quota makes what
-// was known of the old one void.
-func (pu *LocalBucket) RetryDelay(te Limit, now time.Time) time.Duration {
-	if pu.rate != te.Rate {
-		pu.rate, pu.tokens, pu.deniedUntil = te.Rate, 0, time.Time{}
+// RetryDelay returns for how long there are no tokens according to the last answer. A different rate
+// resets the bucket.
+func (lb *LocalBucket) RetryDelay(li Limit, now time.Time) time.Duration {
+	if lb.rate != li.Rate {
+		lb.rate, lb.tokens, lb.deniedUntil = li.Rate, 0, time.Time{}
 	}
-	return max(pu.deniedUntil.Sub(now), 0)
+	return max(lb.deniedUntil.Sub(now), 0)
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,22 +12,22 @@
 
 // A system simulates one customer's quota at a holder and several entries.
 type system struct {
-	bucket Bucket
-	now    time.Time
-	purses []LocalBucket
-	spent  []time.Time
+	bucket  Bucket
+	now     time.Time
+	buckets []LocalBucket
+	spent   []time.Time
 }
 
 // ask sends a request to an entry, which cannot reach the holder if cut.
-func (sy *system) ask(entry int, te Limit, cut bool) bool {
-	pu := &sy.purses[entry]
-	if !pu.Spend(te, sy.now) {
-		if cut || pu.RetryDelay(te, sy.now) > 0 {
+func (sy *system) ask(entry int, li Limit, cut bool) bool {
+	lb := &sy.buckets[entry]
+	if !lb.Spend(li, sy.now) {
+		if cut || lb.RetryDelay(li, sy.now) > 0 {
 			return false
 		}
-		tokens, next := sy.bucket.Take(te, pu.RefillSize(), sy.now)
-		pu.Refill(te, tokens, next, sy.now)
-		if !pu.Spend(te, sy.now) {
+		tokens, next := sy.bucket.Take(li, lb.RefillSize(), sy.now)
+		lb.Refill(li, tokens, next, sy.now)
+		if !lb.Spend(li, sy.now) {
 			return false
 		}
 	}
@@ -51,14 +51,14 @@
 	return most
 }
 
-func TestQuotaIsUsedAndKept(t *testing.T) {
+func TestQuotaIsUsedAndNotExceeded(t *testing.T) {
 	for _, rate := range []float64{0.5, 3, 40, 500} {
-		te := Limit{Overshoot: 0.1, Rate: rate}
-		sy := &system{now: begin, purses: make([]LocalBucket, 6)}
+		li := Limit{Overshoot: 0.1, Rate: rate}
+		sy := &system{now: begin, buckets: make([]LocalBucket, 6)}
 		for i := range 60 * 200 {
 			sy.now = begin.Add(time.Duration(i) * 5 * time.Millisecond)
 			for range 1 + int(rate/20) {
-				sy.ask(i%6, te, false)
+				sy.ask(i%6, li, false)
 			}
 		}
 		mean := float64(len(sy.spent)) / 60
@@ -68,9 +68,9 @@
 	}
 }
 
-func TestQuotaThatGoesFarDown(t *testing.T) {
+func TestLoweredQuota(t *testing.T) {
 	// Tokens granted under a higher quota must not be spent after the quota is lowered.
-	sy := &system{now: begin, purses: make([]LocalBucket, 6)}
+	sy := &system{now: begin, buckets: make([]LocalBucket, 6)}
 	high, low := Limit{Overshoot: 0.1, Rate: 1000}, Limit{Overshoot: 0.1, Rate: 10}
 	for i := range 4000 {
 		sy.now = begin.Add(time.Duration(i) * time.Millisecond)
@@ -85,22 +85,22 @@
 	assert.Assert(t, sy.most(changed) >= 95)
 }
 
-func TestCutOffEntrySpendsWhatItHas(t *testing.T) {
+func TestTokensOfUnreachableEntryExpire(t *testing.T) {
 	// Tokens of an entry that cannot reach the holder must expire: other entries are granted tokens in
 	// the meantime, and together they would exceed the quota.
-	te := Limit{Overshoot: 0.1, Rate: 100}
-	sy := &system{now: begin, purses: make([]LocalBucket, 1)}
+	li := Limit{Overshoot: 0.1, Rate: 100}
+	sy := &system{now: begin, buckets: make([]LocalBucket, 1)}
 	for i := range 1000 {
 		sy.now = begin.Add(time.Duration(i) * 5 * time.Millisecond)
-		sy.ask(0, te, false)
+		sy.ask(0, li, false)
 	}
 	before := len(sy.spent)
 	cut := sy.now
 	for i := range 1000 {
 		sy.now = cut.Add(time.Duration(i) * 5 * time.Millisecond)
-		sy.ask(0, te, true)
+		sy.ask(0, li, true)
 	}
-	assert.Assert(t, float64(len(sy.spent)-before) <= te.Rate*te.TokenTTL().Seconds())
+	assert.Assert(t, float64(len(sy.spent)-before) <= li.Rate*li.TokenTTL().Seconds())
 }
 
 // Whatever the rates, network failures, restarts and holder changes, the requests in any 10 s after
@@ -108,34 +108,34 @@
 func TestExploreQuota(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		overshoot := rapid.SampledFrom([]float64{0.02, 0.1, 0.5}).Draw(rt, "overshoot")
-		te := Limit{Overshoot: overshoot, Rate: rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")}
-		sy := &system{now: begin, purses: make([]LocalBucket, rapid.IntRange(1, 4).Draw(rt, "entries"))}
-		cut := make([]bool, len(sy.purses))
+		li := Limit{Overshoot: overshoot, Rate: rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")}
+		sy := &system{now: begin, buckets: make([]LocalBucket, rapid.IntRange(1, 4).Draw(rt, "entries"))}
+		cut := make([]bool, len(sy.buckets))
 		changed := begin
 		for range rapid.IntRange(1, 60).Draw(rt, "phases") {
-			entry := rapid.IntRange(0, len(sy.purses)-1).Draw(rt, "entry")
+			entry := rapid.IntRange(0, len(sy.buckets)-1).Draw(rt, "entry")
 			switch rapid.IntRange(0, 6).Draw(rt, "event") {
 			case 0:
 				cut[entry] = !cut[entry]
 			case 1:
-				sy.purses[entry] = LocalBucket{} // restart of an entry
+				sy.buckets[entry] = LocalBucket{} // restart of an entry
 			case 2:
 				sy.bucket = Bucket{} // new holder
 			case 3:
-				te.Rate = rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")
+				li.Rate = rapid.SampledFrom([]float64{0.3, 2, 20, 200}).Draw(rt, "rate")
 				changed = sy.now
 			}
 			step := rapid.SampledFrom([]time.Duration{time.Millisecond, 10 * time.Millisecond, 100 * time.Millisecond}).Draw(rt, "step")
 			for range rapid.IntRange(1, 100).Draw(rt, "requests") {
 				sy.now = sy.now.Add(step)
-				at := rapid.IntRange(0, len(sy.purses)-1).Draw(rt, "at")
-				sy.ask(at, te, cut[at])
+				at := rapid.IntRange(0, len(sy.buckets)-1).Draw(rt, "at")
+				sy.ask(at, li, cut[at])
 			}
 		}
 		// Tokens live at least leastLife, and a bucket holds at least one token.
-		slack := te.Rate*max(leastLife.Seconds(), overshoot*window.Seconds()/2) + max(te.Rate*overshoot*window.Seconds()/2, 1)
-		if most := float64(sy.most(changed)); most > te.Rate*window.Seconds()+slack+1 {
-			rt.Fatalf("%f requests in %s at %f a second", most, window, te.Rate)
+		slack := li.Rate*max(minTTL.Seconds(), overshoot*window.Seconds()/2) + max(li.Rate*overshoot*window.Seconds()/2, 1)
+		if most := float64(sy.most(changed)); most > li.Rate*window.Seconds()+slack+1 {
+			rt.Fatalf("%f requests in %s at %f a second", most, window, li.Rate)
 		}
 	})
 }
