--- a/route/endpoint.go
+++ b/route/endpoint.go
@@ -2,21 +2,21 @@
 
 import "wisteriacroft/engine"
 
-// A State says whether an endpoint takes new work.
+// A State says whether an endpoint accepts new requests.
 type State string
 
 // The states. The zero State counts as Ready.
 const (
 	Leaving State = "leaving"
 	Ready   State = "ready"
-	// Suspect is an endpoint whose attendant has gone silent. It gets work
-	// only where no other endpoint is left: the silence may be this side's.
+	// Suspect is an endpoint that does not respond. It gets requests only if there is no other, since
+	// the network on this side may be at fault.
 	Suspect State = "suspect"
 )
 
-// An Endpoint is one row of the table, as the entry sees it.
+// An Endpoint is an endpoint as listed in the table.
 type Endpoint struct {
-	Address       string // IP:port of the attendant
+	Address       string // IP:port
 	FailureDomain string
 	ID            string
 	Service       string
@@ -24,22 +24,22 @@
 	Version       engine.Version // observed; 0 for plain services
 }
 
-// A Load is what an endpoint carries, as told by its attendant.
+// A Load is the load that an endpoint reports.
 type Load struct {
-	Limit   int // how many may run; 0 if not known
+	Limit   int // maximum running requests; 0 if not known
 	Running int
 	Waiting int
 }
 
-// AnyFailureDomain is a Need's FailureDomain that prefers none.
+// AnyFailureDomain is the FailureDomain of a Need without a preference.
 const AnyFailureDomain = "*"
 
-// A Need says what a request asks of its endpoint.
+// A Need holds the requirements of a request for its endpoint.
 type Need struct {
-	Exclude       []string // endpoints already tried
+	Exclude       []string // IDs of endpoints already tried
 	FailureDomain string   // preferred; "" means Options.FailureDomain
 	MinVersion    engine.Version
 	Prefix        string  // key of a shared prompt prefix, or ""
-	Room          float64 // load, as part of its limit, that the endpoint must be below; 0 means no bound
+	Room          float64 // load, as a fraction of its limit, that the endpoint must be below; 0 means no limit
 	Service       string
 }
--- a/route/group.go
+++ b/route/group.go
@@ -9,15 +9,14 @@
 	"wisteriacroft/engine"
 )
 
-// tries is how many random rows are looked at for a usable one before the
-// rows are walked in order.
-const tries = 8
+// maxRandomTries is how many random rows are examined before the rows are scanned in order.
+const maxRandomTries = 8
 
-// A group is the rows of a service, or of a service in one failure domain,
-// that take new work: newest version first, then by id. So the rows with at
-// least a version are its beginning, and are found without a walk.
+// A group is rows of a service that are picked from together, such as those in one failure domain. It is
+// sorted by descending version, then by ID, so that the rows with a minimum version are a prefix
+// found by binary search.
 type group struct {
-	next int // of round robin
+	next int // round-robin position
 	rows []*row
 }
 
@@ -29,13 +28,13 @@
 	)
 }
 
-// add puts a row into its place.
+// add inserts a row in order.
 func (gr *group) add(ro *row) {
 	i, _ := slices.BinarySearchFunc(gr.rows, ro, compareRows)
 	gr.rows = slices.Insert(gr.rows, i, ro)
 }
 
-// remove takes a row out.
+// remove removes a row.
 func (gr *group) remove(ro *row) {
 	i, ok := slices.BinarySearchFunc(gr.rows, ro, compareRows)
 	if ok {
@@ -43,8 +42,8 @@
 	}
 }
 
-// fresh returns the rows with at least a version.
-func (gr *group) fresh(ve engine.Version) []*row {
+// withVersion returns the rows with at least version ve.
+func (gr *group) withVersion(ve engine.Version) []*row {
 	n, _ := slices.BinarySearchFunc(gr.rows, ve, func(ro *row, ve engine.Version) int {
 		if ro.endpoint.Version >= ve {
 			return -1
@@ -54,42 +53,42 @@
 	return gr.rows[:n]
 }
 
-// fits reports whether a row may be given a request now.
+// fits reports whether a row may get the request now.
 func (need *Need) fits(ro *row, now time.Time) bool {
-	if need.Room > 0 && ro.score() >= need.Room {
+	if need.Room > 0 && ro.loadRatio() >= need.Room {
 		return false
 	}
 	return ro.usable(now) && !slices.Contains(need.Exclude, ro.endpoint.ID)
 }
 
-// lesser returns the less loaded of two random rows that fit, or nil.
-func lesser(rows []*row, rng *rand.Rand, now time.Time, need *Need) *row {
-	first := random(rows, rng, now, need)
+// lessLoaded returns the less loaded of two random rows that fit, or nil.
+func lessLoaded(rows []*row, rng *rand.Rand, now time.Time, need *Need) *row {
+	first := randomFit(rows, rng, now, need)
 	if first == nil {
 		return nil
 	}
-	second := random(rows, rng, now, need)
-	if second.score() < first.score() {
+	second := randomFit(rows, rng, now, need)
+	if second.loadRatio() < first.loadRatio() {
 		return second
 	}
 	return first
 }
 
-// random returns a random row that fits, or nil if there is none.
-func random(rows []*row, rng *rand.Rand, now time.Time, need *Need) *row {
+// randomFit returns a random row that fits, or nil if there is none.
+func randomFit(rows []*row, rng *rand.Rand, now time.Time, need *Need) *row {
 	if len(rows) == 0 {
 		return nil
 	}
-	for range tries {
+	for range maxRandomTries {
 		if ro := rows[rng.IntN(len(rows))]; need.fits(ro, now) {
 			return ro
 		}
 	}
-	return inTurn(rows, rng.IntN(len(rows)), now, need)
+	return nextFit(rows, rng.IntN(len(rows)), now, need)
 }
 
-// inTurn returns the first row that fits, from an index on and round.
-func inTurn(rows []*row, from int, now time.Time, need *Need) *row {
+// nextFit returns the first row that fits, scanning cyclically from an index, or nil.
+func nextFit(rows []*row, from int, now time.Time, need *Need) *row {
 	for i := range rows {
 		if ro := rows[(from+i)%len(rows)]; need.fits(ro, now) {
 			return ro
--- a/route/options.go
+++ b/route/options.go
@@ -1,5 +1,5 @@
-// Package route chooses an endpoint for a request at an entry. Its view may be
-// stale: the attendant decides whether the request runs.
+// Package route picks endpoints for requests at an entry. Its view of them may be stale: an endpoint
+// may still reject the request.
 package route
 
 import (
@@ -15,35 +15,36 @@
 	defaultMaxPrefixes = 1 << 16
 	defaultSpill       = 0.8
 	maxEjectDoublings  = 4
-	// maxPassOver bounds how long a refusal keeps an endpoint out. The time
-	// that a refused caller is told is its place among those sent away, and
-	// the endpoint has places free long before.
-	maxPassOver = 250 * time.Millisecond
+	// maxAvoidance is the maximum time for which an endpoint is avoided after a rejection. The
+	// Retry-After of rejections is spread over callers, and so usually much longer than the time until
+	// the next free slot.
+	maxAvoidance = 250 * time.Millisecond
 )
 
-// A Policy says how to choose.
+// A Policy is a load-balancing policy.
 type Policy string
 
 // The policies.
 const (
-	// LeastLoaded takes the less loaded of two random endpoints, and keeps
-	// requests with one prefix together.
+	// LeastLoaded picks the less loaded of two random endpoints, and prefers the endpoint that last got
+	// the request's prefix.
 	LeastLoaded Policy = "least-loaded"
-	// RoundRobin is the baseline: each in turn, whatever its load, failure
-	// domain or prefixes.
+	// RoundRobin picks endpoints in turn, regardless of load, failure domain and prefix.
 	RoundRobin Policy = "round-robin"
 )
 
 // Options are the settings of a Table. The zero value has usable defaults.
 type Options struct {
-	EjectAfter    int           // consecutive failures; default 3
-	EjectFor      time.Duration // before a probe; doubled for each that fails, up to 16 times; default 2s
+	EjectAfter    int           // consecutive failures that eject an endpoint; default 3
+	EjectFor      time.Duration // until a probe; doubled after each failed one, up to 16 times; default 2s
 	FailureDomain string        // of the entry; "" means no preference
-	LoadBound     float64       // a prefix's endpoint may carry this many times the mean; default 1.25
-	MaxPrefixes   int           // prefixes remembered; default 65,536
+	LoadBound     float64       // maximum load of a prefix's endpoint, in multiples of the mean; default 1.25
+	MaxPrefixes   int           // size of the prefix cache; default 65,536
 	Policy        Policy        // default LeastLoaded
 	Seed          uint64
-	Spill         float64 // load, as part of its limit, from which an endpoint in the preferred failure domain is passed over for a less loaded one elsewhere; default 0.8
+	// Spill is the load, as a fraction of its limit, from which an endpoint in the preferred failure
+	// domain is passed over for a less loaded one elsewhere; default 0.8.
+	Spill float64
 }
 
 // withDefaults returns the options with their defaults filled in.
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -2,15 +2,14 @@
 
 import "container/list"
 
-// prefixes remember which endpoint last got a prefix, so that the requests of
-// a group find the prefix in its cache. The least recently used is forgotten
-// first. The zero value is empty.
+// prefixes is an LRU cache of the endpoint that last got a prefix, so that requests with the same
+// prefix reach an endpoint that has it cached. The zero value is empty.
 type prefixes struct {
 	byKey map[prefixKey]*list.Element
 	order list.List // of prefixEntry, most recently used first
 }
 
-// A prefixKey is a prefix of a service.
+// A prefixKey identifies a prefix of a service.
 type prefixKey struct {
 	prefix  string
 	service string
@@ -32,7 +31,8 @@
 	return el.Value.(prefixEntry).endpoint
 }
 
-// set remembers the endpoint of a prefix.
+// set stores the endpoint of a prefix, and evicts the least recently used prefix if there are more
+// than most.
 func (pr *prefixes) set(key prefixKey, endpoint string, most int) {
 	if pr.byKey == nil {
 		pr.byKey = make(map[prefixKey]*list.Element)
--- a/route/row.go
+++ b/route/row.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// assumedLimit stands for how many may run where that is not known.
+// assumedLimit is the concurrency limit of an endpoint that has not reported one.
 const assumedLimit = 16
 
-// A row is an endpoint and what the entry knows of it.
+// A row is the state of an endpoint.
 type row struct {
-	endpoint Endpoint
-	ejected  int       // times in a row, since the last success
-	failures int       // in a row
-	inFlight int       // requests of this entry that have not ended
-	load     Load      // last observed
-	probing  bool      // ejected, and one request is out to try it
-	until    time.Time // passed over until then
+	endpoint   Endpoint
+	ejected    int       // consecutive ejections, since the last success
+	failures   int       // consecutive failures
+	inFlight   int       // requests of this entry
+	load       Load      // last reported
+	probing    bool      // ejected, and a probe is in flight
+	avoidUntil time.Time // avoided until then
 }
 
-// score returns the row's load as part of its limit. What this entry has sent
-// since the last observation is in inFlight, and may be in the load too; the
-// larger of both counts.
-func (ro *row) score() float64 {
+// loadRatio returns the row's load as a fraction of its limit. Requests of this entry may be included in
+// the reported load or not, so that the larger of both counts.
+func (ro *row) loadRatio() float64 {
 	limit := ro.load.Limit
 	if limit == 0 {
 		limit = assumedLimit
@@ -27,11 +26,10 @@
 	return float64(max(ro.inFlight, ro.load.Running+ro.load.Waiting)) / float64(limit)
 }
 
-// usable reports whether the row may be given a request now. An ejected
-// endpoint gets one request at a time once its time is over: the probe that
-// decides whether it comes back.
+// usable reports whether the row may get a request now. After its ejection time, an ejected endpoint
+// gets one request at a time as a probe.
 func (ro *row) usable(now time.Time) bool {
-	if now.Before(ro.until) {
+	if now.Before(ro.avoidUntil) {
 		return false
 	}
 	return ro.ejected == 0 || !ro.probing
--- a/route/service.go
+++ b/route/service.go
@@ -9,18 +9,17 @@
 
 // A service is the rows of one service.
 type service struct {
-	all      group             // that take new work
-	domains  map[string]*group // the same, by failure domain
-	inFlight int               // of this entry, over all rows
-	known    int               // rows, whether or not they take new work
-	none     nothing
-	spare    group // that are suspect
+	ready      group             // rows that accept new requests
+	domains    map[string]*group // the same, by failure domain
+	inFlight   int               // requests of this entry, over all rows
+	total      int               // rows in any state
+	noneUsable noneUsable
+	suspect    group // rows in state Suspect
 }
 
-// A nothing is the knowledge that no row fits: until a time, for needs with at
-// least a version. While all endpoints refuse, each choice would otherwise
-// walk all rows, and cost most when there is most to do.
-type nothing struct {
+// A noneUsable caches that no row is usable until a time, for needs with at least a version. Without
+// it, each pick would scan all rows while all endpoints reject requests.
+type noneUsable struct {
 	until   time.Time
 	version engine.Version
 }
@@ -28,10 +27,10 @@
 // newService returns a service without rows.
 func newService() *service { return &service{domains: make(map[string]*group)} }
 
-// join lets a row take new work.
-func (se *service) join(ro *row) {
-	se.none = nothing{}
-	se.all.add(ro)
+// addReady adds a row to those that accept new requests.
+func (se *service) addReady(ro *row) {
+	se.noneUsable = noneUsable{}
+	se.ready.add(ro)
 	domain := ro.endpoint.FailureDomain
 	if se.domains[domain] == nil {
 		se.domains[domain] = &group{}
@@ -39,9 +38,9 @@
 	se.domains[domain].add(ro)
 }
 
-// part ends that a row takes new work.
-func (se *service) part(ro *row) {
-	se.all.remove(ro)
+// removeReady removes a row from those that accept new requests.
+func (se *service) removeReady(ro *row) {
+	se.ready.remove(ro)
 	domain := ro.endpoint.FailureDomain
 	gr := se.domains[domain]
 	if gr == nil {
@@ -53,52 +52,53 @@
 	}
 }
 
-// pick returns the row for a need, or nil.
+// pick returns the less loaded of two random rows, if possible in the preferred failure domain, or nil
+// if none fits.
 func (se *service) pick(now time.Time, need Need, rng *rand.Rand, spill float64) *row {
-	if now.Before(se.none.until) && need.MinVersion >= se.none.version {
+	if now.Before(se.noneUsable.until) && need.MinVersion >= se.noneUsable.version {
 		return nil
 	}
 	var near *row
 	if gr := se.domains[need.FailureDomain]; gr != nil {
-		near = lesser(gr.fresh(need.MinVersion), rng, now, &need)
+		near = lessLoaded(gr.withVersion(need.MinVersion), rng, now, &need)
 	}
-	if near != nil && near.score() < spill {
+	if near != nil && near.loadRatio() < spill {
 		return near
 	}
-	rows := se.all.fresh(need.MinVersion)
-	far := lesser(rows, rng, now, &need)
+	rows := se.ready.withVersion(need.MinVersion)
+	far := lessLoaded(rows, rng, now, &need)
 	if near == nil && far == nil && len(need.Exclude) == 0 && need.Room == 0 {
-		se.none = nothing{until: soonest(rows), version: need.MinVersion}
+		se.noneUsable = noneUsable{until: earliestUsable(rows), version: need.MinVersion}
 	}
-	if near == nil || far != nil && far.score() < near.score() {
+	if near == nil || far != nil && far.loadRatio() < near.loadRatio() {
 		return far
 	}
 	return near
 }
 
-// turn returns the next row in round robin, or nil.
-func (se *service) turn(now time.Time, need Need) *row {
-	rows := se.all.fresh(need.MinVersion)
+// nextRoundRobin returns the next row in round robin, or nil.
+func (se *service) nextRoundRobin(now time.Time, need Need) *row {
+	rows := se.ready.withVersion(need.MinVersion)
 	if len(rows) == 0 {
 		return nil
 	}
-	se.all.next++
-	return inTurn(rows, se.all.next%len(rows), now, &need)
+	se.ready.next++
+	return nextFit(rows, se.ready.next%len(rows), now, &need)
 }
 
-// bounded reports whether a row carries little enough of this entry's requests
-// to be given another for its prefix's sake.
-func (se *service) bounded(ro *row, bound float64) bool {
-	mean := float64(se.inFlight+1) / float64(max(1, len(se.all.rows)))
+// belowLoadBound reports whether a row has few enough of this entry's requests, relative to the mean, to
+// get another one because of its prefix.
+func (se *service) belowLoadBound(ro *row, bound float64) bool {
+	mean := float64(se.inFlight+1) / float64(max(1, len(se.ready.rows)))
 	return float64(ro.inFlight) < bound*mean+1
 }
 
-// soonest returns the first time at which a row is no longer passed over.
-func soonest(rows []*row) time.Time {
+// earliestUsable returns the earliest time at which a row is no longer avoided.
+func earliestUsable(rows []*row) time.Time {
 	var at time.Time
 	for i, ro := range rows {
-		if i == 0 || ro.until.Before(at) {
-			at = ro.until
+		if i == 0 || ro.avoidUntil.Before(at) {
+			at = ro.avoidUntil
 		}
 	}
 	return at
--- a/route/table.go
+++ b/route/table.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A Table holds the endpoints that an entry knows. It is safe for concurrent
-// use and reads no clock.
+// A Table holds the endpoints that an entry knows and picks one for each request. It is safe for
+// concurrent use and reads no clock.
 type Table struct {
 	mu       sync.Mutex
 	options  Options
 	prefixes prefixes
 	rng      *rand.Rand
-	rows     map[string]*row // by endpoint id
+	rows     map[string]*row // by endpoint ID
 	services map[string]*service
 }
 
@@ -28,8 +28,8 @@
 	}
 }
 
-// Upsert adds an endpoint, or changes what is known of it. Another address
-// means another process, whose failures start anew.
+// Upsert adds or updates an endpoint. A changed address means a new process, so that its state is
+// reset.
 func (ta *Table) Upsert(en Endpoint) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -47,7 +47,7 @@
 	ta.attach(ro)
 }
 
-// attach puts a row into the table.
+// attach adds a row to the table and its service.
 func (ta *Table) attach(ro *row) {
 	en := ro.endpoint
 	ta.rows[en.ID] = ro
@@ -56,37 +56,37 @@
 		se = newService()
 		ta.services[en.Service] = se
 	}
-	se.known++
+	se.total++
 	se.inFlight += ro.inFlight
 	switch en.State {
 	case Leaving:
 	case Suspect:
-		se.spare.add(ro)
+		se.suspect.add(ro)
 	default:
-		se.join(ro)
+		se.addReady(ro)
 	}
 }
 
-// detach takes a row out of the table.
+// detach removes a row from the table and its service.
 func (ta *Table) detach(ro *row) {
 	en := ro.endpoint
 	delete(ta.rows, en.ID)
 	se := ta.services[en.Service]
-	se.known--
+	se.total--
 	se.inFlight -= ro.inFlight
 	switch en.State {
 	case Leaving:
 	case Suspect:
-		se.spare.remove(ro)
+		se.suspect.remove(ro)
 	default:
-		se.part(ro)
+		se.removeReady(ro)
 	}
-	if se.known == 0 {
+	if se.total == 0 {
 		delete(ta.services, en.Service)
 	}
 }
 
-// Remove forgets an endpoint.
+// Remove removes an endpoint.
 func (ta *Table) Remove(id string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// Get returns an endpoint by id.
+// Get returns the endpoint with an ID.
 func (ta *Table) Get(id string) (Endpoint, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -105,7 +105,7 @@
 	return Endpoint{}, false
 }
 
-// Endpoints returns the endpoints of a service by id, whatever their state.
+// Endpoints returns the endpoints of a service in any state, sorted by ID.
 func (ta *Table) Endpoints(service string) []Endpoint {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -121,8 +121,8 @@
 	return ens
 }
 
-// Pick chooses an endpoint and counts the request to it, until Failed, Refused
-// or Succeeded is called for it. It is false if none fits.
+// Pick returns an endpoint for a request, and counts the request as in flight there until Failed,
+// Refused or Succeeded is called. It returns false if no endpoint fits.
 func (ta *Table) Pick(now time.Time, need Need) (Endpoint, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -134,28 +134,28 @@
 		return Endpoint{}, false
 	}
 	ro := ta.choose(now, need, se)
-	// Work that waits for room does not go to spare rows because others are full.
-	if ro == nil && (need.Room == 0 || len(se.all.rows) == 0) {
-		ro = lesser(se.spare.fresh(need.MinVersion), ta.rng, now, &need)
+	// A request with a load limit must not go to suspect endpoints because the others are full.
+	if ro == nil && (need.Room == 0 || len(se.ready.rows) == 0) {
+		ro = lessLoaded(se.suspect.withVersion(need.MinVersion), ta.rng, now, &need)
 	}
 	if ro == nil {
 		return Endpoint{}, false
 	}
-	ta.send(ro, se)
+	ta.begin(ro, se)
 	return ro.endpoint, true
 }
 
-// choose returns the row for a need, or nil.
+// choose returns a row for a need by the table's policy, or nil.
 func (ta *Table) choose(now time.Time, need Need, se *service) *row {
 	if ta.options.Policy == RoundRobin {
-		return se.turn(now, need)
+		return se.nextRoundRobin(now, need)
 	}
 	if need.Prefix == "" {
 		return se.pick(now, need, ta.rng, ta.options.Spill)
 	}
 	key := prefixKey{prefix: need.Prefix, service: need.Service}
 	ro := ta.rows[ta.prefixes.get(key)]
-	if ro != nil && ta.holds(now, ro, need) && se.bounded(ro, ta.options.LoadBound) {
+	if ro != nil && ta.keepsPrefix(now, ro, need) && se.belowLoadBound(ro, ta.options.LoadBound) {
 		return ro
 	}
 	ro = se.pick(now, need, ta.rng, ta.options.Spill)
@@ -165,15 +165,15 @@
 	return ro
 }
 
-// holds reports whether the row that had a prefix may be given another request.
-func (ta *Table) holds(now time.Time, ro *row, need Need) bool {
+// keepsPrefix reports whether the row that last got a prefix may get another request.
+func (ta *Table) keepsPrefix(now time.Time, ro *row, need Need) bool {
 	en := ro.endpoint
 	return en.Service == need.Service && en.State != Leaving && en.State != Suspect && en.Version >= need.MinVersion &&
 		need.fits(ro, now)
 }
 
-// Take counts a request to an endpoint that was chosen otherwise, such as the
-// home of a key, whatever its state: the attendant decides.
+// Take counts a request to an endpoint that was chosen otherwise, such as the owner of a key, whatever
+// the endpoint's state.
 func (ta *Table) Take(id string) (Endpoint, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -181,18 +181,18 @@
 	if ro == nil {
 		return Endpoint{}, false
 	}
-	ta.send(ro, ta.services[ro.endpoint.Service])
+	ta.begin(ro, ta.services[ro.endpoint.Service])
 	return ro.endpoint, true
 }
 
-// send counts a request to a row.
-func (ta *Table) send(ro *row, se *service) {
+// begin counts a request as in flight at a row.
+func (ta *Table) begin(ro *row, se *service) {
 	ro.inFlight++
 	se.inFlight++
 	ro.probing = ro.ejected > 0
 }
 
-// Observe takes in an endpoint's load, from an answer or from its attendant.
+// Observe records the load reported by an endpoint.
 func (ta *Table) Observe(id string, lo Load) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -201,18 +201,18 @@
 	}
 }
 
-// Succeeded ends a request that was answered.
+// Succeeded ends a request that was answered, and readmits the endpoint if it was ejected.
 func (ta *Table) Succeeded(_ time.Time, id string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ro := ta.end(id); ro != nil {
-		ro.failures, ro.ejected, ro.until = 0, 0, time.Time{}
-		ta.services[ro.endpoint.Service].none = nothing{}
+		ro.failures, ro.ejected, ro.avoidUntil = 0, 0, time.Time{}
+		ta.services[ro.endpoint.Service].noneUsable = noneUsable{}
 	}
 }
 
-// Failed ends a request that broke. Enough in a row eject the endpoint until
-// a probe succeeds.
+// Failed ends a request that failed. Options.EjectAfter consecutive failures eject the endpoint until a
+// probe succeeds.
 func (ta *Table) Failed(now time.Time, id string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -221,15 +221,15 @@
 		return
 	}
 	ro.failures++
-	if ro.failures < ta.options.EjectAfter || now.Before(ro.until) {
+	if ro.failures < ta.options.EjectAfter || now.Before(ro.avoidUntil) {
 		return
 	}
-	ro.until = now.Add(ta.options.EjectFor << min(ro.ejected, maxEjectDoublings))
+	ro.avoidUntil = now.Add(ta.options.EjectFor << min(ro.ejected, maxEjectDoublings))
 	ro.ejected++
 }
 
-// Refused ends a request that the attendant refused; the endpoint is passed
-// over for wait, within a bound.
+// Refused ends a request that the endpoint rejected. The endpoint is avoided for wait, at most
+// maxAvoidance.
 func (ta *Table) Refused(now time.Time, id string, wait time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -237,13 +237,13 @@
 	if ro == nil {
 		return
 	}
-	ro.failures, ro.ejected = 0, 0 // its attendant is there and answers
-	if until := now.Add(min(wait, maxPassOver)); until.After(ro.until) {
-		ro.until = until
+	ro.failures, ro.ejected = 0, 0 // the endpoint responds
+	if until := now.Add(min(wait, maxAvoidance)); until.After(ro.avoidUntil) {
+		ro.avoidUntil = until
 	}
 }
 
-// end takes a request off a row and returns the row, or nil.
+// end ends a request and returns the row of its endpoint, or nil if the endpoint is unknown.
 func (ta *Table) end(id string) *row {
 	ro := ta.rows[id]
 	if ro == nil {
@@ -257,12 +257,12 @@
 	return ro
 }
 
-// Len returns how many endpoints of a service are known.
+// Len returns the number of endpoints of a service in any state.
 func (ta *Table) Len(service string) int {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if se := ta.services[service]; se != nil {
-		return se.known
+		return se.total
 	}
 	return 0
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -52,12 +52,12 @@
 		{"spread over all", func(ta *Table) string { return picks(ta, 600, Need{}) }},
 		{"own failure domain first", func(ta *Table) string { return picks(ta, 20, Need{FailureDomain: "derby-hall"}) }},
 		{"own failure domain full", func(ta *Table) string { return picks(ta, 60, Need{FailureDomain: "derby-hall"}) }},
-		{"weights new enough", func(ta *Table) string { return picks(ta, 30, Need{MinVersion: 2}) }},
-		{"weights that nobody has", func(ta *Table) string { return picks(ta, 2, Need{MinVersion: 3}) }},
+		{"version new enough", func(ta *Table) string { return picks(ta, 30, Need{MinVersion: 2}) }},
+		{"version of no endpoint", func(ta *Table) string { return picks(ta, 2, Need{MinVersion: 3}) }},
 		{"all but one tried", func(ta *Table) string {
 			return picks(ta, 2, Need{Exclude: []string{"e0000", "e0001", "e0002", "e0004", "e0005"}})
 		}},
-		{"one prefix stays together, within bounds", func(ta *Table) string { return picks(ta, 24, Need{Prefix: "p"}) }},
+		{"one prefix stays together, within the load bound", func(ta *Table) string { return picks(ta, 24, Need{Prefix: "p"}) }},
 		{"leaving", func(ta *Table) string {
 			for _, id := range []string{"e0000", "e0001", "e0002", "e0003"} {
 				en, _ := ta.Get(id)
@@ -66,7 +66,7 @@
 			}
 			return picks(ta, 4, Need{})
 		}},
-		{"loaded by others", func(ta *Table) string {
+		{"loaded by other entries", func(ta *Table) string {
 			for _, id := range []string{"e0000", "e0001", "e0002", "e0003", "e0004"} {
 				ta.Observe(id, Load{Limit: 8, Running: 8, Waiting: 30})
 			}
@@ -76,7 +76,7 @@
 			ta.Take("e0000")
 			ta.Refused(noon, "e0000", time.Hour)
 			first := picks(ta, 60, Need{})
-			en, ok := ta.Pick(noon.Add(maxPassOver), Need{Service: "marker-llm"})
+			en, ok := ta.Pick(noon.Add(maxAvoidance), Need{Service: "marker-llm"})
 			return fmt.Sprint(first, " then ", en.ID, ok)
 		}},
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestPickWithLoadLimit(t *testing.T) {
 	// A sample must not be sent to a full endpoint, where it could wait for minutes while others become
 	// free, nor to a suspect one because the others are full.
 	ta := NewTable(Options{})
@@ -172,10 +172,10 @@
 	en, ok := ta.Pick(time.Time{}, need)
 	assert.Assert(t, ok && en.ID == "b")
 	_, ok = ta.Pick(time.Time{}, Need{Service: "marker"})
-	assert.Assert(t, ok, "other work is placed all the same")
+	assert.Assert(t, ok, "a request without a load limit is placed")
 }
 
-func TestSuspectIsTheLastResort(t *testing.T) {
+func TestSuspectIsLastResort(t *testing.T) {
 	// Calls go to an endpoint whose agent does not respond only if there is no other.
 	ta := NewTable(Options{})
 	ta.Upsert(Endpoint{ID: "a", Service: "desk", State: Suspect})
