--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry decides whether a request is tried again, and when.
+// Package retry decides whether and when a request is retried.
 package retry
 
 import (
@@ -19,14 +19,13 @@
 	defaultRatio       = 0.1
 )
 
-// A Policy bounds the retries of a service. The zero Policy has usable
-// defaults.
+// A Policy limits the retries of a service. The zero Policy has usable defaults.
 type Policy struct {
-	Backoff     time.Duration // before the first retry, doubled for each; default 10ms
-	Burst       int           // retries that a quiet service saves up; default 10
-	MaxAttempts int           // first one included; default 3
+	Backoff     time.Duration // before the first retry, doubled for each further one; default 10ms
+	Burst       int           // capacity of the budget, in retries; default 10
+	MaxAttempts int           // including the first; default 3
 	MaxBackoff  time.Duration // default 1s
-	Ratio       float64       // retries that each first attempt earns; default 0.1, negative for no retries
+	Ratio       float64       // retries added to the budget by each first attempt; default 0.1, negative for no retries
 }
 
 // withDefaults returns the policy with its defaults filled in.
@@ -42,28 +41,27 @@
 	return po
 }
 
-// An Attempt is one that got no whole answer.
+// An Attempt is a failed attempt of a request.
 type Attempt struct {
 	Deadline   time.Time // zero means none
 	Fate       outcome.Outcome
 	Number     int           // counted from 1
-	Repeatable bool          // running twice does no harm
-	Wait       time.Duration // least wait, such as the one that a refusal asked for when there is nowhere else to go
+	Repeatable bool          // the request may run more than once
+	Wait       time.Duration // minimum wait, such as the Retry-After of a rejection
 }
 
-// A Budget is the retry budget of one service: a bucket that first attempts
-// fill and retries empty. Without it each hop's retries multiply an overload,
-// which shows as load that stays high after its cause is gone. It is safe for
-// concurrent use.
+// A Budget is the retry budget of one service: a token bucket that first attempts fill and retries
+// empty. Without it, retries multiply an overload and can keep it going after its cause has ended. It
+// is safe for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	policy  Policy
-	refused float64 // moving mean: the part of attempts that found no place
-	rng     *rand.Rand
-	tokens  float64
+	mu       sync.Mutex
+	policy   Policy
+	rejected float64 // moving mean of the fraction of attempts rejected for lack of capacity
+	rng      *rand.Rand
+	tokens   float64
 }
 
-// NewBudget returns a full budget. The seed is that of the jitter.
+// NewBudget returns a full budget. The seed is for the jitter of waits.
 func NewBudget(po Policy, seed uint64) *Budget {
 	po = po.withDefaults()
 	return &Budget{
@@ -73,42 +71,42 @@
 	}
 }
 
-// Deposit counts a first attempt, which earns Ratio of a retry.
+// Deposit records a first attempt, which adds Policy.Ratio retries to the budget.
 func (bu *Budget) Deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	bu.tokens = min(bu.share()*float64(bu.policy.Burst), bu.tokens+bu.share()*bu.policy.Ratio)
+	bu.tokens = min(bu.allowedFraction()*float64(bu.policy.Burst), bu.tokens+bu.allowedFraction()*bu.policy.Ratio)
 }
 
 const (
-	// outcomeWeight is the part of one outcome in the mean of the last ones.
+	// outcomeWeight is the weight of a new outcome in the moving mean.
 	outcomeWeight = 0.05
-	// mostRefused is the part of attempts that may be refused before there are no
-	// retries at all: beyond it each retry most likely takes the place of a first attempt.
-	mostRefused = 0.25
+	// maxRejected is the fraction of rejected attempts from which no retries are allowed: each would
+	// probably displace a first attempt.
+	maxRejected = 0.25
 )
 
-// Observe counts whether an endpoint had a place for an attempt. The budget shrinks as
-// more are refused, and is as before when all are taken.
+// Observe records whether an endpoint accepted an attempt or rejected it for lack of capacity. The
+// budget shrinks with the fraction of rejected attempts.
 func (bu *Budget) Observe(taken bool) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	refused := 1.0
+	rejected := 1.0
 	if taken {
-		refused = 0
+		rejected = 0
 	}
-	bu.refused += outcomeWeight * (refused - bu.refused)
-	bu.tokens = min(bu.tokens, bu.share()*float64(bu.policy.Burst))
+	bu.rejected += outcomeWeight * (rejected - bu.rejected)
+	bu.tokens = min(bu.tokens, bu.allowedFraction()*float64(bu.policy.Burst))
 }
 
-// share returns which part of the policy's retries are allowed: all while no attempt is
-// refused, none from mostRefused on. The lock is held.
-func (bu *Budget) share() float64 { return max(0, 1-bu.refused/mostRefused) }
+// allowedFraction returns the fraction of the policy's retries that is allowed. The caller holds the
+// lock.
+func (bu *Budget) allowedFraction() float64 { return max(0, 1-bu.rejected/maxRejected) }
 
-// Retry returns how long to wait before the next attempt, and whether there
-// may be one. It takes a retry out of the budget.
+// Retry reports whether there may be another attempt, and how long to wait before it. It takes a retry
+// from the budget if so.
 func (bu *Budget) Retry(now time.Time, at Attempt) (time.Duration, bool) {
-	if !safe(at) {
+	if !retryable(at) {
 		return 0, false
 	}
 	bu.mu.Lock()
@@ -124,9 +122,9 @@
 	return wait, true
 }
 
-// safe reports whether another attempt can do no harm. A request whose fate is
-// unknown may have run: only one that may run twice is tried again.
-func safe(at Attempt) bool {
+// retryable reports whether the request may be sent again. If its outcome is unknown, it may have run,
+// so that it must be repeatable.
+func retryable(at Attempt) bool {
 	switch at.Fate {
 	case outcome.NotRun:
 		return true
@@ -137,9 +135,7 @@
 	}
 }
 
-// backoff returns the wait after an attempt: doubled for each, and between
-// half and the whole of that, so that those who failed together don't return
-// together.
+// backoff returns the wait after an attempt: exponential, with jitter between half and all of it.
 func (bu *Budget) backoff(number int) time.Duration {
 	wait := bu.policy.MaxBackoff
 	if shift := number - 1; shift < 30 {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -13,7 +13,7 @@
 
 // A request that is not repeatable must not run twice, and a request must not be retried after its
 // deadline.
-func TestWhetherToRetry(t *testing.T) {
+func TestRetry(t *testing.T) {
 	cases := []struct {
 		name    string
 		attempt Attempt
@@ -56,14 +56,14 @@
 }
 
 // While endpoints reject requests for lack of capacity, each retry would displace a first attempt.
-func TestBudgetShrinksUnderRefusals(t *testing.T) {
-	retries := func(refusedEach int) int {
+func TestBudgetShrinksWithRejections(t *testing.T) {
+	retries := func(rejectEach int) int {
 		bu := NewBudget(Policy{Burst: 30, MaxAttempts: 30, Ratio: 0.2}, 1)
 		count := 0
 		for i := range 1000 {
 			bu.Deposit()
-			refused := refusedEach > 0 && i%refusedEach == 0
-			bu.Observe(!refused)
+			rejected := rejectEach > 0 && i%rejectEach == 0
+			bu.Observe(!rejected)
 			if _, ok := bu.Retry(noon, Attempt{Number: 1, Repeatable: true}); ok {
 				count++
 			}
@@ -71,7 +71,7 @@
 		return count
 	}
 	none, few, half := retries(0), retries(20), retries(2)
-	t.Logf("retries of 1000: %d with none refused, %d with a twentieth, %d with half", none, few, half)
+	t.Logf("retries of 1000: %d with none rejected, %d with a twentieth, %d with half", none, few, half)
 	assert.Assert(t, none >= 220)
 	assert.Assert(t, few > none/2 && few < none)
 	assert.Assert(t, half <= 15)
