--- a/access/access.go
+++ b/access/access.go
@@ -1,5 +1,4 @@
-// Package access decides for which customer a request runs, by the key that its
-// caller shows.
+// Package access authenticates callers: it maps the key in a request to a customer.
 package access
 
 import (
@@ -8,21 +7,21 @@
 	"wisteriacroft/directory"
 )
 
-// A Verdict is what is done with a request.
+// A Verdict is the outcome of a check.
 type Verdict int
 
 // The outcomes.
 const (
-	// Allowed requests run, for the customer that the grant names.
+	// Allowed requests run for the customer of the grant.
 	Allowed Verdict = iota
-	// Denied requests show no key that lets them run. Repeated, they get the same.
+	// Denied requests have no valid key. A retry has the same outcome.
 	Denied
-	// Undetermined requests show a key that this process does not know, and may be behind
-	// on: they have not run, and another process may know it.
+	// Undetermined requests have a key that is not in this process's configuration, which may be missing or
+	// out of date. A retry, or another process, may allow them.
 	Undetermined
 )
 
-// A Reason says why a request got no grant. It never holds the key.
+// A Reason is the reason for an outcome other than Allowed. It never contains the key.
 type Reason string
 
 // The reasons.
@@ -36,14 +35,15 @@
 	KeyMaybeNewer     Reason = "the request's key may be newer than the configuration known here"
 )
 
-// A Grant is what a request may do.
+// A Grant is the result of a check.
 type Grant struct {
-	Customer directory.Customer // zero where no key is needed
+	Customer directory.Customer // zero if no key is required
 	Outcome  Verdict
-	Reason   Reason // unless Allowed
+	Reason   Reason // "" if Allowed
 }
 
-// Priority returns the priority of the grant's requests on a route.
+// Priority returns the priority of the request on a route: that of the customer, if it has one, or else
+// that of the route.
 func (gr Grant) Priority(ro directory.Route) int {
 	if gr.Customer.Ranked {
 		return gr.Customer.Priority
@@ -51,26 +51,23 @@
 	return ro.Priority
 }
 
-// scheme is the scheme of keys. Schemes are compared without regard to case.
+// scheme is the required authentication scheme, compared case-insensitively.
 const scheme = "Bearer"
 
-// Decide decides on a request by its credentials, the values of the header that
-// carries the key. Public requests need no key, and none is looked at: a caller that
-// shows an old one would be refused what anyone may have.
+// Decide checks the credentials of a request, the values of the header with the key. Those of public
+// requests are ignored, so that an outdated key does no harm.
 //
-// A key that is known here is believed, also if newsOld, that is if a newer
-// configuration may be in force: the one known here may be the newest, and refused
-// all callers of a process that is cut off would be turned away for nothing. A key
-// that is not known is then no reason to deny, which callers take for final: it may
-// have come with a configuration that the others have.
-func Decide(co *directory.Configuration, public bool, credentials []string, newsOld bool) Grant {
+// Stale means that the configuration may be out of date. Known keys are accepted all the same, so
+// that a process without updates keeps serving its callers. Unknown keys may have been added since, so
+// that they are Undetermined and not Denied, which callers treat as final.
+func Decide(co *directory.Configuration, public bool, credentials []string, stale bool) Grant {
 	if co == nil {
 		return Grant{Outcome: Undetermined, Reason: NoConfiguration}
 	}
 	if len(co.Customers) == 0 || public {
 		return Grant{}
 	}
-	key, reason := parse(credentials)
+	key, reason := parseKey(credentials)
 	if reason != "" {
 		return Grant{Outcome: Denied, Reason: reason}
 	}
@@ -78,19 +75,19 @@
 	switch {
 	case ok:
 		return Grant{Customer: cu}
-	case newsOld:
+	case stale:
 		return Grant{Outcome: Undetermined, Reason: KeyMaybeNewer}
 	default:
 		return Grant{Outcome: Denied, Reason: UnknownKey}
 	}
 }
 
-// parse returns the key that credentials show, or why there is none.
-func parse(credentials []string) (string, Reason) {
+// parse returns the key in credentials, or the reason why there is none.
+func parseKey(credentials []string) (string, Reason) {
 	switch {
 	case len(credentials) == 0:
 		return "", NoKey
-	case len(credentials) > 1: // which one would count is not the same everywhere
+	case len(credentials) > 1: // ambiguous
 		return "", MultipleKeys
 	}
 	name, key, _ := strings.Cut(strings.TrimSpace(credentials[0]), " ")
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -26,7 +26,7 @@
 		co          *directory.Configuration
 		public      bool
 		credentials []string
-		newsOld     bool
+		stale       bool
 		customer    string
 		outcome     Verdict
 		reason      Reason
@@ -42,7 +42,7 @@
 		{name: "public with a key that is gone", co: customers(), public: true, credentials: []string{"Bearer gone"}},
 		{name: "no configuration", outcome: Undetermined, reason: NoConfiguration},
 		{name: "no key", co: customers(), outcome: Denied, reason: NoKey},
-		{name: "no key, old news", co: customers(), newsOld: true, outcome: Denied, reason: NoKey},
+		{name: "no key, stale configuration", co: customers(), stale: true, outcome: Denied, reason: NoKey},
 		{name: "two keys", co: customers(), credentials: []string{"Bearer key-1", "Bearer key-1"}, outcome: Denied, reason: MultipleKeys},
 		{name: "other scheme", co: customers(), credentials: []string{"Basic key-1"}, outcome: Denied, reason: UnsupportedScheme},
 		{name: "empty header", co: customers(), credentials: []string{""}, outcome: Denied, reason: UnsupportedScheme},
@@ -52,12 +52,12 @@
 		{name: "key of 8 KB", co: customers(), credentials: []string{"Bearer " + strings.Repeat("k", 8<<10)}, outcome: Denied, reason: UnknownKey},
 		// With an outdated configuration, a known key is still accepted, and an unknown one may have
 		// been added since.
-		{name: "known key, old news", co: customers(), credentials: []string{"Bearer key-1"}, newsOld: true, customer: "ada"},
-		{name: "unknown key, old news", co: customers(), credentials: []string{"Bearer key-4"}, newsOld: true, outcome: Undetermined, reason: KeyMaybeNewer},
+		{name: "known key, stale configuration", co: customers(), credentials: []string{"Bearer key-1"}, stale: true, customer: "ada"},
+		{name: "unknown key, stale configuration", co: customers(), credentials: []string{"Bearer key-4"}, stale: true, outcome: Undetermined, reason: KeyMaybeNewer},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			gr := Decide(tc.co, tc.public, tc.credentials, tc.newsOld)
+			gr := Decide(tc.co, tc.public, tc.credentials, tc.stale)
 			assert.Equal(t, gr.Customer.Name, tc.customer)
 			assert.Equal(t, gr.Outcome, tc.outcome)
 			assert.Equal(t, gr.Reason, tc.reason)
@@ -74,7 +74,7 @@
 
 // A process that has received no update yet, or none for too long, may have an outdated
 // configuration and must not deny unknown keys.
-func TestCheckerWithOldNews(t *testing.T) {
+func TestCheckerWithStaleConfiguration(t *testing.T) {
 	di := &directory.Directory{}
 	di.SetConfiguration(customers())
 	ch := &Checker{Directory: di, Header: "Key", Metrics: metrics.NewSet()}
@@ -93,7 +93,7 @@
 	}
 	assert.Equal(t, len(ch.counted), maxCounted)
 	assert.Equal(t, ch.label("n"), "n")
-	assert.Equal(t, ch.label(strings.Repeat("n", 2*maxCounted)), others)
+	assert.Equal(t, ch.label(strings.Repeat("n", 2*maxCounted)), othersLabel)
 }
 
 // Whatever credentials a caller sends, only a customer's own key grants access.
@@ -102,8 +102,8 @@
 		f.Add(seed, false)
 		f.Add(seed, true)
 	}
-	f.Fuzz(func(t *testing.T, credential string, newsOld bool) {
-		gr := Decide(customers(), false, []string{credential}, newsOld)
+	f.Fuzz(func(t *testing.T, credential string, stale bool) {
+		gr := Decide(customers(), false, []string{credential}, stale)
 		if gr.Outcome != Allowed {
 			assert.Assert(t, gr.Customer.Name == "" && gr.Reason != "")
 			return
