--- a/admission/memorybudget.go
+++ b/admission/memorybudget.go
@@ -1,7 +1,7 @@
 package admission
 
-// MemoryBudget counts the bytes of request bodies and of responses that callers have not read yet, and limits
-// them. The zero MemoryBudget does not limit. It is not safe for concurrent use.
+// MemoryBudget counts the bytes of request bodies and of responses that callers have not read yet, and
+// limits them. The zero MemoryBudget does not limit. It is not safe for concurrent use.
 //
 // Callers that read slowly would otherwise let memory grow with the number of callers until the
 // process runs out of it. At the limit new requests are rejected; responses are delivered even if
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -81,7 +81,8 @@
 	return timeToServe(ahead+1, fo.Rate)
 }
 
-// timeToServe returns the time in which count requests are served at a rate a second, at most maxReturn.
+// timeToServe returns the time in which count requests are served at a rate a second, at most
+// maxRetryAfter.
 func timeToServe(count int, rate float64) time.Duration {
 	if rate <= 0 {
 		return maxRetryAfter
@@ -182,7 +183,7 @@
 	qu.waiting = slices.Delete(qu.waiting, at, at+1)
 }
 
-// lastIndex returns the index of the request that would be served lastIndex.
+// lastIndex returns the index of the request that would be served last.
 func (qu *Queue) lastIndex() int {
 	at := 0
 	for i := range qu.waiting {
@@ -280,13 +281,13 @@
 	}
 }
 
-// Refusing reports whether a request was rejected within tightSpan.
+// Refusing reports whether a request was rejected within contendedSpan.
 func (qu *Queue) Refusing(now time.Time) bool {
 	return !qu.refusedAt.IsZero() && now.Sub(qu.refusedAt) < contendedSpan
 }
 
-// Contended reports whether a request was queued or rejected within tightSpan. Optional work, such as
-// hedging, is then to be skipped.
+// Contended reports whether a request was queued or rejected within contendedSpan. Optional work, such
+// as hedging, is then to be skipped.
 func (qu *Queue) Contended(now time.Time) bool {
 	return !qu.queuedAt.IsZero() && now.Sub(qu.queuedAt) < contendedSpan
 }
--- a/forward/table.go
+++ b/forward/table.go
@@ -32,7 +32,7 @@
 type row struct {
 	failures    int // since the last response
 	inFlight    int
-	incarnation incarnation.Number // of the endpoint that the other fields describe
+	incarnation incarnation.Number // that the other fields describe
 	latency     time.Duration
 	penalty     time.Time // avoided until then
 	limiter     admission.Limiter
