--- a/allocation/allocation.go
+++ b/allocation/allocation.go
@@ -28,7 +28,7 @@
 	reportTTL = 3 * reportInterval
 )
 
-// ErrNotHolder means that the process does not hold the lease, or has held it for too short to decide.
+// ErrNotHolder means that the process does not hold the lease, or not for long enough to decide.
 var ErrNotHolder = errors.New("does not divide slots")
 
 // Codes returns the errors of this package that are sent between processes.
--- a/forward/attempts.go
+++ b/forward/attempts.go
@@ -34,8 +34,8 @@
 )
 
 // launch starts one more attempt and reports whether it did. It needs a slot of the customer, which
-// launch releases, and one at an endpoint, which recordResult releases. A queued request already holds its
-// customer's slot, so that a customer with a limit cannot fill the queue.
+// launch releases, and one at an endpoint, which recordResult releases. A queued request already holds
+// its customer's slot, so that a customer with a limit cannot fill the queue.
 func (at *attempts) launch(ctx context.Context, req requirement) bool {
 	fo, rq := at.forwarder, at.request
 	if len(at.tried) >= max(rq.route.MaxAttempts, 1) {
--- a/forward/operatorhold.go
+++ b/forward/operatorhold.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// operatorHoldRetry is the Retry-After for customers held by an operator, which lasts minutes rather
-// than seconds.
+// operatorHoldRetry is the Retry-After for customers held by an operator. Holds last minutes rather than
+// seconds.
 const operatorHoldRetry = 10 * time.Second
 
 // operatorHold returns the rejection of a request whose customer is held by an operator, or nil. The
--- a/forward/queue.go
+++ b/forward/queue.go
@@ -95,7 +95,7 @@
 	return ti.endpoint, ti.refusal
 }
 
-// candidates are the endpoints of a service as candidates for its queued requests.
+// candidates are the endpoints that requests of a queue may be sent to.
 type candidates struct {
 	domain string
 	ens    []directory.Endpoint
--- a/forward/request.go
+++ b/forward/request.go
@@ -15,7 +15,7 @@
 	"wisteriacroft/quarantine"
 )
 
-// A request is a request that was checked and read completely.
+// A request is a caller's request that was checked and read completely.
 type request struct {
 	body      []byte
 	customer  string // "" if callers need no key
