--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -15,16 +15,16 @@
 	"wisteriacroft/scale"
 )
 
-// divideEvery is how often places are divided anew at most.
-const divideEvery = 100 * time.Millisecond
+// divideInterval is the minimum interval between divisions.
+const divideInterval = 100 * time.Millisecond
 
-// An Allocator divides places among entries while the process holds a lease. Fill the
-// exported fields, then call Register.
+// An Allocator divides slots among entries while the process holds a lease. Fill the exported fields,
+// then call Register.
 //
-// What it knows need not last: entries tell it again within entryLife, and go on with
-// what they were told meanwhile.
+// Its state is not stored: after a change of holder, entries report again within reportTTL and keep
+// their limits until then.
 type Allocator struct {
-	// Census is told what entries see of plain services; nil is told nothing.
+	// Census receives the loads of plain services; it may be nil.
 	Census  *scale.LoadAggregator
 	Log     *logrus.Entry
 	Metrics *metrics.Set
@@ -33,76 +33,76 @@
 	// WeightsFunc returns the customers' weights.
 	WeightsFunc func() map[string]float64
 
-	begunAt   time.Time // of the epoch
-	bounds    map[string]fairshare.Bounds
-	dividedAt time.Time
-	division  fairshare.Divider
-	entries   map[string]told
-	epoch     uint64
-	mu        sync.Mutex
+	epochStart time.Time
+	bounds     map[string]fairshare.Bounds
+	dividedAt  time.Time
+	division   fairshare.Divider
+	entries    map[string]report
+	epoch      uint64
+	mu         sync.Mutex
 }
 
-// A told is what an entry told, and when.
-type told struct {
+// A report is the latest report of an entry.
+type report struct {
 	at      time.Time
 	demands map[string]fairshare.ServiceDemand
 }
 
-// Register lets entries tell.
-func (ho *Allocator) Register(sv *peer.Server) {
-	peer.Handle(sv, tellMethod, func(_ context.Context, _ message.Header, rq DemandRequest) (DemandResponse, error) {
-		return ho.tell(rq, time.Now())
+// Register registers the RPC method for reports.
+func (al *Allocator) Register(sv *peer.Server) {
+	peer.Handle(sv, reportMethod, func(_ context.Context, _ message.Header, rq DemandRequest) (DemandResponse, error) {
+		return al.handleReport(rq, time.Now())
 	})
 }
 
-// tell takes in what an entry has seen, and returns what it may give.
+// handleReport records a report and returns the limits of the entry.
 //
-// A new holder has heard of few entries. Divided among these, places would be given away
-// several times; so it decides nothing before all have had the time to tell.
-func (ho *Allocator) tell(rq DemandRequest, now time.Time) (DemandResponse, error) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	epoch, held := ho.StandingFunc(now)
+// A new holder does not divide before all entries have had the time to report. Divided among the first
+// few, slots would be assigned more than once.
+func (al *Allocator) handleReport(rq DemandRequest, now time.Time) (DemandResponse, error) {
+	al.mu.Lock()
+	defer al.mu.Unlock()
+	epoch, held := al.StandingFunc(now)
 	if !held {
-		ho.epoch = 0
+		al.epoch = 0
 		return DemandResponse{}, ErrNotHolder
 	}
-	if ho.epoch != epoch {
-		ho.epoch, ho.begunAt, ho.entries, ho.division = epoch, now, map[string]told{}, fairshare.Divider{}
+	if al.epoch != epoch {
+		al.epoch, al.epochStart, al.entries, al.division = epoch, now, map[string]report{}, fairshare.Divider{}
 	}
-	if rq.Loads != nil && ho.Census != nil {
-		ho.Census.Report(rq.Instance, rq.Loads, now)
+	if rq.Loads != nil && al.Census != nil {
+		al.Census.Report(rq.Instance, rq.Loads, now)
 	}
 	if rq.Demands == nil {
 		return DemandResponse{}, nil
 	}
-	ho.entries[rq.Boot] = told{at: now, demands: rq.Demands}
-	if now.Sub(ho.begunAt) < entryLife {
+	al.entries[rq.Boot] = report{at: now, demands: rq.Demands}
+	if now.Sub(al.epochStart) < reportTTL {
 		return DemandResponse{}, ErrNotHolder
 	}
-	if _, known := ho.bounds[rq.Boot]; !known || now.Sub(ho.dividedAt) >= divideEvery {
-		ho.divide(now)
+	if _, known := al.bounds[rq.Boot]; !known || now.Sub(al.dividedAt) >= divideInterval {
+		al.divide(now)
 	}
-	return DemandResponse{Bounds: ho.bounds[rq.Boot], Entries: len(ho.entries)}, nil
+	return DemandResponse{Bounds: al.bounds[rq.Boot], Entries: len(al.entries)}, nil
 }
 
-// divide divides the places by what is known. The lock is held.
-func (ho *Allocator) divide(now time.Time) {
-	maps.DeleteFunc(ho.entries, func(_ string, to told) bool { return now.Sub(to.at) >= entryLife })
+// divide divides the slots by the valid reports. The caller holds the lock.
+func (al *Allocator) divide(now time.Time) {
+	maps.DeleteFunc(al.entries, func(_ string, re report) bool { return now.Sub(re.at) >= reportTTL })
 	entries := map[string]map[string]fairshare.ServiceDemand{}
-	for boot, to := range ho.entries {
-		entries[boot] = to.demands
+	for boot, re := range al.entries {
+		entries[boot] = re.demands
 	}
-	before := customersOf(ho.bounds)
-	ho.bounds, ho.dividedAt = ho.division.Divide(entries, ho.WeightsFunc()), now
-	after := customersOf(ho.bounds)
-	ho.Metrics.GetOrCreateGauge(`wisteriacroft_customers_bounded`, nil).Set(float64(len(after)))
+	before := customersOf(al.bounds)
+	al.bounds, al.dividedAt = al.division.Divide(entries, al.WeightsFunc()), now
+	after := customersOf(al.bounds)
+	al.Metrics.GetOrCreateGauge(`wisteriacroft_customers_bounded`, nil).Set(float64(len(after)))
 	if !maps.Equal(before, after) {
-		ho.Log.WithFields(logrus.Fields{"bounded": after, "entries": len(entries), "epoch": ho.epoch}).Info("customers are bounded")
+		al.Log.WithFields(logrus.Fields{"bounded": after, "entries": len(entries), "epoch": al.epoch}).Info("limited customers changed")
 	}
 }
 
-// customersOf returns the customers that have a bound, and of which service.
+// customersOf returns the customers that have a limit, with one of the services that it applies to.
 func customersOf(all map[string]fairshare.Bounds) map[string]string {
 	out := map[string]string{}
 	for _, bounds := range all {
@@ -115,18 +115,18 @@
 	return out
 }
 
-// Parts returns which part of the places of a service that is short of them each
-// customer has; of several services that of which it has the most.
-func (ho *Allocator) Parts(now time.Time) map[string]float64 {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+// Parts returns the fraction of slots that each customer uses of a service that is short of them, the
+// largest if there are several such services.
+func (al *Allocator) Parts(now time.Time) map[string]float64 {
+	al.mu.Lock()
+	defer al.mu.Unlock()
 	held, places := map[string]map[string]int{}, map[string]int{}
 	short := map[string]bool{}
-	for _, to := range ho.entries {
-		if now.Sub(to.at) >= entryLife {
+	for _, re := range al.entries {
+		if now.Sub(re.at) >= reportTTL {
 			continue
 		}
-		for service, sd := range to.demands {
+		for service, sd := range re.demands {
 			short[service] = short[service] || sd.Short
 			places[service] = max(places[service], sd.Places)
 			if held[service] == nil {
--- a/allocation/demandreporter.go
+++ b/allocation/demandreporter.go
@@ -16,17 +16,17 @@
 	"wisteriacroft/tick"
 )
 
-// A DemandReporter tells the holder what an entry has seen, and knows what the entry may give
-// customers. Fill the exported fields, then call Run.
+// A DemandReporter reports an entry's demand to the holder, and keeps the entry's limits. Fill the
+// exported fields, then call Run.
 type DemandReporter struct {
-	// CallFunc makes the call; nil stands for one to the holder that the finder knows.
+	// CallFunc sends a report; nil stands for a call to the holder found by Finder.
 	CallFunc func(ctx context.Context, rq DemandRequest) (DemandResponse, error)
-	// DemandsFunc returns what the entry has seen since it was called before.
+	// DemandsFunc returns the demands since its previous call.
 	DemandsFunc func(now time.Time, shortFor time.Duration) map[string]fairshare.ServiceDemand
 	Finder      *lease.Resolver // of the holder
 	Instance    string          // of the entry
-	// LoadsFunc returns what the entry has seen of plain services whose endpoints may be
-	// ordered since it was called before, nil if there are none. Nil has none.
+	// LoadsFunc returns the loads of scaled plain services since its previous call, or nil if there are
+	// none. It may be nil.
 	LoadsFunc func(now time.Time) map[string]scale.Observation
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
@@ -34,88 +34,88 @@
 	// WeightsFunc returns the customers' weights.
 	WeightsFunc func() map[string]float64
 
-	alone   fairshare.Divider
-	boot    string
-	bounds  fairshare.Bounds
-	entries int // that the holder last knew
-	mu      sync.Mutex
-	toldAt  time.Time // the holder last answered
+	local      fairshare.Divider
+	boot       string
+	bounds     fairshare.Bounds
+	entries    int // as last returned by the holder
+	mu         sync.Mutex
+	answeredAt time.Time // last answer of the holder
 }
 
-// CustomerBound returns how many places of a service the entry may give a customer now,
-// or fairshare.NoBound.
-func (te *DemandReporter) CustomerBound(customer, service string) int {
-	te.mu.Lock()
-	defer te.mu.Unlock()
-	return te.bounds.Of(customer, service)
+// CustomerBound returns how many slots of a service the entry may use for a customer now, or
+// fairshare.NoBound.
+func (dr *DemandReporter) CustomerBound(customer, service string) int {
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
+	return dr.bounds.Of(customer, service)
 }
 
-// Run tells until ctx ends.
-func (te *DemandReporter) Run(ctx context.Context) {
-	te.boot = uuid.NewString()
-	(&tick.Loop{Every: tellEvery, Systems: []tick.System{{Name: "tell demands", Run: func(time.Time) { te.round(ctx) }}}}).Run(ctx)
+// Run reports periodically until ctx ends.
+func (dr *DemandReporter) Run(ctx context.Context) {
+	dr.boot = uuid.NewString()
+	(&tick.Loop{Every: reportInterval, Systems: []tick.System{{Name: "tell demands", Run: func(time.Time) { dr.report(ctx) }}}}).Run(ctx)
 }
 
-// round tells once, if customers compete for a service that is short of places or was
-// when the holder was told before, or if there are services whose endpoints may be ordered
-// by what entries see. An entry of an idle system without such tells nothing.
-func (te *DemandReporter) round(ctx context.Context) {
+// report sends a report with demands if customers compete for a service or have limits, and with loads
+// if there are scaled plain services. Otherwise it sends nothing.
+func (dr *DemandReporter) report(ctx context.Context) {
 	now := time.Now()
-	rq := DemandRequest{Boot: te.boot, Instance: te.Instance}
-	if te.LoadsFunc != nil {
-		rq.Loads = te.LoadsFunc(now)
+	rq := DemandRequest{Boot: dr.boot, Instance: dr.Instance}
+	if dr.LoadsFunc != nil {
+		rq.Loads = dr.LoadsFunc(now)
 	}
-	demands := te.DemandsFunc(now, shortFor)
-	if te.bounding(demands) || compete(demands) {
+	demands := dr.DemandsFunc(now, shortFor)
+	if dr.limiting(demands) || competing(demands) {
 		rq.Demands = demands
 	}
 	if rq.Demands == nil && rq.Loads == nil {
 		return
 	}
-	call := te.CallFunc
+	call := dr.CallFunc
 	if call == nil {
-		call = te.call
+		call = dr.call
 	}
 	re, err := call(ctx, rq)
 	if rq.Demands != nil {
-		te.take(re, err, demands)
+		dr.apply(re, err, demands)
 	} else if err != nil {
-		te.Metrics.GetOrCreateCounter(`wisteriacroft_allotment_failures_total`).Inc()
+		dr.Metrics.GetOrCreateCounter(`wisteriacroft_allotment_failures_total`).Inc()
 	}
 }
 
-// take takes in what the holder said to the demands that it was told.
-func (te *DemandReporter) take(re DemandResponse, err error, demands map[string]fairshare.ServiceDemand) {
+// apply applies the holder's answer to a report. If the holder has been unreachable for reportTTL, the
+// entry divides its share of the slots itself.
+func (dr *DemandReporter) apply(re DemandResponse, err error, demands map[string]fairshare.ServiceDemand) {
 	now := time.Now()
-	te.mu.Lock()
-	defer te.mu.Unlock()
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
 	if err == nil {
-		te.bounds, te.entries, te.toldAt = re.Bounds, re.Entries, now
+		dr.bounds, dr.entries, dr.answeredAt = re.Bounds, re.Entries, now
 		return
 	}
-	te.Metrics.GetOrCreateCounter(`wisteriacroft_allotment_failures_total`).Inc()
-	if now.Sub(te.toldAt) < entryLife {
-		return // what was told still counts
+	dr.Metrics.GetOrCreateCounter(`wisteriacroft_allotment_failures_total`).Inc()
+	if now.Sub(dr.answeredAt) < reportTTL {
+		return // the previous limits are still valid
 	}
-	te.bounds = te.alone.Standalone(demands, te.WeightsFunc(), te.entries)
-	te.Log.WithError(err).WithFields(logrus.Fields{"bounds": te.bounds, "entries": te.entries}).Warn("entry divides places by itself")
+	dr.bounds = dr.local.Standalone(demands, dr.WeightsFunc(), dr.entries)
+	dr.Log.WithError(err).WithFields(logrus.Fields{"bounds": dr.bounds, "entries": dr.entries}).Warn("holder unreachable; entry sets limits by itself")
 }
 
-// bounding reports whether the entry bounds anyone, and notes in the demands of what.
-func (te *DemandReporter) bounding(demands map[string]fairshare.ServiceDemand) bool {
-	te.mu.Lock()
-	defer te.mu.Unlock()
-	for service := range te.bounds {
+// limiting reports whether the entry limits any customer, and marks the limited services in demands.
+func (dr *DemandReporter) limiting(demands map[string]fairshare.ServiceDemand) bool {
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
+	for service := range dr.bounds {
 		if sd, ok := demands[service]; ok {
 			sd.Bounded = true
 			demands[service] = sd
 		}
 	}
-	return len(te.bounds) > 0
+	return len(dr.bounds) > 0
 }
 
-// compete reports whether several customers ask for a service that is short of places.
-func compete(demands map[string]fairshare.ServiceDemand) bool {
+// competing reports whether several customers use a service that is short of slots.
+func competing(demands map[string]fairshare.ServiceDemand) bool {
 	for _, sd := range demands {
 		if sd.Short && len(sd.Customers) > 1 {
 			return true
@@ -124,9 +124,9 @@
 	return false
 }
 
-// call makes one call to the holder.
-func (te *DemandReporter) call(ctx context.Context, rq DemandRequest) (DemandResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+// call sends a report to the holder.
+func (dr *DemandReporter) call(ctx context.Context, rq DemandRequest) (DemandResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return callHolder[DemandRequest, DemandResponse](ctx, te.Finder, te.Pool, tellMethod, rq)
+	return callHolder[DemandRequest, DemandResponse](ctx, dr.Finder, dr.Pool, reportMethod, rq)
 }
--- a/allocation/ratelimiter.go
+++ b/allocation/ratelimiter.go
@@ -13,22 +13,20 @@
 	"wisteriacroft/quota"
 )
 
-// Times of asking for tokens.
+// Times of requests for tokens.
 const (
-	// grantTimeout bounds one call: a request waits for it.
+	// grantTimeout is the timeout of a call, for which a live request waits.
 	grantTimeout = 300 * time.Millisecond
-	// unheardRetry is when a caller may come back whose entry can't reach the holder. A
-	// lost holder is replaced within a few times as long, and another entry may reach it.
-	unheardRetry = 500 * time.Millisecond
-	// leastRetry is the least that a caller is told: others may be granted the next token.
-	leastRetry = 100 * time.Millisecond
+	// unreachableRetry is the Retry-After while the holder is unreachable. Another entry may reach it.
+	unreachableRetry = 500 * time.Millisecond
+	// minRetry is the minimum Retry-After, since the next token may be granted to another entry.
+	minRetry = 100 * time.Millisecond
 )
 
-// A RateLimiter spends tokens of customers' quotas at an entry. Fill the exported fields before
-// use.
+// A RateLimiter spends tokens of customers' quotas at an entry. Fill the exported fields before use. It
+// is safe for concurrent use.
 type RateLimiter struct {
-	// CallFunc asks for tokens; nil stands for a call to the holder that the finder
-	// knows.
+	// CallFunc requests tokens; nil stands for a call to the holder found by Finder.
 	CallFunc  func(ctx context.Context, rq GrantRequest) (GrantResponse, error)
 	Finder    *lease.Resolver // of the holder
 	Log       *logrus.Entry
@@ -36,73 +34,73 @@
 	Overshoot float64
 	Pool      *peer.Pool
 
-	mu     sync.Mutex
-	purses map[string]*purse
+	mu      sync.Mutex
+	buckets map[string]*customerBucket
 }
 
-// A purse is a customer's, used by one request at a time. The one that finds it empty
-// asks for tokens for all that wait behind it.
-type purse struct {
+// A customerBucket holds the tokens of a customer. One request uses it at a time, so that a single call
+// fetches tokens for all waiting requests.
+type customerBucket struct {
 	quota.LocalBucket
-	turn chan struct{} // full while a request uses the purse
+	semaphore chan struct{}
 }
 
-// Allow spends a token of a customer's quota, in requests a second, or returns after how
-// long its caller may come back.
+// Allow spends a token of a customer's quota, given in requests a second. If there is none, it returns
+// false and the Retry-After for the caller.
 //
-// An entry that can't reach the holder spends what it has and then refuses: let through,
-// each entry that is cut off would exceed the quota once more.
-func (pa *RateLimiter) Allow(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
-	te := quota.Limit{Overshoot: pa.Overshoot, Rate: rate}
-	pu := pa.purse(customer)
+// An entry that cannot reach the holder spends its tokens and then rejects requests. If it admitted
+// them, each such entry would exceed the quota by its own traffic.
+func (rl *RateLimiter) Allow(ctx context.Context, customer string, rate float64) (retry time.Duration, ok bool) {
+	li := quota.Limit{Overshoot: rl.Overshoot, Rate: rate}
+	cb := rl.bucket(customer)
 	select {
-	case pu.turn <- struct{}{}:
-		defer func() { <-pu.turn }()
+	case cb.semaphore <- struct{}{}:
+		defer func() { <-cb.semaphore }()
 	case <-ctx.Done():
-		return leastRetry, false
+		return minRetry, false
 	}
 	now := time.Now()
-	if pu.Spend(te, now) {
+	if cb.Spend(li, now) {
 		return 0, true
 	}
-	if retry = pu.RetryDelay(te, now); retry > 0 {
-		return max(retry, leastRetry), false
+	if retry = cb.RetryDelay(li, now); retry > 0 {
+		return max(retry, minRetry), false
 	}
-	re, err := pa.ask(ctx, GrantRequest{Customer: customer, Rate: rate, Want: pu.RefillSize()})
+	re, err := rl.fetch(ctx, GrantRequest{Customer: customer, Rate: rate, Want: cb.RefillSize()})
 	if err != nil {
-		pa.Metrics.GetOrCreateCounter(`wisteriacroft_quota_failures_total`).Inc()
-		pa.Log.WithError(err).WithField("customer", customer).Warn("no tokens can be asked for")
-		re = GrantResponse{Next: unheardRetry}
+		rl.Metrics.GetOrCreateCounter(`wisteriacroft_quota_failures_total`).Inc()
+		rl.Log.WithError(err).WithField("customer", customer).Warn("request for quota tokens failed")
+		re = GrantResponse{Next: unreachableRetry}
 	}
-	pu.Refill(te, re.Tokens, max(re.Next, leastRetry), now)
-	if pu.Spend(te, time.Now()) {
+	cb.Refill(li, re.Tokens, max(re.Next, minRetry), now)
+	if cb.Spend(li, time.Now()) {
 		return 0, true
 	}
-	return max(re.Next, leastRetry), false
+	return max(re.Next, minRetry), false
 }
 
-// purse returns a customer's purse. There are as many as customers with quotas.
-func (pa *RateLimiter) purse(customer string) *purse {
-	pa.mu.Lock()
-	defer pa.mu.Unlock()
-	if pa.purses == nil {
-		pa.purses = map[string]*purse{}
+// bucket returns a customer's bucket. Buckets are never removed; there is one for each customer with a quota.
+func (rl *RateLimiter) bucket(customer string) *customerBucket {
+	rl.mu.Lock()
+	defer rl.mu.Unlock()
+	if rl.buckets == nil {
+		rl.buckets = map[string]*customerBucket{}
 	}
-	pu := pa.purses[customer]
-	if pu == nil {
-		pu = &purse{turn: make(chan struct{}, 1)}
-		pa.purses[customer] = pu
+	cb := rl.buckets[customer]
+	if cb == nil {
+		cb = &customerBucket{semaphore: make(chan struct{}, 1)}
+		rl.buckets[customer] = cb
 	}
-	return pu
+	return cb
 }
 
-// ask asks for tokens. The call doesn't end with the request that makes it, since others
-// wait for it too.
-func (pa *RateLimiter) ask(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
+// fetch requests tokens from the holder. The call is not cancelled with ctx, since other requests wait
+// for it too.
+func (rl *RateLimiter) fetch(ctx context.Context, rq GrantRequest) (GrantResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grantTimeout)
 	defer cancel()
-	if pa.CallFunc != nil {
-		return pa.CallFunc(ctx, rq)
+	if rl.CallFunc != nil {
+		return rl.CallFunc(ctx, rq)
 	}
-	return callHolder[GrantRequest, GrantResponse](ctx, pa.Finder, pa.Pool, grantMethod, rq)
+	return callHolder[GrantRequest, GrantResponse](ctx, rl.Finder, rl.Pool, grantMethod, rq)
 }
--- a/allocation/tokenserver.go
+++ b/allocation/tokenserver.go
@@ -12,31 +12,30 @@
 	"wisteriacroft/quota"
 )
 
-// grantMethod is the call by which an entry asks for tokens of a customer's quota.
+// grantMethod is the RPC method for requests for tokens.
 const grantMethod = "allotment.Grant"
 
-// A GrantRequest asks for tokens.
+// A GrantRequest requests tokens of a customer's quota.
 type GrantRequest struct {
 	Customer string
-	Rate     float64 // the quota that the entry knows
-	Want     int
+	Rate     float64 // quota in the entry's configuration, in requests a second
+	Want     int     // maximum number of tokens
 }
 
-// A GrantResponse holds tokens or, if there are none, after how long there is one.
+// A GrantResponse holds the number of tokens granted or, if 0, the time until the next one.
 type GrantResponse struct {
 	Next   time.Duration
 	Tokens int
 }
 
-// A TokenServer grants tokens of customers' quotas while the process holds a lease. Fill the
-// exported fields, then call Register.
+// A TokenServer grants tokens of customers' quotas while the process holds a lease. Fill the exported
+// fields, then call Register.
 //
-// What it has granted need not last: the next holder begins without tokens, and those
-// that were granted before are void after their lives.
+// Its state is not stored: a new holder starts with empty buckets, and tokens granted before expire.
 type TokenServer struct {
 	Metrics   *metrics.Set
-	Overshoot float64 // by which part of it a quota may be exceeded
-	// QuotaFunc returns a customer's quota, in requests a second; 0 means none.
+	Overshoot float64 // fraction by which a quota may be exceeded
+	// QuotaFunc returns a customer's quota, in requests a second, or 0 if it has none.
 	QuotaFunc func(customer string) float64
 	// StandingFunc returns the epoch under which the lease is held, if it is.
 	StandingFunc func(now time.Time) (epoch uint64, held bool)
@@ -46,38 +45,38 @@
 	mu      sync.Mutex
 }
 
-// Register lets entries ask for tokens.
-func (gr *TokenServer) Register(sv *peer.Server) {
+// Register registers the RPC method for requests for tokens.
+func (ts *TokenServer) Register(sv *peer.Server) {
 	peer.Handle(sv, grantMethod, func(_ context.Context, _ message.Header, rq GrantRequest) (GrantResponse, error) {
-		return gr.grant(rq, time.Now())
+		return ts.grant(rq, time.Now())
 	})
 }
 
 // grant grants tokens.
-func (gr *TokenServer) grant(rq GrantRequest, now time.Time) (GrantResponse, error) {
-	gr.mu.Lock()
-	defer gr.mu.Unlock()
-	epoch, held := gr.StandingFunc(now)
+func (ts *TokenServer) grant(rq GrantRequest, now time.Time) (GrantResponse, error) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	epoch, held := ts.StandingFunc(now)
 	if !held {
 		return GrantResponse{}, ErrNotHolder
 	}
-	if gr.epoch != epoch || gr.buckets == nil {
-		gr.epoch, gr.buckets = epoch, map[string]*quota.Bucket{}
+	if ts.epoch != epoch || ts.buckets == nil {
+		ts.epoch, ts.buckets = epoch, map[string]*quota.Bucket{}
 	}
-	te := quota.Limit{Overshoot: gr.Overshoot, Rate: gr.QuotaFunc(rq.Customer)}
-	if te.Rate <= 0 { // the configuration here is another one than the entry's, or not read yet
-		te.Rate = rq.Rate
+	li := quota.Limit{Overshoot: ts.Overshoot, Rate: ts.QuotaFunc(rq.Customer)}
+	if li.Rate <= 0 { // this process's configuration differs from the entry's or was not read yet
+		li.Rate = rq.Rate
 	}
-	if te.Rate <= 0 {
-		delete(gr.buckets, rq.Customer)
+	if li.Rate <= 0 {
+		delete(ts.buckets, rq.Customer)
 		return GrantResponse{Tokens: rq.Want}, nil
 	}
-	bu := gr.buckets[rq.Customer]
+	bu := ts.buckets[rq.Customer]
 	if bu == nil {
 		bu = &quota.Bucket{}
-		gr.buckets[rq.Customer] = bu
+		ts.buckets[rq.Customer] = bu
 	}
-	tokens, next := bu.Take(te, rq.Want, now)
-	gr.Metrics.GetOrCreateCounter(`wisteriacroft_quota_tokens_total`).Add(tokens)
+	tokens, next := bu.Take(li, rq.Want, now)
+	ts.Metrics.GetOrCreateCounter(`wisteriacroft_quota_tokens_total`).Add(tokens)
 	return GrantResponse{Next: next, Tokens: tokens}, nil
 }
