--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -1,5 +1,4 @@
-// Package quarantine keeps poison requests, under which one endpoint after the other
-// crashes, from the endpoints that are left.
+// Package quarantine holds back poison requests, which crash one endpoint after the other.
 package quarantine
 
 import (
@@ -8,24 +7,21 @@
 	"encoding/hex"
 )
 
-// digestSize is the length of a digest in bytes: enough that no one finds two
-// requests with the same one.
+// digestSize is the length of a digest in bytes, enough for collision resistance.
 const digestSize = 16
 
-// A Digest identifies what a request asks for. Each try of a client has an ID of
-// its own; its digest stays the same.
+// A Digest identifies a request by its content. Retries of a client have different IDs but the
+// same digest.
 type Digest string
 
-// DigestOf returns the digest of a customer's request to a host; target is its path
-// and query. What one customer sends is not held against another, who may ask for the
-// same; the customer's key is no part of it, since keys change.
+// DigestOf returns the digest of a customer's request to a host; target is its path and query. Equal
+// requests of different customers have different digests. The key is not included, as keys change.
 func DigestOf(customer, host, method, target string, body []byte) Digest {
 	return digestOf([]byte(customer), []byte(host), []byte(method), []byte(target), body)
 }
 
-// DigestOfItem returns the digest of an item of a step. Items keep their IDs when
-// they come again. Those of a group may ask for the same, and run at many engines
-// at once: taken for one, they would rest after any three of these had ended.
+// DigestOfItem returns the digest of an item of a step. It includes the item's ID, which is the same
+// at each attempt, as the items of a group may have equal content but run at many engines.
 func DigestOfItem(customer, host, id, path string, body []byte) Digest {
 	return digestOf([]byte(customer), []byte(host), []byte("item"), []byte(id), []byte(path), body)
 }
@@ -34,7 +30,7 @@
 	ha := sha256.New()
 	for _, part := range parts {
 		var size [8]byte
-		binary.BigEndian.PutUint64(size[:], uint64(len(part))) // so that no two lists of parts read the same
+		binary.BigEndian.PutUint64(size[:], uint64(len(part))) // makes the encoding of the parts unambiguous
 		_, _ = ha.Write(size[:])                               // never fails
 		_, _ = ha.Write(part)
 	}
--- a/quarantine/lift.go
+++ b/quarantine/lift.go
@@ -11,29 +11,29 @@
 	"wisteriacroft/keyvalue"
 )
 
-// ErrNotQuarantined means that no endpoint is known to have ended under a request.
-var ErrNotQuarantined = errors.New("no endpoint is known to have ended under it")
+// ErrNotQuarantined means that no crash is recorded for a request or an item.
+var ErrNotQuarantined = errors.New("no endpoint crash is recorded for it")
 
-// An Entry is what an operator sees of a request or an item.
+// An Entry describes a request or an item for operators.
 type Entry struct {
 	Digest  Digest        `json:"digest"`
-	HeldFor time.Duration `json:"held-for"` // 0: a request may be sent; an item may rest for less
-	LastEnd time.Time     `json:"last-end"` // of an endpoint
-	Strikes int           `json:"strikes"`  // endpoints that ended since the last answer
+	HeldFor time.Duration `json:"held-for"` // as a request; 0 means that it may be sent
+	LastEnd time.Time     `json:"last-end"` // of the last crash
+	Strikes int           `json:"strikes"`  // endpoints that crashed since the last success
 }
 
-// Entries returns what is known, the most suspect first.
+// Entries returns the requests and items with crashes, those with the most first.
 func (ta *Table) Entries(now time.Time) []Entry {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ens := []Entry{}
 	for di, ro := range ta.rows {
-		strikes, last := ro.standing()
-		if strikes == 0 || ro.expired(now) {
+		crashes, last := ro.summary()
+		if crashes == 0 || ro.expired(now) {
 			continue
 		}
 		ens = append(ens, Entry{
-			Digest: di, HeldFor: ro.judge(requestPolicy, now).HeldFor, LastEnd: time.UnixMilli(last).UTC(), Strikes: strikes,
+			Digest: di, HeldFor: ro.verdict(requestPolicy, now).HeldFor, LastEnd: time.UnixMilli(last).UTC(), Strikes: crashes,
 		})
 	}
 	slices.SortFunc(ens, func(a, b Entry) int {
@@ -42,31 +42,30 @@
 	return ens
 }
 
-// Read takes in what the service holds.
-func (ke *Store) Read(ctx context.Context) error {
-	_, err := ke.read(ctx)
+// Read merges the stored records into the table.
+func (st *Store) Read(ctx context.Context) error {
+	_, err := st.read(ctx)
 	return err
 }
 
-// Lift lets a request or an item be sent to endpoints again, for an operator who has
-// mended what ended them. All processes hear of it as of an answer.
-func (ke *Store) Lift(ctx context.Context, di Digest) error {
-	if err := ke.Read(ctx); err != nil {
+// Lift lifts the quarantine of a request or an item, once an operator has fixed the cause of the
+// crashes. It is stored and propagated like a success.
+func (st *Store) Lift(ctx context.Context, di Digest) error {
+	if err := st.Read(ctx); err != nil {
 		return err
 	}
-	if !ke.Table.lift(di, time.Now()) {
+	if !st.Table.lift(di, time.Now()) {
 		return errors.Wrapf(ErrNotQuarantined, "%s", di)
 	}
 	for {
-		err := ke.save(ctx)
+		err := st.save(ctx)
 		if !errors.Is(err, keyvalue.ErrConflict) {
 			return err
 		}
 	}
 }
 
-// lift notes an answer, also to what is barred, and returns whether there was
-// anything to lift.
+// lift records a success, even of a blocked request, and reports whether there were crashes.
 func (ta *Table) lift(di Digest, now time.Time) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -74,11 +73,11 @@
 	if ro == nil {
 		return false
 	}
-	strikes, last := ro.standing()
-	if strikes == 0 {
+	crashes, last := ro.summary()
+	if crashes == 0 {
 		return false
 	}
-	// Not before the last end, which a clock that is ahead may have seen.
+	// Not before the last crash, as the clock of the process that saw it may be ahead.
 	ta.add(Record{AtMS: max(now.UnixMilli(), last), Digest: di}, now)
 	return true
 }
--- a/quarantine/policy.go
+++ b/quarantine/policy.go
@@ -2,45 +2,37 @@
 
 import "time"
 
-// Limits of what a request may do to its endpoints.
+// Thresholds, in crashed endpoints, and durations of the quarantine.
 const (
-	// suspectStrikes is how many endpoints may end under a request before it
-	// rests. One may end for a reason of its own, and the request deserves another;
-	// that two in a row did is rarely chance, and a service may have no more than
-	// three.
-	suspectStrikes = 2
-	// suspectRest is how long it rests then, so that both endpoints are back before
-	// it may take another one: they start again within some seconds.
-	suspectRest = 10 * time.Second
-	// suspectLife is how long the ends of endpoints are remembered of a request that
-	// has not been barred: clients come back within minutes.
-	suspectLife = 10 * time.Minute
-	// barStrikes is how many endpoints may end under a request before it is barred.
-	barStrikes = 3
-	// itemRestStrikes is how many engines may end under an item of a step before it
-	// rests between its runs: an item lasts some seconds, and two engines may end in
-	// them for reasons of their own. It rests for itemRest, so that no more than two
-	// engines of a fleet are down for it.
-	itemRestStrikes = 3
-	itemRest        = 4 * time.Second
-	// itemBarStrikes is how many engines may end before the item is barred. It is
-	// given more tries than a caller's request, since its trainer waits for it and
-	// can't ask again.
-	itemBarStrikes = 6
-	// barTime is for how long it is: a day, in which its owners can mend it or the
-	// service.
-	barTime = 24 * time.Hour
+	// cooldownThreshold starts a cooldown of a request. A single crash may have another cause.
+	cooldownThreshold = 2
+	// requestCooldown is long enough for crashed endpoints to restart.
+	requestCooldown = 10 * time.Second
+	// suspectTTL is how long crashes are kept of a request that is not blocked. Clients retry
+	// within minutes.
+	suspectTTL = 10 * time.Minute
+	// blockThreshold blocks a request.
+	blockThreshold = 3
+	// itemCooldownThreshold starts a cooldown of an item of a step. Items run for seconds, in
+	// which two engines may crash for other reasons.
+	itemCooldownThreshold = 3
+	// itemCooldown is long enough that at most two engines are down because of an item.
+	itemCooldown = 4 * time.Second
+	// itemBlockThreshold blocks an item. It is higher than for a request, as a trainer cannot
+	// retry an item.
+	itemBlockThreshold = 6
+	// blockTime is how long a request or an item is blocked, for its owners to fix the cause.
+	blockTime = 24 * time.Hour
 )
 
-// A policy says how long something rests after the last endpoint that ended under
-// it.
+// A policy determines how long a request or an item is held after its last crash.
 type policy struct {
-	bar  int // endpoints after which it rests for barTime
-	rest time.Duration
-	some int // endpoints after which it rests for rest
+	blockAfter    int // crashes after which it is held for blockTime
+	cooldown      time.Duration
+	cooldownAfter int // crashes after which it is held for cooldown
 }
 
 var (
-	requestPolicy = policy{bar: barStrikes, rest: suspectRest, some: suspectStrikes}
-	itemPolicy    = policy{bar: itemBarStrikes, rest: itemRest, some: itemRestStrikes}
+	requestPolicy = policy{blockAfter: blockThreshold, cooldown: requestCooldown, cooldownAfter: cooldownThreshold}
+	itemPolicy    = policy{blockAfter: itemBlockThreshold, cooldown: itemCooldown, cooldownAfter: itemCooldownThreshold}
 )
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -2,12 +2,11 @@
 
 import "cmp"
 
-// A Record is something that was seen of a request: an endpoint that ended while
-// it ran the request, or an answer.
+// A Record is an event of a request: the crash of an endpoint that ran it, or a success.
 type Record struct {
 	AtMS     int64 // Unix milliseconds, by the clock of the process that saw it
 	Digest   Digest
-	Endpoint string `cbor:",omitempty"` // the start of the endpoint that ended; empty for an answer
+	Endpoint string `cbor:",omitempty"` // incarnation of the endpoint that crashed; empty for a success
 }
 
 func compareRecords(a, b Record) int {
--- a/quarantine/row.go
+++ b/quarantine/row.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// A row is what is known of a request.
+// A row holds the records of a request.
 type row struct {
-	answered int64            // Unix milliseconds of the last answer
-	changed  uint64           // generation of the table at the last change
-	strikes  map[string]int64 // Unix milliseconds of its end, by the start of an endpoint
+	succeededAt int64            // Unix milliseconds of the last success
+	changed     uint64           // generation of the table at the last change
+	crashes     map[string]int64 // Unix milliseconds of the crash, by incarnation of an endpoint
 }
 
-// standing returns how many endpoints have ended since the last answer, and when
-// the last one did.
-func (ro *row) standing() (strikes int, last int64) {
-	for _, at := range ro.strikes {
-		if at > ro.answered {
-			strikes++
+// summary returns how many endpoints have crashed since the last success, and the time of the
+// last crash in Unix milliseconds.
+func (ro *row) summary() (crashes int, last int64) {
+	for _, at := range ro.crashes {
+		if at > ro.succeededAt {
+			crashes++
 			last = max(last, at)
 		}
 	}
-	return strikes, last
+	return crashes, last
 }
 
-// expired reports whether a row says nothing any more.
+// expired reports whether a row is no longer relevant.
 func (ro *row) expired(now time.Time) bool {
-	strikes, last := ro.standing()
-	life := suspectLife
-	if strikes >= barStrikes {
-		life = barTime
+	crashes, last := ro.summary()
+	ttl := suspectTTL
+	if crashes >= blockThreshold {
+		ttl = blockTime
 	}
-	return now.Sub(time.UnixMilli(max(last, ro.answered))) > life
+	return now.Sub(time.UnixMilli(max(last, ro.succeededAt))) > ttl
 }
 
-// judge returns what may be done with the request.
-func (ro *row) judge(po policy, now time.Time) Verdict {
-	strikes, last := ro.standing()
-	rest := time.Duration(0)
+// verdict applies a policy to the request.
+func (ro *row) verdict(po policy, now time.Time) Verdict {
+	crashes, last := ro.summary()
+	hold := time.Duration(0)
 	switch {
-	case strikes >= po.bar:
-		rest = barTime
-	case strikes >= po.some:
-		rest = po.rest
+	case crashes >= po.blockAfter:
+		hold = blockTime
+	case crashes >= po.cooldownAfter:
+		hold = po.cooldown
 	}
-	// Seen by a clock that is ahead, an end holds its request for no longer.
-	held := min(rest-now.Sub(time.UnixMilli(last)), rest)
-	return Verdict{HeldFor: max(held, 0), Strikes: strikes}
+	// Bounded, as the clock of the process that saw the crash may be ahead.
+	held := min(hold-now.Sub(time.UnixMilli(last)), hold)
+	return Verdict{HeldFor: max(held, 0), Strikes: crashes}
 }
--- a/quarantine/keeper_test.go
+++ b/quarantine/store_test.go
@@ -12,8 +12,8 @@
 	"wisteriacroft/keyvalue"
 )
 
-// startKeeper starts a process that saves what its table takes in.
-func startKeeper(ctx context.Context, me *keyvalue.Memory) *Table {
+// startStore starts a store that saves the records of the returned table.
+func startStore(ctx context.Context, me *keyvalue.Memory) *Table {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
 	ta := &Table{}
@@ -21,7 +21,7 @@
 	return ta
 }
 
-// stored returns a table of what the service holds.
+// stored returns a table with the stored records.
 func stored(t *testing.T, me *keyvalue.Memory) *Table {
 	t.Helper()
 	it, err := me.Client().Get(t.Context(), Key)
@@ -31,30 +31,28 @@
 	return &ta
 }
 
-func TestKeeper(t *testing.T) {
-	// Three entries see one endpoint each end under a request, at once. Each writes
-	// the value that all share; if one overwrote another's, the request would be
-	// taken for half as suspect after the next start of the entries.
+func TestStore(t *testing.T) {
+	// Guards against processes that save at the same time overwriting each other's records.
 	for _, tc := range []struct {
-		name    string
-		trouble func(me *keyvalue.Memory)
-		lasts   time.Duration
+		name  string
+		fault func(me *keyvalue.Memory)
+		lasts time.Duration
 	}{
-		{"calm", func(*keyvalue.Memory) {}, 0},
-		{"the service is away", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Outage: true}) }, 5 * time.Second},
-		{"the service is slow", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Delay: 300 * time.Millisecond}) }, 5 * time.Second},
-		{"answers of writes are lost", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{LoseAnswers: true}) }, time.Second},
-		{"the value is another writer's", func(me *keyvalue.Memory) {
-			_, _ = me.Client().Put(context.Background(), Key, []byte("text"), 0, 0) // what became of it shows below
+		{"no fault", func(*keyvalue.Memory) {}, 0},
+		{"outage", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Outage: true}) }, 5 * time.Second},
+		{"slow service", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Delay: 300 * time.Millisecond}) }, 5 * time.Second},
+		{"lost responses", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{LoseAnswers: true}) }, time.Second},
+		{"undecodable value", func(me *keyvalue.Memory) {
+			_, _ = me.Client().Put(context.Background(), Key, []byte("text"), 0, 0) // checked below
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				var me keyvalue.Memory
-				tc.trouble(&me)
+				tc.fault(&me)
 				for _, endpoint := range []string{"a", "b", "c"} {
-					startKeeper(ctx, &me).RecordCrash("request", endpoint, time.Now())
+					startStore(ctx, &me).RecordCrash("request", endpoint, time.Now())
 				}
 				time.Sleep(tc.lasts)
 				me.SetFaults(keyvalue.Faults{})
@@ -71,14 +69,13 @@
 }
 
 func TestFollow(t *testing.T) {
-	// Entries that no other process feeds learn of each other's ends from the
-	// service. A watch whose connection has fallen silent never answers; the next one
-	// must find what it hid.
+	// Guards against missing records of other processes because the connection of a watch is
+	// dead.
 	for _, tc := range []struct {
 		name   string
 		silent bool
 		after  time.Duration
-	}{{"calm", false, 100 * time.Millisecond}, {"the watch is silent", true, 11 * time.Second}} {
+	}{{"no fault", false, 100 * time.Millisecond}, {"dead connection", true, 11 * time.Second}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
@@ -96,7 +93,7 @@
 				var ta Table
 				go (&Store{Client: cl, Log: logrus.NewEntry(logger), Table: &ta}).Follow(ctx)
 				synctest.Wait()
-				other := startKeeper(ctx, &me)
+				other := startStore(ctx, &me)
 				for i := range 2 {
 					other.RecordCrash("request", string(rune('a'+i)), time.Now())
 				}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,47 +7,44 @@
 	"time"
 )
 
-// maxRows bounds the requests that are remembered, which are kept in one value
-// of some 100 bytes each.
+// maxRows bounds the recorded requests, as all are stored in one value.
 const maxRows = 1000
 
-// A Table remembers the requests under which endpoints ended. It is merged with
-// those of other processes record by record, in any order. The zero Table is empty
-// and ready to use, also by several goroutines.
+// A Table records the requests that crashed endpoints. Records of other processes can be merged
+// in any order. The zero value is empty and ready to use. It is safe for concurrent use.
 type Table struct {
 	generation uint64
-	kick       chan struct{}
+	wake       chan struct{}
 	mu         sync.Mutex
 	rows       map[Digest]*row
 	unsaved    map[Record]bool
 }
 
-// Check returns what may be done with a request now.
-func (ta *Table) Check(di Digest, now time.Time) Verdict { return ta.judge(di, requestPolicy, now) }
+// Check returns whether a request may be sent now.
+func (ta *Table) Check(di Digest, now time.Time) Verdict { return ta.check(di, requestPolicy, now) }
 
-// CheckItem returns what may be done with an item of a step now.
-func (ta *Table) CheckItem(di Digest, now time.Time) Verdict { return ta.judge(di, itemPolicy, now) }
+// CheckItem returns whether an item of a step may be sent now.
+func (ta *Table) CheckItem(di Digest, now time.Time) Verdict { return ta.check(di, itemPolicy, now) }
 
-func (ta *Table) judge(di Digest, po policy, now time.Time) Verdict {
+func (ta *Table) check(di Digest, po policy, now time.Time) Verdict {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ro := ta.rows[di]
 	if ro == nil || ro.expired(now) {
 		return Verdict{}
 	}
-	return ro.judge(po, now)
+	return ro.verdict(po, now)
 }
 
-// RecordCrash notes that a start of an endpoint ended while it ran a request or an item.
+// RecordCrash records that an incarnation of an endpoint crashed while it ran a request or an item.
 func (ta *Table) RecordCrash(di Digest, endpoint string, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.add(Record{AtMS: now.UnixMilli(), Digest: di, Endpoint: endpoint}, now)
 }
 
-// RecordSuccess notes that an endpoint ran a request and answered it. One that ended
-// under it before did so for another reason, unless the request is barred: that
-// takes more than one endpoint that can bear it.
+// RecordSuccess records that an endpoint completed a request, so that earlier crashes are assumed
+// to have had another cause. It does not unblock a blocked request.
 func (ta *Table) RecordSuccess(di Digest, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -55,15 +52,15 @@
 	if ro == nil {
 		return
 	}
-	if strikes, _ := ro.standing(); strikes == 0 || strikes >= barStrikes {
+	if crashes, _ := ro.summary(); crashes == 0 || crashes >= blockThreshold {
 		return
 	}
 	ta.add(Record{AtMS: now.UnixMilli(), Digest: di}, now)
 }
 
-// add takes a record of this process's own in.
+// add merges a record that is to be saved by this process.
 func (ta *Table) add(re Record, now time.Time) {
-	if !ta.take(re, now) {
+	if !ta.mergeRecord(re, now) {
 		return
 	}
 	if ta.unsaved == nil {
@@ -71,31 +68,31 @@
 	}
 	ta.unsaved[re] = true
 	select {
-	case ta.kicks() <- struct{}{}:
+	case ta.wakeChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// kicks returns the channel that tells of records that are not saved.
-func (ta *Table) kicks() chan struct{} {
-	if ta.kick == nil {
-		ta.kick = make(chan struct{}, 1)
+// wakeChannel returns the channel that is signaled when there are unsaved records.
+func (ta *Table) wakeChannel() chan struct{} {
+	if ta.wake == nil {
+		ta.wake = make(chan struct{}, 1)
 	}
-	return ta.kick
+	return ta.wake
 }
 
-// take takes a record in, and returns whether it says anything new.
-func (ta *Table) take(re Record, now time.Time) bool {
+// mergeRecord merges a record, and reports whether it changed anything.
+func (ta *Table) mergeRecord(re Record, now time.Time) bool {
 	ro := ta.rows[re.Digest]
 	known := ro != nil
 	if !known {
-		ro = &row{strikes: map[string]int64{}}
+		ro = &row{crashes: map[string]int64{}}
 	}
-	switch at, struck := ro.strikes[re.Endpoint]; {
-	case re.Endpoint == "" && re.AtMS > ro.answered:
-		ro.answered = re.AtMS
-	case re.Endpoint != "" && (!struck || re.AtMS < at): // several processes saw it; the first was the nearest
-		ro.strikes[re.Endpoint] = re.AtMS
+	switch at, recorded := ro.crashes[re.Endpoint]; {
+	case re.Endpoint == "" && re.AtMS > ro.succeededAt:
+		ro.succeededAt = re.AtMS
+	case re.Endpoint != "" && (!recorded || re.AtMS < at): // of several observations the earliest is the most accurate
+		ro.crashes[re.Endpoint] = re.AtMS
 	default:
 		return false
 	}
@@ -107,15 +104,15 @@
 			ta.rows = map[Digest]*row{}
 		}
 		ta.rows[re.Digest] = ro
-		ta.bound(now)
+		ta.evict(now)
 	}
 	ta.generation++
 	ro.changed = ta.generation
 	return true
 }
 
-// bound drops what has expired, and beyond the bound what is least suspect.
-func (ta *Table) bound(now time.Time) {
+// evict removes expired rows, and if there are still too many, the least suspect one.
+func (ta *Table) evict(now time.Time) {
 	if len(ta.rows) <= maxRows {
 		return
 	}
@@ -135,25 +132,23 @@
 }
 
 func (ta *Table) lessSuspect(di, other Digest) bool {
-	strikes, last := ta.rows[di].standing()
-	otherStrikes, otherLast := ta.rows[other].standing()
-	return cmp.Or(cmp.Compare(strikes, otherStrikes), cmp.Compare(last, otherLast), cmp.Compare(di, other)) < 0
+	crashes, last := ta.rows[di].summary()
+	otherCrashes, otherLast := ta.rows[other].summary()
+	return cmp.Or(cmp.Compare(crashes, otherCrashes), cmp.Compare(last, otherLast), cmp.Compare(di, other)) < 0
 }
 
-// Merge takes in what another process knows and has saved. It returns whether
-// anything was new.
+// Merge merges records that another process has saved, and reports whether any was new.
 func (ta *Table) Merge(res []Record, now time.Time) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	news := false
+	changed := false
 	for _, re := range res {
-		news = ta.take(re, now) || news
+		changed = ta.mergeRecord(re, now) || changed
 	}
-	return news
+	return changed
 }
 
-// MergeUnsaved takes in what another process has not been able to save, which is to be
-// saved from here too.
+// MergeUnsaved merges records that another process could not save, to be saved by this one too.
 func (ta *Table) MergeUnsaved(res []Record, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -162,10 +157,10 @@
 	}
 }
 
-// Records returns all that has not expired, in a fixed order.
+// Records returns all records that have not expired, in a deterministic order.
 func (ta *Table) Records(now time.Time) []Record { return ta.Since(0, now) }
 
-// Since returns the records of requests of which there is news since a generation.
+// Since returns the records of the requests that have changed since a generation.
 func (ta *Table) Since(generation uint64, now time.Time) []Record {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -178,10 +173,10 @@
 		if ro.changed <= generation {
 			continue
 		}
-		if ro.answered > 0 {
-			res = append(res, Record{AtMS: ro.answered, Digest: di})
+		if ro.succeededAt > 0 {
+			res = append(res, Record{AtMS: ro.succeededAt, Digest: di})
 		}
-		for endpoint, at := range ro.strikes {
+		for endpoint, at := range ro.crashes {
 			res = append(res, Record{AtMS: at, Digest: di, Endpoint: endpoint})
 		}
 	}
@@ -189,14 +184,14 @@
 	return res
 }
 
-// Generation returns a number that grows with each record that is new.
+// Generation returns a number that increases with each new record.
 func (ta *Table) Generation() uint64 {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	return ta.generation
 }
 
-// Unsaved returns the records that are not known to last.
+// Unsaved returns the records that are not known to be saved.
 func (ta *Table) Unsaved() []Record {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -208,8 +203,8 @@
 	return res
 }
 
-// saved takes in that records last.
-func (ta *Table) saved(res []Record) {
+// markSaved removes records from the unsaved ones.
+func (ta *Table) markSaved(res []Record) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	for _, re := range res {
@@ -217,9 +212,9 @@
 	}
 }
 
-// awaitUnsaved returns a channel that tells of records that are not saved.
-func (ta *Table) awaitUnsaved() <-chan struct{} {
+// unsavedSignal returns a channel that is signaled when there are unsaved records.
+func (ta *Table) unsavedSignal() <-chan struct{} {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	return ta.kicks()
+	return ta.wakeChannel()
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -11,60 +11,58 @@
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-// A step is a strike by an endpoint, or an answer if that is empty, at a second
-// after noon.
-type step struct {
+// An event is a crash of an endpoint, or a success if that is empty, at a second after noon.
+type event struct {
 	endpoint string
 	second   int
 }
 
-func TestJudge(t *testing.T) {
-	// Endpoints end under a request, or for another reason while they run it. Held
-	// back too late it takes the next ones with it; held back for good after one
-	// outage, a request that is often asked for is never served again.
+func TestCheck(t *testing.T) {
+	// Guards against holding a request too late, so that it crashes more endpoints, and against
+	// blocking a frequent request because of unrelated crashes.
 	for _, tc := range []struct {
 		name    string
-		steps   []step
+		events  []event
 		second  int
 		held    time.Duration
-		strikes int
+		crashes int
 	}{
-		{"never seen", nil, 0, 0, 0},
-		{"one endpoint ended", []step{{"a", 0}}, 0, 0, 1},
-		{"two ended", []step{{"a", 0}, {"b", 0}}, 0, 10 * time.Second, 2},
-		{"one ended, and two processes saw it", []step{{"a", 0}, {"a", 1}}, 1, 0, 1},
-		{"two ended, and the rest is over", []step{{"a", 0}, {"b", 0}}, 10, 0, 2},
-		{"a third ended after it", []step{{"a", 0}, {"b", 0}, {"c", 11}}, 12, 24*time.Hour - time.Second, 3},
-		{"a day later", []step{{"a", 0}, {"b", 0}, {"c", 0}}, 24*60*60 + 1, 0, 0},
-		{"answered in between", []step{{"a", 0}, {"", 5}, {"b", 6}}, 6, 0, 1},
-		{"answered after two", []step{{"a", 0}, {"b", 0}, {"", 11}}, 11, 0, 0},
-		{"answered while it is barred", []step{{"a", 0}, {"b", 0}, {"c", 0}, {"", 1}}, 60, 24*time.Hour - time.Minute, 3},
-		{"two ended long ago", []step{{"a", 0}, {"b", 0}}, 601, 0, 0},
-		{"seen by a clock that is ahead", []step{{"a", 100}, {"b", 100}}, 0, 10 * time.Second, 2},
+		{"unknown", nil, 0, 0, 0},
+		{"one crash", []event{{"a", 0}}, 0, 0, 1},
+		{"two crashes", []event{{"a", 0}, {"b", 0}}, 0, 10 * time.Second, 2},
+		{"one crash seen by two processes", []event{{"a", 0}, {"a", 1}}, 1, 0, 1},
+		{"two crashes, after the cooldown", []event{{"a", 0}, {"b", 0}}, 10, 0, 2},
+		{"third crash after the cooldown", []event{{"a", 0}, {"b", 0}, {"c", 11}}, 12, 24*time.Hour - time.Second, 3},
+		{"after the block time", []event{{"a", 0}, {"b", 0}, {"c", 0}}, 24*60*60 + 1, 0, 0},
+		{"success in between", []event{{"a", 0}, {"", 5}, {"b", 6}}, 6, 0, 1},
+		{"success after two", []event{{"a", 0}, {"b", 0}, {"", 11}}, 11, 0, 0},
+		{"success while blocked", []event{{"a", 0}, {"b", 0}, {"c", 0}, {"", 1}}, 60, 24*time.Hour - time.Minute, 3},
+		{"two crashes, expired", []event{{"a", 0}, {"b", 0}}, 601, 0, 0},
+		{"clock ahead", []event{{"a", 100}, {"b", 100}}, 0, 10 * time.Second, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ta Table
-			for _, st := range tc.steps {
-				at := noon.Add(time.Duration(st.second) * time.Second)
-				if st.endpoint == "" {
+			for _, ev := range tc.events {
+				at := noon.Add(time.Duration(ev.second) * time.Second)
+				if ev.endpoint == "" {
 					ta.RecordSuccess("request", at)
 					continue
 				}
-				ta.RecordCrash("request", st.endpoint, at)
+				ta.RecordCrash("request", ev.endpoint, at)
 			}
 			ve := ta.Check("request", noon.Add(time.Duration(tc.second)*time.Second))
-			assert.Equal(t, ve, Verdict{HeldFor: tc.held, Strikes: tc.strikes})
+			assert.Equal(t, ve, Verdict{HeldFor: tc.held, Strikes: tc.crashes})
 			assert.Equal(t, ve.Held(), tc.held > 0)
 			assert.Equal(t, ta.Check("another", noon), Verdict{})
 		})
 	}
 }
 
-func TestJudgeItem(t *testing.T) {
-	// An item is one of a dozen at each engine that ends, and its trainer can't ask
-	// again: it rests later than a caller's request, and has three more tries.
+func TestCheckItem(t *testing.T) {
+	// An item has higher thresholds than a request: it is one of many at an engine that
+	// crashes, and its trainer cannot retry it.
 	var ta Table
-	for i, held := range []time.Duration{0, 0, 0, itemRest, itemRest, itemRest, barTime} {
+	for i, held := range []time.Duration{0, 0, 0, itemCooldown, itemCooldown, itemCooldown, blockTime} {
 		assert.Equal(t, ta.CheckItem("item", noon), Verdict{HeldFor: held, Strikes: i})
 		ta.RecordCrash("item", fmt.Sprint(i), noon)
 	}
@@ -72,9 +70,8 @@
 }
 
 func TestTablesAgree(t *testing.T) {
-	// Two entries see the ends of endpoints in different orders, and each learns
-	// the other's by way of a third, twice or late. If they came to judge a request
-	// differently, it would pass at one of them.
+	// Guards against tables that got the same records in different orders, or repeatedly, with
+	// different verdicts.
 	rapid.Check(t, func(t *rapid.T) {
 		var res []Record
 		for range rapid.IntRange(0, 12).Draw(t, "records") {
@@ -98,8 +95,7 @@
 }
 
 func TestSince(t *testing.T) {
-	// Each news goes to all processes: with all that is known each time, a crash of
-	// one engine under a dozen items costs each of them the records of the day.
+	// Guards against sending all records to all processes at each change.
 	var ta Table
 	ta.RecordCrash("old", "a", noon)
 	known := ta.Generation()
@@ -113,18 +109,18 @@
 }
 
 func TestTableIsBounded(t *testing.T) {
-	// A client that makes up requests that end endpoints must not drive out those
-	// that are known, nor fill the one value that all records share.
+	// Guards against many different requests that crash endpoints evicting blocked ones, or
+	// exceeding the size of the stored value.
 	var ta Table
-	for i := range barStrikes {
-		ta.RecordCrash("barred", fmt.Sprint(i), noon)
+	for i := range blockThreshold {
+		ta.RecordCrash("blocked", fmt.Sprint(i), noon)
 	}
 	for i := range 3 * maxRows {
 		ta.RecordCrash(Digest(fmt.Sprint("request-", i)), "endpoint", noon.Add(time.Duration(i)*time.Millisecond))
 	}
-	assert.Equal(t, len(ta.Records(noon)), maxRows-1+barStrikes)
-	assert.Assert(t, ta.Check("barred", noon).Held())
-	assert.Equal(t, len(ta.Records(noon.Add(time.Hour))), barStrikes, "what has expired is dropped")
+	assert.Equal(t, len(ta.Records(noon)), maxRows-1+blockThreshold)
+	assert.Assert(t, ta.Check("blocked", noon).Held())
+	assert.Equal(t, len(ta.Records(noon.Add(time.Hour))), blockThreshold, "expired records are removed")
 }
 
 func TestDigest(t *testing.T) {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// A Verdict is what may be done with a request.
+// A Verdict tells whether a request may be sent.
 type Verdict struct {
-	HeldFor time.Duration // it must not be sent to an endpoint for that long; 0: it may
-	Strikes int           // endpoints that ended under it since it was last answered
+	HeldFor time.Duration // how long it must not be sent; 0 means that it may be
+	Strikes int           // endpoints that crashed since its last success
 }
 
 // Held reports whether the request must not be sent to an endpoint now.
 func (ve Verdict) Held() bool { return ve.HeldFor > 0 }
 
-// Suspect reports whether an endpoint has ended under the request. It may be at
-// one endpoint at a time then: two at once could both end.
+// Suspect reports whether an endpoint has crashed while running the request. Such a request may
+// run at one endpoint at a time only.
 func (ve Verdict) Suspect() bool { return ve.Strikes > 0 }
