--- a/hold/record.go
+++ b/hold/record.go
@@ -1,9 +1,8 @@
-// Package hold keeps what operators hold back: the new work of a customer, of a step, or
-// of an endpoint that they drain.
+// Package hold manages the operators' holds, which pause new work of a customer, a step, a service
+// or an endpoint.
 //
-// All of it is one sheet, kept under one key in the key-value service and replaced only
-// by compare-and-swap. Every process that places work follows it and believes the newest
-// that it has seen, also while the service is away.
+// All holds are one value in the key-value service, which is replaced by compare-and-swap only.
+// Every process that schedules work follows it, and uses the newest one during an outage.
 package hold
 
 import (
@@ -12,35 +11,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A Kind says what a record holds back.
+// A Kind is the kind of a hold's target.
 type Kind string
 
-// The kinds of what can be held.
+// The kinds of targets.
 const (
-	// Customer holds the items of a customer's steps that have not begun, and refuses
-	// its live requests.
+	// Customer pauses the items of a customer's steps that have not started, and rejects its
+	// live requests.
 	Customer Kind = "customer"
-	// Endpoint sends an endpoint nothing new: it drains.
+	// Endpoint drains an endpoint: it gets no new work.
 	Endpoint Kind = "endpoint"
-	// Service holds the orders for endpoints of a service.
+	// Service pauses the autoscaling of a service.
 	Service Kind = "service"
-	// Step holds the items of a step that have not begun.
+	// Step pauses the items of a step that have not started.
 	Step Kind = "step"
 )
 
-// Kinds are all kinds, in the order of their names.
+// Kinds are all kinds, ordered by name.
 var Kinds = []Kind{Customer, Endpoint, Service, Step}
 
-// A Target is what is held, or may be.
+// A Target identifies what is held.
 type Target struct {
 	Kind Kind   `json:"kind"`
-	Name string `json:"name"` // of an endpoint its ID, or its address, which outlasts a restart
+	Name string `json:"name"` // for an endpoint its ID, or its address, which a restart keeps
 }
 
-// String returns the target as commands take it.
+// String returns the target in the syntax of the command line.
 func (ta Target) String() string { return string(ta.Kind) + " " + ta.Name }
 
-// A Record is a hold that is in force, and who put it there.
+// A Record is a hold that is in force, with its author and reason.
 type Record struct {
 	Target
 	At  time.Time `json:"at"`
@@ -48,23 +47,23 @@
 	Why string    `json:"why"`
 }
 
-// Lengths that a record's texts may have, in bytes, so that the sheet stays a small value.
+// Maximum lengths of a record's texts, in bytes. They bound the size of the stored value.
 const (
 	maxName = 200
 	maxText = 300
 )
 
-// Errors of what an operator asks for.
+// Validation errors of changes.
 var (
-	// ErrBadTarget means that nothing can be held by that name.
+	// ErrBadTarget means that the kind or the name is invalid.
 	ErrBadTarget = errors.New("can't be held")
-	// ErrNoReason means that a change names no reason, or no one.
+	// ErrNoReason means that a change has no reason or no author.
 	ErrNoReason = errors.New("a change needs a reason, and who makes it")
-	// ErrTooLong means that a text doesn't fit the sheet.
+	// ErrTooLong means that a text exceeds its maximum length.
 	ErrTooLong = errors.New("text is too long")
 )
 
-// Check returns what keeps a record out of the sheet.
+// Check returns an error if the record is invalid.
 func (re Record) Check() error {
 	switch re.Kind {
 	case Customer, Endpoint, Service, Step:
@@ -77,9 +76,9 @@
 	case re.Why == "" || re.By == "":
 		return ErrNoReason
 	case len(re.Name) > maxName:
-		return errors.Wrapf(ErrTooLong, "name of %d bytes, %d may be", len(re.Name), maxName)
+		return errors.Wrapf(ErrTooLong, "name of %d bytes, maximum %d", len(re.Name), maxName)
 	case len(re.Why) > maxText, len(re.By) > maxText:
-		return errors.Wrapf(ErrTooLong, "reason of %d bytes by a name of %d, %d may be each", len(re.Why), len(re.By), maxText)
+		return errors.Wrapf(ErrTooLong, "reason of %d bytes and author of %d bytes, maximum %d each", len(re.Why), len(re.By), maxText)
 	}
 	return nil
 }
