--- a/leader/client.go
+++ b/leader/client.go
@@ -10,14 +10,14 @@
 	"wisteriacroft/roundtrip"
 )
 
-// A DialFunc makes a connection.
+// A DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewHTTPClient returns a client for a duty's calls, which makes a connection by dialFunc
-// for each call and resets it at its end.
+// NewHTTPClient returns a client for the calls of a leader. It opens a connection for each call, and
+// resets it at the end.
 //
-// Closed as usual, a connection whose other end is cut off would deliver the call whenever
-// the cut ends, after those of the next holder.
+// On a regular close during a network partition, the kernel could deliver the call once the
+// partition ends, after those of the next holder.
 func NewHTTPClient(dialFunc DialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:        roundtrip.Dial(dialFunc.dialResetting),
@@ -26,7 +26,7 @@
 	}}
 }
 
-// dialResetting makes a connection that is reset when it is closed.
+// dialResetting opens a connection that is reset when it is closed.
 func (df DialFunc) dialResetting(ctx context.Context, network, address string) (net.Conn, error) {
 	co, err := df(ctx, network, address)
 	if err != nil {
--- a/leader/client_test.go
+++ b/leader/client_test.go
@@ -12,11 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a call of a former holder reaches the platform after those of its successor.
-// Events: the holder is cut off in the midst of a call, gives it up and closes the
-// connection; what it had written is delivered when the cut ends. Cause: a connection that
-// is closed as usual delivers what it took; one that is reset does not.
-func TestCallsThatAreGivenUpAreReset(t *testing.T) {
+// Guards against a canceled call of a former holder being delivered after a network partition, by
+// which time its successor has made calls.
+func TestCanceledCallIsReset(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -29,7 +27,7 @@
 			return
 		}
 		defer func() { _ = co.Close() }()
-		_, _ = co.Read(make([]byte, 1)) // the call has come
+		_, _ = co.Read(make([]byte, 1)) // the call has arrived
 		close(begun)
 		_, err = io.Copy(io.Discard, co)
 		ends <- err
@@ -41,16 +39,16 @@
 	}()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String(), http.NoBody)
 	assert.NilError(t, err)
-	_, err = NewHTTPClient((&net.Dialer{}).DialContext).Do(rq) //nolint:bodyclose // there is no answer
+	_, err = NewHTTPClient((&net.Dialer{}).DialContext).Do(rq) //nolint:bodyclose // there is no response
 	assert.Assert(t, err != nil)
 	assert.Assert(t, errors.Is(<-ends, syscall.ECONNRESET))
 }
 
 func TestFailedDial(t *testing.T) {
-	errDial := errors.New("no way")
+	errDial := errors.New("dial failed")
 	cl := NewHTTPClient(func(context.Context, string, string) (net.Conn, error) { return nil, errDial })
 	rq, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://127.0.0.1:1", http.NoBody)
 	assert.NilError(t, err)
-	_, err = cl.Do(rq) //nolint:bodyclose // there is no answer
+	_, err = cl.Do(rq) //nolint:bodyclose // there is no response
 	assert.Assert(t, errors.Is(err, errDial))
 }
--- a/leader/tenure.go
+++ b/leader/term.go
@@ -1,9 +1,9 @@
-// Package leader keeps the order of calls that one process at a time may make to the users'
-// platform, whatever they say: the reports of use, and the orders for endpoints.
+// Package leader orders the calls to the users' platform that only one process at a time may make,
+// such as usage reports and scaling orders.
 //
-// The holder of a lease makes them. What they are made of lasts in the key-value service
-// before they are made, so that a successor makes the very same; each call follows a
-// write that only the holder can make, and carries the lease's epoch.
+// The holder of a lease makes the calls. Their content is saved in the key-value service first, so
+// that a successor makes the same calls. Each call follows a fenced write and carries the lease's
+// epoch.
 package leader
 
 import (
@@ -18,65 +18,65 @@
 )
 
 const (
-	// storeTimeout bounds a call of the key-value service; a slow one still answers
-	// within it.
+	// storeTimeout bounds a call to the key-value service.
 	storeTimeout = 800 * time.Millisecond
-	// retryPause is the pause after a call that failed.
+	// retryPause is the pause after a failed call.
 	retryPause = 300 * time.Millisecond
 )
 
-// ErrSuperseded means that another process has written.
-var ErrSuperseded = errors.New("another process has written")
+// ErrSuperseded means that another process has written the record.
+var ErrSuperseded = errors.New("record written by another process")
 
-// An Author says which holder wrote a record.
+// An Author identifies the holder that wrote a record.
 type Author struct {
 	Epoch  uint64
 	Sender string // address of the process
 }
 
-// A Term is what a process knows of holding a duty, whose record is a Rec. Fill the
-// exported fields, then call Begin. One goroutine writes and calls; others may ask.
+// A Term is a process's state of leadership, with records of type Rec. Set the exported fields,
+// then call Begin. Only one goroutine may write and call; other methods are safe for concurrent
+// use.
 type Term[Rec any] struct {
 	Client *keyvalue.Client
-	// FenceFunc returns what a write expects that only the holder may make.
+	// FenceFunc returns the expectation that fences writes of the holder.
 	FenceFunc func(epoch uint64) (keyvalue.Expectation, bool)
 	Key       string // of the record in the key-value service
-	// MarkFunc returns who wrote a record.
+	// MarkFunc returns the author of a record.
 	MarkFunc func(rec Rec) Author
-	// Overlap is within what time holders must not take turns.
+	// Overlap is the time within which calls of two holders must not alternate.
 	Overlap time.Duration
-	// Owner is the address of the process, which no other machine has.
+	// Owner is the address of the process.
 	Owner string
-	// StandingFunc returns the epoch under which the lease is held, if it is.
+	// StandingFunc returns the epoch of the lease and whether it is held.
 	StandingFunc func(now time.Time) (epoch uint64, held bool)
-	// SteadyFunc is the process's steady clock; nil stands for Steady.
+	// SteadyFunc is the monotonic clock; nil means MonotonicClock.
 	SteadyFunc func() time.Duration
 
-	epoch   uint64        // of the record that was taken; 0 while none is
-	mu      sync.Mutex    // guards all of these
-	pauseAt time.Duration // no call is made before
-	turn    CallWindow
+	epoch   uint64        // of the adopted record; 0 if there is none
+	mu      sync.Mutex    // guards the unexported fields
+	pauseAt time.Duration // end of the current pause
+	window  CallWindow
 	version int64 // of the record in the key-value service
 }
 
-// A State is what a process is to do.
+// A State is the state of leadership.
 type State int
 
-// The standings of a process.
+// The states.
 const (
-	Idle      State = iota // it doesn't hold the lease, or pauses
-	MustAdopt              // it is to read the record and take it
-	Ready                  // it is to do its duty
+	Idle      State = iota // the lease is not held, or there is a pause
+	MustAdopt              // the record must be read and adopted
+	Ready                  // records may be written and calls made
 )
 
-// Begin notes the process's start, which may have called before.
+// Begin starts the term. A previous run of the process may have just made a call.
 func (te *Term[Rec]) Begin() {
 	te.mu.Lock()
 	defer te.mu.Unlock()
-	te.turn = NewCallWindow(te.Overlap, te.Now())
+	te.window = NewCallWindow(te.Overlap, te.Now())
 }
 
-// Now returns the time of the process's steady clock.
+// Now returns the time of the monotonic clock.
 func (te *Term[Rec]) Now() time.Duration {
 	if te.SteadyFunc == nil {
 		return MonotonicClock()
@@ -84,14 +84,14 @@
 	return te.SteadyFunc()
 }
 
-// Epoch returns the epoch under which the process does its duty, 0 if it doesn't.
+// Epoch returns the epoch of the adopted record, or 0 if there is none.
 func (te *Term[Rec]) Epoch() uint64 {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	return te.epoch
 }
 
-// State returns what is to be done now, and under which epoch.
+// State returns the state and the epoch of the lease, 0 if it is not held.
 func (te *Term[Rec]) State() (State, uint64) {
 	epoch, held := te.StandingFunc(time.Now())
 	te.mu.Lock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// Read returns the record, and its version. One that was never written is zero.
+// Read returns the record and its version, both zero if it was never written.
 func (te *Term[Rec]) Read(ctx context.Context) (Rec, int64, error) {
 	var rec Rec
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -124,26 +124,26 @@
 	return rec, it.Version, errors.Wrapf(cbor.Unmarshal(it.Value, &rec), "decode %s", te.Key)
 }
 
-// Adopt begins a turn with a record that was read, and returns how long it is until calls
-// are allowed.
+// Adopt starts leadership under an epoch with the record that was read, and returns the time until
+// calls are allowed.
 func (te *Term[Rec]) Adopt(epoch uint64, rec Rec, version int64) time.Duration {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
 	te.epoch, te.version = epoch, version
-	te.turn.Begin(now, te.MarkFunc(rec).Sender == te.Owner)
-	return te.turn.AllowedIn(now)
+	te.window.Begin(now, te.MarkFunc(rec).Sender == te.Owner)
+	return te.window.AllowedIn(now)
 }
 
-// Pause lets some time pass before the next call.
+// Pause starts a pause, after a failure.
 func (te *Term[Rec]) Pause() {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.pauseAt = te.Now() + retryPause
 }
 
-// Write writes a record, which the service refuses to anyone but the holder. After
-// ErrOvertaken the record has to be read and taken again.
+// Write writes a record with a fence. After ErrSuperseded the record must be read and adopted
+// again.
 func (te *Term[Rec]) Write(ctx context.Context, rec Rec) error {
 	te.mu.Lock()
 	epoch, version, sent := te.epoch, te.version, te.Now()
@@ -158,24 +158,23 @@
 	case te.epoch != epoch:
 		return ErrSuperseded
 	case errors.Is(err, ErrSuperseded):
-		te.epoch = 0 // what lasts is another's: it is read again, if the lease is still held
+		te.epoch = 0 // another process's record is adopted if the lease is still held
 	case err == nil:
 		te.version = version
-		te.turn.Confirm(sent)
+		te.window.Confirm(sent)
 	}
 	return err
 }
 
-// put writes a record under the fence.
+// put writes a record with a fence.
 //
-// An answer may be lost after the write took effect, and the next one then finds a
-// version that it did not expect. The record's mark tells that it is this holder's own.
-// A decision is never changed once it is in a record, so that whichever of a holder's
-// writes came last holds the same decisions as this one, or fewer.
+// If the response to a write is lost, the next write finds an unexpected version. The author of the
+// record shows that it is this holder's own. That is safe because decisions in a record never
+// change, so that each of a holder's writes has the same decisions as this one, or fewer.
 func (te *Term[Rec]) put(ctx context.Context, epoch uint64, version int64, rec Rec) (int64, error) {
 	fence, ok := te.FenceFunc(epoch)
 	if !ok {
-		return 0, errors.Wrap(ErrSuperseded, "the lease is gone")
+		return 0, errors.Wrap(ErrSuperseded, "lease lost")
 	}
 	value, err := cbor.Marshal(rec)
 	if err != nil {
@@ -191,39 +190,38 @@
 		return next, err
 	}
 	now, found, errRead := te.Read(ctx)
-	switch mark := te.MarkFunc(now); {
+	switch au := te.MarkFunc(now); {
 	case errRead != nil:
 		return 0, errRead
-	case mark.Epoch == epoch && mark.Sender == te.Owner && found != version:
-		te.adopt(found)
-		return 0, errors.Wrap(err, "an earlier write came after all")
+	case au.Epoch == epoch && au.Sender == te.Owner && found != version:
+		te.setVersion(found)
+		return 0, errors.Wrap(err, "an earlier write took effect")
 	default:
-		return 0, errors.Wrapf(ErrSuperseded, "%s of epoch %d", mark.Sender, mark.Epoch)
+		return 0, errors.Wrapf(ErrSuperseded, "%s of epoch %d", au.Sender, au.Epoch)
 	}
 }
 
-// adopt notes the version that an earlier write of this holder made.
-func (te *Term[Rec]) adopt(version int64) {
+// setVersion sets the version of the record.
+func (te *Term[Rec]) setVersion(version int64) {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.version = version
 }
 
-// MayCall reports whether calls are allowed, and whether the last write is fresh enough
-// for one to follow.
+// MayCall reports whether calls are allowed, and whether the last write is recent enough for one.
 func (te *Term[Rec]) MayCall() (allowed, confirmed bool) {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
-	return te.epoch != 0 && te.turn.Allowed(now), te.turn.Confirmed(now)
+	return te.epoch != 0 && te.window.Allowed(now), te.window.Confirmed(now)
 }
 
-// Call makes a call under an epoch, and returns how long it took. After the context that
-// send gets ends, no byte may be sent any more.
+// Call calls send with an epoch, and returns how long it took. Once the context passed to send has
+// ended, no more bytes may be sent.
 func (te *Term[Rec]) Call(ctx context.Context, epoch uint64, send func(ctx context.Context, epoch uint64) error) (time.Duration, error) {
 	te.mu.Lock()
 	begun := te.Now()
-	left := te.turn.Call(begun)
+	left := te.window.Call(begun)
 	te.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
@@ -234,6 +232,6 @@
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	now := te.Now()
-	te.turn.Called(now)
+	te.window.Called(now)
 	return now - begun, err
 }
