--- a/usage/clock.go
+++ b/usage/clock.go
@@ -5,106 +5,104 @@
 	"time"
 )
 
-// Bounds of agreeing on the time.
+// Parameters of the clock.
 const (
-	// gatherTime is for how long after its first vote a clock follows the median
-	// freely: each instance has been heard by then.
-	gatherTime = 2 * time.Second
-	// beliefTime is the same where an earlier holder has told entries the time: each
-	// of them has pushed by then.
-	beliefTime = mostWake + 2*pushTimeout
-	// slewPart is how fast the clock follows the median then: faster than steady clocks
-	// drift apart, and so slowly that a time of day that is set wrong for a minute on most
-	// instances hardly moves it.
-	slewPart = 0.0002
-	// followEvery is how often the clock looks for the median at most: with each vote, of
-	// which each attendant sends several a second, it would look through all of them.
-	followEvery = 100 * time.Millisecond
-	// voteLife is for how long a vote counts.
-	voteLife = 15 * time.Second
+	// convergeTime is how long after its first sample a clock steps to the median. Each
+	// instance has sent a sample by then.
+	convergeTime = 2 * time.Second
+	// seedTimeout replaces convergeTime if entries have the time of an earlier holder. Each of
+	// them has pushed by then.
+	seedTimeout = maxWake + 2*pushTimeout
+	// slewRate bounds the adjustment towards the median afterwards. It exceeds the drift of
+	// monotonic clocks, but limits the effect of wall clocks that are temporarily wrong on most
+	// instances.
+	slewRate = 0.0002
+	// adjustInterval is the minimum interval of adjustments, each of which sorts all samples.
+	adjustInterval = 100 * time.Millisecond
+	// sampleTTL is how long a sample counts.
+	sampleTTL = 15 * time.Second
 )
 
-// A Clock tells true time by what many instances hold it to be, each by a clock that
-// may be wrong, or set while it is asked. The zero Clock knows nothing.
+// A Clock estimates true time by the median of the wall clocks of many instances, each of which may
+// be wrong or may be set. The zero value has no time yet.
 type Clock struct {
-	began    time.Duration // of the first vote, by the steady clock
-	believed bool          // offset comes from an earlier holder's time
-	followed time.Duration // last, by the steady clock
-	gather   time.Duration // instead of gatherTime, unless 0
-	known    bool
-	offset   time.Duration // of true time since 1970 from the steady clock
-	slewedAt time.Duration
-	votes    map[string]vote
+	startedAt   time.Duration // monotonic time of the first sample
+	seeded      bool          // offset was set by Seed
+	adjustedAt  time.Duration // monotonic time of the last adjustment
+	convergeFor time.Duration // replaces convergeTime unless 0
+	known       bool
+	offset      time.Duration // of true Unix time from the monotonic clock
+	slewedAt    time.Duration
+	samples     map[string]sample
 }
 
-type vote struct {
+type sample struct {
 	at     time.Duration
 	offset time.Duration
 }
 
-// AddSample takes in what an instance's time of day is at a moment of the steady clock.
-func (cl *Clock) AddSample(instance string, wall time.Time, steady time.Duration) {
-	if cl.votes == nil {
-		cl.votes, cl.began, cl.slewedAt = map[string]vote{}, steady, steady
+// AddSample adds a sample of an instance's wall clock, taken at the given monotonic time.
+func (cl *Clock) AddSample(instance string, wall time.Time, mono time.Duration) {
+	if cl.samples == nil {
+		cl.samples, cl.startedAt, cl.slewedAt = map[string]sample{}, mono, mono
 	}
-	cl.votes[instance] = vote{at: steady, offset: time.Duration(wall.UnixNano()) - steady}
-	if !cl.known || steady-cl.followed >= followEvery {
-		cl.followed = steady
-		cl.follow(steady)
+	cl.samples[instance] = sample{at: mono, offset: time.Duration(wall.UnixNano()) - mono}
+	if !cl.known || mono-cl.adjustedAt >= adjustInterval {
+		cl.adjustedAt = mono
+		cl.adjust(mono)
 	}
 }
 
-// Seed takes in true time as an earlier holder told it. It goes before votes: days
-// exist on which more than half of all instances have a wrong time of day, and it was
-// agreed on before.
-func (cl *Clock) Seed(at time.Time, steady time.Duration) {
-	if cl.believed {
+// Seed sets the true time from that of an earlier holder, unless it is set already. It takes
+// precedence over samples, as more than half of the wall clocks may be wrong temporarily.
+func (cl *Clock) Seed(at time.Time, mono time.Duration) {
+	if cl.seeded {
 		return
 	}
-	cl.believed, cl.known = true, true
-	cl.offset, cl.slewedAt = time.Duration(at.UnixNano())-steady, steady
+	cl.seeded, cl.known = true, true
+	cl.offset, cl.slewedAt = time.Duration(at.UnixNano())-mono, mono
 }
 
-// expectBelief tells the clock whether an earlier holder has told entries the time.
-func (cl *Clock) expectBelief(yes bool) {
-	cl.gather = gatherTime
+// expectSeed sets whether entries are expected to have the time of an earlier holder.
+func (cl *Clock) expectSeed(yes bool) {
+	cl.convergeFor = convergeTime
 	if yes {
-		cl.gather = beliefTime
+		cl.convergeFor = seedTimeout
 	}
 }
 
-// gathers reports whether the clock still follows the median freely.
-func (cl *Clock) gathers(steady time.Duration) bool {
-	return !cl.believed && steady-cl.began <= max(cl.gather, gatherTime)
+// converging reports whether the clock still steps to the median.
+func (cl *Clock) converging(mono time.Duration) bool {
+	return !cl.seeded && mono-cl.startedAt <= max(cl.convergeFor, convergeTime)
 }
 
-// follow moves the clock towards the median of the votes.
-func (cl *Clock) follow(steady time.Duration) {
-	offsets := make([]time.Duration, 0, len(cl.votes))
-	for instance, vo := range cl.votes {
-		if steady-vo.at > voteLife {
-			delete(cl.votes, instance)
+// adjust moves the clock towards the median of the samples.
+func (cl *Clock) adjust(mono time.Duration) {
+	offsets := make([]time.Duration, 0, len(cl.samples))
+	for instance, sa := range cl.samples {
+		if mono-sa.at > sampleTTL {
+			delete(cl.samples, instance)
 			continue
 		}
-		offsets = append(offsets, vo.offset)
+		offsets = append(offsets, sa.offset)
 	}
 	slices.Sort(offsets)
 	median := offsets[len(offsets)/2]
-	if cl.gathers(steady) {
-		cl.known, cl.offset, cl.slewedAt = true, median, steady
+	if cl.converging(mono) {
+		cl.known, cl.offset, cl.slewedAt = true, median, mono
 		return
 	}
-	limit := time.Duration(slewPart * float64(steady-cl.slewedAt))
+	limit := time.Duration(slewRate * float64(mono-cl.slewedAt))
 	cl.offset += min(max(median-cl.offset, -limit), limit)
-	cl.slewedAt = steady
+	cl.slewedAt = mono
 }
 
-// Settled reports whether the time is agreed on.
-func (cl *Clock) Settled(steady time.Duration) bool {
-	return cl.known && !cl.gathers(steady)
+// Settled reports whether the time is known and no longer converging.
+func (cl *Clock) Settled(mono time.Duration) bool {
+	return cl.known && !cl.converging(mono)
 }
 
-// Time returns true time at a moment of the steady clock.
-func (cl *Clock) Time(steady time.Duration) time.Time {
-	return time.Unix(0, int64(cl.offset+steady))
+// Time returns the true time at a monotonic time.
+func (cl *Clock) Time(mono time.Duration) time.Time {
+	return time.Unix(0, int64(cl.offset+mono))
 }
--- a/usage/clock_test.go
+++ b/usage/clock_test.go
@@ -8,9 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// voteAll lets instances vote each 100 ms until a moment; the first skewed of them are
-// off by skew.
-func voteAll(cl *Clock, from, until time.Duration, instances, skewed int, skew time.Duration) {
+// sampleAll adds samples of instances every 100 ms; the first skewed of them are off by skew.
+func sampleAll(cl *Clock, from, until time.Duration, instances, skewed int, skew time.Duration) {
 	for at := from; at < until; at += 100 * time.Millisecond {
 		for i := range instances {
 			wall := time.Unix(1000, 0).Add(at)
@@ -29,36 +28,36 @@
 func TestClock(t *testing.T) {
 	var cl Clock
 	assert.Assert(t, !cl.Settled(0))
-	voteAll(&cl, 0, 3*time.Second, 10, 3, time.Minute)
+	sampleAll(&cl, 0, 3*time.Second, 10, 3, time.Minute)
 	assert.Assert(t, cl.Settled(3*time.Second))
 	assert.Assert(t, cl.off(3*time.Second) < time.Millisecond)
-	// Most clocks are a minute ahead for eight seconds.
-	voteAll(&cl, 3*time.Second, 11*time.Second, 10, 6, time.Minute)
+	// Most wall clocks are a minute ahead for eight seconds.
+	sampleAll(&cl, 3*time.Second, 11*time.Second, 10, 6, time.Minute)
 	assert.Assert(t, cl.off(11*time.Second) < 3*time.Millisecond, "%s", cl.off(11*time.Second))
 }
 
-// A holder begins while most clocks are wrong. Entries know the time from the holder
-// before it.
-func TestClockBelieves(t *testing.T) {
+// Guards against a new holder adopting a wrong time if most wall clocks are wrong, although entries
+// have the time of the previous holder.
+func TestClockSeed(t *testing.T) {
 	var cl Clock
-	cl.expectBelief(true)
-	voteAll(&cl, 0, 3*time.Second, 10, 6, time.Minute)
-	assert.Assert(t, !cl.Settled(3*time.Second), "an entry may still tell")
+	cl.expectSeed(true)
+	sampleAll(&cl, 0, 3*time.Second, 10, 6, time.Minute)
+	assert.Assert(t, !cl.Settled(3*time.Second), "a seed may still arrive")
 	cl.Seed(time.Unix(1000, 0).Add(3*time.Second), 3*time.Second)
 	assert.Assert(t, cl.Settled(3*time.Second))
-	voteAll(&cl, 3*time.Second, 5*time.Second, 10, 6, time.Minute)
+	sampleAll(&cl, 3*time.Second, 5*time.Second, 10, 6, time.Minute)
 	assert.Assert(t, cl.off(5*time.Second) < time.Millisecond)
 
 	var alone Clock
-	alone.expectBelief(true)
-	voteAll(&alone, 0, 7*time.Second, 10, 3, time.Minute)
-	assert.Assert(t, alone.Settled(7*time.Second), "no entry knows the time")
+	alone.expectSeed(true)
+	sampleAll(&alone, 0, 7*time.Second, 10, 3, time.Minute)
+	assert.Assert(t, alone.Settled(7*time.Second), "no seed arrived")
 }
 
-// The steady clock of one instance runs faster than true time by 50 millionths.
+// The monotonic clock of the holder runs faster than true time by 50 ppm.
 func TestClockFollowsDrift(t *testing.T) {
 	var cl Clock
-	voteAll(&cl, 0, 3*time.Second, 5, 0, 0)
+	sampleAll(&cl, 0, 3*time.Second, 5, 0, 0)
 	const drift = 50e-6
 	for at := 3 * time.Second; at < 100*time.Second; at += 100 * time.Millisecond {
 		for i := range 5 {
--- a/usage/message.go
+++ b/usage/message.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// pushMethod is the call by which an entry tells the holder what began.
+// pushMethod is the RPC method by which an entry sends starts to the holder.
 const pushMethod = "usage.Push"
 
-// A Start is a request that an endpoint began to run.
+// A Start is a request that an endpoint started to run.
 type Start struct {
-	At       time.Duration // by the steady clock of the entry's start
+	At       time.Duration // of the entry's monotonic clock
 	Customer string
 }
 
-// A Batch is some starts of one entry. Sent again, it is the same.
+// A Batch is a group of starts of one entry. It is the same at each retry.
 type Batch struct {
-	Number uint64 // counted from 1 within one start of the entry
+	Number uint64 // starts with 1 at each boot of the entry
 	Starts []Start
 }
 
-// A PushRequest holds what an entry has recorded and does not know to last.
+// A PushRequest holds the batches of an entry that are not acknowledged yet.
 type PushRequest struct {
 	Batches []Batch // in the order of their numbers
-	// Believed is what the entry holds to be true time, by an earlier answer of a
-	// holder, in Unix microseconds; 0 if it has had none.
+	// Believed is the true time by an earlier response of a holder, in Unix microseconds; 0 if
+	// there was none.
 	Believed int64
-	Boot     string // of the entry; changes with each of its starts
+	Boot     string // ID of the entry's boot
 	Final    bool   // the entry ends and pushes no more
 	Instance string // of the entry, for logs
 	Now      time.Duration
-	// Settled is until when all that began is in Batches or was pushed before: what
-	// began later may still be under way.
+	// Settled is the time up to which all starts are in Batches or were pushed before. Later
+	// requests may still be pending.
 	Settled time.Duration
-	Wall    int64 // the entry's time of day, in Unix microseconds
+	Wall    int64 // the entry's wall clock, in Unix microseconds
 }
 
-// A PushResponse says what lasts.
+// A PushResponse acknowledges saved batches.
 type PushResponse struct {
-	Lasting uint64        // the batches up to it
-	Now     int64         // true time as the holder knows it, in Unix microseconds
-	Wake    time.Duration // the holder wants to hear again after it at the latest
+	Lasting uint64        // number of the last saved batch
+	Now     int64         // true time at the holder, in Unix microseconds
+	Wake    time.Duration // maximum delay of the next push
 }
--- a/usage/pusher.go
+++ b/usage/pusher.go
@@ -12,21 +12,19 @@
 	"wisteriacroft/peer"
 )
 
-// Times of pushing.
+// Timing of pushes.
 const (
-	// gatherPause is for how long what begins is gathered before it is pushed, and so
-	// what is lost when an entry is killed.
-	gatherPause = 30 * time.Millisecond
-	// pushTimeout bounds one push.
+	// batchDelay is how long starts are batched before a push. They are lost if the entry is
+	// killed.
+	batchDelay  = 30 * time.Millisecond
 	pushTimeout = time.Second
-	// finalTime bounds the last push of an entry that ends.
-	finalTime = time.Second
-	// retryPause is the pause after a push that failed.
+	// finalTimeout bounds the final push of an entry that ends.
+	finalTimeout = time.Second
+	// retryPause is the pause after a failed push.
 	retryPause = 300 * time.Millisecond
 )
 
-// A Pusher tells the holder what an entry has recorded. Fill the exported fields, then
-// call Run.
+// A Pusher pushes the starts of a Recorder to the holder. Set the exported fields, then call Run.
 type Pusher struct {
 	Finder   *lease.Resolver // of the holder
 	Instance string
@@ -34,12 +32,12 @@
 	Pool     *peer.Pool
 	Recorder *Recorder
 
-	believed   time.Time     // true time, as the holder told it
-	believedAt time.Duration // by the steady clock
-	boot       string
+	holderTime   time.Time     // true time by the last response
+	holderTimeAt time.Duration // monotonic time of holderTime
+	boot         string
 }
 
-// Run pushes until ctx ends, and then what is left.
+// Run pushes until ctx ends, and then makes a final push.
 func (pu *Pusher) Run(ctx context.Context) {
 	pu.boot = uuid.NewString()
 	wake := time.Duration(0)
@@ -49,7 +47,7 @@
 			pu.finish(context.WithoutCancel(ctx))
 			return
 		case <-pu.Recorder.changes():
-			sleep(ctx, gatherPause)
+			sleep(ctx, batchDelay)
 		case <-time.After(wake):
 		}
 		var err error
@@ -60,9 +58,9 @@
 	}
 }
 
-// finish pushes what is left, and that no more will come.
+// finish makes the final push, with retries.
 func (pu *Pusher) finish(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finalTime)
+	ctx, cancel := context.WithTimeout(ctx, finalTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if _, err := pu.push(ctx, true); err == nil {
@@ -72,16 +70,16 @@
 	}
 }
 
-// push makes one push, and returns when the next one is to follow.
+// push makes one push, and returns the maximum delay of the next one.
 func (pu *Pusher) push(ctx context.Context, final bool) (time.Duration, error) {
 	address := pu.Finder.Address(ctx)
 	if address == "" {
 		return 0, errors.Wrap(ErrNotHolder, "no holder is known")
 	}
-	rq := pu.Recorder.push()
+	rq := pu.Recorder.pushRequest()
 	rq.Boot, rq.Final, rq.Instance, rq.Wall = pu.boot, final, pu.Instance, time.Now().UnixMicro()
-	if !pu.believed.IsZero() {
-		rq.Believed = pu.believed.Add(rq.Now - pu.believedAt).UnixMicro()
+	if !pu.holderTime.IsZero() {
+		rq.Believed = pu.holderTime.Add(rq.Now - pu.holderTimeAt).UnixMicro()
 	}
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
@@ -93,9 +91,9 @@
 		}
 		return 0, err
 	}
-	pu.Recorder.lasting(re.Lasting)
-	pu.believed = time.UnixMicro(re.Now)
-	pu.believedAt = (rq.Now + pu.Recorder.steady()) / 2 // it was told halfway
+	pu.Recorder.acknowledge(re.Lasting)
+	pu.holderTime = time.UnixMicro(re.Now)
+	pu.holderTimeAt = (rq.Now + pu.Recorder.now()) / 2 // assumes symmetric network delay
 	return re.Wake, nil
 }
 
--- a/usage/recorder.go
+++ b/usage/recorder.go
@@ -7,27 +7,27 @@
 	"wisteriacroft/leader"
 )
 
-// batchLife is for how long a batch is kept that is not known to last. Windows are
-// reported within some ten seconds of their ends; what comes later counts nowhere.
-const batchLife = time.Minute
+// batchTTL is how long an unacknowledged batch is kept. Windows are reported within some ten seconds
+// of their ends, and later starts are not counted.
+const batchTTL = time.Minute
 
-// A Recorder notes what an entry's endpoints begin to run. Nil notes nothing. The zero
-// Recorder is ready to use.
+// A Recorder records the requests of an entry that endpoints start to run. A nil Recorder records
+// nothing; the zero value is ready to use. It is safe for concurrent use.
 type Recorder struct {
-	// SteadyFunc is the entry's steady clock; nil stands for duty.Steady.
+	// SteadyFunc is the monotonic clock; nil means leader.MonotonicClock.
 	SteadyFunc func() time.Duration
 
-	batches []Batch // that are not known to last
-	kick    chan struct{}
-	mu      sync.Mutex
-	next    uint64 // number of the run begun last
-	number  uint64 // of the batch made last
-	owing   bool   // a push was made while runs were under way
-	runs    map[uint64]time.Duration
-	starts  []Start // in no batch yet
+	batches   []Batch // unacknowledged
+	signal    chan struct{}
+	mu        sync.Mutex
+	lastRun   uint64 // number of the last run
+	lastBatch uint64 // number of the last batch
+	unsettled bool   // runs were pending at the last push
+	runs      map[uint64]time.Duration
+	starts    []Start // in no batch yet
 }
 
-// A Run is one request on its way to an endpoint. The zero Run is noted nowhere.
+// A Run is a request that was sent to an endpoint. The zero Run is not recorded.
 type Run struct {
 	at       time.Duration
 	customer string
@@ -35,8 +35,8 @@
 	recorder *Recorder
 }
 
-// Begin notes that a customer's request goes to an endpoint now. Requests of no
-// customer are not counted.
+// Begin records that a customer's request is sent to an endpoint now. Requests without a customer
+// are not counted.
 func (re *Recorder) Begin(customer string) Run {
 	if re == nil || customer == "" {
 		return Run{}
@@ -46,13 +46,13 @@
 	if re.runs == nil {
 		re.runs = map[uint64]time.Duration{}
 	}
-	re.next++
-	ru := Run{at: re.steady(), customer: customer, number: re.next, recorder: re}
+	re.lastRun++
+	ru := Run{at: re.now(), customer: customer, number: re.lastRun, recorder: re}
 	re.runs[ru.number] = ru.at
 	return ru
 }
 
-// End notes whether the endpoint began to run the request. Only the first End counts.
+// End records whether the endpoint started to run the request. Only the first call counts.
 func (ru Run) End(began bool) {
 	re := ru.recorder
 	if re == nil {
@@ -67,37 +67,37 @@
 	if began {
 		re.starts = append(re.starts, Start{At: ru.at, Customer: ru.customer})
 	}
-	if began || re.owing {
+	if began || re.unsettled {
 		select {
-		case re.kicks() <- struct{}{}:
+		case re.signalChannel() <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// push returns what is to be pushed now. Starts that no batch holds make a new one.
-func (re *Recorder) push() PushRequest {
+// pushRequest returns the next push. Starts that are in no batch yet are added as a new one.
+func (re *Recorder) pushRequest() PushRequest {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	now := re.steady()
+	now := re.now()
 	if len(re.starts) > 0 {
-		re.number++
-		re.batches = append(re.batches, Batch{Number: re.number, Starts: re.starts})
+		re.lastBatch++
+		re.batches = append(re.batches, Batch{Number: re.lastBatch, Starts: re.starts})
 		re.starts = nil
 	}
-	for len(re.batches) > 0 && now-re.batches[0].Starts[0].At > batchLife {
+	for len(re.batches) > 0 && now-re.batches[0].Starts[0].At > batchTTL {
 		re.batches = re.batches[1:]
 	}
 	settled := now
 	for _, at := range re.runs {
 		settled = min(settled, at)
 	}
-	re.owing = len(re.runs) > 0
+	re.unsettled = len(re.runs) > 0
 	return PushRequest{Batches: re.batches, Now: now, Settled: settled}
 }
 
-// lasting takes in that batches last.
-func (re *Recorder) lasting(number uint64) {
+// acknowledge removes the batches up to a number, which are saved.
+func (re *Recorder) acknowledge(number uint64) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	for len(re.batches) > 0 && re.batches[0].Number <= number {
@@ -105,21 +105,21 @@
 	}
 }
 
-// changes returns a channel that tells that there is something to push.
+// changes returns a channel that is signaled when there is something to push.
 func (re *Recorder) changes() <-chan struct{} {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	return re.kicks()
+	return re.signalChannel()
 }
 
-func (re *Recorder) kicks() chan struct{} {
-	if re.kick == nil {
-		re.kick = make(chan struct{}, 1)
+func (re *Recorder) signalChannel() chan struct{} {
+	if re.signal == nil {
+		re.signal = make(chan struct{}, 1)
 	}
-	return re.kick
+	return re.signal
 }
 
-func (re *Recorder) steady() time.Duration {
+func (re *Recorder) now() time.Duration {
 	if re.SteadyFunc == nil {
 		return leader.MonotonicClock()
 	}
--- a/usage/usage.go
+++ b/usage/usage.go
@@ -1,18 +1,17 @@
-// Package usage counts, for each customer, the requests that endpoints began to run in
-// each window of true time, and reports each window once.
+// Package usage counts the requests that endpoints started to run, by customer and time window, and
+// reports each window once.
 //
-// Entries record what begins and push it to the holder, the process that reports. What
-// is reported of a window is decided once and kept before it is sent, so that a
-// successor sends the very same. What decides stands apart from talk and clocks:
-// Recorder at an entry, Clock and Book at the holder.
+// Entries record starts in a Recorder and push them to the holder of a lease, whose Collector
+// reports them. A report is final and saved before it is sent, so that a successor sends the same
+// one. Recorder, Clock and Aggregator do no I/O.
 package usage
 
 import "time"
 
-// A Window is the number of a window: how many came before it since the start of 1970.
+// A Window is the number of a time window since the Unix epoch.
 type Window int64
 
-// WindowOf returns the window of a size that a moment lies in.
+// WindowOf returns the window of a size that contains a time.
 func WindowOf(at time.Time, size time.Duration) Window {
 	return Window(at.UnixNano() / int64(size))
 }
@@ -22,13 +21,13 @@
 	return time.Unix(0, (int64(wi)+1)*int64(size))
 }
 
-// A Report is what is said of a window, once and for all.
+// A Report is the final count of a window.
 type Report struct {
 	Counts map[string]uint64 // by customer
 	Window Window
 }
 
-// total returns how many requests a report counts.
+// total returns the total count of a report.
 func (re Report) total() uint64 {
 	total := uint64(0)
 	for _, count := range re.Counts {
