--- a/scale/decide_test.go
+++ b/scale/decide_test.go
@@ -11,28 +11,28 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// serviceOf returns a service of two failure domains with endpoints of ten places.
+// serviceOf returns a service in two failure domains, with ten slots per endpoint.
 func serviceOf(a, b int, shares ...Share) Service {
 	return Service{
 		Bounds: Bounds{Startup: 3 * second, Max: 8, Min: 1}, Domains: map[string]int{"a": a, "b": b}, Name: "llm", Places: 10, Work: shares,
 	}
 }
 
-func TestWant(t *testing.T) {
-	// Eight of ten places count: an endpoint does 8 s of work a second.
+func TestDesired(t *testing.T) {
+	// At 80% utilization, an endpoint with ten slots does 8 s of work per second.
 	for name, tc := range map[string]struct {
 		work Work
 		want int
 	}{
-		"nothing":                      {nil, 0},
-		"little":                       {Work{{Due: 8 * second, Work: second}}, 1},
-		"as much as there is":          {Work{{Due: 8 * second, Work: 128 * second}}, 2},
-		"more, which new ones share":   {Work{{Due: 8 * second, Work: 192 * second}}, 4}, // 64 s left, 5 s to do them
-		"due before new ones serve":    {Work{{Due: 4 * second, Work: 128 * second}}, 4},
-		"late":                         {Work{{Due: -9 * second, Work: 32 * second}}, 2},
-		"later work waits for sooner":  {Work{{Due: 16 * second, Work: 128 * second}, {Due: 8 * second, Work: 64 * second}}, 2},
-		"later work alone would do":    {Work{{Due: 16 * second, Work: 64 * second}}, 1},
-		"sum matters, not one of them": {Work{{Due: 8 * second, Work: 64 * second}, {Due: 8 * second, Work: 64 * second}}, 2},
+		"no work":                     {nil, 0},
+		"little work":                 {Work{{Due: 8 * second, Work: second}}, 1},
+		"fits":                        {Work{{Due: 8 * second, Work: 128 * second}}, 2},
+		"exceeds, new endpoints help": {Work{{Due: 8 * second, Work: 192 * second}}, 4}, // 64 s left, to do in 5 s
+		"due before startup":          {Work{{Due: 4 * second, Work: 128 * second}}, 4},
+		"missed deadline":             {Work{{Due: -9 * second, Work: 32 * second}}, 2},
+		"later deadline after sooner": {Work{{Due: 16 * second, Work: 128 * second}, {Due: 8 * second, Work: 64 * second}}, 2},
+		"later deadline only":         {Work{{Due: 16 * second, Work: 64 * second}}, 1},
+		"sum of shares":               {Work{{Due: 8 * second, Work: 64 * second}, {Due: 8 * second, Work: 64 * second}}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, serviceOf(1, 1, tc.work...).Desired(), tc.want)
@@ -50,17 +50,17 @@
 	}
 }
 
-// A play is a load pattern: how much work a second comes, to be done within 8 s, by the
-// moment. Endpoints come when they were ordered and have started, and go at once.
-type play struct {
-	load   func(at time.Duration) float64 // endpoints that it takes
+// A simulation runs a Table with a load over time, with a deadline of 8 s. New endpoints serve after
+// their startup time; removed ones stop at once.
+type simulation struct {
+	load   func(at time.Duration) float64 // in endpoints
 	span   time.Duration
-	orders []int // sums of the targets, each time that they changed
+	orders []int // total target after each change
 	paid   float64
-	short  float64 // endpoints that were missing, by the second
+	short  float64 // missing capacity, in endpoint seconds
 }
 
-func (pl *play) run(t *testing.T, start int) {
+func (si *simulation) run(t *testing.T, start int) {
 	t.Helper()
 	var ta Table
 	targets := map[string]int{"a": start / 2, "b": start - start/2}
@@ -70,11 +70,11 @@
 	}
 	serving := start
 	var boots []coming
-	for at := time.Duration(0); at < pl.span; at += second / 2 {
+	for at := time.Duration(0); at < si.span; at += second / 2 {
 		for len(boots) > 0 && boots[0].at <= at {
 			serving, boots = serving+boots[0].count, boots[1:]
 		}
-		need := pl.load(at)
+		need := si.load(at)
 		se := serviceOf(serving/2, serving-serving/2, Share{Due: 8 * second, Work: time.Duration(need * 64 * float64(second))})
 		changed := 0
 		for _, or := range ta.Decide([]Service{se}, begin.Add(at)) {
@@ -88,17 +88,16 @@
 			serving += changed
 		}
 		if changed != 0 {
-			pl.orders = append(pl.orders, targets["a"]+targets["b"])
+			si.orders = append(si.orders, targets["a"]+targets["b"])
 		}
-		pl.paid += float64(targets["a"]+targets["b"]) / 2
-		pl.short += max(0, need-float64(serving)) / 2
+		si.paid += float64(targets["a"]+targets["b"]) / 2
+		si.short += max(0, need-float64(serving)) / 2
 	}
 }
 
-// Load pattern: demand grows for half a minute, stays, and falls again. Endpoints follow
-// it up without a step back, and go once the most of a while is less.
+// Demand rises, stays, and falls. Endpoints must rise and fall monotonically.
 func TestRamp(t *testing.T) {
-	pl := play{span: 90 * second, load: func(at time.Duration) float64 {
+	si := simulation{span: 90 * second, load: func(at time.Duration) float64 {
 		switch s := at.Seconds(); {
 		case s < 30:
 			return 2 + s/5
@@ -108,73 +107,68 @@
 			return max(2, 8-(s-50)/2)
 		}
 	}}
-	pl.run(t, 2)
+	si.run(t, 2)
 	top := 0
-	for i, count := range pl.orders {
+	for i, count := range si.orders {
 		if count >= top && i > 0 {
-			assert.Assert(t, count != pl.orders[i-1])
+			assert.Assert(t, count != si.orders[i-1])
 		}
 		top = max(top, count)
 	}
-	assert.Assert(t, top >= 8 && top <= 12, "%v", pl.orders)
-	assert.Equal(t, pl.orders[len(pl.orders)-1], 2, "%v", pl.orders)
+	assert.Assert(t, top >= 8 && top <= 12, "%v", si.orders)
+	assert.Equal(t, si.orders[len(si.orders)-1], 2, "%v", si.orders)
 	turns := 0
-	for i := 2; i < len(pl.orders); i++ {
-		if (pl.orders[i] > pl.orders[i-1]) != (pl.orders[i-1] > pl.orders[i-2]) {
+	for i := 2; i < len(si.orders); i++ {
+		if (si.orders[i] > si.orders[i-1]) != (si.orders[i-1] > si.orders[i-2]) {
 			turns++
 		}
 	}
-	assert.Equal(t, turns, 1, "up and then down, once: %v", pl.orders)
+	assert.Equal(t, turns, 1, "one rise and one fall: %v", si.orders)
 }
 
-// Load pattern: all of a step comes at once and is gone half a second later. An endpoint
-// that starts for it comes too late to be of use.
-func TestBurstIsNotChased(t *testing.T) {
-	pl := play{span: 40 * second, load: func(at time.Duration) float64 {
+// Guards against ordering endpoints for bursts that are shorter than their startup.
+func TestShortBursts(t *testing.T) {
+	si := simulation{span: 40 * second, load: func(at time.Duration) float64 {
 		if at%(10*second) == 0 {
 			return 12
 		}
 		return 1.5
 	}}
-	pl.run(t, 2)
-	assert.Equal(t, len(pl.orders), 0, "%v", pl.orders)
+	si.run(t, 2)
+	assert.Equal(t, len(si.orders), 0, "%v", si.orders)
 }
 
-// Load pattern: a burst that lasts. It is answered by one order up, and one down long
-// after its end.
-func TestLastingBurst(t *testing.T) {
-	pl := play{span: 60 * second, load: func(at time.Duration) float64 {
+// A long burst must cause one scale-up, and one scale-down well after its end.
+func TestLongBurst(t *testing.T) {
+	si := simulation{span: 60 * second, load: func(at time.Duration) float64 {
 		if at >= 10*second && at < 25*second {
 			return 6
 		}
 		return 2
 	}}
-	pl.run(t, 2)
-	assert.Assert(t, len(pl.orders) <= 4, "%v", pl.orders)
-	assert.Equal(t, pl.orders[len(pl.orders)-1], 2, "%v", pl.orders)
-	assert.Assert(t, pl.short <= 6*4+4, "served within the time that new ones take: %.1f", pl.short)
+	si.run(t, 2)
+	assert.Assert(t, len(si.orders) <= 4, "%v", si.orders)
+	assert.Equal(t, si.orders[len(si.orders)-1], 2, "%v", si.orders)
+	assert.Assert(t, si.short <= 6*4+4, "capacity is missing only during the startup: %.1f", si.short)
 }
 
-// Load pattern: demand rocks around a whole number of endpoints, by the second and by
-// several. The number stays at the upper end.
-func TestRockingDoesNotFlap(t *testing.T) {
+// Guards against flapping if the demand oscillates around a whole number of endpoints.
+func TestOscillatingDemand(t *testing.T) {
 	for _, period := range []time.Duration{second, 2 * second, 4 * second, 8 * second, 11 * second} {
-		pl := play{span: 120 * second, load: func(at time.Duration) float64 {
+		si := simulation{span: 120 * second, load: func(at time.Duration) float64 {
 			if at%period < period/2 {
 				return 3.9
 			}
 			return 4.1
 		}}
-		pl.run(t, 4)
-		assert.Assert(t, len(pl.orders) <= 1, "period %s: %v", period, pl.orders)
+		si.run(t, 4)
+		assert.Assert(t, len(si.orders) <= 1, "period %s: %v", period, si.orders)
 	}
 }
 
-func TestDarkDomainKeepsItsPart(t *testing.T) {
-	// Symptom: endpoints are ordered and given away in one failure domain while another
-	// one flaps.
-	// Sequence: the endpoints of a failure domain are gone for some seconds, and back.
-	// Cause: their part went to the other one at once.
+func TestUnreachableDomainKeepsTarget(t *testing.T) {
+	// Guards against scaling one failure domain up and down while another one is unreachable
+	// for some seconds.
 	var ta Table
 	work := Share{Due: 8 * second, Work: 256 * second} // four endpoints
 	for at := time.Duration(0); at < 30*second; at += second / 2 {
@@ -187,10 +181,9 @@
 	}
 }
 
-func TestSuccessorGivesNothingAway(t *testing.T) {
-	// Symptom: after a change of holder endpoints are given away and ordered again.
-	// Sequence: a holder ordered six; the next one sees a moment without work.
-	// Cause: it knew of no load before that moment.
+func TestNewHolderKeepsTargets(t *testing.T) {
+	// Guards against a new holder scaling down at once because it has not observed the load
+	// before.
 	var ta Table
 	ta.Adopt(map[Subject]int{{Domain: "a", Service: "llm"}: 3, {Domain: "b", Service: "llm"}: 3})
 	for at := time.Duration(0); at < 11*second; at += second / 2 {
@@ -199,14 +192,14 @@
 	assert.Equal(t, len(ta.Decide([]Service{serviceOf(3, 3)}, begin.Add(13*second))), 2)
 }
 
-func TestNothingToOrder(t *testing.T) {
+func TestNoOrders(t *testing.T) {
 	busy := Share{Due: 8 * second, Work: 9999 * second}
 	for name, se := range map[string]Service{
-		"no bounds":         {Domains: map[string]int{"a": 1}, Name: "llm", Places: 10, Work: Work{busy}},
-		"bounds cross":      {Bounds: Bounds{Max: 1, Min: 3}, Domains: map[string]int{"a": 1}, Name: "llm", Places: 10, Work: Work{busy}},
-		"no domain known":   {Bounds: Bounds{Max: 3, Min: 1}, Name: "llm", Places: 10, Work: Work{busy}},
-		"bounds are met":    {Bounds: Bounds{Max: 3, Min: 3}, Domains: map[string]int{"a": 3}, Name: "llm", Places: 10, Work: Work{busy}},
-		"as many as wanted": serviceOf(1, 1, Share{Due: 8 * second, Work: 128 * second}),
+		"no bounds":       {Domains: map[string]int{"a": 1}, Name: "llm", Places: 10, Work: Work{busy}},
+		"invalid bounds":  {Bounds: Bounds{Max: 1, Min: 3}, Domains: map[string]int{"a": 1}, Name: "llm", Places: 10, Work: Work{busy}},
+		"no known domain": {Bounds: Bounds{Max: 3, Min: 1}, Name: "llm", Places: 10, Work: Work{busy}},
+		"at the bounds":   {Bounds: Bounds{Max: 3, Min: 3}, Domains: map[string]int{"a": 3}, Name: "llm", Places: 10, Work: Work{busy}},
+		"demand met":      serviceOf(1, 1, Share{Due: 8 * second, Work: 128 * second}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			var ta Table
@@ -217,11 +210,9 @@
 	}
 }
 
-func TestInexactClock(t *testing.T) {
-	// Symptom: orders fall to the minimum, whatever the load.
-	// Sequence: looks are some microseconds early or late, and now and then one is missed.
-	// Cause: a number counted only if two looks were a second apart to the nanosecond.
-	for name, skipEvery := range map[string]int{"jitter": 0, "jitter and a missed look": 5} {
+func TestSampleJitter(t *testing.T) {
+	// Guards against ignoring the demand if samples are not exactly confirmTime apart.
+	for name, skipEvery := range map[string]int{"jitter": 0, "jitter and missed samples": 5} {
 		t.Run(name, func(t *testing.T) {
 			var ta Table
 			work, more := Share{Due: 8 * second, Work: 4 * 64 * second}, 0 // four endpoints
@@ -239,7 +230,7 @@
 					more++
 				}
 			}
-			assert.Equal(t, more, 2, "both failure domains get more")
+			assert.Equal(t, more, 2, "both failure domains are scaled up")
 		})
 	}
 }
--- a/scale/plain.go
+++ b/scale/plain.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// An Observation is what one entry has seen of a plain service since it told before.
+// An Observation is an entry's load of a plain service since its previous report.
 type Observation struct {
-	Begun   int           `cbor:",omitempty"` // requests that endpoints began to run
-	Busy    time.Duration `cbor:",omitempty"` // for how long requests had places of endpoints, added up
-	Refused int           `cbor:",omitempty"` // requests that no place was found for
-	Span    time.Duration `cbor:",omitempty"` // in which all this was
-	Waiting int           `cbor:",omitempty"` // requests that waited for a place when it told
+	Begun   int           `cbor:",omitempty"` // requests that endpoints started to run
+	Busy    time.Duration `cbor:",omitempty"` // total time that requests used slots
+	Refused int           `cbor:",omitempty"` // requests rejected for lack of a slot
+	Span    time.Duration `cbor:",omitempty"` // length of the observation
+	Waiting int           `cbor:",omitempty"` // requests waiting for a slot at its end
 }
 
-// A Load is what all entries together see of a plain service.
+// A Load is the total load of a plain service.
 type Load struct {
-	Begun   float64 // requests a second
-	Refused float64 // requests a second
-	Used    float64 // places that were taken, on the mean
-	Waiting int
+	Begun   float64 // started requests per second
+	Refused float64 // rejected requests per second
+	Used    float64 // mean number of used slots
+	Waiting int     // requests waiting for a slot
 }
 
-// Add returns the load with what one more process has seen.
+// Add returns the load plus one entry's observation.
 func (lo Load) Add(se Observation) Load {
 	lo.Waiting += se.Waiting
 	if span := se.Span.Seconds(); span > 0 {
@@ -30,37 +30,34 @@
 	return lo
 }
 
-// PlainSlack is the Service.Slack of plain services. Their load is counted over the short time
-// from one telling to the next, so that it differs by about as much from count to count
-// when nothing has changed.
+// PlainSlack is the Service.Slack of plain services. It covers the random variation of their load,
+// which is observed over short intervals.
 const PlainSlack = 0.2
 
-// Work returns the work that comes to a plain service within leastTime. Places are those of
-// one of its endpoints.
+// Work returns the work that a plain service gets within minSpan. Places is the number of slots of
+// one endpoint.
 func (lo Load) Work(places int) Work {
-	total := lo.Used + lo.unmet(places)
+	total := lo.Used + lo.unmetDemand(places)
 	if total == 0 {
 		return nil
 	}
-	return Work{{Due: leastTime, Work: time.Duration(total * float64(leastTime))}}
+	return Work{{Due: minSpan, Work: time.Duration(total * float64(minSpan))}}
 }
 
-// unmet estimates how many more places would be taken if there were enough.
+// unmetDemand estimates how many more slots would be used if there were enough.
 //
-// Load pattern: callers that are refused try again several times a second, so that the
-// number of refusals says that there are too few endpoints, but exceeds by far what is
-// missing. So the estimate is bounded by half of the places that are taken, or by those
-// of one endpoint. The number of endpoints then grows in steps, and the effect of each is
-// seen before the next.
-func (lo Load) unmet(places int) float64 {
+// Rejected callers retry several times a second, so that the number of rejections overestimates the
+// demand. So the estimate is bounded by half of the used slots or by those of one endpoint, whichever
+// is more, and the number of endpoints grows in steps.
+func (lo Load) unmetDemand(places int) float64 {
 	most := max(lo.Used/2, float64(max(places, 1)))
 	switch {
 	case lo.Refused == 0 && lo.Waiting == 0:
 		return 0
 	case lo.Begun == 0:
-		return most // how long a request takes is not known
+		return most // the duration of a request is unknown
 	default:
-		each := lo.Used / lo.Begun // seconds that a request has a place for
-		return min(most, each*(lo.Refused+float64(lo.Waiting)/leastTime.Seconds()))
+		each := lo.Used / lo.Begun // seconds that a request uses a slot
+		return min(most, each*(lo.Refused+float64(lo.Waiting)/minSpan.Seconds()))
 	}
 }
--- a/scale/scale.go
+++ b/scale/scale.go
@@ -1,9 +1,8 @@
-// Package scale orders endpoints by load: how many of a service each failure domain is to
-// have, between the bounds that the configuration in force sets.
+// Package scale is an autoscaler: by load, it orders the number of endpoints of each service in each
+// failure domain, within the bounds of the configuration.
 //
-// What decides talks to nothing: Want turns load and due times into a number, Table
-// holds it steady, Spread gives each failure domain its part. The Holder keeps what is
-// decided and sends it, as the one process that may.
+// Service.Desired computes the demand from the load and its deadlines, Table adds hysteresis, and
+// Spread divides it among failure domains; these do no I/O. A Scaler saves and sends the orders.
 package scale
 
 import (
@@ -11,7 +10,7 @@
 	"time"
 )
 
-// A Subject is a service in a failure domain, which is ordered by itself.
+// A Subject is a service in a failure domain, the unit of scaling.
 type Subject struct {
 	Domain  string `json:"domain"`
 	Service string `json:"service"`
@@ -21,20 +20,20 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Domain, b.Domain))
 }
 
-// Bounds are how many endpoints a failure domain may have.
+// Bounds limit the number of endpoints in a failure domain.
 type Bounds struct {
-	Startup time.Duration // from an order to the first work of a new endpoint; 0 means unknown
+	Startup time.Duration // from an order until a new endpoint serves; 0 means unknown
 	Max     int
 	Min     int
 }
 
-// usualStartup is assumed where the configuration says nothing.
-const usualStartup = 5 * time.Second
+// defaultStartup is used if the configuration sets no startup time.
+const defaultStartup = 5 * time.Second
 
-// startup returns how long a new endpoint takes to serve.
+// startup returns the time until a new endpoint serves.
 func (bo Bounds) startup() time.Duration {
 	if bo.Startup <= 0 {
-		return usualStartup
+		return defaultStartup
 	}
 	return bo.Startup
 }
@@ -42,21 +41,21 @@
 // clamp returns a number within the bounds.
 func (bo Bounds) clamp(count int) int { return min(max(count, bo.Min), bo.Max) }
 
-// A Service is what is known of a service at one moment.
+// A Service is a snapshot of a service.
 type Service struct {
 	Bounds  Bounds
-	Domains map[string]int // endpoints that serve, by failure domain
-	Held    bool           // by an operator: it is watched, and nothing is ordered
+	Domains map[string]int // serving endpoints by failure domain
+	Held    bool           // by an operator: nothing is ordered
 	Name    string
-	Places  int // of one endpoint
-	// Slack is the part by which more load must fit into fewer endpoints for some to be
-	// given away. Load that is seen as it comes, by the second, is not the same twice.
+	Places  int // slots of one endpoint
+	// Slack is the relative increase of load that must still fit before the service is scaled
+	// down. It tolerates random variation of the load.
 	Slack   float64
-	Unknown bool // nothing is known of its load, and nothing is decided
-	Work    Work // that is open
+	Unknown bool // its load is unknown, and nothing is ordered
+	Work    Work // open work
 }
 
-// serving returns how many endpoints serve in all.
+// serving returns the total number of serving endpoints.
 func (se Service) serving() int {
 	total := 0
 	for _, count := range se.Domains {
--- a/scale/table.go
+++ b/scale/table.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// Times of holding a number steady.
+// Hysteresis of scaling.
 const (
-	// sureFor is for how long more must be wanted before it is ordered: a step that is
-	// handed in wants all its places at once, and has most of them a moment later.
-	sureFor = time.Second
-	// leastHold and holdStartups say for how long fewer must be wanted before endpoints are
-	// given away. An endpoint that is needed again is missing for the time that it
-	// takes to serve, so that it is kept for several of these.
-	leastHold    = 10 * time.Second
-	holdStartups = 4
+	// confirmTime is how long a higher demand must last before it is ordered. A newly submitted
+	// step needs many slots only briefly.
+	confirmTime = time.Second
+	// minRetention and retentionStartups determine how long a lower demand must last before
+	// endpoints are removed: several startup times, as an endpoint that is needed again is
+	// missing for one.
+	minRetention      = 10 * time.Second
+	retentionStartups = 4
 )
 
-// hold returns for how long endpoints are kept that are not needed.
-func (bo Bounds) hold() time.Duration { return max(leastHold, holdStartups*bo.startup()) }
+// retention returns how long endpoints that are not needed are kept.
+func (bo Bounds) retention() time.Duration { return max(minRetention, retentionStartups*bo.startup()) }
 
-// A sample is how many endpoints were wanted at a moment.
+// A sample is the demand at a point in time.
 type sample struct {
-	at   time.Time
-	keep int // as Service.Keep returned
-	want int // as Service.Want returned
+	at             time.Time
+	scaleDownLimit int
+	desired        int
 }
 
-// A row is what is remembered of a service.
+// A row is the state of a service.
 type row struct {
-	floor      int                  // no fewer are ordered in all until floorUntil
+	floor      int                  // minimum of the total target until floorUntil
 	floorUntil time.Time            // zero if there is no floor
-	samples    []sample             // the oldest first, none older than what is held
-	seen       map[string]time.Time // when it last ran in a failure domain
-	targets    map[string]int       // ordered last, by failure domain, or forgotten
+	samples    []sample             // the oldest first, within the retention
+	lastSeen   map[string]time.Time // when endpoints last served, by failure domain
+	targets    map[string]int       // last orders by failure domain, or removedTarget
 }
 
-// forgotten stands for the target of a failure domain that is gone. Should it come back,
-// it is ordered anew, since no one knows what the platform took last.
-const forgotten = -1
+// removedTarget is the target of a removed failure domain. If it returns, it is ordered again, as it
+// is unknown which order the platform accepted last.
+const removedTarget = -1
 
-// A Table holds the numbers of all services steady. The zero Table is empty and ready to
+// A Table computes the orders of all services, with hysteresis. The zero value is empty and ready to
 // use.
 type Table struct{ rows map[string]*row }
 
-// An Order is how many endpoints a subject is to have.
+// An Order sets the number of endpoints of a subject.
 type Order struct {
 	Subject
-	From   int `json:"from"` // that it was to have before, or has
+	From   int `json:"from"` // previous target, or serving endpoints
 	Target int `json:"target"`
-	Want   int `json:"want"` // of the whole service, at this moment
+	Want   int `json:"want"` // current demand of the whole service
 }
 
-// Adopt takes in what an earlier holder ordered, so that a new one gives nothing away
-// before it has seen the load for as long as any other.
+// Adopt sets the targets ordered by the previous holder, so that a new one doesn't scale down before
+// it has observed the load for the retention.
 func (ta *Table) Adopt(targets map[Subject]int) {
 	ta.rows = nil
 	for su, target := range targets {
@@ -68,18 +68,16 @@
 	}
 	ro := ta.rows[service]
 	if ro == nil {
-		ro = &row{seen: map[string]time.Time{}, targets: map[string]int{}}
+		ro = &row{lastSeen: map[string]time.Time{}, targets: map[string]int{}}
 		ta.rows[service] = ro
 	}
 	return ro
 }
 
-// Decide returns the orders that make a difference.
+// Decide returns the orders that change a target.
 //
-// Load pattern: steps come and end every second, so that the open work goes up and down
-// around what the endpoints can do. The number therefore has hysteresis: it is the most
-// that was wanted for sureFor without a break, within the hold. So it rises soon and falls
-// late; endpoints serve the peaks of such a load, and don't come and go with it.
+// The open work fluctuates as steps start and end. So the target is the maximum demand within the
+// retention that lasted for confirmTime: it rises soon and falls late, and follows the peaks.
 func (ta *Table) Decide(ses []Service, now time.Time) []Order {
 	var ors []Order
 	known := map[string]bool{}
@@ -92,33 +90,33 @@
 	return ors
 }
 
-// decide returns the orders of a service. One that is held is watched like any other:
-// once it is released, it is known what was ordered and what was wanted meanwhile.
+// decide returns the orders of a service. A service that is held is sampled all the same, so that
+// its targets and demand are known once it is released.
 func (ta *Table) decide(se Service, now time.Time) []Order {
 	if len(se.Domains) == 0 || se.Bounds.Max < max(se.Bounds.Min, 1) {
-		return nil // nothing is known of it, or the bounds allow nothing
+		return nil // no endpoints known, or invalid bounds
 	}
 	ro := ta.row(se.Name)
 	if se.Unknown {
-		ro.doubt()
+		ro.reset()
 		return nil
 	}
-	ro.begin(se, now)
+	ro.initFloor(se, now)
 	want := se.Desired()
-	ro.note(sample{at: now, keep: se.ScaleDownLimit(), want: want}, se.Bounds.hold())
+	ro.addSample(sample{at: now, scaleDownLimit: se.ScaleDownLimit(), desired: want}, se.Bounds.retention())
 	var ors []Order
-	domains := ro.domains(se, now)
-	ro.forget(now)
+	domains := ro.recentDomains(se, now)
+	ro.dropRemoved(now)
 	if se.Held {
 		return nil
 	}
-	for domain, target := range Spread(ro.number(now), domains, se.Bounds) {
+	for domain, target := range Spread(ro.target(now), domains, se.Bounds) {
 		from, ordered := ro.targets[domain]
-		back := ordered && from == forgotten
-		if !ordered || back {
+		returned := ordered && from == removedTarget
+		if !ordered || returned {
 			from = se.Domains[domain]
 		}
-		if target != from || back {
+		if target != from || returned {
 			ors = append(ors, Order{From: from, Subject: Subject{Domain: domain, Service: se.Name}, Target: target, Want: want})
 		}
 		ro.targets[domain] = target
@@ -126,13 +124,13 @@
 	return ors
 }
 
-// begin sets the floor of a service that has just become known: what is ordered, or
-// there.
-func (ro *row) begin(se Service, now time.Time) {
+// initFloor sets the floor of a service whose load has just become known to its targets, or else its
+// serving endpoints.
+func (ro *row) initFloor(se Service, now time.Time) {
 	if !ro.floorUntil.IsZero() {
 		return
 	}
-	ro.floor, ro.floorUntil = 0, now.Add(se.Bounds.hold())
+	ro.floor, ro.floorUntil = 0, now.Add(se.Bounds.retention())
 	for domain, count := range se.Domains {
 		if target, ordered := ro.targets[domain]; ordered {
 			count = target
@@ -141,72 +139,73 @@
 	}
 }
 
-// doubt takes in that the load is not known. Once it is, nothing is given away before it
-// was seen for as long as by a new holder.
-func (ro *row) doubt() { ro.floorUntil, ro.samples = time.Time{}, nil }
+// reset drops the samples and the floor as the load is unknown. Once it is known again, a new floor
+// prevents scaling down as for a new holder.
+func (ro *row) reset() { ro.floorUntil, ro.samples = time.Time{}, nil }
 
-// domains returns the failure domains in which a service runs, or ran of late.
+// recentDomains returns the failure domains in which a service runs, or ran within the retention.
 //
-// A failure domain that is dark for some seconds comes back with its endpoints. Forgotten
-// at once, its part would be ordered elsewhere, and given away again.
-func (ro *row) domains(se Service, now time.Time) []string {
+// Without the retention, the part of a failure domain that is unreachable for some seconds would be
+// ordered elsewhere, and removed again.
+func (ro *row) recentDomains(se Service, now time.Time) []string {
 	for domain := range se.Domains {
-		ro.seen[domain] = now
+		ro.lastSeen[domain] = now
 	}
-	maps.DeleteFunc(ro.seen, func(_ string, at time.Time) bool { return now.Sub(at) > se.Bounds.hold() })
-	return slices.Collect(maps.Keys(ro.seen))
+	maps.DeleteFunc(ro.lastSeen, func(_ string, at time.Time) bool { return now.Sub(at) > se.Bounds.retention() })
+	return slices.Collect(maps.Keys(ro.lastSeen))
 }
 
-// forget drops the targets of failure domains in which the service did not run for long.
-func (ro *row) forget(now time.Time) {
+// dropRemoved drops the targets of failure domains in which the service has not run within the
+// retention.
+func (ro *row) dropRemoved(now time.Time) {
 	if now.Before(ro.floorUntil) {
-		return // one that an earlier holder ordered may not have been seen yet
+		return // a failure domain with orders of a previous holder may not have been seen yet
 	}
 	for domain := range ro.targets {
-		if _, ok := ro.seen[domain]; !ok {
-			ro.targets[domain] = forgotten
+		if _, ok := ro.lastSeen[domain]; !ok {
+			ro.targets[domain] = removedTarget
 		}
 	}
 }
 
-// Removed reports whether a subject's failure domain is gone from its service.
+// Removed reports whether a subject's failure domain was removed from its service.
 func (ta *Table) Removed(su Subject) bool {
 	ro := ta.rows[su.Service]
-	return ro != nil && ro.targets[su.Domain] == forgotten
+	return ro != nil && ro.targets[su.Domain] == removedTarget
 }
 
-// note takes a sample in, and drops what is older than what is held.
-func (ro *row) note(sa sample, hold time.Duration) {
+// addSample adds a sample, and drops those older than the retention.
+func (ro *row) addSample(sa sample, retention time.Duration) {
 	ro.samples = append(ro.samples, sa)
-	ro.samples = slices.DeleteFunc(ro.samples, func(old sample) bool { return sa.at.Sub(old.at) > hold })
+	ro.samples = slices.DeleteFunc(ro.samples, func(old sample) bool { return sa.at.Sub(old.at) > retention })
 }
 
-// number returns how many endpoints the service is to have: as many as were wanted, or as
-// many as are ordered while they are to be kept.
-func (ro *row) number(now time.Time) int {
+// target returns the total target of the service: the sustained demand, or the current total if it
+// is higher and within the scale-down limit.
+func (ro *row) target(now time.Time) int {
 	ordered := 0
 	for _, target := range ro.targets {
 		ordered += max(target, 0)
 	}
-	want := ro.steady(now, func(sa sample) int { return sa.want })
-	keep := ro.steady(now, func(sa sample) int { return sa.keep })
-	return max(want, min(keep, ordered))
+	desired := ro.sustained(now, func(sa sample) int { return sa.desired })
+	limit := ro.sustained(now, func(sa sample) int { return sa.scaleDownLimit })
+	return max(desired, min(limit, ordered))
 }
 
-// steady returns the most that was asked for as long as it takes to be sure, within
-// what is remembered.
-func (ro *row) steady(now time.Time, asked func(sa sample) int) int {
+// sustained returns the highest value of the samples that lasted for confirmTime, or the floor if
+// that is higher.
+func (ro *row) sustained(now time.Time, valueFunc func(sa sample) int) int {
 	most := 0
 	if now.Before(ro.floorUntil) {
 		most = ro.floor
 	}
 	for i, sa := range ro.samples {
-		least := asked(sa)
+		least := valueFunc(sa)
 		for _, next := range ro.samples[i+1:] {
-			least = min(least, asked(next))
-			// Looks are seldom exactly sureFor apart: the first that is at least as late
-			// ends the span, and counts.
-			if next.at.Sub(sa.at) >= sureFor {
+			least = min(least, valueFunc(next))
+			// Samples are rarely exactly confirmTime apart, so the span ends with the first
+			// that is at least as late.
+			if next.at.Sub(sa.at) >= confirmTime {
 				most = max(most, least)
 				break
 			}
