--- a/lateness/report.go
+++ b/lateness/report.go
@@ -11,55 +11,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A Cause is what an item's time went into.
+// A Cause is a cause of delay of an item.
 type Cause string
 
 // The causes.
 const (
-	Waiting      Cause = "waiting for a place"     // no engine had one, or none had the weights
+	Waiting      Cause = "waiting for a place"     // no engine had a free slot or the weights
 	Regenerated  Cause = "events made again"       // runs whose text was lost
-	Lost         Cause = "run lost unseen"         // begun anew by a scheduler that no one told of it: a loss of power
-	Slow         Cause = "slow engine"             // beyond the day's usual pace
-	Scoring      Cause = "waiting for its score"   // whole, and its reward call not answered
-	Listing      Cause = "waiting for the listing" // whole and scored, and not shown yet
-	SplitListing Cause = "results listed apart"    // shown, and the trainer had to read on for others or had just been answered
-	Trainer      Cause = "waiting for the trainer" // shown, and the step not ended
-	Length       Cause = "its own length"          // its events at the day's usual pace
+	Lost         Cause = "run lost unseen"         // the end of the run was not logged, as after a power loss
+	Slow         Cause = "slow engine"             // generation slower than the median pace
+	Scoring      Cause = "waiting for its score"   // complete, and the reward call pending
+	Listing      Cause = "waiting for the listing" // complete and scored, but not listed yet
+	SplitListing Cause = "results listed apart"    // listed, but the trainer had to read again for other results
+	Trainer      Cause = "waiting for the trainer" // listed, and the step not ended
+	Length       Cause = "its own length"          // generation at the median pace
 )
 
-// causes are all causes, in the order in which an item meets them.
+// causes are all causes, in the order of the report's columns.
 var causes = []Cause{Waiting, Regenerated, Lost, Slow, Length, Scoring, Listing, SplitListing, Trainer}
 
-// A lateness is a step with what its last item's time went into.
-type lateness struct {
+// An analysis divides the time of a step's last item by cause.
+type analysis struct {
 	item  *item
 	parts map[Cause]time.Duration
 	step  *step
 }
 
-// main returns the largest cause but the item's length, unless that is all that
-// matters.
-func (la *lateness) main() Cause {
-	rest := slices.DeleteFunc(slices.Clone(causes), func(ca Cause) bool { return ca == Length })
-	best := slices.MaxFunc(rest, func(a, b Cause) int { return cmp.Compare(la.parts[a], la.parts[b]) })
-	if la.parts[best] < leastPart {
+// mainCause returns the cause with the largest part other than Length, or Length if all others are
+// below minPart.
+func (an *analysis) mainCause() Cause {
+	others := slices.DeleteFunc(slices.Clone(causes), func(ca Cause) bool { return ca == Length })
+	best := slices.MaxFunc(others, func(a, b Cause) int { return cmp.Compare(an.parts[a], an.parts[b]) })
+	if an.parts[best] < minPart {
 		return Length
 	}
 	return best
 }
 
-// leastPart is how long a cause must have held an item up to be told instead of
-// its length: what a step of the longest items may lose before it is late.
-const leastPart = 400 * time.Millisecond
+// minPart is the minimum delay of a cause to be the main one instead of Length.
+const minPart = 400 * time.Millisecond
 
-// usualPace returns the median time of an event of all runs that ended whole.
-func usualPace(steps []*step) time.Duration {
+// medianPace returns the median time per event of all finished runs, or 0 if there is none.
+func medianPace(steps []*step) time.Duration {
 	var paces []time.Duration
 	for _, st := range steps {
 		for _, it := range st.items {
-			for _, sp := range it.spells {
-				if events := sp.last - sp.first; sp.running && events >= minEvents && !sp.ended.IsZero() && !sp.lost {
-					paces = append(paces, sp.took()/time.Duration(events))
+			for _, ph := range it.phases {
+				if events := ph.last - ph.first; ph.running && events >= minEvents && !ph.ended.IsZero() && !ph.lost {
+					paces = append(paces, ph.duration()/time.Duration(events))
 				}
 			}
 		}
@@ -71,121 +70,121 @@
 	return paces[len(paces)/2]
 }
 
-// minEvents is how many events a run must have made for its pace to count: the
-// prompt's reading is in its time.
+// minEvents is the minimum number of events of a run for its pace to count, as its time includes the
+// processing of the prompt.
 const minEvents = 10
 
-// explain follows a step's last item.
-func explain(st *step, pace time.Duration) (lateness, bool) {
-	it := st.last()
+// analyze divides the time of a step's last item by cause. It returns false if no item is complete.
+func analyze(st *step, pace time.Duration) (analysis, bool) {
+	it := st.lastItem()
 	if it == nil {
-		return lateness{}, false
+		return analysis{}, false
 	}
-	la := lateness{item: it, parts: map[Cause]time.Duration{}, step: st}
-	for i, sp := range it.spells {
+	an := analysis{item: it, parts: map[Cause]time.Duration{}, step: st}
+	for i, ph := range it.phases {
 		switch {
-		case sp.ended.IsZero():
-		case !sp.running:
-			la.parts[Waiting] += sp.took()
+		case ph.ended.IsZero():
+		case !ph.running:
+			an.parts[Waiting] += ph.duration()
 		default:
-			la.explainRun(i, pace)
+			an.analyzeRun(i, pace)
 		}
 	}
 	scored := it.finished()
-	la.parts[Scoring] = scored.Sub(it.done)
-	shown := scored
+	an.parts[Scoring] = scored.Sub(it.done)
+	listed := scored
 	for _, at := range st.listed {
 		if !at.Before(scored) {
-			shown = at
+			listed = at
 			break
 		}
 	}
-	la.parts[Listing] = shown.Sub(scored)
-	if !st.ended.IsZero() && st.ended.After(shown) {
-		la.parts[SplitListing] = st.apart(shown)
-		la.parts[Trainer] = st.ended.Sub(shown) - la.parts[SplitListing]
+	an.parts[Listing] = listed.Sub(scored)
+	if !st.ended.IsZero() && st.ended.After(listed) {
+		an.parts[SplitListing] = st.splitListing(listed)
+		an.parts[Trainer] = st.ended.Sub(listed) - an.parts[SplitListing]
 	}
-	return la, true
+	return an, true
 }
 
-// lookEvery is how long after a read that is answered a trainer reads on.
-const lookEvery = 500 * time.Millisecond
+// pollInterval is the delay of a trainer's next read after a read with results.
+const pollInterval = 500 * time.Millisecond
 
-// apart returns how much of the time from the showing of a step's last item to its
-// end is the listing's doing: until the last listing, and until the trainer could
-// look again if a listing had answered it just before.
-func (st *step) apart(shown time.Time) time.Duration {
-	last := shown
+// splitListing returns the part of the time from the listing of a step's last item to the step's end
+// that is caused by later listings: until the last one, plus the delay of the trainer's next read if
+// it read an earlier one just before.
+func (st *step) splitListing(listed time.Time) time.Duration {
+	last := listed
 	for _, at := range st.listed {
 		if at.After(last) && at.Before(st.ended) {
 			last = at
 		}
 	}
-	again := time.Duration(0)
+	poll := time.Duration(0)
 	for _, at := range st.answered {
 		if at.Before(last) {
-			again = max(0, lookEvery-last.Sub(at))
+			poll = max(0, pollInterval-last.Sub(at))
 		}
 	}
-	return last.Sub(shown) + min(again, st.ended.Sub(last))
+	return last.Sub(listed) + min(poll, st.ended.Sub(last))
 }
 
-// explainRun divides the time of a run. Events beyond those with which the item's
-// next run began were made for nothing.
-func (la *lateness) explainRun(i int, pace time.Duration) {
-	sp := la.item.spells[i]
-	kept := sp.last
-	for _, next := range la.item.spells[i+1:] {
+// analyzeRun divides the time of a run. Events beyond those with which the item's next run started
+// were lost.
+func (an *analysis) analyzeRun(i int, pace time.Duration) {
+	ph := an.item.phases[i]
+	kept := ph.last
+	for _, next := range an.item.phases[i+1:] {
 		if next.running {
-			kept = min(kept, max(next.first, sp.first))
+			kept = min(kept, max(next.first, ph.first))
 			break
 		}
 	}
-	made := sp.last - sp.first
-	lost := sp.last - kept
+	made := ph.last - ph.first
+	lost := ph.last - kept
 	if made > 0 && lost > 0 {
-		la.parts[Regenerated] += sp.took() * time.Duration(lost) / time.Duration(made)
+		an.parts[Regenerated] += ph.duration() * time.Duration(lost) / time.Duration(made)
 	}
-	usual := pace * time.Duration(kept-sp.first)
-	rest := sp.took()
+	usual := pace * time.Duration(kept-ph.first)
+	rest := ph.duration()
 	if made > 0 {
-		rest = sp.took() * time.Duration(made-lost) / time.Duration(made)
+		rest = ph.duration() * time.Duration(made-lost) / time.Duration(made)
 	}
-	la.parts[Length] += min(usual, rest)
+	an.parts[Length] += min(usual, rest)
 	beyond := Slow
-	if sp.lost {
+	if ph.lost {
 		beyond = Lost
 	}
-	la.parts[beyond] += max(rest-usual, 0)
+	an.parts[beyond] += max(rest-usual, 0)
 }
 
-// Report reads log lines and writes, for each step, what its last item waited
-// for, and how many late steps each cause has.
+// Report reads log lines, and writes a table of the delays of each step's last item by cause, and the
+// number of late steps by cause.
 func Report(rd io.Reader, wr io.Writer) error {
 	steps, err := readSteps(rd)
 	if err != nil {
 		return err
 	}
-	pace := usualPace(steps)
+	pace := medianPace(steps)
 	bw := bufio.NewWriter(wr) // keeps the first error for Flush
 	_, _ = fmt.Fprintf(bw, "usual pace of an event: %d ms\n\n", pace.Milliseconds())
 	_, _ = fmt.Fprintf(bw, "%-16s %-16s %4s %8s %-16s", "step", "model", "no", "took-s", "last item")
 	_, _ = fmt.Fprintf(bw, " %7s %7s %7s %7s %7s %7s %7s %7s %7s  %s\n", "wait", "again", "lost", "slow", "length", "score", "list", "apart", "trainer", "cause")
 	late := map[Cause]int{}
 	for _, st := range steps {
-		la, ok := explain(st, pace)
+		an, ok := analyze(st, pace)
 		if !ok {
 			_, _ = fmt.Fprintf(bw, "%-16s %-16s %4d no item was whole\n", st.id, st.model, st.number)
 			continue
 		}
-		took := la.step.took(la.item)
-		_, _ = fmt.Fprintf(bw, "%-16s %-16s %4d %8.2f %-16s", st.id, st.model, st.number, took.Seconds(), la.item.id)
+		took := an.step.took(an.item)
+		_, _ = fmt.Fprintf(bw, "%-16s %-16s %4d %8.2f %-16s", st.id, st.model, st.number, took.Seconds(), an.item.id)
 		for _, ca := range causes {
-			_, _ = fmt.Fprintf(bw, " %7.2f", la.parts[ca].Seconds())
+			_, _ = fmt.Fprintf(bw, " %7.2f", an.parts[ca].Seconds())
 		}
-		_, _ = fmt.Fprintf(bw, "  %s\n", la.main())
+		_, _ = fmt.Fprintf(bw, "  %s\n", an.mainCause())
 		if took > st.due {
-			late[la.main()]++
+			late[an.mainCause()]++
 		}
 	}
 	_, _ = fmt.Fprintf(bw, "\nsteps that took longer than their due time, by cause:\n")
@@ -195,8 +194,8 @@
 	return errors.Wrap(bw.Flush(), "write the report")
 }
 
-// took returns how long a step took: to its end, or to its last item's if it has
-// not ended.
+// duration returns the duration of a step until its end, or until its last item was complete if it
+// has not ended.
 func (st *step) took(last *item) time.Duration {
 	if st.ended.IsZero() {
 		return last.done.Sub(st.accepted)
--- a/lateness/report_test.go
+++ b/lateness/report_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestReport(t *testing.T) {
-	// In lost.log all processes lose power while an item runs. No line tells of its run's end,
-	// and the 3 s that this cost were put down to a slow engine.
+	// In lost.log all processes lose power while an item runs, and the end of its run is not
+	// logged. Guards against attributing the delay to a slow engine.
 	for _, name := range []string{"empty", "causes", "broken", "lost"} {
 		t.Run(name, func(t *testing.T) {
 			fi, err := os.Open("testdata/" + name + ".log")
@@ -31,11 +31,11 @@
 
 func (fullWriter) Write([]byte) (int, error) { return 0, errFull }
 
-func TestReportThatCannotBeWritten(t *testing.T) {
+func TestReportWriteError(t *testing.T) {
 	assert.Assert(t, errors.Is(Report(strings.NewReader(""), fullWriter{}), errFull))
 }
 
-func TestLineThatIsTooLong(t *testing.T) {
+func TestLineTooLong(t *testing.T) {
 	err := Report(strings.NewReader("{"+strings.Repeat("x", maxLine+1)), &strings.Builder{})
 	assert.ErrorContains(t, err, "read the log")
 }
--- a/lateness/step.go
+++ b/lateness/step.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Messages of the lines that tell of steps.
+// Log messages that are evaluated.
 const (
 	msgAccepted = "step accepted"
 	msgEnded    = "step ended"
@@ -19,79 +19,78 @@
 	msgTaken    = "run taken over"
 )
 
-// stateComplete is a run's state when its text is whole.
+// stateComplete is the state of a run whose text is complete.
 const stateComplete = "complete"
 
-// outcomeAnswered is the outcome of a reward call that brought a score.
+// outcomeAnswered is the outcome of a reward call that returned a score.
 const outcomeAnswered = "answered"
 
-// A spell is a time that an item spends waiting, or running at an engine.
-type spell struct {
+// A phase is a period in which an item waits or runs at an engine.
+type phase struct {
 	begun, ended time.Time
-	first, last  int // events at its begin and its end
+	first, last  int // number of events at its start and end
 	running      bool
-	lost         bool // a run that neither ended nor was given up before the item's next one
+	lost         bool // a run without a logged end before the item's next one
 }
 
-// took returns how long a spell took.
-func (sp spell) took() time.Duration { return sp.ended.Sub(sp.begun) }
+// duration returns the length of a phase.
+func (ph phase) duration() time.Duration { return ph.ended.Sub(ph.begun) }
 
-// An item is what the lines say of an item.
+// An item is the history of an item.
 type item struct {
 	id     string
-	done   time.Time // whole; zero if it never was
-	scored time.Time // zero if it never was
-	spells []spell
+	done   time.Time // when it was complete, or zero
+	scored time.Time // or zero
+	phases []phase
 }
 
-// turn ends the item's spell and begins another one.
-func (it *item) turn(at time.Time, events int, running bool) {
-	it.stop(at, events)
-	it.spells = append(it.spells, spell{begun: at, first: events, last: events, running: running})
+// startPhase ends the item's current phase and starts another one.
+func (it *item) startPhase(at time.Time, events int, running bool) {
+	it.endPhase(at, events)
+	it.phases = append(it.phases, phase{begun: at, first: events, last: events, running: running})
 }
 
-// place takes in that an item is placed. If its run before has neither ended nor been
-// given up, a scheduler begins it anew that has not heard of that one: its attendant and
-// the former scheduler were lost together, with what no checkpoint held.
-func (it *item) place(li line) {
-	if sp := &it.spells[len(it.spells)-1]; sp.running && sp.ended.IsZero() && sp.last <= max(sp.first, li.After) {
-		sp.lost, sp.last = true, max(sp.first, li.After)
+// handlePlaced starts a run. If the previous run has no logged end, it was lost together with its
+// attendant and the former scheduler, including events that were not in a checkpoint.
+func (it *item) handlePlaced(li line) {
+	if ph := &it.phases[len(it.phases)-1]; ph.running && ph.ended.IsZero() && ph.last <= max(ph.first, li.After) {
+		ph.lost, ph.last = true, max(ph.first, li.After)
 	}
-	it.turn(li.Time, li.After, true)
+	it.startPhase(li.Time, li.After, true)
 }
 
-func (it *item) stop(at time.Time, events int) {
-	if count := len(it.spells); count > 0 && it.spells[count-1].ended.IsZero() {
-		sp := &it.spells[count-1]
-		sp.ended, sp.last = at, max(events, sp.last)
+func (it *item) endPhase(at time.Time, events int) {
+	if count := len(it.phases); count > 0 && it.phases[count-1].ended.IsZero() {
+		ph := &it.phases[count-1]
+		ph.ended, ph.last = at, max(events, ph.last)
 	}
 }
 
-// made takes in how many events a run had made that ended before its text was
-// whole. What follows says how many of them were kept.
-func (it *item) made(events int) {
-	if sp := &it.spells[len(it.spells)-1]; sp.running && sp.ended.IsZero() {
-		sp.last = max(sp.last, events)
+// addEvents sets the number of events of a run that ended before its text was complete. The next run
+// shows how many of them were kept.
+func (it *item) addEvents(events int) {
+	if ph := &it.phases[len(it.phases)-1]; ph.running && ph.ended.IsZero() {
+		ph.last = max(ph.last, events)
 	}
 }
 
-// end takes in that a run ended.
-func (it *item) end(li line) {
+// handleRunEnded applies the end of a run.
+func (it *item) handleRunEnded(li line) {
 	switch {
 	case !it.done.IsZero():
 	case li.State == stateComplete:
 		it.done = li.Time
-		it.stop(li.Time, li.Events)
+		it.endPhase(li.Time, li.Events)
 	default:
-		it.made(li.Events)
+		it.addEvents(li.Events)
 	}
 }
 
-// A step is what the lines say of a step.
+// A step is the history of a step.
 type step struct {
 	id              string
 	accepted, ended time.Time
-	answered        []time.Time // reads that waited, with results
+	answered        []time.Time // reads that waited and returned results
 	due             time.Duration
 	items           map[string]*item
 	listed          []time.Time
@@ -99,18 +98,18 @@
 	number          int
 }
 
-// item returns the row of an item, which waits from the step's acceptance.
+// item returns an item's history, which starts with waiting since the step's acceptance.
 func (st *step) item(id string) *item {
 	it, ok := st.items[id]
 	if !ok {
-		it = &item{id: id, spells: []spell{{begun: st.accepted}}}
+		it = &item{id: id, phases: []phase{{begun: st.accepted}}}
 		st.items[id] = it
 	}
 	return it
 }
 
-// take takes a line in.
-func (st *step) take(li line) {
+// apply applies a log entry.
+func (st *step) apply(li line) {
 	switch li.Msg {
 	case msgEnded:
 		if st.ended.IsZero() {
@@ -123,13 +122,13 @@
 			st.answered = append(st.answered, li.Time)
 		}
 	case msgPlaced:
-		st.item(li.Item).place(li)
+		st.item(li.Item).handlePlaced(li)
 	case msgTaken:
-		st.item(li.Item).turn(li.Time, li.Events, true)
+		st.item(li.Item).startPhase(li.Time, li.Events, true)
 	case msgGivenUp:
-		st.item(li.Item).turn(li.Time, li.Events, false)
+		st.item(li.Item).startPhase(li.Time, li.Events, false)
 	case msgRunEnded:
-		st.item(li.Item).end(li)
+		st.item(li.Item).handleRunEnded(li)
 	case msgReward:
 		if li.Outcome == outcomeAnswered {
 			st.item(li.Item).scored = li.Time
@@ -137,7 +136,7 @@
 	}
 }
 
-// finished returns when an item was whole and, if it was, scored.
+// finished returns when an item was complete and, if it has a score, scored.
 func (it *item) finished() time.Time {
 	if it.scored.After(it.done) {
 		return it.scored
@@ -145,8 +144,8 @@
 	return it.done
 }
 
-// last returns the item that was finished last before the step ended, or nil.
-func (st *step) last() *item {
+// lastItem returns the item that finished last before the step's end, or nil.
+func (st *step) lastItem() *item {
 	var best *item
 	for _, it := range st.items {
 		at := it.finished()
@@ -160,7 +159,7 @@
 	return best
 }
 
-// readSteps returns the steps that lines tell of, by their acceptance.
+// readSteps returns the steps in the log, in the order of their acceptance.
 func readSteps(rd io.Reader) ([]*step, error) {
 	steps := map[string]*step{}
 	var order []*step
@@ -180,7 +179,7 @@
 			order = append(order, st)
 		}
 		if st != nil {
-			st.take(li)
+			st.apply(li)
 		}
 	}
 	return order, nil
