--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,12 +1,9 @@
-// Package incarnation tells starts of an endpoint's process apart that have the
-// same ID.
+// Package incarnation distinguishes successive runs of an endpoint's process with the same ID.
 package incarnation
 
-// A Number names one start of an endpoint's process: the Unix millisecond of the
-// start, by the endpoint's own clock. It grows with each start. Zero means that
-// it is not known.
+// A Number identifies a run of an endpoint's process by its start in Unix milliseconds, by the
+// endpoint's clock. It increases with each start. Zero means unknown.
 type Number int64
 
-// Supersedes reports whether a start came after another one. Of a start that is
-// not known nothing can be said, so that neither supersedes the other.
+// Supersedes reports whether a run is later than another one. It is false if either is unknown.
 func (nu Number) Supersedes(other Number) bool { return nu > other && other != 0 }
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -12,12 +12,12 @@
 		nu, other  Number
 		supersedes bool
 	}{
-		{"a later start", 5, 4, true},
-		{"the same start", 5, 5, false},
-		{"an earlier start", 4, 5, false},
-		{"after one that is not known", 5, 0, false},
-		{"not known after one that is", 0, 5, false},
-		{"neither is known", 0, 0, false},
+		{"later", 5, 4, true},
+		{"equal", 5, 5, false},
+		{"earlier", 4, 5, false},
+		{"other unknown", 5, 0, false},
+		{"unknown", 0, 5, false},
+		{"both unknown", 0, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			assert.Equal(t, tc.nu.Supersedes(tc.other), tc.supersedes)
