--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// markAllDirty marks an attendant's state to be sent to all other entries. Urgent state is
-// also sent to entries whose last exchange has just failed.
+// markAllDirty marks an attendant's state to be sent to all other entries. An urgent update is
+// sent without waiting for retryInterval.
 func (ta *Table) markAllDirty(attendant string, ur urgency) {
 	for _, er := range ta.entries.values() {
 		er.markDirty(attendant, ur)
