--- a/directory/feed_test.go
+++ b/directory/feed_test.go
@@ -29,22 +29,22 @@
 		en, _ := di.Endpoint("a")
 		en.Models = []ModelVersion{{Model: "m", Version: 2}}
 		di.SetEndpoint(en)
-		begun := time.Now()
+		start := time.Now()
 		second, err := fo.feed(t.Context(), "boot", known)
 		assert.NilError(t, err)
 		assert.Assert(t, !second.Fresh, "a new version does not change the generation")
-		assert.Assert(t, time.Since(begun) >= feedWait)
+		assert.Assert(t, time.Since(start) >= feedWait)
 
 		di.ConfirmEndpoints(time.Now())
 		time.AfterFunc(100*time.Millisecond, func() {
 			en.Leaving = true
 			di.SetEndpoint(en)
 		})
-		begun = time.Now()
+		start = time.Now()
 		third, err := fo.feed(t.Context(), "boot", known)
 		assert.NilError(t, err)
 		assert.Assert(t, third.Fresh && third.Endpoints[0].Leaving)
-		assert.Assert(t, time.Since(begun) < 150*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 150*time.Millisecond)
 	})
 }
 
@@ -61,12 +61,12 @@
 		assert.Equal(t, first.Configuration.Version, int64(3))
 
 		time.AfterFunc(100*time.Millisecond, func() { di.SetConfiguration(&Configuration{Version: 5}) })
-		begun := time.Now()
+		start := time.Now()
 		second, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: first.Generation, Version: 3})
 		assert.NilError(t, err)
 		assert.Equal(t, second.Configuration.Version, int64(5))
 		assert.Assert(t, !second.Fresh)
-		assert.Assert(t, time.Since(begun) < 150*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 150*time.Millisecond)
 
 		logger := logrus.New()
 		logger.SetLevel(logrus.PanicLevel)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -159,7 +159,7 @@
 		if back := ch.Version < after; back && !scan {
 			// After a restore from an older backup, no changes would be reported until the
 			// revision is as high again.
-			fo.Log.WithFields(logrus.Fields{"prefix": prefix, "after": after, revisionField: ch.Version}).Warn("revision went back, scanning again")
+			fo.Log.WithFields(logrus.Fields{"prefix": prefix, "after": after, revisionField: ch.Version}).Warn("revision decreased, scanning again")
 			scan = true
 			sleep(ctx, retryPause)
 			continue
--- a/directory/holds_test.go
+++ b/directory/holds_test.go
@@ -64,10 +64,10 @@
 		it, err := me.Client().Get(t.Context(), hold.Key)
 		assert.NilError(t, err)
 		time.AfterFunc(100*time.Millisecond, func() { feeder.applyHolds(t.Context(), []keyvalue.Item{it}, false) })
-		begun := time.Now()
+		start := time.Now()
 		second, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: first.Generation})
 		assert.NilError(t, err)
-		assert.Assert(t, time.Since(begun) < 150*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 150*time.Millisecond)
 
 		fed := &Follower{Directory: &Directory{}, Log: quiet()}
 		fed.applyResponse(t.Context(), second)
@@ -210,10 +210,10 @@
 		assert.Assert(t, isHeld(fed, "bakery"))
 		call := func() {
 			feeder.Directory.ConfirmEndpoints(time.Now())
-			begun := time.Now()
+			start := time.Now()
 			re, err := feeder.feed(t.Context(), "boot", FeedRequest{Boot: "boot", Generation: 1, Holds: fed.Directory.Holds().Version()})
 			assert.NilError(t, err)
-			assert.Assert(t, re.Fresh || time.Since(begun) >= feedWait, "older holds are no update")
+			assert.Assert(t, re.Fresh || time.Since(start) >= feedWait, "older holds are no update")
 			fed.applyResponse(t.Context(), re)
 		}
 		call()
--- a/directory/quarantine_test.go
+++ b/directory/quarantine_test.go
@@ -25,12 +25,12 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(first.Quarantine), 0)
 		time.AfterFunc(100*time.Millisecond, func() { feeder.Quarantine.RecordCrash("request", "a", time.Now()) })
-		begun := time.Now()
+		start := time.Now()
 		rq := FeedRequest{Boot: "boot", Generation: first.Generation, Held: first.Held}
 		second, err := feeder.feed(t.Context(), "boot", rq)
 		assert.NilError(t, err)
 		assert.Assert(t, !second.Fresh && len(second.Quarantine) == 1)
-		assert.Assert(t, time.Since(begun) < 150*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 150*time.Millisecond)
 	})
 }
 
--- a/lateness/step.go
+++ b/lateness/step.go
@@ -27,14 +27,14 @@
 
 // A phase is a period in which an item waits or runs at an engine.
 type phase struct {
-	begun, ended time.Time
-	first, last  int // number of events at its start and end
-	running      bool
-	lost         bool // a run without a logged end before the item's next one
+	started, ended time.Time
+	first, last    int // number of events at its start and end
+	running        bool
+	lost           bool // a run without a logged end before the item's next one
 }
 
 // duration returns the length of a phase.
-func (ph phase) duration() time.Duration { return ph.ended.Sub(ph.begun) }
+func (ph phase) duration() time.Duration { return ph.ended.Sub(ph.started) }
 
 // An item is the history of an item.
 type item struct {
@@ -47,7 +47,7 @@
 // startPhase ends the item's current phase and starts another one.
 func (it *item) startPhase(at time.Time, events int, running bool) {
 	it.endPhase(at, events)
-	it.phases = append(it.phases, phase{begun: at, first: events, last: events, running: running})
+	it.phases = append(it.phases, phase{started: at, first: events, last: events, running: running})
 }
 
 // handlePlaced starts a run. If the previous run has no logged end, it was lost together with its
@@ -102,7 +102,7 @@
 func (st *step) item(id string) *item {
 	it, ok := st.items[id]
 	if !ok {
-		it = &item{id: id, phases: []phase{{begun: st.accepted}}}
+		it = &item{id: id, phases: []phase{{started: st.accepted}}}
 		st.items[id] = it
 	}
 	return it
--- a/leader/client_test.go
+++ b/leader/client_test.go
@@ -19,7 +19,7 @@
 	assert.NilError(t, err)
 	defer func() { _ = ln.Close() }()
 	ends := make(chan error)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	go func() {
 		co, err := ln.Accept()
 		if err != nil {
@@ -28,13 +28,13 @@
 		}
 		defer func() { _ = co.Close() }()
 		_, _ = co.Read(make([]byte, 1)) // the call has arrived
-		close(begun)
+		close(started)
 		_, err = io.Copy(io.Discard, co)
 		ends <- err
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-begun
+		<-started
 		cancel()
 	}()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ln.Addr().String(), http.NoBody)
--- a/leader/term.go
+++ b/leader/term.go
@@ -220,8 +220,8 @@
 // ended, no more bytes may be sent.
 func (te *Term[Rec]) Call(ctx context.Context, epoch uint64, send func(ctx context.Context, epoch uint64) error) (time.Duration, error) {
 	te.mu.Lock()
-	begun := te.Now()
-	left := te.window.Call(begun)
+	start := te.Now()
+	left := te.window.Call(start)
 	te.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
@@ -233,5 +233,5 @@
 	defer te.mu.Unlock()
 	now := te.Now()
 	te.window.Called(now)
-	return now - begun, err
+	return now - start, err
 }
--- a/lease/renew_test.go
+++ b/lease/renew_test.go
@@ -11,11 +11,11 @@
 	"wisteriacroft/keyvalue"
 )
 
-// silentUntil makes a client's renewals get no response until a point in time.
-func silentUntil(cl *keyvalue.Client, back time.Time) {
+// unansweredUntil makes a client's renewals get no response until a point in time.
+func unansweredUntil(cl *keyvalue.Client, outageEnd time.Time) {
 	keep := cl.KeepAliveFunc
 	cl.KeepAliveFunc = func(ctx context.Context, id keyvalue.LeaseID) error {
-		if time.Now().Before(back) {
+		if time.Now().Before(outageEnd) {
 			<-ctx.Done()
 			return keyvalue.ErrUnavailable
 		}
@@ -30,8 +30,8 @@
 			var me keyvalue.Memory
 			ho := newHolder(me.Client(), "a")
 			ho.ProbeEvery, ho.TTL = 100*time.Millisecond, 2*time.Second
-			back := time.Now().Add(5*time.Second + time.Duration(offset)*50*time.Millisecond)
-			silentUntil(ho.Client, back)
+			outageEnd := time.Now().Add(5*time.Second + time.Duration(offset)*50*time.Millisecond)
+			unansweredUntil(ho.Client, outageEnd)
 			var heldAt time.Time
 			ho.HeldFunc = func() { heldAt = time.Now() }
 			ctx, cancel := context.WithCancel(t.Context())
@@ -39,7 +39,7 @@
 			time.Sleep(8 * time.Second)
 			cancel()
 			synctest.Wait()
-			assert.Assert(t, !heldAt.IsZero() && heldAt.Sub(back) <= 2*ho.ProbeEvery, "%v", heldAt.Sub(back))
+			assert.Assert(t, !heldAt.IsZero() && heldAt.Sub(outageEnd) <= 2*ho.ProbeEvery, "%v", heldAt.Sub(outageEnd))
 			assert.Equal(t, held(ho), uint64(2))
 			assert.Assert(t, ho.Continues(1))
 		})
--- a/lease/standby_test.go
+++ b/lease/standby_test.go
@@ -115,7 +115,7 @@
 					second.SuspectFunc = func(string) bool { return dead.Load() }
 					first.Step(ctx)
 					if !tc.dead {
-						silentUntil(first.Client, time.Now().Add(time.Second+outage+2*first.ProbeEvery)) // longer than the outage for the second
+						unansweredUntil(first.Client, time.Now().Add(time.Second+outage+2*first.ProbeEvery)) // longer than the outage for the second
 						go first.Run(ctx)
 					}
 					go second.Run(ctx)
--- a/membership/handler.go
+++ b/membership/handler.go
@@ -102,8 +102,8 @@
 
 // mergeAll merges updates from an entry. It returns the attendants whose descriptors are
 // missing.
-func (ta *Table) mergeAll(news []StateUpdate, sender string, now time.Time) (missing []string) {
-	for _, up := range news {
+func (ta *Table) mergeAll(updates []StateUpdate, sender string, now time.Time) (missing []string) {
+	for _, up := range updates {
 		ro, _ := ta.merge(up, sender, now)
 		if !ro.hasDescriptor && ro.state.Doubt != Gone {
 			missing = append(missing, up.Instance)
@@ -167,8 +167,8 @@
 func (ro *row) full() StateUpdate {
 	up := ro.state
 	if ro.hasDescriptor {
-		card := ro.descriptor
-		up.Card = &card
+		de := ro.descriptor
+		up.Card = &de
 	}
 	return up
 }
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -145,14 +145,14 @@
 		return
 	}
 	rp.sendLeaving(ins)
-	home := ins[0]
-	moved := home.ID != rp.entryID
-	if rp.inFlight[home.ID] || !rp.changed && !moved && now.Before(rp.nextReport) {
+	preferred := ins[0]
+	moved := preferred.ID != rp.entryID
+	if rp.inFlight[preferred.ID] || !rp.changed && !moved && now.Before(rp.nextReport) {
 		return
 	}
-	rp.entryID = home.ID
+	rp.entryID = preferred.ID
 	rp.nextReport = now.Add(cmp.Or(rp.BeatInterval, DefaultHeartbeatInterval))
-	rp.send(home)
+	rp.send(preferred)
 }
 
 // sendLeaving queues reports to the entries in notifyLeaving other than the preferred one, which
--- a/scale/decide_test.go
+++ b/scale/decide_test.go
@@ -53,26 +53,26 @@
 // A simulation runs a Table with a load over time, with a deadline of 8 s. New endpoints serve after
 // their startup time; removed ones stop at once.
 type simulation struct {
-	load   func(at time.Duration) float64 // in endpoints
-	span   time.Duration
-	orders []int // total target after each change
-	paid   float64
-	short  float64 // missing capacity, in endpoint seconds
+	load    func(at time.Duration) float64 // in endpoints
+	span    time.Duration
+	orders  []int // total target after each change
+	paid    float64
+	missing float64 // missing capacity, in endpoint seconds
 }
 
 func (si *simulation) run(t *testing.T, start int) {
 	t.Helper()
 	var ta Table
 	targets := map[string]int{"a": start / 2, "b": start - start/2}
-	type coming struct {
+	type launch struct {
 		at    time.Duration
 		count int
 	}
 	serving := start
-	var boots []coming
+	var launches []launch
 	for at := time.Duration(0); at < si.span; at += second / 2 {
-		for len(boots) > 0 && boots[0].at <= at {
-			serving, boots = serving+boots[0].count, boots[1:]
+		for len(launches) > 0 && launches[0].at <= at {
+			serving, launches = serving+launches[0].count, launches[1:]
 		}
 		need := si.load(at)
 		se := serviceOf(serving/2, serving-serving/2, Share{Due: 8 * second, Work: time.Duration(need * 64 * float64(second))})
@@ -82,7 +82,7 @@
 			targets[or.Domain] = or.Target
 		}
 		if changed > 0 {
-			boots = append(boots, coming{at: at + se.Bounds.Startup, count: changed})
+			launches = append(launches, launch{at: at + se.Bounds.Startup, count: changed})
 		}
 		if changed < 0 {
 			serving += changed
@@ -91,7 +91,7 @@
 			si.orders = append(si.orders, targets["a"]+targets["b"])
 		}
 		si.paid += float64(targets["a"]+targets["b"]) / 2
-		si.short += max(0, need-float64(serving)) / 2
+		si.missing += max(0, need-float64(serving)) / 2
 	}
 }
 
@@ -149,7 +149,7 @@
 	si.run(t, 2)
 	assert.Assert(t, len(si.orders) <= 4, "%v", si.orders)
 	assert.Equal(t, si.orders[len(si.orders)-1], 2, "%v", si.orders)
-	assert.Assert(t, si.short <= 6*4+4, "capacity is missing only during the startup: %.1f", si.short)
+	assert.Assert(t, si.missing <= 6*4+4, "capacity is missing only during the startup: %.1f", si.missing)
 }
 
 // Guards against flapping if the demand oscillates around a whole number of endpoints.
--- a/scale/plain_test.go
+++ b/scale/plain_test.go
@@ -45,7 +45,7 @@
 	orders  []int                          // total target after each change
 	change  time.Duration                  // when the holder changes; 0 means never
 	span    time.Duration
-	short   float64 // missing capacity, in slot seconds
+	missing float64 // missing capacity, in slot seconds
 	serving int
 	targets map[string]int
 	table   Table
@@ -54,25 +54,25 @@
 // run runs the simulation with a number of endpoints at the start.
 func (ps *plainSimulation) run(t *testing.T, start int) {
 	t.Helper()
-	type coming struct {
+	type launch struct {
 		at    time.Duration
 		count int
 	}
 	ps.serving, ps.targets = start, map[string]int{"a": start / 2, "b": start - start/2}
-	var boots []coming
+	var launches []launch
 	rng := rand.New(rand.NewPCG(1, 2))
 	ps.loads.Begin(0, begin)
 	for at := time.Duration(0); at < ps.span; at += second / 2 {
 		now := begin.Add(at)
-		for len(boots) > 0 && boots[0].at <= at {
-			ps.serving, boots = ps.serving+boots[0].count, boots[1:]
+		for len(launches) > 0 && launches[0].at <= at {
+			ps.serving, launches = ps.serving+launches[0].count, launches[1:]
 		}
 		if ps.change > 0 && at == ps.change {
 			ps.replaceHolder(now)
 		}
 		asked := ps.load(at)
 		used := min(asked, float64(ps.serving*10))
-		ps.short += (asked - used) / 2
+		ps.missing += (asked - used) / 2
 		for entry := range ps.entries {
 			if ps.cut != nil && ps.cut(entry, at) {
 				continue
@@ -85,7 +85,7 @@
 		}
 		changed := ps.decide(now)
 		if changed > 0 {
-			boots = append(boots, coming{at: at + 3*second, count: changed})
+			launches = append(launches, launch{at: at + 3*second, count: changed})
 		}
 		ps.serving += min(changed, 0)
 	}
@@ -145,7 +145,7 @@
 	}
 	assert.Assert(t, top >= 6 && top <= 7, "%v", ps.orders)
 	assert.Assert(t, ps.orders[len(ps.orders)-1] <= 4, "%v", ps.orders)
-	assert.Assert(t, ps.short < 5, "%v slot seconds", ps.short)
+	assert.Assert(t, ps.missing < 5, "%v slot seconds", ps.missing)
 }
 
 // Guards against scaling up too far after a burst of demand, as retries of rejected requests inflate
--- a/scale/scaler.go
+++ b/scale/scaler.go
@@ -234,13 +234,13 @@
 // An order that the platform rejects does not block others. If calls are slow, the remaining orders
 // are sent first at the next step.
 func (sc *Scaler) sendAll(ctx context.Context, epoch uint64) {
-	begun := sc.Tenure.Now()
+	start := sc.Tenure.Now()
 	failed := map[Subject]bool{}
 	for {
 		or, ok := sc.nextOrder(failed)
 		allowed, confirmed := sc.Tenure.MayCall()
 		switch {
-		case !ok || !allowed || len(failed) > 0 && sc.Tenure.Now()-begun >= stepInterval:
+		case !ok || !allowed || len(failed) > 0 && sc.Tenure.Now()-start >= stepInterval:
 			return
 		case !confirmed:
 			if !sc.write(ctx) {
--- a/scale/scaler_test.go
+++ b/scale/scaler_test.go
@@ -27,19 +27,21 @@
 
 // A fakePlatform records the orders, and simulates the lease and the key-value service.
 type fakePlatform struct {
-	begun  time.Time
-	calls  []call
-	epoch  uint64
-	fail   error         // returned after the order was accepted
-	holder string        // of the lease
-	lag    time.Duration // of the platform
-	memory keyvalue.Memory
-	work   time.Duration // open work, due in 8 s
+	started time.Time
+	calls   []call
+	epoch   uint64
+	fail    error         // returned after the order was accepted
+	holder  string        // of the lease
+	delay   time.Duration // of the platform
+	memory  keyvalue.Memory
+	work    time.Duration // open work, due in 8 s
 }
 
-func newFakePlatform() *fakePlatform { return &fakePlatform{begun: time.Now(), epoch: 1, holder: "a"} }
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{started: time.Now(), epoch: 1, holder: "a"}
+}
 
-func (fp *fakePlatform) monotonicNow() time.Duration { return time.Since(fp.begun) + time.Hour }
+func (fp *fakePlatform) monotonicNow() time.Duration { return time.Since(fp.started) + time.Hour }
 
 // process returns a potential holder.
 func (fp *fakePlatform) process(name string) *Scaler {
@@ -51,7 +53,7 @@
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(fp.lag):
+			case <-time.After(fp.delay):
 			}
 			fp.calls = append(fp.calls, call{at: fp.monotonicNow(), epoch: epoch, holder: name, order: or})
 			return fp.fail
@@ -175,10 +177,10 @@
 		fp := newFakePlatform()
 		sc := fp.process("a")
 		fp.run(t, sc, 6*second)
-		fp.work, fp.lag = 144*second, 10*second
+		fp.work, fp.delay = 144*second, 10*second
 		fp.run(t, sc, 4*second)
 		assert.Equal(t, len(fp.calls), 0)
-		fp.epoch, fp.holder, fp.lag = 2, "b", 0
+		fp.epoch, fp.holder, fp.delay = 2, "b", 0
 		next := fp.process("b")
 		fp.run(t, next, 8*second)
 		fp.run(t, sc, 8*second)
--- a/usage/simulation_test.go
+++ b/usage/simulation_test.go
@@ -110,7 +110,7 @@
 // A simulation consists of processes, entries and the servers that they call.
 type simulation struct {
 	server    reportServer
-	begun     time.Time
+	started   time.Time
 	entries   []*entry
 	memory    keyvalue.Memory
 	mu        sync.Mutex
@@ -130,11 +130,11 @@
 	skew         time.Duration
 }
 
-func (si *simulation) monotonicNow() time.Duration { return time.Since(si.begun) }
+func (si *simulation) monotonicNow() time.Duration { return time.Since(si.started) }
 
 func newSimulation(ctx context.Context, t *testing.T, processes, entries int) *simulation {
 	t.Helper()
-	si := &simulation{begun: time.Now(), t: t, expected: map[Window]map[string]uint64{}}
+	si := &simulation{started: time.Now(), t: t, expected: map[Window]map[string]uint64{}}
 	for i := range processes {
 		si.startProcess(ctx, fmt.Sprintf("holder-%d", i))
 	}
