--- a/hold/set.go
+++ b/hold/set.go
@@ -8,18 +8,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of a sheet, which is read and written whole.
+// Bounds of a Set, which is read and written as a whole.
 const (
-	// maxRecords is how many holds may be in force at once.
+	// maxRecords bounds the holds in force.
 	maxRecords = 200
-	// maxChanges is how many changes the history keeps.
+	// maxChanges bounds the history.
 	maxChanges = 100
 )
 
-// ErrFull means that no more can be held.
+// ErrFull means that there are too many holds in force.
 var ErrFull = errors.New("too many holds are in force")
 
-// An Action is what a change did.
+// An Action is the effect of a change.
 type Action string
 
 // The actions of changes.
@@ -28,123 +28,122 @@
 	Released Action = "released"
 )
 
-// A Change is a line of the history: who held or released what, when and why.
+// A Change is an entry of the history: who held or released what, when and why.
 type Change struct {
 	Record
 	Action Action `json:"action"`
-	ID     string `json:"id"` // unique, so that a repeated write is known again
+	ID     string `json:"id"` // unique, to detect retries
 }
 
-// A Set is all that is held, with its history. It is not changed once made; the nil
-// Set holds nothing.
+// A Set is an immutable set of holds with its history. The nil Set is empty.
 type Set struct {
 	records map[Target]Record
 	changes []Change // oldest first
-	version int64    // of the key that it was read from
-	// restores is how often the service has gone back behind a sheet that was in force,
-	// as this process has seen it.
+	version int64    // of its key
+	// restores counts the restores of the key-value service from an older backup that this
+	// process has detected.
 	restores int
 }
 
-// wireSheet is a sheet as the key-value service and other processes get it.
-type wireSheet struct {
+// wireSet is the encoding of a Set in the key-value service and between processes.
+type wireSet struct {
 	Changes []Change
 	Records []Record
 	Version int64 `cbor:",omitempty"`
 }
 
-// Version returns the version of the key that the sheet was read from, 0 if none was.
-func (sh *Set) Version() int64 {
-	if sh == nil {
+// Version returns the version of the key that the set was read from, or 0 if there was none.
+func (se *Set) Version() int64 {
+	if se == nil {
 		return 0
 	}
-	return sh.version
+	return se.version
 }
 
-// WithVersion returns the sheet as read from a version of its key.
-func (sh *Set) WithVersion(version int64) *Set {
-	if sh == nil {
+// WithVersion returns a copy with the given version.
+func (se *Set) WithVersion(version int64) *Set {
+	if se == nil {
 		return &Set{version: version}
 	}
-	at := *sh
-	at.version = version
-	return &at
+	next := *se
+	next.version = version
+	return &next
 }
 
-// Newer reports whether a sheet is to replace another: it is of a higher version, or the
-// service was found to have gone back behind the other.
-func (sh *Set) Newer(other *Set) bool {
+// Newer reports whether the set replaces another: it has seen more restores, or with equal restores
+// it has a higher version.
+func (se *Set) Newer(other *Set) bool {
 	switch {
-	case sh == nil || other == nil:
-		return sh != nil
-	case sh.restores != other.restores:
-		return sh.restores > other.restores
+	case se == nil || other == nil:
+		return se != nil
+	case se.restores != other.restores:
+		return se.restores > other.restores
 	default:
-		return sh.version > other.version
+		return se.version > other.version
 	}
 }
 
-// After returns the sheet as one that replaces another of a lower version.
-func (sh *Set) After(other *Set) *Set {
-	return sh.replacing(other, 0)
+// After returns the set as the successor of another with a lower version.
+func (se *Set) After(other *Set) *Set {
+	return se.withRestores(other, 0)
 }
 
-// AsRestored returns the sheet as one that replaces another of any version, as the service
-// was restored from a copy that is older than that.
-func (sh *Set) AsRestored(other *Set) *Set {
-	return sh.replacing(other, 1)
+// AsRestored returns the set as the successor of another with any version, as the service was
+// restored from an older backup.
+func (se *Set) AsRestored(other *Set) *Set {
+	return se.withRestores(other, 1)
 }
 
-func (sh *Set) replacing(other *Set, restores int) *Set {
-	next := sh.WithVersion(sh.Version())
+func (se *Set) withRestores(other *Set, restores int) *Set {
+	next := se.WithVersion(se.Version())
 	if other != nil {
 		next.restores = other.restores + restores
 	}
 	return next
 }
 
-// Find returns what is known of a hold, if it is in force.
-func (sh *Set) Find(ta Target) (Record, bool) {
-	if sh == nil {
+// Find returns the hold of a target, if it is in force.
+func (se *Set) Find(ta Target) (Record, bool) {
+	if se == nil {
 		return Record{}, false
 	}
-	re, ok := sh.records[ta]
+	re, ok := se.records[ta]
 	return re, ok
 }
 
-// Customer returns the hold of a customer's new work, if there is one.
-func (sh *Set) Customer(name string) (Record, bool) {
-	return sh.Find(Target{Kind: Customer, Name: name})
+// Customer returns the hold of a customer, if there is one.
+func (se *Set) Customer(name string) (Record, bool) {
+	return se.Find(Target{Kind: Customer, Name: name})
 }
 
-// Step returns the hold of a step's new work, which may be its customer's.
-func (sh *Set) Step(id, customer string) (Record, bool) {
-	if re, ok := sh.Find(Target{Kind: Step, Name: id}); ok {
+// Step returns the hold of a step or else of its customer, if there is one.
+func (se *Set) Step(id, customer string) (Record, bool) {
+	if re, ok := se.Find(Target{Kind: Step, Name: id}); ok {
 		return re, true
 	}
-	return sh.Customer(customer)
+	return se.Customer(customer)
 }
 
-// Endpoint returns the hold by which an endpoint drains, if there is one.
-func (sh *Set) Endpoint(id, address string) (Record, bool) {
-	if re, ok := sh.Find(Target{Kind: Endpoint, Name: id}); ok {
+// Endpoint returns the hold of an endpoint by its ID or address, if there is one.
+func (se *Set) Endpoint(id, address string) (Record, bool) {
+	if re, ok := se.Find(Target{Kind: Endpoint, Name: id}); ok {
 		return re, true
 	}
-	return sh.Find(Target{Kind: Endpoint, Name: address})
+	return se.Find(Target{Kind: Endpoint, Name: address})
 }
 
-// Service returns the hold of a service's orders for endpoints, if there is one.
-func (sh *Set) Service(name string) (Record, bool) {
-	return sh.Find(Target{Kind: Service, Name: name})
+// Service returns the hold of a service, if there is one.
+func (se *Set) Service(name string) (Record, bool) {
+	return se.Find(Target{Kind: Service, Name: name})
 }
 
-// Records returns what is held, by kind and name.
-func (sh *Set) Records() []Record {
+// Records returns the holds in force, ordered by kind and name.
+func (se *Set) Records() []Record {
 	res := []Record{}
-	if sh == nil {
+	if se == nil {
 		return res
 	}
-	for _, re := range sh.records {
+	for _, re := range se.records {
 		res = append(res, re)
 	}
 	slices.SortFunc(res, func(a, b Record) int {
@@ -154,17 +153,17 @@
 }
 
 // Changes returns the history, the oldest change first.
-func (sh *Set) Changes() []Change {
-	if sh == nil {
+func (se *Set) Changes() []Change {
+	if se == nil {
 		return []Change{}
 	}
-	return append([]Change{}, sh.changes...)
+	return append([]Change{}, se.changes...)
 }
 
-// Count returns how much of a kind is held.
-func (sh *Set) Count(ki Kind) int {
+// Count returns the number of holds of a kind.
+func (se *Set) Count(ki Kind) int {
 	count := 0
-	for _, re := range sh.Records() {
+	for _, re := range se.Records() {
 		if re.Kind == ki {
 			count++
 		}
@@ -172,21 +171,21 @@
 	return count
 }
 
-// Apply returns the sheet after a change, and whether it is another one: what is held
-// already isn't held twice, and what is not can't be released.
-func (sh *Set) Apply(ch Change) (*Set, bool, error) {
+// Apply returns the set after a change, and whether it differs: holding what is held and releasing
+// what is not have no effect.
+func (se *Set) Apply(ch Change) (*Set, bool, error) {
 	if err := ch.Check(); err != nil {
-		return sh, false, err
+		return se, false, err
 	}
-	_, held := sh.Find(ch.Target)
+	_, held := se.Find(ch.Target)
 	switch {
 	case held == (ch.Action == Held):
-		return sh, false, nil
-	case !held && sh != nil && len(sh.records) >= maxRecords:
-		return sh, false, errors.WithHint(errors.Wrapf(ErrFull, "%d", maxRecords), "release what is no longer needed")
+		return se, false, nil
+	case !held && se != nil && len(se.records) >= maxRecords:
+		return se, false, errors.WithHint(errors.Wrapf(ErrFull, "%d", maxRecords), "release what is no longer needed")
 	}
-	next := &Set{records: map[Target]Record{}, version: sh.Version()}
-	for _, re := range sh.Records() {
+	next := &Set{records: map[Target]Record{}, version: se.Version()}
+	for _, re := range se.Records() {
 		next.records[re.Target] = re
 	}
 	if held {
@@ -194,30 +193,30 @@
 	} else {
 		next.records[ch.Target] = ch.Record
 	}
-	next.changes = append(sh.Changes(), ch)
+	next.changes = append(se.Changes(), ch)
 	next.changes = next.changes[max(0, len(next.changes)-maxChanges):]
 	return next, true, nil
 }
 
-// made reports whether the history holds a change.
-func (sh *Set) made(id string) bool {
-	return slices.ContainsFunc(sh.Changes(), func(ch Change) bool { return ch.ID == id })
+// hasChange reports whether a change is in the history.
+func (se *Set) hasChange(id string) bool {
+	return slices.ContainsFunc(se.Changes(), func(ch Change) bool { return ch.ID == id })
 }
 
 // MarshalCBOR implements cbor.Marshaler.
-func (sh *Set) MarshalCBOR() ([]byte, error) {
-	return cbor.Marshal(wireSheet{Changes: sh.Changes(), Records: sh.Records(), Version: sh.Version()})
+func (se *Set) MarshalCBOR() ([]byte, error) {
+	return cbor.Marshal(wireSet{Changes: se.Changes(), Records: se.Records(), Version: se.Version()})
 }
 
 // UnmarshalCBOR implements cbor.Unmarshaler.
-func (sh *Set) UnmarshalCBOR(data []byte) error {
-	var ws wireSheet
+func (se *Set) UnmarshalCBOR(data []byte) error {
+	var ws wireSet
 	if err := cbor.Unmarshal(data, &ws); err != nil {
 		return err
 	}
-	*sh = Set{changes: ws.Changes, records: map[Target]Record{}, version: ws.Version}
+	*se = Set{changes: ws.Changes, records: map[Target]Record{}, version: ws.Version}
 	for _, re := range ws.Records {
-		sh.records[re.Target] = re
+		se.records[re.Target] = re
 	}
 	return nil
 }
--- a/hold/store.go
+++ b/hold/store.go
@@ -9,57 +9,55 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Key is the key in the key-value service that holds the sheet.
+// Key is the key of the holds in the key-value service.
 const Key = "wisteriacroft/holds"
 
-// ErrUndecodable means that the value under Key is no sheet.
+// ErrUndecodable means that the value of Key cannot be decoded.
 var ErrUndecodable = errors.New("not decodable")
 
-// maxTries is how often a change is tried that others were faster than.
-const maxTries = 10
+// maxAttempts bounds the attempts of a change that conflicts with others.
+const maxAttempts = 10
 
-// Decode returns the sheet that a value holds, at its key's version. An empty value
-// holds nothing.
+// Decode decodes a value of Key. An empty value means no holds.
 func Decode(it keyvalue.Item) (*Set, error) {
-	sh := &Set{}
+	se := &Set{}
 	if len(it.Value) > 0 {
-		if err := cbor.Unmarshal(it.Value, sh); err != nil {
+		if err := cbor.Unmarshal(it.Value, se); err != nil {
 			return nil, errors.Wrapf(ErrUndecodable, "%s at revision %d: %v", Key, it.Version, err)
 		}
 	}
-	return sh.WithVersion(it.Version), nil
+	return se.WithVersion(it.Version), nil
 }
 
-// A Store reads and changes the sheet.
+// A Store reads and changes the holds in the key-value service.
 type Store struct{ Client *keyvalue.Client }
 
-// Read returns the sheet that is in force.
-func (ke *Store) Read(ctx context.Context) (*Set, error) {
-	it, err := ke.Client.Get(ctx, Key)
+// Read returns the current holds.
+func (st *Store) Read(ctx context.Context) (*Set, error) {
+	it, err := st.Client.Get(ctx, Key)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return nil, err
 	}
 	return Decode(it)
 }
 
-// Change makes a change and returns whether it made a difference. It may be repeated.
+// Change applies a change, and reports whether it changed anything. It is idempotent.
 //
-// A write whose answer is lost may have taken effect. The history tells: the sheet is
-// read again, and holds the change's ID or doesn't. Only if it can't be read either is
-// the outcome unknown.
-func (ke *Store) Change(ctx context.Context, ch Change) (bool, error) {
+// If the outcome of a write is unknown, the holds are read again, and their history shows whether
+// the change was applied. Only if that read fails too is the outcome of Change unknown.
+func (st *Store) Change(ctx context.Context, ch Change) (bool, error) {
 	var err error
-	for range maxTries {
-		sh, errRead := ke.Read(ctx)
+	for range maxAttempts {
+		se, errRead := st.Read(ctx)
 		switch {
 		case errRead != nil && err == nil:
 			return false, errRead
 		case errRead != nil:
 			return false, errors.CombineErrors(err, errRead)
-		case sh.made(ch.ID):
+		case se.hasChange(ch.ID):
 			return true, nil
 		}
-		next, changed, errApply := sh.Apply(ch)
+		next, changed, errApply := se.Apply(ch)
 		if errApply != nil || !changed {
 			return false, errApply
 		}
@@ -67,7 +65,7 @@
 		if errEncode != nil {
 			return false, errors.Wrap(errEncode, "encode the holds")
 		}
-		_, errPut := ke.Client.Put(ctx, Key, value, sh.Version(), 0)
+		_, errPut := st.Client.Put(ctx, Key, value, se.Version(), 0)
 		if errPut == nil {
 			return true, nil
 		}
--- a/leader/callwindow_test.go
+++ b/leader/callwindow_test.go
@@ -8,101 +8,101 @@
 	"gotest.tools/v3/assert"
 )
 
-// What follows explores all that two holders, their successors and restarts, the
-// key-value service and who takes the reports can do within six seconds, in steps of
-// three quarters of a second: the lease is taken from its holder at any moment, and the holder does
-// not know; writes take effect and their answers are lost; calls begin a step after a
-// write at most, and arrive at any moment until their connections are reset, or never; each holder would report another count.
+// The tests are a model checker. It explores all interleavings of two holders with restarts, the
+// key-value service and the platform within some seconds, in discrete steps. The lease changes its
+// holder at any time without the former one noticing; writes take effect and their responses may be
+// lost; calls arrive at any time until their connections are reset, or never. Each holder would
+// report a different count.
 
 const (
-	modelCalls  = 3
-	modelTakes  = 3
-	testOverlap = 3 * time.Second
+	modelCalls        = 3
+	modelAcquisitions = 3
+	testOverlap       = 3 * time.Second
 )
 
-// A modelProcess may hold the reports. Its count is its index and one.
+// A modelProcess is a potential holder. The count that it reports is its index + 1.
 type modelProcess struct {
-	durable int // the count that it knows to last, or 0
+	durable int // the count that is known to be saved, or 0
 	epoch   uint64
-	holds   bool // as it believes
-	turn    CallWindow
+	holds   bool // the lease, as far as the process can tell
+	window  CallWindow
 }
 
 type modelCall struct {
-	at    time.Duration // it arrived; while under way, the moment of its reset
+	at    time.Duration // of its arrival; while in flight, of its reset
 	count int
 	epoch uint64
-	owner int // its index and one; 0 is no call
+	owner int // index of its process + 1; 0 means no call
 }
 
-// A model is a state of the whole. It is comparable, so that none is explored twice.
+// A model is a state of the system. It is comparable, so that each is explored only once.
 type model struct {
 	arrived   [modelCalls]modelCall
-	calls     int // begun
-	count     int // that is kept, or 0
+	calls     int // started
+	count     int // that is saved, or 0
 	epoch     uint64
 	now       time.Duration
 	processes [2]modelProcess
-	restarted bool // a process has; one restart is explored
-	sender    int  // of the record: index and one, or 0
-	underWay  [modelCalls]modelCall
+	restarted bool // a process has restarted; only one restart is explored
+	sender    int  // of the record: index + 1, or 0
+	inFlight  [modelCalls]modelCall
 }
 
-// An explorer visits all states that can be reached.
+// An explorer visits all reachable states.
 type explorer struct {
-	broken string
-	early  bool // begin calls as if no other holder had been, to see that it is noticed
-	seed   maphash.Seed
-	long   bool            // let calls last as long from their own begin on, likewise
-	seen   map[uint64]bool // hashes of states
-	span   time.Duration
-	step   time.Duration
-	unkept bool // report counts that are not known to last, likewise
+	violation string
+	early     bool // mutation: make calls without the takeover delay
+	seed      maphash.Seed
+	long      bool            // mutation: count callTimeout from the start of a call
+	seen      map[uint64]bool // hashes of states
+	span      time.Duration
+	step      time.Duration
+	unsaved   bool // mutation: report counts that are not known to be saved
 }
 
 func (ex *explorer) visit(mo model) {
 	hash := maphash.Comparable(ex.seed, mo)
-	if ex.broken != "" || ex.seen[hash] {
+	if ex.violation != "" || ex.seen[hash] {
 		return
 	}
 	ex.seen[hash] = true
 	for i := range mo.processes {
-		ex.take(mo, i)
+		ex.acquire(mo, i)
 		ex.restart(mo, i)
 		ex.write(mo, i)
 		ex.call(mo, i)
 	}
-	for i := range mo.underWay {
+	for i := range mo.inFlight {
 		ex.arrive(mo, i)
 	}
 	if mo.now < ex.span {
 		mo.now += ex.step
-		for i := range mo.underWay {
-			if mo.now >= mo.underWay[i].at {
-				mo.endCall(i) // its connection is reset
+		for i := range mo.inFlight {
+			if mo.now >= mo.inFlight[i].at {
+				mo.endCall(i) // reset of its connection
 			}
 		}
 		ex.visit(mo)
 	}
 }
 
-// take gives the lease to a process, which reads what lasts.
-func (ex *explorer) take(mo model, i int) {
-	first := mo.epoch == 0 && i > 0 // the two are alike
-	if first || mo.epoch >= modelTakes || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
+// acquire gives the lease to a process, which reads the record.
+func (ex *explorer) acquire(mo model, i int) {
+	first := mo.epoch == 0 && i > 0 // the processes are symmetric
+	if first || mo.epoch >= modelAcquisitions || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
 		return
 	}
-	for _, ca := range mo.underWay {
+	for _, ca := range mo.inFlight {
 		if ca.owner == i+1 {
-			return // a holder ends its call before it looks at the lease again
+			return // a holder ends its call before it checks the lease again
 		}
 	}
 	mo.epoch++
 	pr := &mo.processes[i]
 	pr.holds, pr.epoch, pr.durable = true, mo.epoch, mo.count
-	pr.turn.Begin(mo.now, mo.sender == i+1)
+	pr.window.Begin(mo.now, mo.sender == i+1)
 	if ex.early {
-		pr.turn.allowedAt = mo.now
+		pr.window.allowedAt = mo.now
 	}
 	ex.visit(mo)
 }
@@ -112,24 +112,24 @@
 		return
 	}
 	mo.restarted = true
-	mo.processes[i] = modelProcess{turn: NewCallWindow(testOverlap, mo.now)}
-	for j := range mo.underWay {
-		if mo.underWay[j].owner == i+1 {
-			mo.underWay[j] = modelCall{}
+	mo.processes[i] = modelProcess{window: NewCallWindow(testOverlap, mo.now)}
+	for j := range mo.inFlight {
+		if mo.inFlight[j].owner == i+1 {
+			mo.inFlight[j] = modelCall{}
 		}
 	}
 	ex.visit(mo)
 }
 
-// write keeps a process's count unless one is kept. Its answer may be lost. One that comes
-// late is no other than a call that begins late.
+// write saves a process's count unless one is saved already. Its response may be lost. A late
+// response is equivalent to a late start of the call.
 func (ex *explorer) write(mo model, i int) {
 	pr := &mo.processes[i]
 	if !pr.holds {
 		return
 	}
 	if pr.epoch != mo.epoch {
-		pr.holds = false // the service refuses the write
+		pr.holds = false // the fenced write fails
 		ex.visit(mo)
 		return
 	}
@@ -139,39 +139,39 @@
 	mo.sender = i + 1
 	ex.visit(mo)
 	pr.durable = mo.count
-	pr.turn.Confirm(mo.now)
+	pr.window.Confirm(mo.now)
 	ex.visit(mo)
 }
 
 func (ex *explorer) call(mo model, i int) {
 	pr := &mo.processes[i]
 	count := pr.durable
-	if ex.unkept {
+	if ex.unsaved {
 		count = i + 1
 	}
-	if !pr.holds || count == 0 || mo.calls == modelCalls || !pr.turn.Allowed(mo.now) || !pr.turn.Confirmed(mo.now) {
+	if !pr.holds || count == 0 || mo.calls == modelCalls || !pr.window.Allowed(mo.now) || !pr.window.Confirmed(mo.now) {
 		return
 	}
-	left := pr.turn.Call(mo.now)
+	left := pr.window.Call(mo.now)
 	if ex.long {
-		left = callTime
+		left = callTimeout
 	}
-	mo.underWay[mo.calls] = modelCall{at: mo.now + left, count: count, epoch: pr.epoch, owner: i + 1}
+	mo.inFlight[mo.calls] = modelCall{at: mo.now + left, count: count, epoch: pr.epoch, owner: i + 1}
 	mo.calls++
 	ex.visit(mo)
 }
 
-// endCall ends a call, which its process notes.
+// endCall ends a call and records that at its process.
 func (mo *model) endCall(i int) {
-	if owner := mo.underWay[i].owner; owner > 0 {
-		mo.processes[owner-1].turn.calledAt = mo.now
+	if owner := mo.inFlight[i].owner; owner > 0 {
+		mo.processes[owner-1].window.calledAt = mo.now
 	}
-	mo.underWay[i] = modelCall{}
+	mo.inFlight[i] = modelCall{}
 }
 
-// arrive delivers a call, and notes which rule it breaks.
+// arrive delivers a call, and records which rule it violates.
 func (ex *explorer) arrive(mo model, i int) {
-	ca := mo.underWay[i]
+	ca := mo.inFlight[i]
 	if ca.owner == 0 {
 		return
 	}
@@ -185,11 +185,11 @@
 		}
 		switch {
 		case old.count != ca.count:
-			ex.broken = "two counts of one window"
+			ex.violation = "two counts for one window"
 		case old.epoch > ca.epoch:
-			ex.broken = "a lower epoch after a higher one"
+			ex.violation = "epoch went back"
 		case between && old.owner == ca.owner && ca.at-old.at < testOverlap:
-			ex.broken = "holders took turns"
+			ex.violation = "calls of holders alternated"
 		}
 		between = between || old.owner != ca.owner
 	}
@@ -209,78 +209,74 @@
 	}
 	var mo model
 	for i := range mo.processes {
-		mo.processes[i].turn = NewCallWindow(testOverlap, -time.Hour)
+		mo.processes[i].window = NewCallWindow(testOverlap, -time.Hour)
 	}
 	ex.visit(mo)
 	return ex
 }
 
-func TestProtocolOfHolders(t *testing.T) {
+func TestHolderProtocol(t *testing.T) {
 	ex := explore(&explorer{})
-	assert.Equal(t, ex.broken, "")
+	assert.Equal(t, ex.violation, "")
 	t.Logf("%d states", len(ex.seen))
 }
 
-// Calls that begin late after their write need steps that are shorter than what is left
-// of their time and of a successor's wait.
-func TestProtocolOfHoldersWithASlowService(t *testing.T) {
+// Late calls after a slow write are explored with shorter steps.
+func TestHolderProtocolSlowService(t *testing.T) {
 	ex := explore(&explorer{span: 3500 * time.Millisecond, step: 500 * time.Millisecond})
-	assert.Equal(t, ex.broken, "")
+	assert.Equal(t, ex.violation, "")
 	t.Logf("%d states", len(ex.seen))
 	ex = explore(&explorer{long: true, span: 3500 * time.Millisecond, step: 500 * time.Millisecond})
-	assert.Equal(t, ex.broken, "a lower epoch after a higher one")
+	assert.Equal(t, ex.violation, "epoch went back")
 }
 
-func TestExplorerNoticesBrokenProtocols(t *testing.T) {
-	assert.Assert(t, explore(&explorer{early: true}).broken != "")
-	assert.Equal(t, explore(&explorer{unkept: true}).broken, "two counts of one window")
+func TestExplorerDetectsViolations(t *testing.T) {
+	assert.Assert(t, explore(&explorer{early: true}).violation != "")
+	assert.Equal(t, explore(&explorer{unsaved: true}).violation, "two counts for one window")
 }
 
-// Two processes hold the lease in turns, and each calls as soon as it may. The first
-// had called a moment before it lost the lease.
-func TestTakingTurns(t *testing.T) {
+// Guards against alternating calls of two processes that replace each other as the holder.
+func TestAlternatingHolders(t *testing.T) {
 	at := 10 * time.Second
 	first, second := NewCallWindow(testOverlap, -time.Hour), NewCallWindow(testOverlap, -time.Hour)
 	first.Confirm(at)
 	first.Call(at)
 	second.Begin(at, false)
-	assert.Assert(t, !second.Allowed(at+callTime), "a call of the first may still arrive")
-	assert.Assert(t, second.Allowed(at+settleTime))
+	assert.Assert(t, !second.Allowed(at+callTimeout), "a call of the former holder may still arrive")
+	assert.Assert(t, second.Allowed(at+takeoverDelay))
 	first.Begin(at+100*time.Millisecond, false)
 	assert.Assert(t, !first.Allowed(at+testOverlap-time.Millisecond))
 
 	alone := NewCallWindow(testOverlap, -time.Hour)
 	alone.Call(at)
 	alone.Begin(at+100*time.Millisecond, true)
-	assert.Assert(t, alone.Allowed(at+100*time.Millisecond), "no one has called since")
+	assert.Assert(t, alone.Allowed(at+100*time.Millisecond), "no other process has made calls since")
 }
 
-// A process took over, wrote what it decided and lost the lease for a moment. It took
-// its own write for a sign that no one had called, and called in the time that it had
-// still to wait.
-func TestOwnWriteEndsNoWait(t *testing.T) {
-	tu := NewCallWindow(testOverlap, -time.Hour)
-	tu.Begin(0, false)
-	tu.Confirm(100 * time.Millisecond)
-	tu.Begin(200*time.Millisecond, true)
-	assert.Assert(t, !tu.Allowed(300*time.Millisecond))
-	assert.Assert(t, tu.Allowed(settleTime))
+// Guards against a new holder skipping its takeover delay after it lost the lease briefly, because
+// the last record is its own.
+func TestOwnWriteKeepsDelay(t *testing.T) {
+	cw := NewCallWindow(testOverlap, -time.Hour)
+	cw.Begin(0, false)
+	cw.Confirm(100 * time.Millisecond)
+	cw.Begin(200*time.Millisecond, true)
+	assert.Assert(t, !cw.Allowed(300*time.Millisecond))
+	assert.Assert(t, cw.Allowed(takeoverDelay))
 }
 
-// A write that took long allows the call for which it was made, with what is left of its
-// time, and no other.
+// A slow write allows one call, with the remaining time, and no other.
 func TestSlowWriteAllowsOneCall(t *testing.T) {
-	tu := NewCallWindow(testOverlap, -time.Hour)
-	tu.Confirm(0)
-	assert.Assert(t, tu.Confirmed(storeTimeout))
-	assert.Equal(t, tu.Call(storeTimeout), callTime-storeTimeout)
-	tu.Called(storeTimeout + 10*time.Millisecond)
-	assert.Assert(t, !tu.Confirmed(storeTimeout+10*time.Millisecond))
-	tu.Confirm(2 * time.Second)
-	assert.Assert(t, !tu.Confirmed(2*time.Second+callTime-leastTime+1), "too little time for a call")
-	tu.Confirm(4 * time.Second)
-	tu.Call(4 * time.Second)
-	assert.Assert(t, tu.Confirmed(4*time.Second+confirmLife), "a fast one allows more")
-	tu.Begin(5*time.Second, true)
-	assert.Assert(t, !tu.Confirmed(5*time.Second))
+	cw := NewCallWindow(testOverlap, -time.Hour)
+	cw.Confirm(0)
+	assert.Assert(t, cw.Confirmed(storeTimeout))
+	assert.Equal(t, cw.Call(storeTimeout), callTimeout-storeTimeout)
+	cw.Called(storeTimeout + 10*time.Millisecond)
+	assert.Assert(t, !cw.Confirmed(storeTimeout+10*time.Millisecond))
+	cw.Confirm(2 * time.Second)
+	assert.Assert(t, !cw.Confirmed(2*time.Second+callTimeout-minCallTime+1), "less than minCallTime left")
+	cw.Confirm(4 * time.Second)
+	cw.Call(4 * time.Second)
+	assert.Assert(t, cw.Confirmed(4*time.Second+confirmTTL), "a fast write allows more calls")
+	cw.Begin(5*time.Second, true)
+	assert.Assert(t, !cw.Confirmed(5*time.Second))
 }
--- a/quarantine/store.go
+++ b/quarantine/store.go
@@ -12,61 +12,55 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Key is the key in the key-value service that holds the records of all processes.
-// They fit one value, so that one call reads them and expired ones leave with the
-// next write.
+// Key is the key of the records in the key-value service. All records are in one value, so that
+// one call reads them, and a write removes the expired ones.
 const Key = "wisteriacroft/quarantine"
 
 const (
-	// saveTimeout bounds one call of a save. A service that is 90 times slower than
-	// usual answers in 0.4 s.
 	saveTimeout = 600 * time.Millisecond
-	// watchTime bounds one watch, and so how long a silent connection hides news.
+	// watchTime bounds one watch, and so how long a dead connection delays updates.
 	watchTime = 10 * time.Second
-	// watchPause is the pause after a watch that failed.
+	// watchPause is the pause after a failed watch.
 	watchPause = time.Second
-	// savePause is the pause before a save that failed is tried again.
+	// savePause is the pause before a failed save is retried.
 	savePause = 200 * time.Millisecond
 )
 
-// A Store saves what this process has seen, so that it outlives the process and
-// reaches the others.
+// A Store saves a table's records in the key-value service and loads those of other processes.
 type Store struct {
 	Client *keyvalue.Client
 	Log    *logrus.Entry
-	// Rand shortens waits, so that processes that started together do not call
-	// together; nil shortens none.
+	// Rand is the source of jitter for watches; nil disables it.
 	Rand  *rand.Rand
 	Table *Table
 }
 
-// watchJitter is the part of a watch's time that is drawn.
+// watchJitter is the random fraction of watchTime.
 const watchJitter = 0.3
 
-// watchTimeout returns how long the next watch may last.
-func (ke *Store) watchTimeout() time.Duration {
-	if ke.Rand == nil {
+// watchTimeout returns the timeout of the next watch.
+func (st *Store) watchTimeout() time.Duration {
+	if st.Rand == nil {
 		return watchTime
 	}
-	return time.Duration(float64(watchTime) * (1 - watchJitter*ke.Rand.Float64()))
+	return time.Duration(float64(watchTime) * (1 - watchJitter*st.Rand.Float64()))
 }
 
-// Run saves new records until ctx ends. While the service is away it goes on
-// trying.
-func (ke *Store) Run(ctx context.Context) {
-	kicks := ke.Table.awaitUnsaved()
+// Run saves new records until ctx ends. Failed saves are retried.
+func (st *Store) Run(ctx context.Context) {
+	unsaved := st.Table.unsavedSignal()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-kicks:
+		case <-unsaved:
 		}
 		failed := false
 		for ctx.Err() == nil {
-			err := ke.save(ctx)
+			err := st.save(ctx)
 			if (err != nil) != failed {
 				failed = err != nil
-				ke.Log.WithFields(logrus.Fields{"error": err, "records": len(ke.Table.Unsaved())}).Warn("quarantine saved")
+				st.Log.WithFields(logrus.Fields{"error": err, "records": len(st.Table.Unsaved())}).Warn("quarantine saved")
 			}
 			if err == nil {
 				break
@@ -76,31 +70,29 @@
 	}
 }
 
-// Follow takes in what others save until ctx ends, for a process that no other one
-// feeds.
-func (ke *Store) Follow(ctx context.Context) {
+// Follow merges the records that others save until ctx ends, for a process without a feeder.
+func (st *Store) Follow(ctx context.Context) {
 	var version int64
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, ke.watchTimeout())
-		it, err := ke.Client.Watch(limited, Key, version)
+		limited, cancel := context.WithTimeout(ctx, st.watchTimeout())
+		it, err := st.Client.Watch(limited, Key, version)
 		silent := limited.Err() != nil
 		cancel()
 		if silent {
-			continue // nothing new, or the watch is silent
+			continue // no changes, or a dead connection
 		}
 		if err == nil {
 			version = it.Version
-			err = ke.Table.Load(it.Value, time.Now())
+			err = st.Table.Load(it.Value, time.Now())
 		}
 		if err != nil {
-			ke.Log.WithError(err).Warn("quarantine can't be followed")
+			st.Log.WithError(err).Warn("cannot watch the quarantine")
 			sleep(ctx, watchPause)
 		}
 	}
 }
 
-// pause waits before a save is tried again. One that another process was faster
-// than goes on at once.
+// pause waits before a save is retried. After a conflict it does not wait.
 func pause(ctx context.Context, err error) {
 	if errors.Is(err, keyvalue.ErrConflict) {
 		return
@@ -115,46 +107,46 @@
 	}
 }
 
-// save adds what is not saved to what the service holds. A write whose outcome is
-// unknown fails, and the next save reads whether it took effect.
-func (ke *Store) save(ctx context.Context) error {
-	unsaved := ke.Table.Unsaved()
+// save merges the unsaved records with the stored ones and writes them. If the outcome of the write
+// is unknown, it fails, and the next save reads whether it took effect.
+func (st *Store) save(ctx context.Context) error {
+	unsaved := st.Table.Unsaved()
 	if len(unsaved) == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	version, err := ke.read(ctx)
+	version, err := st.read(ctx)
 	switch {
 	case errors.Is(err, errUndecodable):
-		ke.Log.WithError(err).Error("quarantine does not decode and is written anew")
+		st.Log.WithError(err).Error("cannot decode quarantine, overwriting it")
 	case err != nil:
 		return err
 	}
-	value, err := cbor.Marshal(ke.Table.Records(time.Now()))
+	value, err := cbor.Marshal(st.Table.Records(time.Now()))
 	if err != nil {
 		return errors.Wrap(err, "encode the quarantine")
 	}
-	if _, err := ke.Client.Put(ctx, Key, value, version, 0); err != nil {
+	if _, err := st.Client.Put(ctx, Key, value, version, 0); err != nil {
 		return err
 	}
-	ke.Table.saved(unsaved)
+	st.Table.markSaved(unsaved)
 	return nil
 }
 
-// errUndecodable means that the value under Key is no list of records.
+// errUndecodable means that the value of Key cannot be decoded.
 var errUndecodable = errors.New("not decodable")
 
-// read takes in what the service holds, and returns its version.
-func (ke *Store) read(ctx context.Context) (int64, error) {
-	it, err := ke.Client.Get(ctx, Key)
+// read merges the stored records into the table, and returns the version of the key.
+func (st *Store) read(ctx context.Context) (int64, error) {
+	it, err := st.Client.Get(ctx, Key)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return 0, err
 	}
-	return it.Version, ke.Table.Load(it.Value, time.Now())
+	return it.Version, st.Table.Load(it.Value, time.Now())
 }
 
-// Load merges what the service holds under Key. An empty value holds nothing.
+// Load merges the records of a stored value into the table. An empty value has none.
 func (ta *Table) Load(value []byte, now time.Time) error {
 	if len(value) == 0 {
 		return nil
@@ -164,6 +156,6 @@
 		return errors.Wrapf(errUndecodable, "decode %s: %v", Key, err)
 	}
 	ta.Merge(res, now)
-	ta.saved(res)
+	ta.markSaved(res)
 	return nil
 }
--- a/scale/loadaggregator.go
+++ b/scale/loadaggregator.go
@@ -6,103 +6,102 @@
 	"time"
 )
 
-// Times of what entries tell.
+// Timing and quorum of the entries' reports.
 const (
-	// freshFor is for how long what an entry told counts as what it sees: three times as
-	// long as from one telling to the next, so that one lost call makes no entry silent.
-	freshFor = 1500 * time.Millisecond
-	// goneAfter is when an entry that tells nothing counts as gone. Entries that are cut
-	// off from the holder alone go on serving callers, and such cuts last for seconds.
-	goneAfter = time.Minute
-	// toldPart is the least part of the entries that must have told within freshFor. The
-	// rest count with what they told last, which may no longer be true.
-	toldPart = 0.75
+	// freshTTL is how long a report is fresh: three intervals of reports, to tolerate a lost
+	// one.
+	freshTTL = 1500 * time.Millisecond
+	// entryTTL is the time without a report after which an entry is removed. Entries that are
+	// only cut off from the holder keep serving callers.
+	entryTTL = time.Minute
+	// minReporting is the minimum share of entries with a fresh report. The others count with
+	// their last report.
+	minReporting = 0.75
 )
 
-// A LoadAggregator holds what entries tell of plain services, and says whether enough of them
-// have told for their load to be known. The zero LoadAggregator is empty and ready to use.
+// A LoadAggregator aggregates the loads of plain services that entries report. The zero value is
+// empty and ready to use. It is safe for concurrent use.
 //
-// Load pattern: the load of a service is spread over all entries. With half of them cut
-// off from the holder it looks like half, and endpoints would be given away that are
-// needed. So nothing is decided then; a few that are silent count with what they told
-// last.
+// The load of a service is spread over all entries. If many of them are cut off from the holder, it
+// appears lower than it is, and services would be scaled down. So the load is unknown unless enough
+// entries have a fresh report.
 type LoadAggregator struct {
-	begunAt  time.Time // of the tenure
-	expected int       // entries that the holder before knew
-	mu       sync.Mutex
-	told     map[string]told // by instance
+	startedAt time.Time // of the holder's term
+	expected  int       // entries known to the previous holder
+	mu        sync.Mutex
+	reports   map[string]report // by instance
 }
 
-// A told is what an entry told last, and when.
-type told struct {
-	at   time.Time
-	seen map[string]Observation // by service
+// A report is the last report of an entry.
+type report struct {
+	at           time.Time
+	observations map[string]Observation // by service
 }
 
-// Begin begins a tenure. Expected is how many entries the holder before knew: some of
-// them may not reach this one.
-func (ce *LoadAggregator) Begin(expected int, now time.Time) {
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	ce.begunAt, ce.expected = now, expected
+// Begin starts a holder's term. Expected is the number of entries known to the previous holder, some
+// of which may be cut off from this one.
+func (la *LoadAggregator) Begin(expected int, now time.Time) {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	la.startedAt, la.expected = now, expected
 }
 
-// Report takes in what an entry has seen. Entries are known by their instance, which stays
-// the same over a restart, so that one that starts anew isn't counted twice.
-func (ce *LoadAggregator) Report(instance string, seen map[string]Observation, now time.Time) {
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	if ce.told == nil {
-		ce.told = map[string]told{}
+// Report sets the report of an entry. Entries are identified by instance, which a restart keeps, so
+// that a restarted one isn't counted twice.
+func (la *LoadAggregator) Report(instance string, seen map[string]Observation, now time.Time) {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	if la.reports == nil {
+		la.reports = map[string]report{}
 	}
-	ce.told[instance] = told{at: now, seen: seen}
+	la.reports[instance] = report{at: now, observations: seen}
 }
 
-// EntryCount returns how many entries there are, as far as it is known.
-func (ce *LoadAggregator) EntryCount(now time.Time) int {
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	return ce.count(now)
+// EntryCount returns the number of known entries.
+func (la *LoadAggregator) EntryCount(now time.Time) int {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	return la.count(now)
 }
 
-// count drops the entries that are gone, and counts the others. Until those that the
-// holder before knew would have been dropped, it counts at least as many. The lock is held.
-func (ce *LoadAggregator) count(now time.Time) int {
-	maps.DeleteFunc(ce.told, func(_ string, to told) bool { return now.Sub(to.at) >= goneAfter })
-	if now.Sub(ce.begunAt) < goneAfter {
-		return max(len(ce.told), ce.expected)
+// count removes expired entries and returns the number of the others, but at least the expected ones
+// during the first entryTTL of the term. The lock is held.
+func (la *LoadAggregator) count(now time.Time) int {
+	maps.DeleteFunc(la.reports, func(_ string, re report) bool { return now.Sub(re.at) >= entryTTL })
+	if now.Sub(la.startedAt) < entryTTL {
+		return max(len(la.reports), la.expected)
 	}
-	return len(ce.told)
+	return len(la.reports)
 }
 
-// Reporting returns how many entries have told lately.
-func (ce *LoadAggregator) Reporting(now time.Time) int {
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	return ce.countFresh(now)
+// Reporting returns the number of entries with a fresh report.
+func (la *LoadAggregator) Reporting(now time.Time) int {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	return la.countFresh(now)
 }
 
-// countFresh counts the entries that have told within freshFor. The lock is held.
-func (ce *LoadAggregator) countFresh(now time.Time) int {
+// countFresh returns the number of entries with a fresh report. The lock is held.
+func (la *LoadAggregator) countFresh(now time.Time) int {
 	fresh := 0
-	for _, to := range ce.told {
-		if now.Sub(to.at) < freshFor {
+	for _, re := range la.reports {
+		if now.Sub(re.at) < freshTTL {
 			fresh++
 		}
 	}
 	return fresh
 }
 
-// Loads returns the load of each service that entries tell of, and whether it is known:
-// whether enough of them have told lately, and all have had the time to.
-func (ce *LoadAggregator) Loads(now time.Time) (loads map[string]Load, known bool) {
-	ce.mu.Lock()
-	defer ce.mu.Unlock()
-	all, fresh := ce.count(now), ce.countFresh(now)
-	known = fresh > 0 && float64(fresh) >= toldPart*float64(all) && now.Sub(ce.begunAt) >= freshFor
+// Loads returns the load by service, and whether it is known: enough entries have a fresh report, and
+// the term has lasted long enough for all to report.
+func (la *LoadAggregator) Loads(now time.Time) (loads map[string]Load, known bool) {
+	la.mu.Lock()
+	defer la.mu.Unlock()
+	all, fresh := la.count(now), la.countFresh(now)
+	known = fresh > 0 && float64(fresh) >= minReporting*float64(all) && now.Sub(la.startedAt) >= freshTTL
 	loads = map[string]Load{}
-	for _, to := range ce.told {
-		for service, se := range to.seen {
+	for _, re := range la.reports {
+		for service, se := range re.observations {
 			loads[service] = loads[service].Add(se)
 		}
 	}
--- a/scale/scaler.go
+++ b/scale/scaler.go
@@ -16,31 +16,31 @@
 	"wisteriacroft/tick"
 )
 
-// Key is the key in the key-value service that holds the Record.
+// Key is the key of the Record in the key-value service.
 const Key = "wisteriacroft/scale"
 
-// OverviewMethod asks the holder what it ordered and would order.
+// OverviewMethod is the RPC method that returns the Overview.
 const OverviewMethod = "scale.Overview"
 
-// ErrNotHolder means that the process does not give orders now.
-var ErrNotHolder = errors.New("does not give orders for endpoints")
+// ErrNotHolder means that the process does not send scaling orders now.
+var ErrNotHolder = errors.New("process is not the scaler")
 
-// Codes returns the errors of this package that cross processes.
+// Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-scale-holder"}} }
 
-// stepEvery is how often a holder looks at the load.
-const stepEvery = 500 * time.Millisecond
+// stepInterval is the interval of Step.
+const stepInterval = 500 * time.Millisecond
 
 // A LastOrder is the last order of a subject.
 type LastOrder struct {
 	Subject
-	Taken  bool `json:"taken"` // the platform answered that it took it
+	Taken  bool `json:"taken"` // the platform has accepted it
 	Target int  `json:"target"`
 }
 
-// A Record is what lasts of the orders.
+// A Record is the saved state of the orders.
 type Record struct {
-	Entries int         `cbor:",omitempty"` // that told of plain services
+	Entries int         `cbor:",omitempty"` // that report loads of plain services
 	Epoch   uint64      // of the holder that wrote it
 	Orders  []LastOrder // one for each subject
 	Sender  string      // address of the holder that wrote it
@@ -52,7 +52,7 @@
 	return rec
 }
 
-// set notes an order that is to be sent.
+// set sets the order of a subject, to be sent.
 func (rec *Record) set(or Order) {
 	for i := range rec.Orders {
 		if rec.Orders[i].Subject == or.Subject {
@@ -63,248 +63,248 @@
 	rec.Orders = append(rec.Orders, LastOrder{Subject: or.Subject, Target: or.Target})
 }
 
-// A Scaler decides on orders and sends them while the process holds a lease. Fill the
-// exported fields, then call Run.
+// A Scaler computes scaling orders, and sends them while the process holds a lease. Set the exported
+// fields, then call Run.
 //
-// Symptom without the record: after a change of holder, endpoints are ordered twice or
-// not at all. An order lasts before it is sent, and is sent again until it was taken, by
-// whoever holds the lease: it names a number of endpoints, so that a repeat does no harm.
+// An order is saved before it is sent, and sent again by the current holder until it was accepted.
+// Otherwise endpoints could be ordered twice or not at all after a change of holder. Orders are
+// idempotent, as each sets a number of endpoints.
 type Scaler struct {
-	// Census is what entries tell of plain services; nil is told nothing.
+	// Census aggregates the loads of plain services that entries report; it is optional.
 	Census *LoadAggregator
-	// HeldFunc reports whether an operator holds the orders of a service; nil holds none.
+	// HeldFunc reports whether an operator holds the scaling of a service; nil means never.
 	HeldFunc func(service string) bool
 	Log      *logrus.Entry
 	Metrics  *metrics.Set
-	// SendFunc sends an order under an epoch, and returns nil once it is taken. After
-	// ctx ends, no byte of it is sent any more.
+	// SendFunc sends an order under an epoch, and returns nil once it was accepted. After ctx
+	// ends, it sends no more bytes.
 	SendFunc func(ctx context.Context, epoch uint64, or LastOrder) error
-	// ServicesFunc returns the services that have bounds.
+	// ServicesFunc returns the services that are autoscaled.
 	ServicesFunc func(now time.Time) []Service
-	// Tenure is of the process's own; Key and MarkFunc are the Scaler's to fill.
+	// Tenure is the process's term. The Scaler sets its Key and MarkFunc.
 	Tenure *leader.Term[Record]
 
 	durable  Record     // as last written or read
-	mu       sync.Mutex // guards all of these
+	mu       sync.Mutex // guards the unexported fields
 	record   Record
-	services []Service // at the last look
+	services []Service // at the last step
 	table    Table
-	unknown  map[string]bool // services whose load was not known at the last look
+	unknown  map[string]bool // services whose load was unknown at the last step
 }
 
-// Run gives orders until ctx ends.
-func (ho *Scaler) Run(ctx context.Context) {
-	ho.Begin()
-	(&tick.Loop{Every: stepEvery, Systems: []tick.System{{Name: "order endpoints", Run: func(time.Time) { ho.Step(ctx) }}}}).Run(ctx)
+// Run runs until ctx ends.
+func (sc *Scaler) Run(ctx context.Context) {
+	sc.Begin()
+	(&tick.Loop{Every: stepInterval, Systems: []tick.System{{Name: "order endpoints", Run: func(time.Time) { sc.Step(ctx) }}}}).Run(ctx)
 }
 
-// Begin notes the process's start.
-func (ho *Scaler) Begin() {
-	ho.Tenure.Key = Key
-	ho.Tenure.MarkFunc = func(rec Record) leader.Author { return leader.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
-	ho.Tenure.Begin()
+// Begin initializes the term.
+func (sc *Scaler) Begin() {
+	sc.Tenure.Key = Key
+	sc.Tenure.MarkFunc = func(rec Record) leader.Author { return leader.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
+	sc.Tenure.Begin()
 }
 
-// Step does what is to be done now. Where no service has bounds, nothing is read or
-// written.
-func (ho *Scaler) Step(ctx context.Context) {
-	ses := ho.ServicesFunc(time.Now())
-	st, epoch := ho.Tenure.State()
+// Step adopts the saved record, or computes and sends orders, depending on the state of the term. It
+// does nothing if no service is autoscaled.
+func (sc *Scaler) Step(ctx context.Context) {
+	ses := sc.ServicesFunc(time.Now())
+	st, epoch := sc.Tenure.State()
 	if len(ses) == 0 || st == leader.Idle {
 		return
 	}
 	if st == leader.MustAdopt {
-		ho.load(ctx, epoch)
+		sc.load(ctx, epoch)
 		return
 	}
-	ho.decide(ses)
-	if ho.unwritten() && !ho.write(ctx) {
+	sc.decide(ses)
+	if sc.hasUnwritten() && !sc.write(ctx) {
 		return
 	}
-	ho.sendAll(ctx, epoch)
+	sc.sendAll(ctx, epoch)
 }
 
-// load reads what lasts, and begins a turn.
-func (ho *Scaler) load(ctx context.Context, epoch uint64) {
-	rec, version, err := ho.Tenure.Read(ctx)
-	lo := ho.Log.WithFields(logrus.Fields{"epoch": epoch, "orders": len(rec.Orders), "sender": rec.Sender})
+// load reads and adopts the saved record.
+func (sc *Scaler) load(ctx context.Context, epoch uint64) {
+	rec, version, err := sc.Tenure.Read(ctx)
+	lo := sc.Log.WithFields(logrus.Fields{"epoch": epoch, "orders": len(rec.Orders), "sender": rec.Sender})
 	if err != nil {
-		ho.Tenure.Pause()
-		lo.WithError(err).Warn("orders for endpoints can't be read")
+		sc.Tenure.Pause()
+		lo.WithError(err).Warn("cannot read orders for endpoints")
 		return
 	}
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
 	targets := map[Subject]int{}
 	for _, or := range rec.Orders {
 		targets[or.Subject] = or.Target
 	}
-	ho.record, ho.durable = rec.clone(), rec
-	ho.table.Adopt(targets)
-	if ho.Census != nil {
-		ho.Census.Begin(rec.Entries, time.Now())
+	sc.record, sc.durable = rec.clone(), rec
+	sc.table.Adopt(targets)
+	if sc.Census != nil {
+		sc.Census.Begin(rec.Entries, time.Now())
 	}
-	wait := ho.Tenure.Adopt(epoch, rec, version)
+	wait := sc.Tenure.Adopt(epoch, rec, version)
 	lo.WithField("calls-in-ms", wait.Milliseconds()).Info("gives orders for endpoints")
 }
 
-// decide takes the load in, and notes new orders.
-func (ho *Scaler) decide(ses []Service) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	ho.services = ses
+// decide computes new orders from the load.
+func (sc *Scaler) decide(ses []Service) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.services = ses
 	for i := range ses {
-		ho.logUnknown(ses[i])
-		ses[i].Held = ho.held(ses[i].Name)
+		sc.logUnknown(ses[i])
+		ses[i].Held = sc.held(ses[i].Name)
 	}
-	// The table's times are by the steady clock: the time of day may be set back.
-	ors := ho.table.Decide(ses, time.Time{}.Add(ho.Tenure.Now()))
+	// The table uses the monotonic clock, as the wall clock may be set back.
+	ors := sc.table.Decide(ses, time.Time{}.Add(sc.Tenure.Now()))
 	for _, or := range ors {
-		ho.record.set(or)
-		ho.Log.WithFields(logrus.Fields{
+		sc.record.set(or)
+		sc.Log.WithFields(logrus.Fields{
 			"domain": or.Domain, "from": or.From, "service": or.Service, "target": or.Target, "wanted": or.Want,
 		}).Info("endpoints ordered")
-		ho.Metrics.GetOrCreateCounter(`wisteriacroft_scale_decisions_total`).Inc()
+		sc.Metrics.GetOrCreateCounter(`wisteriacroft_scale_decisions_total`).Inc()
 	}
-	ho.prune(ses)
+	sc.prune(ses)
 }
 
-// logUnknown writes a line when the load of a service is no longer known, or is again.
-func (ho *Scaler) logUnknown(se Service) {
-	if se.Unknown == ho.unknown[se.Name] {
+// logUnknown logs when the load of a service becomes unknown or known.
+func (sc *Scaler) logUnknown(se Service) {
+	if se.Unknown == sc.unknown[se.Name] {
 		return
 	}
-	if ho.unknown == nil {
-		ho.unknown = map[string]bool{}
+	if sc.unknown == nil {
+		sc.unknown = map[string]bool{}
 	}
-	ho.unknown[se.Name] = se.Unknown
+	sc.unknown[se.Name] = se.Unknown
 	fields := logrus.Fields{"known": !se.Unknown, "service": se.Name}
-	if ho.Census != nil {
-		fields["entries"], fields["told"] = ho.Census.EntryCount(time.Now()), ho.Census.Reporting(time.Now())
+	if sc.Census != nil {
+		fields["entries"], fields["told"] = sc.Census.EntryCount(time.Now()), sc.Census.Reporting(time.Now())
 	}
-	ho.Log.WithFields(fields).Info("load for orders of endpoints")
+	sc.Log.WithFields(fields).Info("load for orders of endpoints")
 }
 
-// prune drops the orders of services and failure domains that are gone: the platform may
-// refuse them for good.
-func (ho *Scaler) prune(ses []Service) {
-	ho.record.Orders = slices.DeleteFunc(ho.record.Orders, func(or LastOrder) bool {
+// prune removes the orders of removed services and failure domains, which the platform may reject
+// forever.
+func (sc *Scaler) prune(ses []Service) {
+	sc.record.Orders = slices.DeleteFunc(sc.record.Orders, func(or LastOrder) bool {
 		known := slices.ContainsFunc(ses, func(se Service) bool { return se.Name == or.Service })
-		if known && !ho.table.Removed(or.Subject) {
+		if known && !sc.table.Removed(or.Subject) {
 			return false
 		}
-		ho.Log.WithFields(logrus.Fields{
+		sc.Log.WithFields(logrus.Fields{
 			"domain": or.Domain, "service": or.Service, "service-known": known, "taken": or.Taken, "target": or.Target,
-		}).Info("order for endpoints dropped, its subject is gone")
+		}).Info("order for endpoints dropped, its service or failure domain was removed")
 		return true
 	})
 }
 
-// held reports whether an operator holds the orders of a service.
-func (ho *Scaler) held(service string) bool { return ho.HeldFunc != nil && ho.HeldFunc(service) }
+// held reports whether an operator holds the scaling of a service.
+func (sc *Scaler) held(service string) bool { return sc.HeldFunc != nil && sc.HeldFunc(service) }
 
-// unwritten reports whether there are orders that don't last yet.
-func (ho *Scaler) unwritten() bool {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	return slices.ContainsFunc(ho.record.Orders, func(or LastOrder) bool { return !or.Taken && !slices.Contains(ho.durable.Orders, or) })
+// hasUnwritten reports whether there are orders that are not saved yet.
+func (sc *Scaler) hasUnwritten() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return slices.ContainsFunc(sc.record.Orders, func(or LastOrder) bool { return !or.Taken && !slices.Contains(sc.durable.Orders, or) })
 }
 
-// write makes the orders last, and returns whether they do.
-func (ho *Scaler) write(ctx context.Context) bool {
-	ho.mu.Lock()
-	rec := ho.record.clone()
-	ho.mu.Unlock()
-	rec.Epoch, rec.Sender = ho.Tenure.Epoch(), ho.Tenure.Owner
-	if ho.Census != nil {
-		rec.Entries = ho.Census.EntryCount(time.Now())
+// write saves the orders, and reports whether it succeeded.
+func (sc *Scaler) write(ctx context.Context) bool {
+	sc.mu.Lock()
+	rec := sc.record.clone()
+	sc.mu.Unlock()
+	rec.Epoch, rec.Sender = sc.Tenure.Epoch(), sc.Tenure.Owner
+	if sc.Census != nil {
+		rec.Entries = sc.Census.EntryCount(time.Now())
 	}
-	if err := ho.Tenure.Write(ctx, rec); err != nil {
-		ho.Log.WithError(err).WithField("epoch", rec.Epoch).Warn("orders for endpoints can't be written")
+	if err := sc.Tenure.Write(ctx, rec); err != nil {
+		sc.Log.WithError(err).WithField("epoch", rec.Epoch).Warn("cannot write orders for endpoints")
 		return false
 	}
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	ho.durable = rec
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.durable = rec
 	return true
 }
 
-// sendAll sends the orders that no one is known to have taken, each once.
+// sendAll sends the orders that are not known to be accepted, each once.
 //
-// One that the platform refuses, maybe for good, keeps no other from being sent. Where
-// calls end late or not at all, the rest waits for the next step, and goes first then.
-func (ho *Scaler) sendAll(ctx context.Context, epoch uint64) {
-	begun := ho.Tenure.Now()
+// An order that the platform rejects does not block others. If calls are slow, the remaining orders
+// are sent first at the next step.
+func (sc *Scaler) sendAll(ctx context.Context, epoch uint64) {
+	start := sc.Tenure.Now()
 	failed := map[Subject]bool{}
 	for {
-		or, ok := ho.next(failed)
-		allowed, confirmed := ho.Tenure.MayCall()
+		or, ok := sc.nextOrder(failed)
+		allowed, confirmed := sc.Tenure.MayCall()
 		switch {
-		case !ok || !allowed || len(failed) > 0 && ho.Tenure.Now()-begun >= stepEvery:
+		case !ok || !allowed || len(failed) > 0 && sc.Tenure.Now()-start >= stepInterval:
 			return
 		case !confirmed:
-			if !ho.write(ctx) {
+			if !sc.write(ctx) {
 				return
 			}
-		case !ho.send(ctx, epoch, or):
+		case !sc.send(ctx, epoch, or):
 			failed[or.Subject] = true
-			ho.putLast(or)
+			sc.moveToEnd(or)
 		}
 	}
 }
 
-// next returns an order that lasts and was not taken yet: a successor must send the very
-// same. Those that failed are left out.
-func (ho *Scaler) next(failed map[Subject]bool) (LastOrder, bool) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	for _, or := range ho.record.Orders {
-		if !or.Taken && !failed[or.Subject] && slices.Contains(ho.durable.Orders, or) && !ho.held(or.Service) {
+// nextOrder returns an order that is not accepted yet and has not failed. It must be saved, as a
+// successor must send the same.
+func (sc *Scaler) nextOrder(failed map[Subject]bool) (LastOrder, bool) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for _, or := range sc.record.Orders {
+		if !or.Taken && !failed[or.Subject] && slices.Contains(sc.durable.Orders, or) && !sc.held(or.Service) {
 			return or, true
 		}
 	}
 	return LastOrder{}, false
 }
 
-// putLast lets all other orders go before one that failed.
-func (ho *Scaler) putLast(or LastOrder) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	if i := slices.Index(ho.record.Orders, or); i >= 0 {
-		ho.record.Orders = append(slices.Delete(ho.record.Orders, i, i+1), or)
+// moveToEnd moves a failed order behind all others.
+func (sc *Scaler) moveToEnd(or LastOrder) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if i := slices.Index(sc.record.Orders, or); i >= 0 {
+		sc.record.Orders = append(slices.Delete(sc.record.Orders, i, i+1), or)
 	}
 }
 
-// send sends an order, and returns whether it was taken.
-func (ho *Scaler) send(ctx context.Context, epoch uint64, or LastOrder) bool {
-	took, err := ho.Tenure.Call(ctx, epoch, func(ctx context.Context, epoch uint64) error { return ho.SendFunc(ctx, epoch, or) })
-	ho.Log.WithFields(logrus.Fields{
+// send sends an order, and reports whether it was accepted.
+func (sc *Scaler) send(ctx context.Context, epoch uint64, or LastOrder) bool {
+	took, err := sc.Tenure.Call(ctx, epoch, func(ctx context.Context, epoch uint64) error { return sc.SendFunc(ctx, epoch, or) })
+	sc.Log.WithFields(logrus.Fields{
 		"domain": or.Domain, "epoch": epoch, "error": err, "ms": took.Milliseconds(), "service": or.Service, "target": or.Target,
 	}).Info("order for endpoints sent")
 	if err != nil {
-		ho.Metrics.GetOrCreateCounter(`wisteriacroft_scale_orders_total{outcome="failed"}`).Inc()
+		sc.Metrics.GetOrCreateCounter(`wisteriacroft_scale_orders_total{outcome="failed"}`).Inc()
 		return false
 	}
-	ho.Metrics.GetOrCreateCounter(`wisteriacroft_scale_orders_total{outcome="taken"}`).Inc()
-	ho.taken(or)
+	sc.Metrics.GetOrCreateCounter(`wisteriacroft_scale_orders_total{outcome="taken"}`).Inc()
+	sc.markTaken(or)
 	return true
 }
 
-// taken notes that an order was taken. It lasts with the next write: sent again by a
-// successor, it changes nothing.
-func (ho *Scaler) taken(or LastOrder) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	for i := range ho.record.Orders {
-		if ho.record.Orders[i] == or {
-			ho.record.Orders[i].Taken = true
+// markTaken records that an order was accepted. This is saved with the next write; until then a
+// successor would send the order again, which has no effect.
+func (sc *Scaler) markTaken(or LastOrder) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	for i := range sc.record.Orders {
+		if sc.record.Orders[i] == or {
+			sc.record.Orders[i].Taken = true
 		}
 	}
 }
 
-// Register lets operators ask.
-func (ho *Scaler) Register(sv *peer.Server) {
+// Register registers the RPC method for the Overview.
+func (sc *Scaler) Register(sv *peer.Server) {
 	peer.Handle(sv, OverviewMethod, func(context.Context, message.Header, OverviewRequest) (Overview, error) {
-		return ho.Overview()
+		return sc.Overview()
 	})
 }
--- a/usage/aggregator.go
+++ b/usage/aggregator.go
@@ -7,65 +7,63 @@
 	"time"
 )
 
-// Times of deciding on a window, after its end.
+// Timing of the final count of a window, after its end.
 const (
-	// leastWait is for what is on its way: a push gathers starts for a while, and clocks
-	// agree but for a little.
-	leastWait = 200 * time.Millisecond
-	// mostWait is for entries that can't be reached. Reports are due some 10 s after
-	// their windows' ends; this leaves time for a change of the holder.
-	mostWait = 5 * time.Second
-	// sourceLife is for how long an entry that is not heard of is waited for: longer
-	// than the time between two pushes of one that has nothing to tell, a window.
-	sourceLife = 2 * mostWait
-	// maxBehind is how many windows that passed without a holder are reported. What
-	// came before is not known any more.
-	maxBehind = 12
-	// keptReports is how many windows' reports are kept after they were sent, for a
-	// successor to send again.
-	keptReports = 4
+	// minWait allows for the delay of batches and the inaccuracy of clocks.
+	minWait = 200 * time.Millisecond
+	// maxWait bounds the wait for unreachable entries. Reports are due about 10 s after the
+	// end of a window; this leaves time for a change of the holder.
+	maxWait = 5 * time.Second
+	// sourceTTL is how long an unreachable entry is waited for. It is longer than the interval
+	// of pushes of an idle entry, a window.
+	sourceTTL = 2 * maxWait
+	// maxBacklog bounds the windows without a holder that are reported.
+	maxBacklog = 12
+	// retainedReports is the number of sent reports that are kept for a successor to send
+	// again.
+	retainedReports = 4
 )
 
-// A Source is one start of an entry, as the holder knows it.
+// A Source is the state of one incarnation of an entry.
 type Source struct {
-	HeardAt  int64  // Unix microseconds of true time
+	HeardAt  int64  // last push, in Unix microseconds of true time
 	Instance string `cbor:",omitempty"`
-	Lasting  uint64 // batches that are counted
-	Settled  int64  // Unix microseconds; all that began before is counted
+	Lasting  uint64 // number of the last counted batch
+	Settled  int64  // Unix microseconds; all earlier starts are counted
 }
 
-// A Record is what lasts of the counts.
+// A Record is the saved state of the counts.
 type Record struct {
 	Epoch   uint64 // of the holder that wrote it
-	Next    Window // the first that is not decided
+	Next    Window // the first without a report
 	Open    map[Window]map[string]uint64
-	Reports []Report // decided, the oldest first
+	Reports []Report // the oldest first
 	Sender  string   // address of the holder that wrote it
-	Sent    Window   // reports before it were taken
+	Sent    Window   // all earlier reports were accepted
 	Sources map[string]Source
 }
 
-// An Aggregator counts, and decides what is reported. It holds no clock: times are true time
-// as the caller knows it. The zero Aggregator is empty; Size must be set.
+// An Aggregator counts starts by window and creates the reports. It has no clock: its methods get
+// the true time. The zero value is empty; Size must be set.
 type Aggregator struct {
 	Size time.Duration // of a window
 
 	record Record
-	dirty  bool // there is more than what lasts
+	dirty  bool // record has unsaved changes
 }
 
-// load replaces what the book holds by what lasts.
-func (bo *Aggregator) load(rec Record) {
-	bo.record, bo.dirty = rec.clone(), false
-	if bo.record.Open == nil {
-		bo.record.Open = map[Window]map[string]uint64{}
+// load replaces the state with a saved record.
+func (ag *Aggregator) load(rec Record) {
+	ag.record, ag.dirty = rec.clone(), false
+	if ag.record.Open == nil {
+		ag.record.Open = map[Window]map[string]uint64{}
 	}
-	if bo.record.Sources == nil {
-		bo.record.Sources = map[string]Source{}
+	if ag.record.Sources == nil {
+		ag.record.Sources = map[string]Source{}
 	}
 }
 
-// clone returns a copy that shares nothing that the book changes.
+// clone returns a copy that shares nothing that an Aggregator modifies.
 func (rec Record) clone() Record {
 	out := rec
 	out.Open = map[Window]map[string]uint64{}
@@ -77,90 +75,89 @@
 	return out
 }
 
-// Apply takes an entry's push in, and returns how many starts came too late.
+// Apply counts an entry's push, and returns how many starts came too late.
 //
-// A batch that was counted before is passed over: an entry repeats what it does not
-// know to last, to a new holder above all.
-func (bo *Aggregator) Apply(rq PushRequest, now time.Time) (late uint64) {
-	so := bo.record.Sources[rq.Boot]
+// A batch that was counted before is skipped: an entry sends batches again until they are
+// acknowledged.
+func (ag *Aggregator) Apply(rq PushRequest, now time.Time) (late uint64) {
+	so := ag.record.Sources[rq.Boot]
 	when := func(at time.Duration) time.Time { return now.Add(at - rq.Now) }
 	for _, ba := range rq.Batches {
 		if ba.Number <= so.Lasting {
 			continue
 		}
 		so.Lasting = ba.Number
-		bo.dirty = true
+		ag.dirty = true
 		for _, st := range ba.Starts {
-			late += bo.count(st.Customer, WindowOf(when(st.At), bo.Size))
+			late += ag.count(st.Customer, WindowOf(when(st.At), ag.Size))
 		}
 	}
 	so.HeardAt, so.Instance, so.Settled = now.UnixMicro(), rq.Instance, when(rq.Settled).UnixMicro()
 	if rq.Final {
-		so.Settled = now.Add(sourceLife).UnixMicro()
+		so.Settled = now.Add(sourceTTL).UnixMicro()
 	}
-	bo.record.Sources[rq.Boot] = so
+	ag.record.Sources[rq.Boot] = so
 	return late
 }
 
-// count counts a start, and returns 1 if its window is decided already.
-func (bo *Aggregator) count(customer string, wi Window) uint64 {
-	if wi < bo.record.Next {
+// count counts a start, or returns 1 if its window already has a report.
+func (ag *Aggregator) count(customer string, wi Window) uint64 {
+	if wi < ag.record.Next {
 		return 1
 	}
-	counts := bo.record.Open[wi]
+	counts := ag.record.Open[wi]
 	if counts == nil {
 		counts = map[string]uint64{}
-		bo.record.Open[wi] = counts
+		ag.record.Open[wi] = counts
 	}
 	counts[customer]++
 	return 0
 }
 
-// Decide decides on the windows that are over, and returns their reports.
+// Decide creates and returns the reports of the windows that can be finalized.
 //
-// A window waits for all entries that were heard of late to have told what began in
-// it, so that a count is whole, but no longer than mostWait: one that was killed
-// never tells.
-func (bo *Aggregator) Decide(now time.Time) []Report {
-	current := WindowOf(now, bo.Size)
-	if bo.record.Next == 0 {
-		bo.record.Next = current
+// A window is finalized once all recently seen entries have pushed its starts, but after maxWait at
+// the latest, as an entry that was killed never does.
+func (ag *Aggregator) Decide(now time.Time) []Report {
+	current := WindowOf(now, ag.Size)
+	if ag.record.Next == 0 {
+		ag.record.Next = current
 	}
-	if behind := current - maxBehind; bo.record.Next < behind {
-		bo.record.Next = behind
+	if behind := current - maxBacklog; ag.record.Next < behind {
+		ag.record.Next = behind
 	}
 	var res []Report
-	for bo.record.Next < current && bo.ready(bo.record.Next, now) {
-		wi := bo.record.Next
-		re := Report{Counts: bo.record.Open[wi], Window: wi}
+	for ag.record.Next < current && ag.ready(ag.record.Next, now) {
+		wi := ag.record.Next
+		re := Report{Counts: ag.record.Open[wi], Window: wi}
 		if re.Counts == nil {
 			re.Counts = map[string]uint64{}
 		}
-		bo.record.Reports = append(bo.record.Reports, re)
-		bo.record.Next++
+		ag.record.Reports = append(ag.record.Reports, re)
+		ag.record.Next++
 		res = append(res, re)
-		bo.dirty = true
+		ag.dirty = true
 	}
 	if len(res) > 0 {
-		bo.prune(now)
+		ag.prune(now)
 	}
 	return res
 }
 
-// ready reports whether a window can be decided.
-func (bo *Aggregator) ready(wi Window, now time.Time) bool {
-	over := now.Sub(wi.End(bo.Size))
-	if over < leastWait {
+// ready reports whether a window can be finalized.
+func (ag *Aggregator) ready(wi Window, now time.Time) bool {
+	over := now.Sub(wi.End(ag.Size))
+	if over < minWait {
 		return false
 	}
-	return over >= mostWait || len(bo.missing(wi, now)) == 0
+	return over >= maxWait || len(ag.missing(wi, now)) == 0
 }
 
-// missing returns the instances whose entries may have more to tell of a window.
-func (bo *Aggregator) missing(wi Window, now time.Time) []string {
+// missing returns the instances of the entries that may have more starts of a window.
+func (ag *Aggregator) missing(wi Window, now time.Time) []string {
 	var out []string
-	for _, so := range bo.record.Sources {
-		if now.Sub(time.UnixMicro(so.HeardAt)) < sourceLife && time.UnixMicro(so.Settled).Before(wi.End(bo.Size)) {
+	for _, so := range ag.record.Sources {
+		if now.Sub(time.UnixMicro(so.HeardAt)) < sourceTTL && time.UnixMicro(so.Settled).Before(wi.End(ag.Size)) {
 			out = append(out, so.Instance)
 		}
 	}
@@ -168,25 +165,25 @@
 	return out
 }
 
-// prune drops what is not needed any more.
-func (bo *Aggregator) prune(now time.Time) {
-	maps.DeleteFunc(bo.record.Open, func(wi Window, _ map[string]uint64) bool { return wi < bo.record.Next })
-	maps.DeleteFunc(bo.record.Sources, func(_ string, so Source) bool {
-		return now.Sub(time.UnixMicro(so.HeardAt)) > 2*batchLife
+// prune removes state that is no longer needed.
+func (ag *Aggregator) prune(now time.Time) {
+	maps.DeleteFunc(ag.record.Open, func(wi Window, _ map[string]uint64) bool { return wi < ag.record.Next })
+	maps.DeleteFunc(ag.record.Sources, func(_ string, so Source) bool {
+		return now.Sub(time.UnixMicro(so.HeardAt)) > 2*batchTTL
 	})
-	for len(bo.record.Reports) > keptReports && bo.record.Reports[0].Window < bo.record.Sent {
-		bo.record.Reports = bo.record.Reports[1:]
+	for len(ag.record.Reports) > retainedReports && ag.record.Reports[0].Window < ag.record.Sent {
+		ag.record.Reports = ag.record.Reports[1:]
 	}
-	if excess := len(bo.record.Reports) - keptReports - maxBehind; excess > 0 {
-		bo.record.Reports = bo.record.Reports[excess:]
+	if excess := len(ag.record.Reports) - retainedReports - maxBacklog; excess > 0 {
+		ag.record.Reports = ag.record.Reports[excess:]
 	}
 }
 
-// unsent returns the reports that no one is known to have taken, the oldest first.
-func (bo *Aggregator) unsent() []Report {
+// unsent returns the reports that are not known to be accepted, the oldest first.
+func (ag *Aggregator) unsent() []Report {
 	var res []Report
-	for _, re := range bo.record.Reports {
-		if re.Window >= bo.record.Sent {
+	for _, re := range ag.record.Reports {
+		if re.Window >= ag.record.Sent {
 			res = append(res, re)
 		}
 	}
@@ -194,5 +191,5 @@
 	return res
 }
 
-// sent takes in that a report was taken.
-func (bo *Aggregator) sent(wi Window) { bo.record.Sent = max(bo.record.Sent, wi+1) }
+// markSent records that a report was accepted.
+func (ag *Aggregator) markSent(wi Window) { ag.record.Sent = max(ag.record.Sent, wi+1) }
--- a/usage/aggregator_test.go
+++ b/usage/aggregator_test.go
@@ -7,16 +7,16 @@
 	"gotest.tools/v3/assert"
 )
 
-var bookBegin = WindowOf(time.Unix(1_000_000, 0), testWindow).End(testWindow) // the first moment of a window
+var windowStart = WindowOf(time.Unix(1_000_000, 0), testWindow).End(testWindow) // the start of a window
 
-func newBook() *Aggregator {
-	bo := &Aggregator{Size: testWindow}
-	bo.load(Record{})
-	bo.Decide(bookBegin)
-	return bo
+func newAggregator() *Aggregator {
+	ag := &Aggregator{Size: testWindow}
+	ag.load(Record{})
+	ag.Decide(windowStart)
+	return ag
 }
 
-// push is what an entry tells at a moment of its steady clock: starts of ada.
+// push returns an entry's push at a monotonic time, with starts of ada.
 func push(boot string, number uint64, now, settled time.Duration, starts ...time.Duration) PushRequest {
 	rq := PushRequest{Boot: boot, Instance: boot, Now: now, Settled: settled}
 	ba := Batch{Number: number}
@@ -29,67 +29,67 @@
 	return rq
 }
 
-func TestBookCountsInTheWindowOfTheStart(t *testing.T) {
-	bo := newBook()
-	first := WindowOf(bookBegin, testWindow)
-	// Told 6 s into the window: one began 5.9 s ago, one 0.5 s ago.
-	late := bo.Apply(push("a", 1, 100*time.Second, 100*time.Second, 94100*time.Millisecond, 99500*time.Millisecond), bookBegin.Add(6*time.Second))
+func TestAggregatorWindowOfStart(t *testing.T) {
+	ag := newAggregator()
+	first := WindowOf(windowStart, testWindow)
+	// Pushed 6 s into the window: one start is 5.9 s ago, one 0.5 s ago.
+	late := ag.Apply(push("a", 1, 100*time.Second, 100*time.Second, 94100*time.Millisecond, 99500*time.Millisecond), windowStart.Add(6*time.Second))
 	assert.Equal(t, late, uint64(0))
-	assert.Equal(t, bo.record.Open[first]["ada"], uint64(1))
-	assert.Equal(t, bo.record.Open[first+1]["ada"], uint64(1))
-	bo.Apply(push("a", 1, 101*time.Second, 101*time.Second, 94100*time.Millisecond), bookBegin.Add(7*time.Second))
-	assert.Equal(t, bo.record.Open[first]["ada"], uint64(1), "a batch counts once")
+	assert.Equal(t, ag.record.Open[first]["ada"], uint64(1))
+	assert.Equal(t, ag.record.Open[first+1]["ada"], uint64(1))
+	ag.Apply(push("a", 1, 101*time.Second, 101*time.Second, 94100*time.Millisecond), windowStart.Add(7*time.Second))
+	assert.Equal(t, ag.record.Open[first]["ada"], uint64(1), "a batch is counted once")
 }
 
-func TestBookWaitsForEntries(t *testing.T) {
-	end := bookBegin.Add(testWindow)
+func TestAggregatorWaitsForEntries(t *testing.T) {
+	end := windowStart.Add(testWindow)
 	cases := []struct {
 		name    string
 		settled time.Duration // of the second entry, before its push 100 ms after the end
 		over    time.Duration
 		decided bool
 	}{
-		{"all told", 0, leastWait, true},
-		{"too early", 0, leastWait - time.Millisecond, false},
-		{"a request was under way", 300 * time.Millisecond, leastWait, false},
-		{"it stays under way", 300 * time.Millisecond, mostWait, true},
+		{"all settled", 0, minWait, true},
+		{"too early", 0, minWait - time.Millisecond, false},
+		{"pending request", 300 * time.Millisecond, minWait, false},
+		{"pending request after the maximum wait", 300 * time.Millisecond, maxWait, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			bo := newBook()
+			ag := newAggregator()
 			at := end.Add(100 * time.Millisecond)
-			bo.Apply(push("a", 1, time.Minute, time.Minute), at)
-			bo.Apply(push("b", 1, time.Minute, time.Minute-tc.settled), at)
-			res := bo.Decide(end.Add(tc.over))
+			ag.Apply(push("a", 1, time.Minute, time.Minute), at)
+			ag.Apply(push("b", 1, time.Minute, time.Minute-tc.settled), at)
+			res := ag.Decide(end.Add(tc.over))
 			assert.Equal(t, len(res) > 0, tc.decided)
 		})
 	}
 }
 
-func TestBookOfAnEntryThatEnded(t *testing.T) {
-	bo := newBook()
+func TestAggregatorFinalPush(t *testing.T) {
+	ag := newAggregator()
 	rq := push("a", 1, time.Minute, time.Minute, time.Minute)
 	rq.Final = true
-	bo.Apply(rq, bookBegin.Add(time.Second))
-	res := bo.Decide(bookBegin.Add(testWindow + leastWait))
+	ag.Apply(rq, windowStart.Add(time.Second))
+	res := ag.Decide(windowStart.Add(testWindow + minWait))
 	assert.Equal(t, len(res), 1)
 	assert.DeepEqual(t, res[0].Counts, map[string]uint64{"ada": 1})
 }
 
-func TestBookNeverChangesADecision(t *testing.T) {
-	bo := newBook()
-	res := bo.Decide(bookBegin.Add(testWindow + mostWait))
+func TestAggregatorReportIsFinal(t *testing.T) {
+	ag := newAggregator()
+	res := ag.Decide(windowStart.Add(testWindow + maxWait))
 	assert.Equal(t, len(res), 1)
-	late := bo.Apply(push("a", 1, time.Minute, time.Minute, 50*time.Second), bookBegin.Add(testWindow+mostWait))
+	late := ag.Apply(push("a", 1, time.Minute, time.Minute, 50*time.Second), windowStart.Add(testWindow+maxWait))
 	assert.Equal(t, late, uint64(1))
-	assert.Equal(t, len(bo.unsent()[0].Counts), 0)
+	assert.Equal(t, len(ag.unsent()[0].Counts), 0)
 }
 
-func TestBookAfterALongTimeWithoutHolder(t *testing.T) {
-	bo := newBook()
-	res := bo.Decide(bookBegin.Add(time.Hour))
-	assert.Equal(t, len(res), maxBehind-1, "the last windows still wait")
-	assert.Assert(t, len(bo.record.Reports) <= keptReports+maxBehind)
+func TestAggregatorBacklog(t *testing.T) {
+	ag := newAggregator()
+	res := ag.Decide(windowStart.Add(time.Hour))
+	assert.Equal(t, len(res), maxBacklog-1, "the last windows still wait")
+	assert.Assert(t, len(ag.record.Reports) <= retainedReports+maxBacklog)
 }
 
 func TestRecorder(t *testing.T) {
@@ -100,37 +100,36 @@
 	now = 2 * time.Second
 	second.End(false)
 	third := re.Begin("ada")
-	rq := re.push()
-	assert.Equal(t, rq.Settled, time.Second, "the first is under way")
+	rq := re.pushRequest()
+	assert.Equal(t, rq.Settled, time.Second, "the first is pending")
 	assert.Equal(t, len(rq.Batches), 0)
 	first.End(true)
 	first.End(true)
-	rq = re.push()
+	rq = re.pushRequest()
 	assert.Equal(t, rq.Settled, 2*time.Second)
 	assert.DeepEqual(t, rq.Batches, []Batch{{Number: 1, Starts: []Start{{At: time.Second, Customer: "ada"}}}})
 	third.End(true)
-	rq = re.push()
-	assert.Equal(t, len(rq.Batches), 2, "the first is not known to last")
-	re.lasting(1)
-	assert.Equal(t, re.push().Batches[0].Number, uint64(2))
-	now += batchLife + time.Second
-	assert.Equal(t, len(re.push().Batches), 0)
+	rq = re.pushRequest()
+	assert.Equal(t, len(rq.Batches), 2, "the first is unacknowledged")
+	re.acknowledge(1)
+	assert.Equal(t, re.pushRequest().Batches[0].Number, uint64(2))
+	now += batchTTL + time.Second
+	assert.Equal(t, len(re.pushRequest().Batches), 0)
 
 	var none *Recorder
 	none.Begin("ada").End(true)
 }
 
-// A decision that the service is not known to hold is nothing to send: the next holder
-// would decide anew. Without this check no other test failed, as a write before each
-// call guards the same.
-func TestOnlyDecisionsThatLastAreSent(t *testing.T) {
-	bo := newBook()
-	re := bo.Decide(bookBegin.Add(testWindow + mostWait))[0]
-	ho := &Collector{book: *bo, durable: Record{Next: re.Window}}
-	_, ok := ho.next()
+// Guards against sending a report that is not known to be saved, as the next holder may create
+// another one.
+func TestOnlySavedReportsAreSent(t *testing.T) {
+	ag := newAggregator()
+	re := ag.Decide(windowStart.Add(testWindow + maxWait))[0]
+	co := &Collector{aggregator: *ag, durable: Record{Next: re.Window}}
+	_, ok := co.nextReport()
 	assert.Assert(t, !ok)
-	ho.durable.Next = re.Window + 1
-	sent, ok := ho.next()
+	co.durable.Next = re.Window + 1
+	sent, ok := co.nextReport()
 	assert.Assert(t, ok)
 	assert.Equal(t, sent.Window, re.Window)
 }
--- a/usage/collector.go
+++ b/usage/collector.go
@@ -16,256 +16,254 @@
 	"wisteriacroft/tick"
 )
 
-// Key is the key in the key-value service that holds the Record. One value holds all,
-// so that a decision and what it was made of change together.
+// Key is the key of the Record in the key-value service. All state is in one value, so that it
+// changes atomically.
 const Key = "wisteriacroft/usage"
 
-// Times of a holder.
+// Timing of the holder.
 const (
-	// stepEvery is how often a holder looks for what is to be done.
-	stepEvery = 50 * time.Millisecond
-	// saveEvery is how often counts that are new are written. Until then they last
-	// with the entries; this is what is lost if an entry is lost with the holder.
-	saveEvery = 500 * time.Millisecond
-	// wakeAfterEnd is when an entry is to push after the end of a window, so that it
-	// has nothing more to tell of it.
-	wakeAfterEnd = 50 * time.Millisecond
-	// mostWake is the longest time between two pushes of an entry: a new holder learns
-	// the time from them.
-	mostWake = 2 * time.Second
+	// stepInterval is the interval of Step.
+	stepInterval = 50 * time.Millisecond
+	// saveInterval is the interval at which new counts are saved. Until then entries keep
+	// them; they are lost if both an entry and the holder are lost.
+	saveInterval = 500 * time.Millisecond
+	// wakeDelay is the delay of an entry's push after the end of a window.
+	wakeDelay = 50 * time.Millisecond
+	// maxWake is the maximum interval of an entry's pushes, from which a new holder also gets
+	// the time.
+	maxWake = 2 * time.Second
 )
 
-// ErrNotHolder means that the process does not take pushes now.
-var ErrNotHolder = errors.New("does not hold the reports of use")
+// ErrNotHolder means that the process accepts no pushes now.
+var ErrNotHolder = errors.New("process is not the usage collector")
 
-// Codes returns the errors of this package that cross processes.
+// Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-usage-holder"}} }
 
-// A Collector gathers what entries count, and reports it while the process holds a lease.
-// Fill the exported fields, then call Run.
+// A Collector collects the starts of all entries, and reports them while the process holds a lease.
+// Set the exported fields, then call Run.
 type Collector struct {
 	Client *keyvalue.Client
-	// FenceFunc returns what a write expects that only the holder may make.
+	// FenceFunc returns the expectation that fences writes of the holder.
 	FenceFunc func(epoch uint64) (keyvalue.Expectation, bool)
 	Log       *logrus.Entry
 	Metrics   *metrics.Set
-	// Owner is the address of the process, which no other machine has.
+	// Owner is the address of the process.
 	Owner string
-	// Overlap is within what time holders must not take turns.
+	// Overlap is the time within which calls of two holders must not alternate.
 	Overlap time.Duration
-	// SendFunc sends a report under an epoch, and returns nil once it is taken. After
-	// ctx ends, no byte of it is sent any more.
+	// SendFunc sends a report under an epoch, and returns nil once it was accepted. After ctx
+	// ends, it sends no more bytes.
 	SendFunc func(ctx context.Context, epoch uint64, re Report) error
-	// StandingFunc returns the epoch under which the lease is held, if it is.
+	// StandingFunc returns the epoch of the lease and whether it is held.
 	StandingFunc func(now time.Time) (epoch uint64, held bool)
-	// SteadyFunc is the process's steady clock; nil stands for leader.MonotonicClock.
+	// SteadyFunc is the monotonic clock; nil means leader.MonotonicClock.
 	SteadyFunc func() time.Duration
 	Window     time.Duration // size of a window
 
-	book    Aggregator
-	clock   Clock
-	durable Record     // what lasts, as last written or read
-	mu      sync.Mutex // guards all of these
-	savedAt time.Duration
-	tenure  leader.Term[Record]
+	aggregator Aggregator
+	clock      Clock
+	durable    Record     // as last written or read
+	mu         sync.Mutex // guards the unexported fields
+	savedAt    time.Duration
+	term       leader.Term[Record]
 }
 
-// Register lets entries push.
-func (ho *Collector) Register(sv *peer.Server) {
+// Register registers the RPC method for pushes.
+func (co *Collector) Register(sv *peer.Server) {
 	peer.Handle(sv, pushMethod, func(_ context.Context, _ message.Header, rq PushRequest) (PushResponse, error) {
-		return ho.push(rq)
+		return co.push(rq)
 	})
 }
 
-// Run gathers and reports until ctx ends.
-func (ho *Collector) Run(ctx context.Context) {
-	ho.begin()
-	(&tick.Loop{Every: stepEvery, Systems: []tick.System{{Name: "report use", Run: func(time.Time) { ho.Step(ctx) }}}}).Run(ctx)
+// Run collects and reports until ctx ends.
+func (co *Collector) Run(ctx context.Context) {
+	co.start()
+	(&tick.Loop{Every: stepInterval, Systems: []tick.System{{Name: "report use", Run: func(time.Time) { co.Step(ctx) }}}}).Run(ctx)
 }
 
-// begin notes the process's start, which may have called before.
-func (ho *Collector) begin() {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	ho.book.Size = ho.Window
-	te := &ho.tenure
-	te.Client, te.FenceFunc, te.Key, te.Overlap, te.Owner = ho.Client, ho.FenceFunc, Key, ho.Overlap, ho.Owner
+// start initializes the collector. A previous run of the process may have just made a call.
+func (co *Collector) start() {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	co.aggregator.Size = co.Window
+	te := &co.term
+	te.Client, te.FenceFunc, te.Key, te.Overlap, te.Owner = co.Client, co.FenceFunc, Key, co.Overlap, co.Owner
 	te.MarkFunc = func(rec Record) leader.Author { return leader.Author{Epoch: rec.Epoch, Sender: rec.Sender} }
-	te.StandingFunc, te.SteadyFunc = ho.StandingFunc, ho.SteadyFunc
+	te.StandingFunc, te.SteadyFunc = co.StandingFunc, co.SteadyFunc
 	te.Begin()
 }
 
-func (ho *Collector) steady() time.Duration {
-	if ho.SteadyFunc == nil {
+func (co *Collector) monotonicNow() time.Duration {
+	if co.SteadyFunc == nil {
 		return leader.MonotonicClock()
 	}
-	return ho.SteadyFunc()
+	return co.SteadyFunc()
 }
 
-// AddClockSample takes in an instance's time of day, in Unix microseconds.
-func (ho *Collector) AddClockSample(instance string, wall int64) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+// AddClockSample adds a sample of an instance's wall clock, in Unix microseconds; 0 is ignored.
+func (co *Collector) AddClockSample(instance string, wall int64) {
+	co.mu.Lock()
+	defer co.mu.Unlock()
 	if wall != 0 {
-		ho.clock.AddSample(instance, time.UnixMicro(wall), ho.steady())
+		co.clock.AddSample(instance, time.UnixMicro(wall), co.monotonicNow())
 	}
 }
 
-// push takes in what an entry has counted.
-func (ho *Collector) push(rq PushRequest) (PushResponse, error) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	now := ho.steady()
+// push handles an entry's push.
+func (co *Collector) push(rq PushRequest) (PushResponse, error) {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	now := co.monotonicNow()
 	if rq.Believed != 0 {
-		ho.clock.Seed(time.UnixMicro(rq.Believed), now)
+		co.clock.Seed(time.UnixMicro(rq.Believed), now)
 	}
-	ho.clock.AddSample(rq.Instance, time.UnixMicro(rq.Wall), now)
-	if _, held := ho.StandingFunc(time.Now()); !held || ho.tenure.Epoch() == 0 || !ho.clock.Settled(now) {
+	co.clock.AddSample(rq.Instance, time.UnixMicro(rq.Wall), now)
+	if _, held := co.StandingFunc(time.Now()); !held || co.term.Epoch() == 0 || !co.clock.Settled(now) {
 		return PushResponse{}, ErrNotHolder
 	}
-	at := ho.clock.Time(now)
-	if late := ho.book.Apply(rq, at); late > 0 {
-		ho.Metrics.GetOrCreateCounter(`wisteriacroft_usage_late_total`).Add(int(late))
-		ho.Log.WithFields(logrus.Fields{
-			"from": rq.Instance, "late": late, "next": int64(ho.book.record.Next), "settled-ms": (rq.Now - rq.Settled).Milliseconds(),
+	at := co.clock.Time(now)
+	if late := co.aggregator.Apply(rq, at); late > 0 {
+		co.Metrics.GetOrCreateCounter(`wisteriacroft_usage_late_total`).Add(int(late))
+		co.Log.WithFields(logrus.Fields{
+			"from": rq.Instance, "late": late, "next": int64(co.aggregator.record.Next), "settled-ms": (rq.Now - rq.Settled).Milliseconds(),
 		}).Warn("use came after its window was decided")
 	}
-	end := WindowOf(at, ho.Window).End(ho.Window)
+	end := WindowOf(at, co.Window).End(co.Window)
 	return PushResponse{
-		Lasting: ho.durable.Sources[rq.Boot].Lasting, Now: at.UnixMicro(),
-		Wake: min(end.Sub(at)+wakeAfterEnd, mostWake),
+		Lasting: co.durable.Sources[rq.Boot].Lasting, Now: at.UnixMicro(),
+		Wake: min(end.Sub(at)+wakeDelay, maxWake),
 	}, nil
 }
 
-// Step does what is to be done now.
-func (ho *Collector) Step(ctx context.Context) {
-	switch st, epoch := ho.tenure.State(); st {
+// Step adopts the saved record, or writes and sends reports, depending on the state of the term.
+func (co *Collector) Step(ctx context.Context) {
+	switch st, epoch := co.term.State(); st {
 	case leader.Idle:
 	case leader.MustAdopt:
-		ho.load(ctx, epoch)
+		co.load(ctx, epoch)
 	case leader.Ready:
-		ho.work(ctx)
+		co.processWindows(ctx)
 	}
 }
 
-// load reads what lasts, and begins a turn.
-func (ho *Collector) load(ctx context.Context, epoch uint64) {
-	rec, version, err := ho.tenure.Read(ctx)
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	lo := ho.Log.WithFields(logrus.Fields{"epoch": epoch, "next": int64(rec.Next), "sender": rec.Sender, "sources": len(rec.Sources)})
+// load reads and adopts the saved record.
+func (co *Collector) load(ctx context.Context, epoch uint64) {
+	rec, version, err := co.term.Read(ctx)
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	lo := co.Log.WithFields(logrus.Fields{"epoch": epoch, "next": int64(rec.Next), "sender": rec.Sender, "sources": len(rec.Sources)})
 	if err != nil {
 		lo.WithError(err).Warn("counts of use can't be read")
-		ho.tenure.Pause()
+		co.term.Pause()
 		return
 	}
-	ho.book.load(rec)
-	ho.durable = rec
-	ho.clock.expectBelief(len(rec.Sources) > 0)
-	wait := ho.tenure.Adopt(epoch, rec, version)
+	co.aggregator.load(rec)
+	co.durable = rec
+	co.clock.expectSeed(len(rec.Sources) > 0)
+	wait := co.term.Adopt(epoch, rec, version)
 	lo.WithField("calls-in-ms", wait.Milliseconds()).Info("holds the reports of use")
 }
 
-// work decides, writes and sends.
-func (ho *Collector) work(ctx context.Context) {
-	now := ho.steady()
-	ho.mu.Lock()
-	if !ho.clock.Settled(now) {
-		ho.mu.Unlock()
+// processWindows creates, saves and sends reports.
+func (co *Collector) processWindows(ctx context.Context) {
+	now := co.monotonicNow()
+	co.mu.Lock()
+	if !co.clock.Settled(now) {
+		co.mu.Unlock()
 		return
 	}
-	decided := ho.decide(ho.clock.Time(now))
-	due := decided || ho.book.dirty && now-ho.savedAt >= saveEvery
-	ho.mu.Unlock()
-	if due && !ho.write(ctx) {
+	decided := co.decide(co.clock.Time(now))
+	due := decided || co.aggregator.dirty && now-co.savedAt >= saveInterval
+	co.mu.Unlock()
+	if due && !co.write(ctx) {
 		return
 	}
-	ho.sendAll(ctx)
+	co.sendAll(ctx)
 }
 
-// decide decides on the windows that are over, and reports whether there were any.
+// decide creates the reports of windows that can be finalized, and reports whether there were any.
 // The lock is held.
-func (ho *Collector) decide(at time.Time) bool {
-	missing := ho.book.missing(ho.book.record.Next, at)
-	res := ho.book.Decide(at)
+func (co *Collector) decide(at time.Time) bool {
+	missing := co.aggregator.missing(co.aggregator.record.Next, at)
+	res := co.aggregator.Decide(at)
 	for _, re := range res {
-		ho.Log.WithFields(logrus.Fields{
-			"customers": len(re.Counts), "missing": missing, "over-ms": at.Sub(re.Window.End(ho.Window)).Milliseconds(),
-			"requests": re.total(), "sources": len(ho.book.record.Sources), "window": int64(re.Window),
+		co.Log.WithFields(logrus.Fields{
+			"customers": len(re.Counts), "missing": missing, "over-ms": at.Sub(re.Window.End(co.Window)).Milliseconds(),
+			"requests": re.total(), "sources": len(co.aggregator.record.Sources), "window": int64(re.Window),
 		}).Info("use of a window decided")
 	}
 	return len(res) > 0
 }
 
-// write writes what the book holds, and returns whether it lasts.
-func (ho *Collector) write(ctx context.Context) bool {
-	epoch := ho.tenure.Epoch()
-	ho.mu.Lock()
-	rec := ho.book.record.clone()
-	rec.Epoch, rec.Sender = epoch, ho.Owner
-	ho.book.dirty, ho.savedAt = false, ho.steady()
-	ho.mu.Unlock()
-	err := ho.tenure.Write(ctx, rec)
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+// write saves the aggregator's record, and reports whether it succeeded.
+func (co *Collector) write(ctx context.Context) bool {
+	epoch := co.term.Epoch()
+	co.mu.Lock()
+	rec := co.aggregator.record.clone()
+	rec.Epoch, rec.Sender = epoch, co.Owner
+	co.aggregator.dirty, co.savedAt = false, co.monotonicNow()
+	co.mu.Unlock()
+	err := co.term.Write(ctx, rec)
+	co.mu.Lock()
+	defer co.mu.Unlock()
 	if err == nil {
-		ho.durable = rec
+		co.durable = rec
 		return true
 	}
-	ho.book.dirty = true
-	ho.Log.WithError(err).WithField("epoch", epoch).Warn("counts of use can't be written")
+	co.aggregator.dirty = true
+	co.Log.WithError(err).WithField("epoch", epoch).Warn("counts of use can't be written")
 	return false
 }
 
-// sendAll sends the reports that no one is known to have taken. Only those that last
-// are sent: a successor must send the very same.
-func (ho *Collector) sendAll(ctx context.Context) {
+// sendAll sends the reports that are not known to be accepted. Only saved ones are sent, as a
+// successor must send the same.
+func (co *Collector) sendAll(ctx context.Context) {
 	for {
-		ho.mu.Lock()
-		re, ok := ho.next()
-		ho.mu.Unlock()
-		allowed, confirmed := ho.tenure.MayCall()
+		co.mu.Lock()
+		re, ok := co.nextReport()
+		co.mu.Unlock()
+		allowed, confirmed := co.term.MayCall()
 		switch {
 		case !ok || !allowed:
 			return
 		case !confirmed:
-			if !ho.write(ctx) {
+			if !co.write(ctx) {
 				return
 			}
-		case !ho.send(ctx, ho.tenure.Epoch(), re):
+		case !co.send(ctx, co.term.Epoch(), re):
 			return
 		}
 	}
 }
 
-// next returns the oldest report that lasts and that no one is known to have taken.
-// The lock is held.
-func (ho *Collector) next() (Report, bool) {
-	for _, re := range ho.book.unsent() {
-		if re.Window < ho.durable.Next {
+// nextReport returns the oldest saved report that is not known to be accepted. The lock is held.
+func (co *Collector) nextReport() (Report, bool) {
+	for _, re := range co.aggregator.unsent() {
+		if re.Window < co.durable.Next {
 			return re, true
 		}
 	}
 	return Report{}, false
 }
 
-// send sends a report, and returns whether it was taken.
-func (ho *Collector) send(ctx context.Context, epoch uint64, re Report) bool {
-	took, err := ho.tenure.Call(ctx, epoch, func(ctx context.Context, epoch uint64) error { return ho.SendFunc(ctx, epoch, re) })
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	ho.Log.WithFields(logrus.Fields{
+// send sends a report, and reports whether it was accepted.
+func (co *Collector) send(ctx context.Context, epoch uint64, re Report) bool {
+	took, err := co.term.Call(ctx, epoch, func(ctx context.Context, epoch uint64) error { return co.SendFunc(ctx, epoch, re) })
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	co.Log.WithFields(logrus.Fields{
 		"epoch": epoch, "error": err, "ms": took.Milliseconds(),
-		"over-ms":  ho.clock.Time(ho.steady()).Sub(re.Window.End(ho.Window)).Milliseconds(),
+		"over-ms":  co.clock.Time(co.monotonicNow()).Sub(re.Window.End(co.Window)).Milliseconds(),
 		"requests": re.total(), "window": int64(re.Window),
 	}).Info("use of a window sent")
 	if err != nil {
-		ho.Metrics.GetOrCreateCounter(`wisteriacroft_usage_reports_total{outcome="failed"}`).Inc()
+		co.Metrics.GetOrCreateCounter(`wisteriacroft_usage_reports_total{outcome="failed"}`).Inc()
 		return false
 	}
-	ho.Metrics.GetOrCreateCounter(`wisteriacroft_usage_reports_total{outcome="taken"}`).Inc()
-	if ho.tenure.Epoch() == epoch {
-		ho.book.sent(re.Window)
+	co.Metrics.GetOrCreateCounter(`wisteriacroft_usage_reports_total{outcome="taken"}`).Inc()
+	if co.term.Epoch() == epoch {
+		co.aggregator.markSent(re.Window)
 	}
 	return true
 }
--- a/usage/collector_test.go
+++ b/usage/collector_test.go
@@ -11,127 +11,125 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Trouble strikes after some windows of calm, and lasts a while. No rule of the reports
-// may break in any of these, and the windows must be right but for those named.
+// Injects faults for a while after some windows. The reports must not violate any rule, and all
+// windows but the allowed number must be correct.
 func TestReports(t *testing.T) {
 	cases := []struct {
-		name    string
-		trouble func(ctx context.Context, wo *world)
-		wrong   int // windows that may be missing or off
+		name  string
+		fault func(ctx context.Context, si *simulation)
+		wrong int // windows that may be missing or inaccurate
 	}{
-		{name: "calm", trouble: func(context.Context, *world) {}},
-		// An entry is killed in the midst of a window, 200 ms after it last began
-		// something: what it had pushed counts.
-		{name: "entry killed", trouble: func(_ context.Context, wo *world) {
-			wo.killEntry(wo.entries[0])
+		{name: "no fault", fault: func(context.Context, *simulation) {}},
+		// An entry is killed within a window. What it had pushed counts.
+		{name: "entry killed", fault: func(_ context.Context, si *simulation) {
+			si.killEntry(si.entries[0])
 		}},
-		// The holder and an entry are lost in one moment. What the entry had pushed
-		// and the holder had not written is lost: half a second of one entry's.
-		{name: "holder and entry killed", trouble: func(_ context.Context, wo *world) {
-			wo.killEntry(wo.entries[0])
-			wo.current().kill()
+		// The holder and an entry are killed at once. Starts that the entry had pushed and the
+		// holder had not saved are lost.
+		{name: "holder and entry killed", fault: func(_ context.Context, si *simulation) {
+			si.killEntry(si.entries[0])
+			si.current().kill()
 		}, wrong: 1},
-		{name: "holder killed", trouble: func(_ context.Context, wo *world) {
-			wo.current().kill()
+		{name: "holder killed", fault: func(_ context.Context, si *simulation) {
+			si.current().kill()
 		}},
-		{name: "holder killed twice", trouble: func(_ context.Context, wo *world) {
-			wo.current().kill()
+		{name: "holder killed twice", fault: func(_ context.Context, si *simulation) {
+			si.current().kill()
 			time.Sleep(5 * time.Second)
-			wo.current().kill()
+			si.current().kill()
 		}},
-		{name: "holder killed and started again", trouble: func(ctx context.Context, wo *world) {
-			pr := wo.current()
+		{name: "holder restarted", fault: func(ctx context.Context, si *simulation) {
+			pr := si.current()
 			pr.kill()
 			time.Sleep(300 * time.Millisecond)
-			wo.startProcess(ctx, pr.name)
+			si.startProcess(ctx, pr.name)
 		}},
-		// The key-value service is silent over a window's end: leases lapse.
-		{name: "service away", trouble: func(_ context.Context, wo *world) {
-			wo.memory.SetFaults(keyvalue.Faults{Outage: true})
+		// The key-value service is unavailable over a window's end, and leases expire.
+		{name: "outage", fault: func(_ context.Context, si *simulation) {
+			si.memory.SetFaults(keyvalue.Faults{Outage: true})
 			time.Sleep(4500 * time.Millisecond)
-			wo.memory.SetFaults(keyvalue.Faults{})
+			si.memory.SetFaults(keyvalue.Faults{})
 		}},
-		{name: "answers of the service lost", trouble: func(_ context.Context, wo *world) {
-			wo.memory.SetFaults(keyvalue.Faults{LoseAnswers: true})
+		{name: "responses of the service lost", fault: func(_ context.Context, si *simulation) {
+			si.memory.SetFaults(keyvalue.Faults{LoseAnswers: true})
 			time.Sleep(4500 * time.Millisecond)
-			wo.memory.SetFaults(keyvalue.Faults{})
+			si.memory.SetFaults(keyvalue.Faults{})
 		}},
-		{name: "service slow", trouble: func(_ context.Context, wo *world) {
-			wo.memory.SetFaults(keyvalue.Faults{Delay: 240 * time.Millisecond})
+		{name: "service slow", fault: func(_ context.Context, si *simulation) {
+			si.memory.SetFaults(keyvalue.Faults{Delay: 240 * time.Millisecond})
 			time.Sleep(6 * time.Second)
-			wo.memory.SetFaults(keyvalue.Faults{})
+			si.memory.SetFaults(keyvalue.Faults{})
 		}},
-		// Symptom: no report is made for as long as the service is slow. Events: each
-		// write takes longer than the time for which it allowed calls, so that the
-		// holder wrote without end.
-		{name: "service very slow", trouble: func(_ context.Context, wo *world) {
-			wo.memory.SetFaults(keyvalue.Faults{Delay: 600 * time.Millisecond})
+		// Guards against a holder that writes forever without making a call because each
+		// write takes longer than the time for which it permits calls.
+		{name: "service very slow", fault: func(_ context.Context, si *simulation) {
+			si.memory.SetFaults(keyvalue.Faults{Delay: 600 * time.Millisecond})
 			time.Sleep(25 * time.Second)
-			wo.memory.SetFaults(keyvalue.Faults{})
+			si.memory.SetFaults(keyvalue.Faults{})
 		}},
-		// The time of day jumps by minutes on a third of the instances, that of the
-		// holder among them, and then the holder is lost.
-		{name: "clocks step", trouble: func(_ context.Context, wo *world) {
-			wo.current().skew = 3 * time.Minute
-			wo.entries[1].skew = 3 * time.Minute
+		// The wall clocks of a third of the instances, including the holder's, step by
+		// minutes, and then the holder is killed.
+		{name: "clocks step", fault: func(_ context.Context, si *simulation) {
+			si.current().skew = 3 * time.Minute
+			si.entries[1].skew = 3 * time.Minute
 			time.Sleep(3 * time.Second)
-			wo.current().kill()
+			si.current().kill()
 			time.Sleep(5 * time.Second)
-			wo.entries[1].skew = -time.Minute
+			si.entries[1].skew = -time.Minute
 		}},
-		{name: "authority slow", trouble: func(_ context.Context, wo *world) {
-			wo.authority.set(time.Second, false, false)
+		{name: "report server slow", fault: func(_ context.Context, si *simulation) {
+			si.server.set(time.Second, false, false)
 			time.Sleep(6 * time.Second)
-			wo.authority.set(0, false, false)
+			si.server.set(0, false, false)
 		}},
-		{name: "authority's answers lost", trouble: func(_ context.Context, wo *world) {
-			wo.authority.set(0, true, false)
+		{name: "responses of the report server lost", fault: func(_ context.Context, si *simulation) {
+			si.server.set(0, true, false)
 			time.Sleep(6 * time.Second)
-			wo.authority.set(0, false, false)
+			si.server.set(0, false, false)
 		}},
-		{name: "authority refuses", trouble: func(_ context.Context, wo *world) {
-			wo.authority.set(0, false, true)
+		{name: "report server rejects", fault: func(_ context.Context, si *simulation) {
+			si.server.set(0, false, true)
 			time.Sleep(6 * time.Second)
-			wo.authority.set(0, false, false)
+			si.server.set(0, false, false)
 		}},
-		{name: "authority slow and holder killed", trouble: func(_ context.Context, wo *world) {
-			wo.authority.set(time.Second, true, false)
+		{name: "report server slow and holder killed", fault: func(_ context.Context, si *simulation) {
+			si.server.set(time.Second, true, false)
 			time.Sleep(2 * time.Second)
-			wo.current().kill()
+			si.current().kill()
 			time.Sleep(2 * time.Second)
-			wo.authority.set(0, false, false)
+			si.server.set(0, false, false)
 		}},
-		// The holder is frozen past its lease, another takes over, the first thaws.
-		{name: "holder frozen", trouble: func(_ context.Context, wo *world) {
-			pr := wo.current()
+		// The holder is paused until its lease has expired, another takes over, and the first
+		// resumes.
+		{name: "holder frozen", fault: func(_ context.Context, si *simulation) {
+			pr := si.current()
 			pr.set(true, false)
 			time.Sleep(4 * time.Second)
 			pr.set(false, false)
 		}},
-		// The holder is cut off from the service and not from who takes the reports.
-		// The others believe it dead and take the lease from it while it still counts
-		// it as its own.
-		{name: "holder cut off and replaced early", trouble: func(_ context.Context, wo *world) {
-			pr := wo.current()
-			wo.suspect(pr.name, true)
+		// The holder is cut off from the service but not from the report server. The others
+		// suspect it to be dead and take over its lease before it notices.
+		{name: "holder cut off and replaced early", fault: func(_ context.Context, si *simulation) {
+			pr := si.current()
+			si.suspect(pr.name, true)
 			pr.set(false, true)
 			time.Sleep(4 * time.Second)
 			pr.set(false, false)
-			wo.suspect(pr.name, false)
+			si.suspect(pr.name, false)
 		}},
-		// Both believe the other dead, and replace each other in turns.
-		{name: "holders replace each other", trouble: func(_ context.Context, wo *world) {
+		// Two holders suspect each other to be dead, and replace each other repeatedly.
+		{name: "holders replace each other", fault: func(_ context.Context, si *simulation) {
 			for range 4 {
-				pr := wo.current()
+				pr := si.current()
 				if pr == nil {
 					time.Sleep(time.Second)
 					continue
 				}
-				wo.suspect(pr.name, true)
+				si.suspect(pr.name, true)
 				pr.set(false, true)
 				time.Sleep(1200 * time.Millisecond)
 				pr.set(false, false)
-				wo.suspect(pr.name, false)
+				si.suspect(pr.name, false)
 			}
 		}, wrong: 1},
 	}
@@ -140,37 +138,37 @@
 			t.Run(tc.name+" at "+phase.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
-					wo := newWorld(ctx, t, 3, 4)
-					time.Sleep(10 * time.Second) // requests begin when all is up
+					si := newSimulation(ctx, t, 3, 4)
+					time.Sleep(10 * time.Second) // requests start once all processes run
 					go func() {
 						time.Sleep(10*time.Second + phase)
-						tc.trouble(ctx, wo)
+						tc.fault(ctx, si)
 					}()
-					wo.serve(35 * time.Second)
+					si.serve(35 * time.Second)
 					time.Sleep(12 * time.Second)
 					cancel()
-					time.Sleep(2 * time.Second) // all that runs comes to its end
-					right, of := wo.right()
+					time.Sleep(2 * time.Second) // all goroutines end
+					right, of := si.correct()
 					assert.Assert(t, of >= 7)
 					assert.Assert(t, right >= of-tc.wrong, "%d of %d", right, of)
-					assert.DeepEqual(t, wo.authority.broken, []string(nil))
+					assert.DeepEqual(t, si.server.violations, []string(nil))
 				})
 			})
 		}
 	}
 }
 
-func (au *authority) set(delay time.Duration, lose, refuse bool) {
-	au.mu.Lock()
-	defer au.mu.Unlock()
-	au.delay, au.lose, au.refuse = delay, lose, refuse
+func (rs *reportServer) set(delay time.Duration, lose, refuse bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.delay, rs.lose, rs.refuse = delay, lose, refuse
 }
 
-// suspect makes all other processes believe one dead.
-func (wo *world) suspect(name string, yes bool) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	for _, pr := range wo.processes {
-		pr.suspects(name, yes)
+// suspect sets whether all other processes suspect one to be dead.
+func (si *simulation) suspect(name string, yes bool) {
+	si.mu.Lock()
+	defer si.mu.Unlock()
+	for _, pr := range si.processes {
+		pr.setSuspected(name, yes)
 	}
 }
