--- a/listing/listing.go
+++ b/listing/listing.go
@@ -16,12 +16,12 @@
 // Reasons for listing; Wait means that results are not listed yet.
 const (
 	Wait     Reason = ""
-	Final    Reason = "the trainer waits for no more"
-	LastCall Reason = "groups are due"
-	ReadEnds Reason = "a read ends"
+	Final    Reason = "target complete"
+	LastCall Reason = "complete groups are due"
+	ReadEnds Reason = "a read is about to end"
 	Full     Reason = "an answer is full"
-	Renew    Reason = "the read at the end would be young"
-	Unread   Reason = "no one reads"
+	Renew    Reason = "read renewed before the end of the step"
+	Unread   Reason = "no read waits"
 )
 
 // Limits of listing.
@@ -29,36 +29,36 @@
 	// readSize is the text that one answer holds, in bytes. More text needs another read.
 	readSize = 800 << 10
 	// minReadSize is the text from which on results are listed for a read that is about to end, in bytes.
-	worthwhile = 256 << 10
+	minReadSize = 256 << 10
 	// readLead is how long before a read's end results are listed for it, to leave time for the write.
 	readLead = 100 * time.Millisecond
 	// unreadAge and unreadInterval are the minimum age of the oldest result and the minimum time between two listings
 	// while no read waits. They bound what is lost if the instances that hold it fail.
-	unreadAge   = 150 * time.Millisecond
-	unreadEvery = 2 * time.Second
+	unreadAge      = 150 * time.Millisecond
+	unreadInterval = 2 * time.Second
 	// maxReadGap is how long after a read a trainer is expected to read again. Results that are listed meanwhile
 	// answer that read, which may then miss the last results.
-	betweenReads = 1200 * time.Millisecond
+	maxReadGap = 1200 * time.Millisecond
 	// dueTolerance is how long after a step's due time its groups still count as in time.
-	dueSlack = 700 * time.Millisecond
+	dueTolerance = 700 * time.Millisecond
 	// pollInterval is the minimum time between the starts of a trainer's reads. A read that is younger when the step
 	// ends delays the trainer by the rest of it.
-	lookEvery = 500 * time.Millisecond
+	pollInterval = 500 * time.Millisecond
 	// renewDelay is the time from an answer to the trainer's next read. renewWindow is how much older than
 	// pollInterval that read may be at the end of the step; beyond it, it would be renewed in turn.
-	renewTime = 150 * time.Millisecond
-	renewSpan = 200 * time.Millisecond
+	renewDelay  = 150 * time.Millisecond
+	renewWindow = 200 * time.Millisecond
 	// endMargin is the expected time to the end of a step below which its reads are no longer answered with only some
 	// of the results. It covers the time of an answer and the error of the expected end.
-	endsSoon = 400 * time.Millisecond
+	endMargin = 400 * time.Millisecond
 	// dueWindow is how long before its groups are late a step's reads are answered with any complete group.
-	nearDue = 2 * time.Second
+	dueWindow = 2 * time.Second
 	// minLastCallShare is the share of the wanted groups that must be complete and unlisted to be listed shortly
 	// before they are late, although no read is about to end. Fewer are not worth a delay of the step's end.
-	lastCallPart = 0.2
+	minLastCallShare = 0.2
 	// deliveryTime is the time from a listing decision until the trainer has the results, with a margin for the time
 	// until the scheduler learned of the step.
-	carryTime = 400 * time.Millisecond
+	deliveryTime = 400 * time.Millisecond
 )
 
 // A Read is a waiting read of a step's results.
@@ -108,22 +108,22 @@
 
 // dueWithin reports whether complete groups will be late after at most bound, but are not yet.
 func (st *State) dueWithin(bound time.Duration) bool {
-	left := st.Due + dueSlack - st.Age
+	left := st.Due + dueTolerance - st.Age
 	return st.Due > 0 && st.Groups > 0 && left > 0 && left <= bound
 }
 
 // lastCall reports whether enough groups are complete that are in time only if they are listed now.
 func (st *State) lastCall() bool {
-	return st.dueWithin(carryTime) && st.EndsIn >= endsSoon && float64(st.Groups) >= lastCallPart*float64(st.Target)
+	return st.dueWithin(deliveryTime) && st.EndsIn >= endMargin && float64(st.Groups) >= minLastCallShare*float64(st.Target)
 }
 
 // readEnds reports whether a read is about to end empty and there is enough to list: enough text, groups that are due
-// soon, or results that have waited for long.
+// soon, results that have waited for long, or any results after the target was listed.
 func (st *State) readEnds(now time.Time) bool {
-	if st.Size < worthwhile && st.PendingAge < unreadEvery && !st.dueWithin(nearDue) && !st.Served {
+	if st.Size < minReadSize && st.PendingAge < unreadInterval && !st.dueWithin(dueWindow) && !st.Served {
 		return false
 	}
-	if st.EndsIn < endsSoon && !st.Served {
+	if st.EndsIn < endMargin && !st.Served {
 		return false
 	}
 	for _, rd := range st.Reads {
@@ -142,12 +142,12 @@
 func (st *State) youngAtEnd(now time.Time) bool {
 	for _, rd := range st.Reads {
 		age := now.Sub(rd.Begun)
-		early := st.EndsIn - (rd.Wait - age) // by which the read ends before the step
-		if early < -renewTime || early > lookEvery+renewTime {
+		early := st.EndsIn - (rd.Wait - age) // time from the end of the read to that of the step
+		if early < -renewDelay || early > pollInterval+renewDelay {
 			continue
 		}
-		next := st.EndsIn - max(lookEvery-age, renewTime) // age at the end of the one after it
-		if next >= lookEvery && next < lookEvery+renewSpan {
+		next := st.EndsIn - max(pollInterval-age, renewDelay) // age of the next read at the end of the step
+		if next >= pollInterval && next < pollInterval+renewWindow {
 			return true
 		}
 	}
@@ -156,7 +156,7 @@
 
 // unread decides while no read waits: the trainer reads only occasionally, is cut off, or is between two reads.
 func (st *State) unread() Reason {
-	if st.ReadAge >= betweenReads && st.PendingAge >= unreadAge && st.ListedAge >= unreadEvery {
+	if st.ReadAge >= maxReadGap && st.PendingAge >= unreadAge && st.ListedAge >= unreadInterval {
 		return Unread
 	}
 	return Wait
--- a/overview/overview.go
+++ b/overview/overview.go
@@ -18,7 +18,7 @@
 const (
 	AttendantSilent Reason = "attendant is silent"
 	EngineSlow      Reason = "engine is slow"
-	HeldBack        Reason = "others go first" // whose groups the room is for
+	HeldBack        Reason = "others go first" // items of groups that can still be in time
 	HeldByOperator  Reason = "held by an operator"
 	ItemsLost       Reason = "items were given up"
 	NoEngine        Reason = "no engine of the service"
--- a/overview/overview_test.go
+++ b/overview/overview_test.go
@@ -79,7 +79,7 @@
 }
 
 // A step needs as many groups as wanted, not all of them.
-func TestGroupsBeyondThoseWanted(t *testing.T) {
+func TestUnwantedGroups(t *testing.T) {
 	sr := stepOf("s", "", second, runs("a", second), runs("a", 2*second), runs("a", 30*second))
 	sr.Wanted = 2
 	got := Summarize(Snapshot{Steps: []StepRow{sr}}, 0).Steps[0]
@@ -95,9 +95,9 @@
 	assert.Equal(t, got.Reason, ToBeListed)
 }
 
-// crowd returns an overload situation: ten steps of one customer are ahead of those of three others, and of four
+// overloadedSnapshot returns an overload situation: ten steps of one customer are ahead of those of three others, and of four
 // engines one is slow, one drained and one silent.
-func crowd() Snapshot {
+func overloadedSnapshot() Snapshot {
 	si := Snapshot{
 		Engines: []Engine{
 			{Address: "10.0.0.1:80", Heard: second / 10, ID: "i-1", Median: 40 * time.Millisecond, Memory: 1000, Pace: 41 * time.Millisecond, Places: 4, Runs: 4, Service: "llm", State: Serving, Tokens: 700},
@@ -131,16 +131,16 @@
 	return si
 }
 
-// TestCrowd checks that the overview shows which customer uses the capacity and whose steps are late.
-func TestCrowd(t *testing.T) {
-	data, err := json.MarshalIndent(Summarize(crowd(), 0), "", "  ")
+// TestOverload checks that the overview shows which customer uses the capacity and whose steps are late.
+func TestOverload(t *testing.T) {
+	data, err := json.MarshalIndent(Summarize(overloadedSnapshot(), 0), "", "  ")
 	assert.NilError(t, err)
 	golden.Assert(t, string(data)+"\n", "crowd.golden")
 }
 
 // The overview is bounded in size and omits the least troubled rows.
-func TestBounds(t *testing.T) {
-	si := crowd()
+func TestOverviewBounds(t *testing.T) {
+	si := overloadedSnapshot()
 	for i := range 2 * MaxRows {
 		si.Engines = append(si.Engines, Engine{ID: fmt.Sprint("e", i), Service: "llm", State: Serving})
 		si.Steps = append(si.Steps, stepOf(fmt.Sprint("c:s", i), fmt.Sprint("c", i), 0))
@@ -153,7 +153,7 @@
 	assert.Equal(t, len(Summarize(si, 10*MaxRows).Steps), MaxRows)
 }
 
-func TestNothing(t *testing.T) {
+func TestEmptySnapshot(t *testing.T) {
 	data, err := json.Marshal(Summarize(Snapshot{}, 0))
 	assert.NilError(t, err)
 	assert.Equal(t, string(data), `{"at":"0001-01-01T00:00:00Z","customers":[],"engines":[],"epoch":0,"holds":[],`+
--- a/overview/summarize.go
+++ b/overview/summarize.go
@@ -18,37 +18,37 @@
 
 // Summarize returns the overview of a snapshot, with at most rows entries in each list: the most troubled steps and
 // engines, and the customers with the most waiting items.
-func Summarize(si Snapshot, rows int) Overview {
+func Summarize(sn Snapshot, rows int) Overview {
 	if rows <= 0 {
 		rows = DefaultRows
 	}
 	rows = min(rows, MaxRows)
-	ov := Overview{At: si.Now, Epoch: si.Epoch, Holds: si.Holds, StoreHeard: si.StoreHeard}
+	ov := Overview{At: sn.Now, Epoch: sn.Epoch, Holds: sn.Holds, StoreHeard: sn.StoreHeard}
 	if ov.Holds == nil {
 		ov.Holds = []hold.Record{}
 	}
 	states := map[string]State{}
-	for _, en := range si.Engines {
+	for _, en := range sn.Engines {
 		states[en.ID] = en.State
 	}
-	endings := foresee(si)
-	for i := range si.Steps {
-		si.Steps[i].judge(endings[i], states)
-		ov.Steps = append(ov.Steps, si.Steps[i].Step)
+	endings := predict(sn)
+	for i := range sn.Steps {
+		sn.Steps[i].assess(endings[i], states)
+		ov.Steps = append(ov.Steps, sn.Steps[i].Step)
 	}
-	ov.Customers = customers(si)
-	ov.Engines = slices.Clone(si.Engines)
+	ov.Customers = customers(sn)
+	ov.Engines = slices.Clone(sn.Engines)
 	slices.SortStableFunc(ov.Steps, compareSteps)
 	slices.SortStableFunc(ov.Customers, compareCustomers)
 	slices.SortStableFunc(ov.Engines, compareEngines)
-	ov.Steps, ov.Omitted.Steps = bound(ov.Steps, rows)
-	ov.Customers, ov.Omitted.Customers = bound(ov.Customers, rows)
-	ov.Engines, ov.Omitted.Engines = bound(ov.Engines, rows)
+	ov.Steps, ov.Omitted.Steps = truncate(ov.Steps, rows)
+	ov.Customers, ov.Omitted.Customers = truncate(ov.Customers, rows)
+	ov.Engines, ov.Omitted.Engines = truncate(ov.Engines, rows)
 	return ov
 }
 
-// bound returns the first rows entries, and how many others there are.
-func bound[Row any](all []Row, rows int) ([]Row, int) {
+// truncate returns the first rows entries, and how many others there are.
+func truncate[Row any](all []Row, rows int) ([]Row, int) {
 	if len(all) <= rows {
 		return append([]Row{}, all...), 0
 	}
@@ -57,9 +57,9 @@
 
 // assess sets a step's expected end, whether it is late, and why. A step whose end can't be predicted is late once it
 // is overdue.
-func (sr *StepRow) judge(ens []ending, engines map[string]State) {
-	sr.Reason, sr.Via, sr.wait = "", "", mostWait(ens)
-	en, open := sr.decisive(ens)
+func (sr *StepRow) assess(ens []prediction, engines map[string]State) {
+	sr.Reason, sr.Via, sr.wait = "", "", commonWait(ens)
+	en, open := sr.deciding(ens)
 	switch {
 	case !open && sr.Whole >= sr.Wanted:
 		sr.End, sr.Late = sr.Age, sr.Age > sr.Due
@@ -82,7 +82,7 @@
 }
 
 // reasonOf returns why the deciding item of a step ends when it does, and the engine that is the cause, if any.
-func reasonOf(en ending, engines map[string]State) (Reason, string) {
+func reasonOf(en prediction, engines map[string]State) (Reason, string) {
 	switch {
 	case en.waiting:
 		return en.item.Wait, ""
@@ -100,7 +100,7 @@
 }
 
 // commonWait returns the most frequent reason of a step's waiting items, or "".
-func mostWait(ens []ending) Reason {
+func commonWait(ens []prediction) Reason {
 	counts, most := map[Reason]int{}, Reason("")
 	for _, en := range ens {
 		if !en.waiting {
@@ -125,22 +125,22 @@
 
 // customers returns the load of each customer. It includes customers without open steps that had a share in the last
 // minute, as they may be why others are late.
-func customers(si Snapshot) []Customer {
+func customers(sn Snapshot) []Customer {
 	byName, taken := map[string]*Customer{}, 0
 	row := func(name string) *Customer {
 		cu := byName[name]
 		if cu == nil {
-			cu = &Customer{Name: name, Share: si.Shares[name]}
+			cu = &Customer{Name: name, Share: sn.Shares[name]}
 			byName[name] = cu
 		}
 		return cu
 	}
-	for name, sh := range si.Shares {
+	for name, sh := range sn.Shares {
 		if sh.Had > 0 {
 			row(name)
 		}
 	}
-	for _, sr := range si.Steps {
+	for _, sr := range sn.Steps {
 		cu := row(sr.Customer)
 		cu.Steps++
 		cu.Items = cu.Items.Add(sr.Items)
@@ -153,7 +153,7 @@
 			cu.Oldest = Waiting{Age: sr.Age, Reason: sr.wait, Step: sr.ID}
 		}
 	}
-	for _, re := range si.Holds {
+	for _, re := range sn.Holds {
 		if cu := byName[re.Name]; re.Kind == hold.Customer && cu != nil {
 			cu.Held = true
 		}
@@ -195,18 +195,18 @@
 }
 
 // stateOrder lists the conditions of engines, most serious first.
-var troubles = []State{Gone, Silent, Sick, Drained, Leaving, Slow, Loading, Serving}
+var stateOrder = []State{Gone, Silent, Sick, Drained, Leaving, Slow, Loading, Serving}
 
 func compareEngines(a, b Engine) int {
 	return cmp.Or(
-		cmp.Compare(slices.Index(troubles, a.State), slices.Index(troubles, b.State)),
-		cmp.Compare(b.behind(), a.behind()),
+		cmp.Compare(slices.Index(stateOrder, a.State), slices.Index(stateOrder, b.State)),
+		cmp.Compare(b.slowdown(), a.slowdown()),
 		cmp.Compare(a.ID, b.ID),
 	)
 }
 
 // slowdown returns the ratio of an engine's pace to the median, or 0 if unknown.
-func (en Engine) behind() float64 {
+func (en Engine) slowdown() float64 {
 	if en.Median == 0 || en.Pace == 0 {
 		return 0
 	}
--- a/step/archive.go
+++ b/step/archive.go
@@ -25,7 +25,7 @@
 }
 
 // chunk returns one chunk of a step's results.
-func (ar *archive) chunk(ctx context.Context, ke *Store, id string, number int) ([]Result, error) {
+func (ar *archive) chunk(ctx context.Context, sto *Store, id string, number int) ([]Result, error) {
 	key := listedKey(id, number)
 	ar.mu.Lock()
 	if ar.recent == nil {
@@ -37,7 +37,7 @@
 		return results, nil
 	}
 	return fetchShared(ctx, &ar.fetches, key, func(ctx context.Context) ([]Result, error) {
-		results, err := ke.Chunk(ctx, id, number)
+		results, err := sto.Chunk(ctx, id, number)
 		if err == nil {
 			ar.mu.Lock()
 			ar.recent.Add(key, results)
@@ -48,8 +48,8 @@
 }
 
 // all returns all chunks of a step's results.
-func (ar *archive) all(ctx context.Context, ke *Store, id string) ([][]Result, error) {
-	return fetchShared(ctx, &ar.fetches, id, func(ctx context.Context) ([][]Result, error) { return ke.Chunks(ctx, id) })
+func (ar *archive) all(ctx context.Context, sto *Store, id string) ([][]Result, error) {
+	return fetchShared(ctx, &ar.fetches, id, func(ctx context.Context) ([][]Result, error) { return sto.Chunks(ctx, id) })
 }
 
 // fetchShared calls fetch, or waits for a call for the same key that is in flight. The call outlives ctx, since other
@@ -107,7 +107,7 @@
 	}
 	results, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 	if err != nil {
-		return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
+		return Listing{}, errors.Wrapf(ErrUndetermined, "%v", err)
 	}
 	return page(results, rq.After-first, total), nil
 }
@@ -116,7 +116,7 @@
 func (sc *Scheduler) readAllChunks(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
 	chunks, err := sc.archive.all(ctx, sc.Keeper, rq.ID)
 	if err != nil {
-		return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
+		return Listing{}, errors.Wrapf(ErrUndetermined, "%v", err)
 	}
 	results := slices.Concat(chunks...)
 	sc.mu.Lock()
--- a/step/archive_test.go
+++ b/step/archive_test.go
@@ -13,7 +13,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-func TestManyReadOldResults(t *testing.T) {
+func TestConcurrentReadsOfArchivedStep(t *testing.T) {
 	// Guards against concurrent readers of an ended step each fetching and decoding all of its results, until reads
 	// time out. Each chunk is fetched at most once.
 	for _, before := range []bool{false, true} { // whether the step ended before the term
@@ -33,7 +33,7 @@
 				ta.End("s")
 				ta.steps["s"].results = nil // as after eviction from memory
 				te := &term{epoch: 1, ready: true, table: ta}
-				sc := &Scheduler{Keeper: ke, Log: quiet(), term: te}
+				sc := &Scheduler{Keeper: ke, Log: discardLog(), term: te}
 				me.SetFaults(keyvalue.Faults{Delay: 10 * time.Millisecond})
 				calls := me.Calls().Reads
 				var wg sync.WaitGroup
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestReaderThatLeavesTakesNoneAlong(t *testing.T) {
+func TestSharedFetchOutlivesCanceledReader(t *testing.T) {
 	// Guards against a shared fetch being canceled, for all readers, when the reader that started it times out.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
--- a/step/checkpoint_test.go
+++ b/step/checkpoint_test.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/runner"
 )
 
-func TestLittleTextIsLostWithAllPower(t *testing.T) {
+func TestCheckpointsBoundLostText(t *testing.T) {
 	// Guards against a run that generates slightly more slowly than usual missing every other checkpoint, so that a
 	// power failure loses the text of up to two intervals.
 	for _, pace := range []time.Duration{36 * time.Millisecond, 49 * time.Millisecond, 53 * time.Millisecond} {
@@ -32,11 +32,11 @@
 			}
 			ta.CheckpointsSaved(ta.Checkpoints(now))
 		}
-		assert.Assert(t, most <= 700*time.Millisecond, "pace %v: %v of text is in no checkpoint", pace, most)
+		assert.Assert(t, most <= 700*time.Millisecond, "pace %v: text of %v is in no checkpoint", pace, most)
 	}
 }
 
-func TestShortTextIsNotKept(t *testing.T) {
+func TestShortTextIsNotCheckpointed(t *testing.T) {
 	// Most items end soon: checkpointing runs that have just started would cost more than generating them again.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(engines), trainers)
-	re.play(dayLength, func(at time.Duration) {
+	re.play(replayTime, func(at time.Duration) {
 		for _, tr := range trainers {
 			if stays := away[tr]; stays != nil && stays(at) {
 				tr.start = re.now.Add(simTick - time.Duration(tr.next)*tr.every)
@@ -48,7 +48,7 @@
 	got, owed := map[string]float64{}, map[string]float64{}
 	for _, tr := range trainers {
 		got[tr.customer] += float64(tr.inTime)
-		owed[tr.customer] += float64(max(int(dayLength/tr.every)*tr.target, 1))
+		owed[tr.customer] += float64(max(int(replayTime/tr.every)*tr.target, 1))
 	}
 	for customer := range got {
 		got[customer] /= owed[customer]
@@ -114,11 +114,11 @@
 
 // A customer that returns after inactivity gets as much as one that stayed, not everything.
 func TestCustomerThatComesBack(t *testing.T) {
-	gone := func(at time.Duration) bool { return at < dayLength/2 }
+	gone := func(at time.Duration) bool { return at < replayTime/2 }
 	for seed := range uint64(3) {
 		held := map[string]int{}
 		compete(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
-			if at < dayLength/2+2*time.Second {
+			if at < replayTime/2+2*time.Second {
 				return
 			}
 			for _, en := range re.table.sorted {
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -72,10 +72,10 @@
 // and the smallest fraction in time of any trainer.
 func (hl *heavyLoad) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
 	re := hl.newReplay(times, way)
-	re.play(dayLength, nil)
+	re.play(replayTime, nil)
 	least = 1
 	for _, tr := range re.trainers {
-		scheduled := int(dayLength/tr.every) * tr.target
+		scheduled := int(replayTime/tr.every) * tr.target
 		inTime, owed = inTime+tr.inTime, owed+scheduled
 		least = min(least, float64(tr.inTime)/float64(scheduled))
 	}
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -22,7 +22,7 @@
 	}
 	ta.Place(begin)
 	ta.End("ended")
-	assert.Assert(t, ta.NextWrites(begin).empty(), "no call is made for it alone")
+	assert.Assert(t, ta.NextWrites(begin).empty(), "no write is made only to remove items")
 	end(ta, t, "open", 0, runner.Complete, events(1, 1, 1), begin)
 	ta.savedAt = begin.Add(-checkpointInterval)
 	ta.steps["open"].items[1].events = events(1, minFirstEvents, 1)
@@ -42,7 +42,7 @@
 	assert.Equal(t, len(accepted), 2)
 	assert.Equal(t, in.steps["ended"].Total(), 2)
 	assert.Equal(t, len(in.steps["ended"].Items), 0)
-	assert.Assert(t, in.ended["ended"], "though no key says so yet")
+	assert.Assert(t, in.ended["ended"], "without an end key")
 	assert.Assert(t, !in.ended["open"])
 	assert.Equal(t, len(in.steps["open"].Items), 2)
 
@@ -52,7 +52,7 @@
 	assert.Equal(t, len(next.cuts), 0)
 	assert.Equal(t, next.steps["ended"].listingFrom(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
-	assert.NilError(t, ke.Accept(t.Context(), stepOf("ended", 2)), "it is known as accepted")
+	assert.NilError(t, ke.Accept(t.Context(), stepOf("ended", 2)), "a repeated submission succeeds")
 	li, err := ke.Read(t.Context(), ReadRequest{ID: "ended"})
 	assert.NilError(t, err)
 	assert.Equal(t, li.Total, 2)
--- a/step/door.go
+++ b/step/door.go
@@ -49,22 +49,22 @@
 // An entry that is cut off refuses a step soon, unless a write of it may have taken effect, so that the trainer can
 // try another entry. It still retries for cutOffTimeout: an outage in which the scheduler is lost too looks the same,
 // and if all entries refused at once, a trainer would use up its retries before the service is back.
-func (do *Frontend) Accept(ctx context.Context, st *Step) error {
+func (fr *Frontend) Accept(ctx context.Context, st *Step) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	begun, unsure := time.Now(), false
 	for try := 1; ; try++ {
-		err := do.writeOrForward(ctx, acceptMethod, *st, func(ctx context.Context) error { return do.Keeper.Accept(ctx, st) })
+		err := fr.writeOrForward(ctx, acceptMethod, *st, func(ctx context.Context) error { return fr.Keeper.Accept(ctx, st) })
 		unsure = unsure || err != nil && !notWritten(err)
-		do.Log.WithFields(logrus.Fields{
-			"cut-off": do.cutOff(), "error": err, stepField: st.ID, "try": try, "unsure": unsure,
-		}).Info("step handed in")
+		fr.Log.WithFields(logrus.Fields{
+			"cut-off": fr.cutOff(), "error": err, stepField: st.ID, "try": try, "unsure": unsure,
+		}).Info("step submission attempt")
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, ErrTooManyParts):
 			return err
-		case ctx.Err() == nil && (unsure || !do.cutOff() || time.Since(begun) < cutOffTimeout):
+		case ctx.Err() == nil && (unsure || !fr.cutOff() || time.Since(begun) < cutOffTimeout):
 		case unsure:
 			return errors.Wrap(keyvalue.ErrOutcomeUnknown, err.Error())
 		default:
@@ -75,10 +75,10 @@
 }
 
 // errCutOff means that neither the key-value service nor the scheduler is reachable.
-var errCutOff = errors.Wrap(keyvalue.ErrUnavailable, "cut off")
+var errCutOff = errors.Wrap(keyvalue.ErrUnavailable, "neither the key-value service nor the scheduler is reachable")
 
 // cutOff reports whether this entry is cut off, see CutOffFunc.
-func (do *Frontend) cutOff() bool { return do.CutOffFunc != nil && do.CutOffFunc() }
+func (fr *Frontend) cutOff() bool { return fr.CutOffFunc != nil && fr.CutOffFunc() }
 
 // notWritten reports whether a failed write certainly had no effect.
 func notWritten(err error) bool {
@@ -87,20 +87,20 @@
 
 // writeOrForward calls direct, which writes to the key-value service. If that fails, it forwards the request to the
 // scheduler, which holds a lease: the service sometimes refuses single instances.
-func (do *Frontend) writeOrForward(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
+func (fr *Frontend) writeOrForward(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
 	cx, cancel := context.WithTimeout(ctx, writeTimeout)
 	err := direct(cx)
 	cancel()
 	if err == nil || errors.Is(err, ErrTooManyParts) {
 		return err
 	}
-	address := do.Scheduler.Address(ctx)
+	address := fr.Scheduler.Address(ctx)
 	if address == "" {
 		return err
 	}
 	cx, cancel = context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, errPeer := peer.Call[any, Empty](cx, do.Pool, address, method, rq)
+	_, errPeer := peer.Call[any, Empty](cx, fr.Pool, address, method, rq)
 	switch {
 	case errPeer == nil:
 		return nil
@@ -114,41 +114,41 @@
 }
 
 // End records that a step has ended.
-func (do *Frontend) End(ctx context.Context, id string) error {
-	if do.cutOff() {
+func (fr *Frontend) End(ctx context.Context, id string) error {
+	if fr.cutOff() {
 		return errCutOff
 	}
-	return do.writeOrForward(ctx, endMethod, EndRequest{ID: id}, func(ctx context.Context) error { return do.Keeper.End(ctx, id) })
+	return fr.writeOrForward(ctx, endMethod, EndRequest{ID: id}, func(ctx context.Context) error { return fr.Keeper.End(ctx, id) })
 }
 
 // Read returns a step's results from a position on. ErrUnknownStep means that there is no such step; after any other
 // error it may exist.
-func (do *Frontend) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
-	if do.cutOff() {
+func (fr *Frontend) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
+	if fr.cutOff() {
 		return Listing{}, errCutOff
 	}
 	rq.Wait = min(max(rq.Wait, 0), maxReadWait)
-	li, err := callScheduler[ReadRequest, Listing](ctx, do, readMethod, rq, rq.Wait+callTimeout)
+	li, err := callScheduler[ReadRequest, Listing](ctx, fr, readMethod, rq, rq.Wait+callTimeout)
 	if err == nil || errors.Is(err, ErrUnknownStep) {
 		return li, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return do.Keeper.Read(ctx, rq)
+	return fr.Keeper.Read(ctx, rq)
 }
 
 // Body returns the body of a step's item. Errors are as for Read.
-func (do *Frontend) Body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
-	if do.cutOff() {
+func (fr *Frontend) Body(ctx context.Context, rq BodyRequest) (BodyResponse, error) {
+	if fr.cutOff() {
 		return BodyResponse{}, errCutOff
 	}
-	re, err := callScheduler[BodyRequest, BodyResponse](ctx, do, bodyMethod, rq, callTimeout)
+	re, err := callScheduler[BodyRequest, BodyResponse](ctx, fr, bodyMethod, rq, callTimeout)
 	if err == nil || errors.Is(err, ErrUnknownStep) {
 		return re, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	st, err := do.Keeper.Load(ctx, rq.Step)
+	st, err := fr.Keeper.Load(ctx, rq.Step)
 	if err != nil {
 		return BodyResponse{}, err
 	}
@@ -156,21 +156,21 @@
 }
 
 // callScheduler calls the scheduler. If that fails, it looks the scheduler up again and retries once.
-func callScheduler[Req, Resp any](ctx context.Context, do *Frontend, method string, rq Req, timeout time.Duration) (Resp, error) {
+func callScheduler[Req, Resp any](ctx context.Context, fr *Frontend, method string, rq Req, timeout time.Duration) (Resp, error) {
 	var resp Resp
 	err := errNotScheduler
 	for range 2 {
-		address := do.Scheduler.Address(ctx)
+		address := fr.Scheduler.Address(ctx)
 		if address == "" {
 			return resp, err
 		}
 		cx, cancel := context.WithTimeout(ctx, timeout)
-		resp, err = peer.Call[Req, Resp](cx, do.Pool, address, method, rq)
+		resp, err = peer.Call[Req, Resp](cx, fr.Pool, address, method, rq)
 		cancel()
 		if err == nil || errors.Is(err, ErrUnknownStep) {
 			return resp, err
 		}
-		do.Scheduler.Invalidate(address, err)
+		fr.Scheduler.Invalidate(address, err)
 	}
 	return resp, err
 }
--- a/step/earlier.go
+++ b/step/earlier.go
@@ -103,12 +103,12 @@
 		}
 	}
 	slices.SortFunc(ended, func(a, b *stepRow) int { return b.step.Accepted.Compare(a.step.Accepted) })
-	held := 0
+	size := 0
 	for _, sr := range ended {
 		for _, re := range sr.results {
-			held += len(re.Text)
+			size += len(re.Text)
 		}
-		if held > maxCachedResults {
+		if size > maxCachedResults {
 			sr.results, sr.loaded = nil, false
 		}
 	}
--- a/step/follow.go
+++ b/step/follow.go
@@ -26,7 +26,7 @@
 			scan = true
 			continue
 		case err != nil:
-			sc.Log.WithError(err).Warn("steps can't be followed")
+			sc.Log.WithError(err).Warn("can't follow the changes of steps")
 			lost = true
 			te.revival.pause(ctx, back)
 			continue
@@ -41,7 +41,7 @@
 			err = sc.restoreAccount(ctx, te, accepted)
 		}
 		if err != nil {
-			sc.Log.WithError(err).Warn("what is kept of steps can't be read")
+			sc.Log.WithError(err).Warn("can't load the stored state of steps")
 			in = intake{} // reload everything
 			after, scan = 0, true
 			retryPause(ctx)
@@ -78,7 +78,7 @@
 func (sc *Scheduler) loadKept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	kept := map[string]StoredStep{}
+	stored := map[string]StoredStep{}
 	var mu sync.Mutex
 	var gr errgroup.Group
 	if !te.ready {
@@ -89,14 +89,14 @@
 			continue // nothing is stored yet of a step that was just accepted
 		}
 		gr.Go(func() error {
-			ke, err := sc.Keeper.Stored(ctx, st.ID)
+			ss, err := sc.Keeper.Stored(ctx, st.ID)
 			mu.Lock()
 			defer mu.Unlock()
-			kept[st.ID] = ke
+			stored[st.ID] = ss
 			return err
 		})
 	}
-	return kept, gr.Wait()
+	return stored, gr.Wait()
 }
 
 // readHolds loads the holds of operators before a term places anything.
@@ -109,7 +109,7 @@
 	}
 	_, err := sc.Directory.ReadHolds(ctx, sc.Holds)
 	if errors.Is(err, hold.ErrUndecodable) {
-		sc.Log.WithError(err).Error("holds do not decode, those known stay")
+		sc.Log.WithError(err).Error("can't decode holds; keeping the previous ones")
 		err = nil
 	}
 	if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// retryPause waits for the retryPause after a failed call.
+// retryPause waits for the pause after a failed call.
 func retryPause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/step/held_test.go
+++ b/step/held_test.go
@@ -10,8 +10,8 @@
 	"wisteriacroft/runner"
 )
 
-// sheetOf returns a sheet with holds on the targets, one version newer than after.
-func sheetOf(t *testing.T, after *hold.Set, targets ...hold.Target) *hold.Set {
+// holdsOf returns a sheet with holds on the targets, one version newer than after.
+func holdsOf(t *testing.T, after *hold.Set, targets ...hold.Target) *hold.Set {
 	t.Helper()
 	var sh *hold.Set
 	for _, ta := range targets {
@@ -27,7 +27,7 @@
 	ta := tableOf(t, 1, "a")
 	first, second := stepOf("s", 2), stepOf("t", 2)
 	first.Customer, second.Customer = "bakery", "mill"
-	sh := sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
+	sh := holdsOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
 	ta.SetHolds(sh, begin)
 	ta.Accept(first, StoredStep{}, false, begin)
 	ta.Accept(second, StoredStep{}, false, begin)
@@ -39,14 +39,14 @@
 	}
 	ta.Place(begin)
 	assert.Equal(t, ta.heldItemCount(), 2)
-	ta.SetHolds(sheetOf(t, sh), begin)
+	ta.SetHolds(holdsOf(t, sh), begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
 	ta.SetHolds(sh, begin) // an outdated sheet
 	assert.Equal(t, ta.heldItemCount(), 0)
 }
 
-func TestNoRoomIsKeptForWhatIsHeld(t *testing.T) {
+func TestHeldStepsReserveNoCapacity(t *testing.T) {
 	// Guards against capacity being reserved for held items, which cannot start, while other steps count as late.
 	ta := tableOf(t, 1, "a")
 	large, small := stepOf("s", 40, 40, 40), stepOf("t", 1)
@@ -56,12 +56,12 @@
 	ta.planCapacity(begin)
 	assert.Assert(t, ta.overloaded("service"))
 	asked := ta.ServiceLoads()["service"].Load
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"}), begin)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"}), begin)
 	ta.planCapacity(begin.Add(planInterval))
 	assert.Assert(t, ta.ServiceLoads()["service"].Load < asked/10)
 }
 
-func TestHeldRunGoesOn(t *testing.T) {
+func TestHeldStepResumesStartedItem(t *testing.T) {
 	// Guards against a held step losing a started item whose engine is removed: the item has text, so it resumes
 	// elsewhere despite the hold.
 	ta := tableOf(t, 1, "a")
@@ -69,14 +69,14 @@
 	ta.Place(begin)
 	_, key := keyOf(t, ta, "s", 0)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 5, 1), Key: key}}}, begin)
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	addEngines(ta, begin, "b")
 	hear(ta, "b", runner.ExchangeResponse{}, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].run.engine, "b")
 	assert.Equal(t, ta.steps["s"].items[0].run.prior, 5)
-	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "it had made nothing yet")
-	assert.Equal(t, ta.steps["s"].items[2].state, waiting, "it never began")
+	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "it has no text")
+	assert.Equal(t, ta.steps["s"].items[2].state, waiting, "it has not started")
 }
 
 func TestHeldResultsAreListed(t *testing.T) {
@@ -84,7 +84,7 @@
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1, 1), StoredStep{}, false, begin)
 	ta.Place(begin)
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
 	up := ta.NextWrites(begin.Add(time.Second))
@@ -92,12 +92,12 @@
 	assert.Equal(t, len(up.Chunks[0].Results), 2)
 }
 
-func TestHeldItemIsGivenUpInTime(t *testing.T) {
+func TestHeldItemExpires(t *testing.T) {
 	// A hold doesn't extend the route's limit on how long a trainer waits.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 1)
 	st.MaxWait = 10 * time.Second
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.DropExpired(begin.Add(st.MaxWait))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
@@ -105,7 +105,7 @@
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
-func TestMovingHeldRunKeepsItsPlace(t *testing.T) {
+func TestHeldItemCompletesMove(t *testing.T) {
 	// Guards against an item without events getting stuck if its step is held while the item moves between engines.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
@@ -117,7 +117,7 @@
 	hear(ta, "b", runner.ExchangeResponse{}, late)
 	ta.MoveStragglers(late)
 	assert.Equal(t, ir.target, "b")
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), late)
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Key: ir.run.key, State: runner.Stopped}}}, late)
 	ta.Place(late)
 	assert.Equal(t, ir.run.engine, "b")
--- a/step/keep.go
+++ b/step/keep.go
@@ -31,8 +31,8 @@
 var (
 	// ErrUnknownStep means that no such step was accepted.
 	ErrUnknownStep = errors.New("no such step")
-	// ErrUnsure means that it is currently unknown whether the step exists.
-	ErrUnsure = errors.New("can't be told now")
+	// ErrUndetermined means that it is currently unknown whether the step exists.
+	ErrUndetermined = errors.New("state of the step can't be determined now")
 	// ErrTooManyParts means that a step is too large to be stored in one transaction.
 	ErrTooManyParts = errors.New("step is too large")
 )
@@ -56,7 +56,7 @@
 
 // Accept stores a step. It may be repeated with the same step; only the first call has an effect. ErrOutcomeUnknown
 // means that the step may be stored, now or later.
-func (ke *Store) Accept(ctx context.Context, st *Step) error {
+func (sto *Store) Accept(ctx context.Context, st *Step) error {
 	values, err := st.values()
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 		tx.Writes = append(tx.Writes, keyvalue.Write{Key: stepKey(st.ID, i), Value: value})
 	}
 	tx.Expects = []keyvalue.Expectation{{Key: stepKey(st.ID, 0)}}
-	_, err = ke.commit(ctx, tx)
+	_, err = sto.commit(ctx, tx)
 	if errors.Is(err, keyvalue.ErrConflict) {
 		return nil // stored before
 	}
@@ -95,8 +95,8 @@
 }
 
 // End records that a step has ended. It may be repeated.
-func (ke *Store) End(ctx context.Context, id string) error {
-	_, err := ke.Client.Put(ctx, endPrefix+id, []byte("ended"), 0, 0)
+func (sto *Store) End(ctx context.Context, id string) error {
+	_, err := sto.Client.Put(ctx, endPrefix+id, []byte("ended"), 0, 0)
 	if errors.Is(err, keyvalue.ErrConflict) {
 		return nil
 	}
@@ -104,8 +104,8 @@
 }
 
 // Load returns a stored step, or ErrUnknownStep.
-func (ke *Store) Load(ctx context.Context, id string) (*Step, error) {
-	ch, err := ke.Client.Scan(ctx, stepPrefix+id+"/")
+func (sto *Store) Load(ctx context.Context, id string) (*Step, error) {
+	ch, err := sto.Client.Scan(ctx, stepPrefix+id+"/")
 	if err != nil {
 		return nil, err
 	}
@@ -119,8 +119,8 @@
 }
 
 // Chunks returns all chunks of a step's results, in order.
-func (ke *Store) Chunks(ctx context.Context, id string) ([][]Result, error) {
-	ch, err := ke.Client.Scan(ctx, listedPrefix+id+"/")
+func (sto *Store) Chunks(ctx context.Context, id string) ([][]Result, error) {
+	ch, err := sto.Client.Scan(ctx, listedPrefix+id+"/")
 	if err != nil {
 		return nil, err
 	}
@@ -139,8 +139,8 @@
 }
 
 // Chunk returns one chunk of a step's results.
-func (ke *Store) Chunk(ctx context.Context, id string, number int) ([]Result, error) {
-	it, err := ke.Client.Get(ctx, listedKey(id, number))
+func (sto *Store) Chunk(ctx context.Context, id string, number int) ([]Result, error) {
+	it, err := sto.Client.Get(ctx, listedKey(id, number))
 	if err != nil {
 		return nil, err
 	}
@@ -149,12 +149,12 @@
 }
 
 // Read returns a step's results from the key-value service.
-func (ke *Store) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
-	st, err := ke.Load(ctx, rq.ID)
+func (sto *Store) Read(ctx context.Context, rq ReadRequest) (Listing, error) {
+	st, err := sto.Load(ctx, rq.ID)
 	if err != nil {
 		return Listing{}, err
 	}
-	chunks, err := ke.Chunks(ctx, rq.ID)
+	chunks, err := sto.Chunks(ctx, rq.ID)
 	if err != nil {
 		return Listing{}, err
 	}
@@ -166,10 +166,10 @@
 }
 
 // Drop deletes everything that is stored of a step.
-func (ke *Store) Drop(ctx context.Context, id string) error {
+func (sto *Store) Drop(ctx context.Context, id string) error {
 	keys := []string{endPrefix + id}
 	for _, prefix := range []string{stepPrefix + id + "/", listedPrefix + id + "/", checkpointPrefix + id + "/"} {
-		ch, err := ke.Client.Scan(ctx, prefix)
+		ch, err := sto.Client.Scan(ctx, prefix)
 		if err != nil {
 			return err
 		}
@@ -179,7 +179,7 @@
 	}
 	for len(keys) > 0 {
 		count := min(len(keys), keyvalue.MaxTransaction)
-		if _, err := ke.Client.Transact(ctx, keyvalue.Transaction{Deletes: keys[:count]}); err != nil {
+		if _, err := sto.Client.Transact(ctx, keyvalue.Transaction{Deletes: keys[:count]}); err != nil {
 			return err
 		}
 		keys = keys[count:]
@@ -204,15 +204,15 @@
 }
 
 // transaction returns the write set as a transaction that expects fence.
-func (up WriteSet) transaction(fence keyvalue.Expectation) (keyvalue.Transaction, error) {
-	tx := keyvalue.Transaction{Deletes: up.Deletes, Expects: []keyvalue.Expectation{fence}}
+func (ws WriteSet) transaction(fence keyvalue.Expectation) (keyvalue.Transaction, error) {
+	tx := keyvalue.Transaction{Deletes: ws.Deletes, Expects: []keyvalue.Expectation{fence}}
 	add := func(key string, value any) error {
 		data, err := cbor.Marshal(value)
 		tx.Expects = append(tx.Expects, keyvalue.Expectation{Key: key})
 		tx.Writes = append(tx.Writes, keyvalue.Write{Key: key, Value: data})
 		return errors.Wrapf(err, "encode %s", key)
 	}
-	for _, ch := range up.Chunks {
+	for _, ch := range ws.Chunks {
 		if err := add(listedKey(ch.Step, ch.Number), ch.Results); err != nil {
 			return tx, err
 		}
@@ -222,12 +222,12 @@
 		}
 		tx.Writes = append(tx.Writes, keyvalue.Write{Key: manifestKey(ch.Step, ch.Number), Value: data})
 	}
-	for _, cp := range up.Checkpoints {
+	for _, cp := range ws.Checkpoints {
 		if err := add(checkpointKey(cp.Step, cp.Number), cp); err != nil {
 			return tx, err
 		}
 	}
-	for _, st := range up.Cuts {
+	for _, st := range ws.Cuts {
 		values, err := st.values()
 		if err != nil {
 			return tx, err
@@ -237,36 +237,36 @@
 			tx.Deletes = append(tx.Deletes, stepKey(st.ID, i))
 		}
 	}
-	if len(up.Account) > 0 {
-		tx.Writes = append(tx.Writes, keyvalue.Write{Key: accountKey, Value: up.Account})
+	if len(ws.Account) > 0 {
+		tx.Writes = append(tx.Writes, keyvalue.Write{Key: accountKey, Value: ws.Account})
 	}
 	return tx, nil
 }
 
 // Write applies a write set if fence holds. It may be repeated with the same write set. done reports that it is
 // applied, by this call or an earlier one.
-func (ke *Store) Write(ctx context.Context, fence keyvalue.Expectation, up WriteSet) (done bool, err error) {
-	tx, err := up.transaction(fence)
+func (sto *Store) Write(ctx context.Context, fence keyvalue.Expectation, ws WriteSet) (done bool, err error) {
+	tx, err := ws.transaction(fence)
 	if err != nil {
 		return false, err
 	}
 	if len(tx.Writes) == 0 {
-		_, err = ke.Client.Transact(ctx, tx)
+		_, err = sto.Client.Transact(ctx, tx)
 		return err == nil, err
 	}
-	if len(up.Account) > 0 {
-		return ke.writeAccount(ctx, tx)
+	if len(ws.Account) > 0 {
+		return sto.writeAccount(ctx, tx)
 	}
-	return ke.writeOnce(ctx, tx)
+	return sto.writeOnce(ctx, tx)
 }
 
 // writeOnce applies a transaction unless it was applied before.
-func (ke *Store) writeOnce(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
-	if _, err = ke.commit(ctx, tx); !errors.Is(err, keyvalue.ErrConflict) {
+func (sto *Store) writeOnce(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
+	if _, err = sto.commit(ctx, tx); !errors.Is(err, keyvalue.ErrConflict) {
 		return err == nil, err
 	}
 	// An earlier attempt of the same write may have succeeded.
-	version, errGet := ke.appliedVersion(ctx, tx)
+	version, errGet := sto.appliedVersion(ctx, tx)
 	if version != 0 || errGet != nil {
 		return version != 0, errGet
 	}
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -17,16 +17,16 @@
 	"wisteriacroft/runner"
 )
 
-func quiet() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
 	return logrus.NewEntry(logger)
 }
 
-func doorOf(ke *Store) *Frontend {
+func frontendOf(ke *Store) *Frontend {
 	return &Frontend{
-		Keeper: ke, Log: quiet(), Pool: &peer.Pool{},
-		Scheduler: &lease.Resolver{Client: ke.Client, Log: quiet(), Name: LeaseName},
+		Keeper: ke, Log: discardLog(), Pool: &peer.Pool{},
+		Scheduler: &lease.Resolver{Client: ke.Client, Log: discardLog(), Name: LeaseName},
 	}
 }
 
@@ -102,7 +102,7 @@
 	assert.Equal(t, len(left), 0)
 }
 
-func TestAcceptAnswers(t *testing.T) {
+func TestAcceptOutcomes(t *testing.T) {
 	// Guards against a step being refused although its write, whose response was lost, took effect.
 	for _, tc := range []struct {
 		name   string
@@ -110,20 +110,20 @@
 		want   error
 		least  time.Duration // minimum time until Accept returns
 	}{
-		{"service is there", func(*keyvalue.Memory) {}, nil, 0},
+		{"service is available", func(*keyvalue.Memory) {}, nil, 0},
 		{"answers are lost", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{LoseAnswers: true}) }, nil, 0},
 		{
-			"service comes back", func(me *keyvalue.Memory) {
+			"service recovers", func(me *keyvalue.Memory) {
 				me.SetFaults(keyvalue.Faults{Outage: true})
 				time.AfterFunc(2*time.Second, func() { me.SetFaults(keyvalue.Faults{}) })
 			}, nil, 2 * time.Second,
 		},
 		{
-			"service stays away", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Outage: true}) },
+			"service stays unavailable", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Outage: true}) },
 			keyvalue.ErrUnavailable, acceptTimeout,
 		},
 		{
-			"service is too slow to tell", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Delay: time.Minute}) },
+			"service is too slow", func(me *keyvalue.Memory) { me.SetFaults(keyvalue.Faults{Delay: time.Minute}) },
 			keyvalue.ErrOutcomeUnknown, acceptTimeout,
 		},
 	} {
@@ -131,7 +131,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
 				tc.faults(&me)
-				do := doorOf(&Store{Client: me.Client()})
+				do := frontendOf(&Store{Client: me.Client()})
 				begun := time.Now()
 				err := do.Accept(t.Context(), stepOf("s", 1))
 				took := time.Since(begun)
@@ -146,20 +146,20 @@
 	}
 }
 
-func TestCutOffDoorRefusesSoon(t *testing.T) {
+func TestCutOffEntryFailsFast(t *testing.T) {
 	// Guards against an isolated entry retrying for seconds instead of failing fast, so that the trainer can try
 	// another one.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := doorOf(&Store{Client: me.Client()})
+		do := frontendOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
 		do.CutOffFunc = cutOff.Load
 		time.AfterFunc(2*time.Second, func() { cutOff.Store(true) })
 		begun := time.Now()
 		err := do.Accept(t.Context(), stepOf("s", 1))
 		assert.Assert(t, errors.Is(err, keyvalue.ErrUnavailable))
-		assert.Assert(t, time.Since(begun) < 2500*time.Millisecond, "it stops trying when it learns of the cut")
+		assert.Assert(t, time.Since(begun) < 2500*time.Millisecond, "it stops retrying once it is cut off")
 		begun = time.Now()
 		assert.Assert(t, errors.Is(do.Accept(t.Context(), stepOf("s", 1)), keyvalue.ErrUnavailable))
 		assert.Assert(t, time.Since(begun) < 1100*time.Millisecond)
@@ -173,25 +173,25 @@
 	})
 }
 
-func TestCutOffDoorWaitsOutTheEndOfAnOutage(t *testing.T) {
+func TestCutOffEntryRetriesBriefly(t *testing.T) {
 	// Guards against all entries refusing steps at once in an outage in which the scheduler is lost too, when all of
 	// them seem isolated: they retry for a short time.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := doorOf(&Store{Client: me.Client()})
+		do := frontendOf(&Store{Client: me.Client()})
 		do.CutOffFunc = func() bool { return true }
 		time.AfterFunc(cutOffTimeout/2, func() { me.SetFaults(keyvalue.Faults{}) })
 		assert.NilError(t, do.Accept(t.Context(), stepOf("s", 1)))
 	})
 }
 
-func TestCutOffDoorDoesNotDenyWhatItSent(t *testing.T) {
+func TestCutOffEntryReportsUnknownOutcome(t *testing.T) {
 	// Guards against a definite refusal of a step that an earlier, unanswered write may have stored.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Delay: time.Minute})
-		do := doorOf(&Store{Client: me.Client()})
+		do := frontendOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
 		do.CutOffFunc = cutOff.Load
 		time.AfterFunc(time.Second, func() { cutOff.Store(true) })
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		ke := &Store{Client: me.Client()}
-		do := doorOf(ke)
+		do := frontendOf(ke)
 		assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
 		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 			Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}},
@@ -240,7 +240,7 @@
 	for _, tc := range []struct {
 		name string
 		term *term
-	}{{"it has ended", nil}, {"it lasts", te}, {"it lasts, and the results are held", te}} {
+	}{{"term ended", nil}, {"term continues", te}, {"results are in memory", te}} {
 		sc := &Scheduler{Keeper: ke, term: tc.term}
 		li, err := sc.readArchived(t.Context(), te, ta.steps["s"], ReadRequest{After: 1, ID: "s"})
 		assert.NilError(t, err, tc.name)
@@ -250,7 +250,7 @@
 	assert.Equal(t, len(ta.steps["s"].results), 2)
 }
 
-func TestIntakeForgetsDroppedSteps(t *testing.T) {
+func TestIntakeReleasesDroppedSteps(t *testing.T) {
 	// Guards against a memory leak: the intake releases a step when its keys are removed.
 	var me keyvalue.Memory
 	ke := &Store{Client: me.Client()}
@@ -306,10 +306,10 @@
 	}
 	assert.Equal(t, listed, 10)
 	assert.Equal(t, len(saved), 10)
-	assert.Assert(t, len(ta.garbage) < 20, "some keys are removed beside what is written")
+	assert.Assert(t, len(ta.garbage) < 20, "some keys are deleted along with the writes")
 }
 
-func TestTransactionThatIsTooLarge(t *testing.T) {
+func TestTooLargeTransaction(t *testing.T) {
 	// The client rejects a transaction that the service would refuse, so that its outcome is known.
 	var me keyvalue.Memory
 	tx := keyvalue.Transaction{Deletes: make([]string, keyvalue.MaxTransaction+1)}
--- a/step/listing.go
+++ b/step/listing.go
@@ -16,18 +16,18 @@
 // for (listing.Final) go first. Steps that merely exceed the size of an answer (listing.Full) wait for the next
 // write.
 func (ta *Table) DueChunks(now time.Time) []Chunk {
-	whys := map[*stepRow]listing.Reason{}
+	reasons := map[*stepRow]listing.Reason{}
 	finals := false
 	for _, sr := range ta.order {
 		st := sr.listingState(now)
 		st.EndsIn = ta.endsIn(sr, now)
 		sr.ending = st.EndsIn < endingSoon && !sr.served
-		whys[sr] = listing.Decide(st, now)
-		finals = finals || whys[sr] == listing.Final
+		reasons[sr] = listing.Decide(st, now)
+		finals = finals || reasons[sr] == listing.Final
 	}
 	var chunks []Chunk
 	for _, sr := range ta.order {
-		if why := whys[sr]; why != listing.Wait && (why != listing.Full || !finals) {
+		if why := reasons[sr]; why != listing.Wait && (why != listing.Full || !finals) {
 			sr.why, sr.writtenAt = why, now
 			chunks = append(chunks, sr.pendingChunks(why, maxChunks-len(chunks))...)
 		}
@@ -68,7 +68,7 @@
 func (ta *Table) endsIn(sr *stepRow, now time.Time) time.Duration {
 	ta.updateSummaries()
 	ta.paceRound++
-	var must time.Duration // for groups that an earlier step requested too
+	var repeated time.Duration // for groups that an earlier step requested too
 	var others []time.Duration
 	missing := min(sr.step.Groups, len(sr.list)) - len(sr.list)
 	for _, gr := range sr.list {
@@ -77,17 +77,17 @@
 		}
 		missing++
 		if took := ta.groupTime(gr, now); gr.again {
-			must = max(must, took)
+			repeated = max(repeated, took)
 			missing--
 		} else {
 			others = append(others, took)
 		}
 	}
 	if missing <= 0 || len(others) == 0 {
-		return must
+		return repeated
 	}
 	slices.Sort(others)
-	return max(must, others[min(missing, len(others))-1])
+	return max(repeated, others[min(missing, len(others))-1])
 }
 
 // groupTime returns the expected time until all open items of a group end.
@@ -124,15 +124,15 @@
 // satisfied reports whether all groups that the trainer waits for are complete: as many as it requested, including
 // all that an earlier step requested too.
 func (sr *stepRow) satisfied() bool {
-	whole := 0
+	completeGroups := 0
 	for _, gr := range sr.groups {
 		if gr.left == 0 {
-			whole++
+			completeGroups++
 		} else if gr.again {
 			return false
 		}
 	}
-	return whole >= min(sr.step.Groups, len(sr.groups))
+	return completeGroups >= min(sr.step.Groups, len(sr.groups))
 }
 
 // maxJoinWait bounds how long an answer waits for results of its step that are being written. Without them, the
@@ -150,7 +150,7 @@
 // addRead registers a read that waits for results of the step, until release is called.
 //
 // A trainer that reads on after its target was listed waits for more: for groups of an earlier step, which a new
-// scheduler has no record of. Clearing served makes their results be listed in time.
+// scheduler has no record of. Clearing served ensures that their results are listed in time.
 func (sr *stepRow) addRead(now time.Time, wait time.Duration) (release func(now time.Time)) {
 	rd := &listing.Read{Begun: now, Wait: wait}
 	sr.reads, sr.readAt, sr.served = append(sr.reads, rd), now, false
@@ -171,28 +171,28 @@
 // pendingChunks returns a step's unlisted results, in up to limit chunks. Results of complete groups come first. For
 // listing.Final they come alone, to make the trainer's last answer smaller.
 func (sr *stepRow) pendingChunks(why listing.Reason, limit int) []Chunk {
-	var whole, rest []*itemRow
+	var first, rest []*itemRow
 	for _, ir := range sr.items {
 		switch {
 		case ir.listed || ir.open():
 		case sr.groups[ir.item.Group].left == 0:
-			whole = append(whole, ir)
+			first = append(first, ir)
 		default:
 			rest = append(rest, ir)
 		}
 	}
 	if why != listing.Final {
-		whole = append(whole, rest...)
+		first = append(first, rest...)
 	}
 	var chunks []Chunk
-	for len(whole) > 0 && len(chunks) < limit {
-		count := countFitting(whole)
+	for len(first) > 0 && len(chunks) < limit {
+		count := countFitting(first)
 		ch := Chunk{Number: sr.chunks + len(chunks), Step: sr.step.ID}
-		for _, ir := range whole[:count] {
+		for _, ir := range first[:count] {
 			ch.Results = append(ch.Results, ir.result())
 		}
 		chunks = append(chunks, ch)
-		whole = whole[count:]
+		first = first[count:]
 	}
 	return chunks
 }
@@ -251,13 +251,13 @@
 	sr.counts = append(sr.counts, len(ch.Results))
 	sr.listedAt, sr.writtenAt = now, time.Time{}
 	sr.served = sr.served || sr.why == listing.Final
-	positions := map[string]bool{}
+	itemIDs := map[string]bool{}
 	for _, re := range ch.Results {
-		positions[re.Item] = true
+		itemIDs[re.Item] = true
 	}
 	all, reads := true, len(sr.reads)
 	for _, ir := range sr.items {
-		if positions[ir.item.ID] {
+		if itemIDs[ir.item.ID] {
 			ir.listed = true
 			ta.forgetRun(ir)
 		}
--- a/step/listing_test.go
+++ b/step/listing_test.go
@@ -25,14 +25,14 @@
 		listedAt time.Duration // time of the last write, from the start of the step
 		due      bool
 	}{
-		{"nothing is whole", 3, 0, 0, 0, 0, false},
-		{"the first ones wait for others", 3, 1, 0, 75 * time.Millisecond, 0, false},
-		{"the first ones have waited", 3, 1, 0, 150 * time.Millisecond, 0, true},
+		{"nothing is complete", 3, 0, 0, 0, 0, false},
+		{"first results wait for more", 3, 1, 0, 75 * time.Millisecond, 0, false},
+		{"first results have waited", 3, 1, 0, 150 * time.Millisecond, 0, true},
 		{"too soon after the last write", 3, 1, 0, second, 9 * second, false},
 		{"long after the last write", 3, 1, 0, second, 8 * second, true},
-		{"the trainer waits for no more", 2, 2, 0, 0, 10 * second, true},
-		{"a group comes again and is missing", 2, 2, 1, 0, 10 * second, false},
-		{"all are whole", 3, 3, 1, 0, 10 * second, true},
+		{"target is complete", 2, 2, 0, 0, 10 * second, true},
+		{"a repeated group is missing", 2, 2, 1, 0, 10 * second, false},
+		{"all groups are complete", 3, 3, 1, 0, 10 * second, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := begin.Add(10 * second)
@@ -67,7 +67,7 @@
 	return ta, ta.steps["s"]
 }
 
-func TestOneListingForARead(t *testing.T) {
+func TestSingleListingPerRead(t *testing.T) {
 	// Guards against a second listing for a read that has been answered but not yet removed by its own goroutine.
 	ta, sr := twoLarge(t, begin)
 	release := sr.addRead(begin, time.Second)
@@ -81,7 +81,7 @@
 	release(late)
 }
 
-func TestReadJoinsWhatIsWritten(t *testing.T) {
+func TestReadWaitsForPendingWrite(t *testing.T) {
 	// Guards against a read returning some results while the last ones are being written: the trainer would have to
 	// read again.
 	for _, tc := range []struct {
@@ -98,7 +98,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ta, sr := twoLarge(t, time.Now())
-				sc := &Scheduler{Log: quiet(), term: &term{ready: true, table: ta}}
+				sc := &Scheduler{Log: discardLog(), term: &term{ready: true, table: ta}}
 				sr.addRead(time.Now().Add(-950*time.Millisecond), time.Second)
 				ta.ChunksListed(ta.DueChunks(time.Now()), time.Now())
 				end(ta, t, "s", 1, runner.Complete, events(1, 1, 1), time.Now())
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestLastItemsAreWatched(t *testing.T) {
+func TestEndsOfLastItemsAreAwaited(t *testing.T) {
 	// When a step waits for its last items, only the attendants that run them are asked to report their ends at once.
 	ta, sr := twoLarge(t, begin)
 	rq, _ := ta.Request("a")
@@ -133,17 +133,17 @@
 	ta.DueChunks(begin)
 	assert.Assert(t, sr.ending)
 	rq, _ = ta.Request("a")
-	assert.Equal(t, rq.Await, time.Duration(0), "the run is not known to have begun")
+	assert.Equal(t, rq.Await, time.Duration(0), "the run is not confirmed")
 	sr.items[1].run.confirmed = true
 	rq, _ = ta.Request("a")
 	assert.Equal(t, rq.Await, maxAwait)
 	sr.served = true
 	ta.DueChunks(begin)
 	rq, _ = ta.Request("a")
-	assert.Equal(t, rq.Await, time.Duration(0), "the trainer has what it waits for")
+	assert.Equal(t, rq.Await, time.Duration(0), "the target is listed")
 }
 
-func TestTrainerThatReadsOn(t *testing.T) {
+func TestTrainerReadsBeyondTarget(t *testing.T) {
 	// Guards against late listing after a failover: a trainer that reads on after its target was listed waits for a
 	// group of an earlier step, which the new scheduler has no record of.
 	now := begin
@@ -164,7 +164,7 @@
 	assert.Equal(t, len(ta.steps["s"].results), 3)
 }
 
-func TestEndOfItemsThatAreScored(t *testing.T) {
+func TestExpectedEndWhileScoring(t *testing.T) {
 	// The expected remaining time of an item that waits for its score is the usual time of a reward call.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
@@ -175,7 +175,7 @@
 	assert.Equal(t, ta.endsIn(sr, begin), defaultRewardTime)
 }
 
-func TestWhatEndsStepsIsListedFirst(t *testing.T) {
+func TestFinalResultsAreListedFirst(t *testing.T) {
 	// Guards against the final results of a step sharing a write with megabytes of another step that is not complete.
 	ta := tableOf(t, 1, "a", "b", "c")
 	ta.Accept(stepOf("large", 3), StoredStep{}, false, begin)
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -19,7 +19,7 @@
 	size     int
 	trainers int // 0 means one
 	sheet    simSheet
-	lesson   time.Duration // training time between steps; 0 means half a second
+	training time.Duration // training time between steps; 0 means half a second
 	short    int           // groups of an additional trainer with short items
 	wide     int           // groups, of 16 items each, of another additional trainer
 	each     func(re *replay, at time.Duration)
@@ -41,7 +41,7 @@
 		trainers = append(trainers, newTrainer(shortSheet, "short", pa.short, 16, 500*time.Millisecond, seed+50))
 	}
 	for i := range max(pa.trainers, 1) {
-		trainers = append(trainers, newTrainer(pa.sheet, fmt.Sprintf("model-%d", i), pa.groups, pa.size, max(pa.lesson, 500*time.Millisecond), seed+uint64(100*i)))
+		trainers = append(trainers, newTrainer(pa.sheet, fmt.Sprintf("model-%d", i), pa.groups, pa.size, max(pa.training, 500*time.Millisecond), seed+uint64(100*i)))
 	}
 	if pa.wide > 0 {
 		trainers = append(trainers, newTrainer(pa.sheet, "wide", pa.wide, 16, 500*time.Millisecond, seed+70))
@@ -118,7 +118,7 @@
 				}
 			},
 		},
-		{name: "four trainers share 46 engines", factors: factors(46), groups: 9, size: 16, trainers: 4, lesson: time.Second, sheet: grownSheet},
+		{name: "four trainers share 46 engines", factors: factors(46), groups: 9, size: 16, trainers: 4, training: time.Second, sheet: grownSheet},
 		{
 			name: "four trainers, little memory, slow engines", factors: mixedFactors(50), groups: 22, size: 8, trainers: 4,
 			sheet: tightSheet,
@@ -129,7 +129,7 @@
 		},
 		{
 			name: "four trainers, nine engines turn 3.6 times slower", factors: factors(46), groups: 9, size: 16, trainers: 4,
-			lesson: time.Second, sheet: grownSheet,
+			training: time.Second, sheet: grownSheet,
 			each: func(re *replay, at time.Duration) {
 				for _, se := range re.engines[:9] {
 					se.factor = 1
@@ -142,17 +142,17 @@
 	}
 }
 
-// dayLength is the simulated time of a replay: eight scheduled steps and the run time of the last one.
-const dayLength = 36 * time.Second
+// replayTime is the simulated time of a replay: eight scheduled steps and the run time of the last one.
+const replayTime = 36 * time.Second
 
 // seeds is the number of random seeds that each workload is replayed with.
 var seeds = flag.Int("load-seeds", 4, "seeds of each load that is replayed")
 
 // An outcome holds the results of a workload under a policy.
 type outcome struct {
-	asked, scheduled int // steps started, and steps planned
-	inTime, owed     int // groups completed in time, and groups wanted
-	took, tails      []time.Duration
+	started, scheduled int // steps started, and steps planned
+	inTime, wanted     int // groups completed in time, and groups wanted
+	took, tails        []time.Duration
 }
 
 // run replays the pattern with one seed.
@@ -166,19 +166,19 @@
 		re.baseline = true
 		re.table.rank = func(en *engineRow, _ *itemRow, _ time.Time) float64 { return float64(en.freeSlots()) }
 	}
-	re.play(dayLength, func(at time.Duration) {
+	re.play(replayTime, func(at time.Duration) {
 		if pa.each != nil {
 			pa.each(re, at)
 		}
 	})
 	var oc outcome
 	for _, tr := range re.trainers {
-		steps := int(dayLength / tr.every)
+		steps := int(replayTime / tr.every)
 		oc.took = append(oc.took, tr.took...)
 		oc.tails = append(oc.tails, tr.tails...)
 		oc.inTime += tr.inTime
-		oc.owed += steps * tr.target
-		oc.asked += tr.next
+		oc.wanted += steps * tr.target
+		oc.started += tr.next
 		oc.scheduled += steps
 	}
 	return oc
@@ -194,15 +194,15 @@
 	wg.Wait()
 	var all outcome
 	for _, oc := range outcomes {
-		all.asked += oc.asked
+		all.started += oc.started
 		all.scheduled += oc.scheduled
 		all.inTime += oc.inTime
-		all.owed += oc.owed
+		all.wanted += oc.wanted
 		all.took = append(all.took, oc.took...)
 		all.tails = append(all.tails, oc.tails...)
 	}
-	return fmt.Sprintf("%-50s %-9s %8.3f %7.3f %7d %7.2fs %7.2fs\n", pa.name, po, float64(all.inTime)/float64(all.owed),
-		float64(all.asked)/float64(all.scheduled), len(all.took), mean(all.took).Seconds(), mean(all.tails).Seconds())
+	return fmt.Sprintf("%-50s %-9s %8.3f %7.3f %7d %7.2fs %7.2fs\n", pa.name, po, float64(all.inTime)/float64(all.wanted),
+		float64(all.started)/float64(all.scheduled), len(all.took), mean(all.took).Seconds(), mean(all.tails).Seconds())
 }
 
 // TestLoad replays peak workloads and compares the results of the production policy, of a baseline, and of an upper
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -27,9 +27,9 @@
 	if total.Waiting == 0 {
 		return
 	}
-	places, troubled := 0, 0
+	slots, troubled := 0, 0
 	for _, en := range ta.sorted {
-		places += en.slots
+		slots += en.slots
 		if st := ta.engineState(en, now); st != overview.Serving && st != overview.Loading {
 			troubled++
 		}
@@ -38,7 +38,7 @@
 		return cmp.Or(cmp.Compare(loads[b].items.Waiting, loads[a].items.Waiting), cmp.Compare(a, b))
 	})
 	ta.log("load", map[string]any{
-		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItemCount(), "open": len(ta.order), "places": places,
+		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItemCount(), "open": len(ta.order), "places": slots,
 		"running": total.Running, "store-heard-ms": storeHeard.Milliseconds(), "troubled": troubled, "waiting": total.Waiting,
 	})
 	for _, name := range names[:min(len(names), maxLoadLines)] {
--- a/step/mark.go
+++ b/step/mark.go
@@ -39,8 +39,8 @@
 }
 
 // Stored returns the stored progress of an open step, without results if all chunks have a mark.
-func (ke *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
-	ch, err := ke.Client.Scan(ctx, checkpointPrefix+id+"/")
+func (sto *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
+	ch, err := sto.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
 		return StoredStep{}, err
 	}
@@ -50,7 +50,7 @@
 	}
 	if gapless {
 		// A chunk without a mark was written by an earlier release.
-		_, err := ke.Client.Get(ctx, listedKey(id, len(kept.Marked)))
+		_, err := sto.Client.Get(ctx, listedKey(id, len(kept.Marked)))
 		if errors.Is(err, keyvalue.ErrNotFound) {
 			return kept, nil
 		}
@@ -59,7 +59,7 @@
 		}
 	}
 	kept.Marked = nil
-	kept.Listed, err = ke.Chunks(ctx, id)
+	kept.Listed, err = sto.Chunks(ctx, id)
 	return kept, err
 }
 
@@ -133,7 +133,7 @@
 		number, first, _ := findChunk(counts, at)
 		chunk, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 		if err != nil {
-			return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
+			return Listing{}, errors.Wrapf(ErrUndetermined, "%v", err)
 		}
 		for _, re := range chunk[min(at-first, len(chunk)):] {
 			size += len(re.Text)
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -103,7 +103,7 @@
 				ta := NewTable(2, nil)
 				ta.Accept(stepOf("s", 5), kept, false, begin)
 				te := &term{epoch: 2, ready: true, table: ta}
-				sc := &Scheduler{Keeper: ke, Keep: time.Hour, Log: quiet(), term: te}
+				sc := &Scheduler{Keeper: ke, Keep: time.Hour, Log: discardLog(), term: te}
 				check := func(count int) {
 					t.Helper()
 					for after := range count + 1 {
--- a/step/memory.go
+++ b/step/memory.go
@@ -11,7 +11,7 @@
 	valid             bool
 }
 
-// tokenUse returns how many tokens an item tokenUse now, and is expected to hold at its end.
+// tokenUse returns how many tokens an item holds now, and is expected to hold at its end.
 func (ir *itemRow) tokenUse() (now, end int) {
 	now = ir.tokensNow()
 	return now, now + ir.remainingTokens()
@@ -24,7 +24,7 @@
 
 // memoryUse returns how many tokens an engine holds now, and would hold if all of its runs reached their expected
 // ends. It includes items that move here; otherwise several could arrive at once and be evicted again for lack of
-// memoryUse.
+// memory.
 func (en *engineRow) memoryUse() (now, end int) {
 	en.refreshMemo()
 	return max(en.memo.now, en.report.Tokens) + en.memo.coming, en.memo.end + en.memo.comingEnd
@@ -48,17 +48,17 @@
 }
 
 // add adds a run to the sums if sign is 1. If sign is -1, it subtracts the run, before the run changes.
-func (me *memoryMemo) add(ir *itemRow, times int) {
+func (me *memoryMemo) add(ir *itemRow, sign int) {
 	now, end := ir.tokenUse()
-	me.now, me.end = me.now+times*now, me.end+times*end
-	me.rate += float64(times) * ir.endRate()
+	me.now, me.end = me.now+sign*now, me.end+sign*end
+	me.rate += float64(sign) * ir.endRate()
 	me.endsSoon = expectedEnd(me.rate) <= sendAheadTime
 }
 
 // adjustMemo adds or subtracts one of the engine's runs, see memoryMemo.add, if the memo is valid.
-func (en *engineRow) adjustMemo(ir *itemRow, times int) {
+func (en *engineRow) adjustMemo(ir *itemRow, sign int) {
 	if en.memo.valid && en.memo.gauges == en.gauges.count() {
-		en.memo.add(ir, times)
+		en.memo.add(ir, sign)
 	}
 }
 
--- a/step/outage_test.go
+++ b/step/outage_test.go
@@ -17,8 +17,8 @@
 	"wisteriacroft/runner"
 )
 
-// swallowing returns a client whose calls hang until their context ends while silent is set.
-func swallowing(me *keyvalue.Memory, silent *atomic.Bool) *keyvalue.Client {
+// hangingClient returns a client whose calls hang until their context ends while silent is set.
+func hangingClient(me *keyvalue.Memory, silent *atomic.Bool) *keyvalue.Client {
 	cl := me.Client()
 	follow, transact := cl.FollowFunc, cl.TransactFunc
 	get, grant, keep, put := cl.GetFunc, cl.GrantFunc, cl.KeepAliveFunc, cl.PutFunc
@@ -67,11 +67,11 @@
 
 func schedulerOf(cl *keyvalue.Client) *Scheduler {
 	return &Scheduler{
-		Directory: &directory.Directory{}, Keeper: &Store{Client: cl}, Log: quiet(), Metrics: metrics.NewSet(),
+		Directory: &directory.Directory{}, Keeper: &Store{Client: cl}, Log: discardLog(), Metrics: metrics.NewSet(),
 	}
 }
 
-func TestStepsAfterASilentOutage(t *testing.T) {
+func TestStepsAfterOutage(t *testing.T) {
 	// Guards against a call from before the end of an outage, which is never answered, delaying the steps that are
 	// accepted right after it until the call times out.
 	for offset := range 5 {
@@ -79,7 +79,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var me keyvalue.Memory
 			var silent atomic.Bool
-			sc := schedulerOf(swallowing(&me, &silent))
+			sc := schedulerOf(hangingClient(&me, &silent))
 			te := &term{table: NewTable(1, nil)}
 			sc.term = te
 			go sc.follow(ctx, te)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestResultsAfterASilentOutage(t *testing.T) {
+func TestResultsAfterOutage(t *testing.T) {
 	// Guards against an unanswered write delaying the listing of results after an outage, until it times out and its
 	// retry pause is over, although another call has succeeded.
 	for offset := range 8 {
@@ -147,7 +147,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var me keyvalue.Memory
 			var silent atomic.Bool
-			cl := swallowing(&me, &silent)
+			cl := hangingClient(&me, &silent)
 			var answered atomic.Int64 // time of the first answer after the outage, in Unix nanoseconds
 			follow := cl.FollowFunc
 			cl.FollowFunc = func(ctx context.Context, prefix string, after int64, wait time.Duration) (keyvalue.Changes, error) {
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestResultsAfterALapse(t *testing.T) {
+func TestResultsAfterLeaseExpiry(t *testing.T) {
 	// Guards against a full restart of the scheduler, which drops its readers and delays listing, when its lease
 	// expires in an outage and no other process acquires it.
 	for offset := range 12 {
@@ -198,7 +198,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var me keyvalue.Memory
 			var silent atomic.Bool
-			sc := schedulerOf(swallowing(&me, &silent))
+			sc := schedulerOf(hangingClient(&me, &silent))
 			sc.Holder = &lease.Holder{
 				Client: sc.Keeper.Client, Follow: true, Name: "name", Owner: "owner", ProbeEvery: 100 * time.Millisecond, TTL: 2 * time.Second,
 			}
--- a/step/overview.go
+++ b/step/overview.go
@@ -19,16 +19,16 @@
 // delay placement.
 func (sc *Scheduler) overview(_ context.Context, rq OverviewRequest) (overview.Overview, error) {
 	begun := time.Now()
-	si, err := sc.snapshot(begun)
+	sn, err := sc.snapshot(begun)
 	if err != nil {
 		return overview.Overview{}, err
 	}
 	copied := time.Since(begun)
-	ov := overview.Summarize(si, rq.Rows)
+	ov := overview.Summarize(sn, rq.Rows)
 	sc.Metrics.GetOrCreateHistogram(`wisteriacroft_overview_seconds`).UpdateDuration(begun)
 	sc.Log.WithFields(logrus.Fields{
-		"copied-us": copied.Microseconds(), "engines": len(si.Engines), "steps": len(si.Steps), "us": time.Since(begun).Microseconds(),
-	}).Info("overview of the load")
+		"copied-us": copied.Microseconds(), "engines": len(sn.Engines), "steps": len(sn.Steps), "us": time.Since(begun).Microseconds(),
+	}).Info("overview made")
 	return ov, nil
 }
 
@@ -45,17 +45,17 @@
 
 // Snapshot returns the input of an overview of the load. The key-value service last answered storeHeard ago.
 func (ta *Table) Snapshot(storeHeard time.Duration, now time.Time) overview.Snapshot {
-	si := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
+	sn := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
 	paces := map[string]time.Duration{} // time per event at each engine under its present runs
 	for _, en := range ta.sorted {
-		si.Engines = append(si.Engines, ta.engineLoad(en, now))
+		sn.Engines = append(sn.Engines, ta.engineLoad(en, now))
 		paces[en.id] = ta.expectedPace(en, nil)
 	}
-	away := storeHeard >= intakeWait+intakeSlack
+	storeAway := storeHeard >= intakeWait+intakeSlack
 	for _, sr := range ta.order {
-		si.Steps = append(si.Steps, ta.stepLoad(sr, paces, away, now))
+		sn.Steps = append(sn.Steps, ta.stepLoad(sr, paces, storeAway, now))
 	}
-	return si
+	return sn
 }
 
 // customerShares returns the recent share and the rank of each customer.
@@ -112,7 +112,7 @@
 }
 
 // stepLoad returns the load of a step.
-func (ta *Table) stepLoad(sr *stepRow, paces map[string]time.Duration, away bool, now time.Time) overview.StepRow {
+func (ta *Table) stepLoad(sr *stepRow, paces map[string]time.Duration, storeAway bool, now time.Time) overview.StepRow {
 	st := sr.step
 	_, held := ta.holds.Step(st.ID, st.Customer)
 	lo := overview.StepRow{Service: st.Service, Step: overview.Step{
@@ -139,7 +139,7 @@
 			continue
 		}
 		if ir.state == waiting && wait == "" {
-			wait = ta.engineWaitReason(ir, away)
+			wait = ta.engineWaitReason(ir, storeAway)
 		}
 		lo.Open = append(lo.Open, ta.itemLoad(ir, paces, wait, now))
 	}
@@ -216,8 +216,8 @@
 
 // engineWaitReason returns the condition of the engines that prevents an item's placement, for the engine that is
 // closest to accepting it. It is the same for all items of a step, unless each is bound to one version.
-func (ta *Table) engineWaitReason(ir *itemRow, away bool) overview.Reason {
-	if away {
+func (ta *Table) engineWaitReason(ir *itemRow, storeAway bool) overview.Reason {
+	if storeAway {
 		return overview.StoreAway
 	}
 	found, wait := 0, overview.NoEngine
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -13,15 +13,15 @@
 	"wisteriacroft/runner"
 )
 
-// TestWhatItemsWaitFor checks the reason that an overview gives for each condition that prevents placement.
-func TestWhatItemsWaitFor(t *testing.T) {
+// TestWaitReasons checks the reason that an overview gives for each condition that prevents placement.
+func TestWaitReasons(t *testing.T) {
 	for name, tc := range map[string]struct {
 		prepare func(ta *Table, st *Step)
 		away    time.Duration // time since the last answer of the key-value service
 		want    overview.Reason
 	}{
 		"free":                     {func(*Table, *Step) {}, 0, overview.ToBePlaced},
-		"service away":             {func(*Table, *Step) {}, time.Minute, overview.StoreAway},
+		"key-value service away":   {func(*Table, *Step) {}, time.Minute, overview.StoreAway},
 		"no engine of the service": {func(_ *Table, st *Step) { st.Service = "other" }, 0, overview.NoEngine},
 		"version":                  {func(_ *Table, st *Step) { st.MinVersion = 2 }, 0, overview.NoVersion},
 		"leaving":                  {func(ta *Table, _ *Step) { ta.engines["a"].leaving = true }, 0, overview.NoneServes},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestItemThatOthersGoBefore(t *testing.T) {
+func TestHeldBackItem(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	si := ta.Snapshot(0, begin.Add(maxPlacingDelay+1))
@@ -87,14 +87,14 @@
 	assert.Equal(t, got.Age, 2*time.Second)
 	assert.DeepEqual(t, got.Items, overview.Items{Listed: 2, Running: 2, Waiting: 2, Whole: 2})
 	assert.Equal(t, ov.Customers[0].Part, 1.0)
-	assert.Equal(t, ov.Customers[0].Had, 0.0, "nothing was counted yet")
+	assert.Equal(t, ov.Customers[0].Had, 0.0, "nothing is counted yet")
 	ta.ChargeUsage(now)
 	ta.ChargeUsage(now.Add(time.Second))
 	ov = overview.Summarize(ta.Snapshot(0, now.Add(time.Second)), 0)
 	assert.Equal(t, ov.Customers[0].Had, 1.0)
 	assert.Equal(t, ov.Customers[0].Name, "bakery")
 	assert.Equal(t, len(ov.Engines), 2)
-	assert.Equal(t, ov.Engines[0].State, overview.Silent, "nothing was heard for two seconds")
+	assert.Equal(t, ov.Engines[0].State, overview.Silent, "no response for two seconds")
 }
 
 func TestLoadIsLogged(t *testing.T) {
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -15,34 +15,34 @@
 	return runner.ExchangeResponse{Report: runner.Report{Incarnation: born, Versions: map[string]uint64{"model": version}}}
 }
 
-// enter updates the table with an engine's directory entry.
-func enter(ta *Table, born incarnation.Number, version uint64) {
+// setEntry updates the table with an engine's directory entry.
+func setEntry(ta *Table, born incarnation.Number, version uint64) {
 	ta.SetEngines([]EngineInfo{{
 		ID: "a", Incarnation: born, Service: "service", Slots: 2, Versions: map[string]uint64{"model": version},
 	}}, begin)
 }
 
-func TestEngineIsBornAgain(t *testing.T) {
+func TestEngineRestartsUnderSameID(t *testing.T) {
 	// Guards against state of an engine's former process, such as slow, replaced or loaded versions, being applied to
 	// its restart under the same ID, whatever the order of directory entries and reports.
 	for _, tc := range []struct {
 		name string
 		tell func(ta *Table)
 	}{
-		{"the report tells first", func(ta *Table) { hear(ta, "a", reportOf(20, 2), begin) }},
-		{"the entry tells first", func(ta *Table) { enter(ta, 20, 2) }},
-		{"an old report comes after", func(ta *Table) {
-			enter(ta, 20, 2)
+		{"report arrives first", func(ta *Table) { hear(ta, "a", reportOf(20, 2), begin) }},
+		{"entry arrives first", func(ta *Table) { setEntry(ta, 20, 2) }},
+		{"old report arrives later", func(ta *Table) {
+			setEntry(ta, 20, 2)
 			hear(ta, "a", reportOf(10, 5), begin)
 		}},
-		{"an old entry comes after", func(ta *Table) {
+		{"old entry arrives later", func(ta *Table) {
 			hear(ta, "a", reportOf(20, 2), begin)
-			enter(ta, 10, 5)
+			setEntry(ta, 10, 5)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := NewTable(1, nil)
-			enter(ta, 10, 5)
+			setEntry(ta, 10, 5)
 			hear(ta, "a", reportOf(10, 5), begin)
 			en := ta.engines["a"]
 			en.gone, en.failed, en.slowAt, en.base = true, begin, begin, time.Second
@@ -54,34 +54,34 @@
 	}
 }
 
-func TestStartThatIsNotKnown(t *testing.T) {
+func TestUnknownIncarnation(t *testing.T) {
 	// A report or directory entry without an incarnation doesn't reset the state of the engine.
 	ta := NewTable(1, nil)
-	enter(ta, 10, 5)
+	setEntry(ta, 10, 5)
 	hear(ta, "a", reportOf(10, 5), begin)
 	en := ta.engines["a"]
 	en.slowAt = begin
 	hear(ta, "a", reportOf(0, 6), begin)
-	enter(ta, 0, 5)
+	setEntry(ta, 0, 5)
 	assert.Assert(t, en.slow(begin))
 	assert.Equal(t, en.born, incarnation.Number(10))
-	assert.Equal(t, en.versions["model"], uint64(6), "what the engine says counts, not its entry")
+	assert.Equal(t, en.versions["model"], uint64(6), "reports take precedence over entries")
 }
 
-func TestRunsOfAFormerStart(t *testing.T) {
+func TestRunsOfFormerIncarnation(t *testing.T) {
 	// Guards against an item being stuck on an engine that restarted and whose attendant never responds again.
 	ta := NewTable(1, nil)
-	enter(ta, 10, 1)
+	setEntry(ta, 10, 1)
 	hear(ta, "a", reportOf(10, 1), begin)
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
-	enter(ta, 20, 1)
+	setEntry(ta, 20, 1)
 	ta.EvictSilent(begin.Add(responseTimeout + time.Millisecond))
 	assert.Equal(t, ta.steps["s"].items[0].state, waiting)
 }
 
-func TestEngineMovesUnderItsID(t *testing.T) {
+func TestEngineRestartsAtOtherAddress(t *testing.T) {
 	// After a restart at another address, exchanges use the new address.
 	ta := NewTable(1, nil)
 	ta.SetEngines([]EngineInfo{{Address: "one", ID: "a", Incarnation: 10}}, begin)
--- a/step/revival.go
+++ b/step/revival.go
@@ -15,23 +15,23 @@
 	back chan struct{} // closed on recovery
 }
 
-// recovered returns a channel that is closed at the recovered recovery.
-func (re *recoverySignal) recovered() <-chan struct{} {
-	re.mu.Lock()
-	defer re.mu.Unlock()
-	if re.back == nil {
-		re.back = make(chan struct{})
+// recovered returns a channel that is closed at the next recovery.
+func (rs *recoverySignal) recovered() <-chan struct{} {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if rs.back == nil {
+		rs.back = make(chan struct{})
 	}
-	return re.back
+	return rs.back
 }
 
 // notify wakes all waiting callers.
-func (re *recoverySignal) notify() {
-	re.mu.Lock()
-	defer re.mu.Unlock()
-	if re.back != nil {
-		close(re.back)
-		re.back = nil
+func (rs *recoverySignal) notify() {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if rs.back != nil {
+		close(rs.back)
+		rs.back = nil
 	}
 }
 
@@ -41,9 +41,9 @@
 
 // callContext returns a context for one call, which is canceled when another call finds that the service has
 // recovered.
-func (re *recoverySignal) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
+func (rs *recoverySignal) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	begun, back := time.Now(), re.recovered()
+	begun, back := time.Now(), rs.recovered()
 	go func() {
 		for {
 			select {
@@ -55,14 +55,14 @@
 				cancel()
 				return
 			}
-			back = re.recovered()
+			back = rs.recovered()
 		}
 	}()
 	return ctx, cancel
 }
 
 // pause waits for the pause after a lost call, or until back is closed.
-func (re *recoverySignal) pause(ctx context.Context, back <-chan struct{}) {
+func (rs *recoverySignal) pause(ctx context.Context, back <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-back:
--- a/step/revival_test.go
+++ b/step/revival_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCallsAreNotBrokenOffInTurns(t *testing.T) {
+func TestCallersDoNotCancelEachOther(t *testing.T) {
 	// Guards against a livelock in which two callers cancel each other's new calls: only calls older than
 	// swallowedAfter are canceled.
 	synctest.Test(t, func(t *testing.T) {
@@ -24,7 +24,7 @@
 		time.Sleep(minCancelAge)
 		re.notify()
 		synctest.Wait()
-		assert.Assert(t, young.Err() != nil, "it has grown old")
+		assert.Assert(t, young.Err() != nil, "it has reached minCancelAge")
 		cancelYoung()
 		synctest.Wait()
 	})
--- a/step/reward.go
+++ b/step/reward.go
@@ -15,7 +15,7 @@
 	maxRewardShare = 0.5
 	// minRewardPause and maxRewardPause bound the pause before an unanswered call is retried. It doubles with each
 	// attempt.
-	rewardPause    = 100 * time.Millisecond
+	minRewardPause = 100 * time.Millisecond
 	maxRewardPause = time.Second
 	// defaultRewardTime is the expected time from a complete text to its score while no score has been received.
 	defaultRewardTime = 100 * time.Millisecond
@@ -54,20 +54,20 @@
 // A rewardEstimator estimates the time from a complete text to its score. The zero value has no samples.
 type rewardEstimator struct{ mean time.Duration }
 
-func (ga *rewardEstimator) observe(took time.Duration) {
-	if ga.mean == 0 {
-		ga.mean = took
+func (es *rewardEstimator) observe(took time.Duration) {
+	if es.mean == 0 {
+		es.mean = took
 		return
 	}
-	ga.mean += time.Duration(rewardTimeWeight * float64(took-ga.mean))
+	es.mean += time.Duration(rewardTimeWeight * float64(took-es.mean))
 }
 
 // expected returns the expected time from a complete text to its score.
-func (ga *rewardEstimator) expected() time.Duration {
-	if ga == nil || ga.mean == 0 {
+func (es *rewardEstimator) expected() time.Duration {
+	if es == nil || es.mean == 0 {
 		return defaultRewardTime
 	}
-	return ga.mean
+	return es.mean
 }
 
 // A plainService is the service that the current route of a reward call leads to.
@@ -161,8 +161,8 @@
 		ta.finish(ir, complete, now)
 	case ir.reward.failures >= max(ir.step.step.MaxAttempts, re.MaxAttempts, 1):
 		ta.releaseRun(ir)
-		ta.markLost(ir, "its reward call failed too often", now)
+		ta.markLost(ir, "reward call failed too often", now)
 	default:
-		ir.reward.nextAt = now.Add(max(re.HeldFor, min(rewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
+		ir.reward.nextAt = now.Add(max(re.HeldFor, min(minRewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
 	}
 }
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -13,7 +13,7 @@
 	"wisteriacroft/runner"
 )
 
-var errSilent = errors.New("no whole answer")
+var errNoAnswer = errors.New("no whole answer")
 
 // scored adds a reward call to each item of a step.
 func scored(st *Step) *Step {
@@ -23,13 +23,13 @@
 	return st
 }
 
-// at returns a locate function that maps all calls to one service.
-func at(places int) func(*forward.Call) plainService {
+// oneService returns a locate function that maps all calls to one service.
+func oneService(places int) func(*forward.Call) plainService {
 	return func(*forward.Call) plainService { return plainService{name: "desk", places: places} }
 }
 
-// wholeTexts returns a table with a step whose texts are all complete.
-func wholeTexts(t *testing.T, st *Step) *Table {
+// completeTexts returns a table with a step whose texts are all complete.
+func completeTexts(t *testing.T, st *Step) *Table {
 	t.Helper()
 	ta := tableOf(t, 1, "a")
 	ta.Accept(st, StoredStep{}, false, begin)
@@ -40,11 +40,11 @@
 	return ta
 }
 
-func signed(ir *itemRow) forward.Response {
+func scoredResponse(ir *itemRow) forward.Response {
 	return forward.Response{MaxAttempts: 2, Signature: "mark of " + ir.item.Reward.ID, Status: 200}
 }
 
-func listed(ta *Table, now time.Time) []Result {
+func dueResults(ta *Table, now time.Time) []Result {
 	var res []Result
 	for _, ch := range ta.DueChunks(now) {
 		res = append(res, ch.Results...)
@@ -54,22 +54,22 @@
 
 func TestNoResultWithoutItsScore(t *testing.T) {
 	// Guards against listing a result whose text is complete but whose score is pending.
-	ta := wholeTexts(t, scored(stepOf("s", 2)))
-	irs := ta.startRewards(at(6), begin)
+	ta := completeTexts(t, scored(stepOf("s", 2)))
+	irs := ta.startRewards(oneService(6), begin)
 	assert.Equal(t, len(irs), 2)
-	assert.Equal(t, len(ta.startRewards(at(6), begin)), 0, "they are under way")
-	assert.Equal(t, len(listed(ta, begin.Add(time.Minute))), 0)
-	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
-	res := listed(ta, begin.Add(time.Minute))
+	assert.Equal(t, len(ta.startRewards(oneService(6), begin)), 0, "they are in flight")
+	assert.Equal(t, len(dueResults(ta, begin.Add(time.Minute))), 0)
+	ta.handleReward(irs[0], scoredResponse(irs[0]), time.Millisecond, begin)
+	res := dueResults(ta, begin.Add(time.Minute))
 	assert.Equal(t, len(res), 1)
 	assert.Equal(t, res[0].Score, "mark of "+irs[0].item.Reward.ID)
 	assert.Equal(t, res[0].Item, irs[0].item.ID)
 }
 
-func TestLostOnlyForFailures(t *testing.T) {
+func TestOnlyFailuresLoseItem(t *testing.T) {
 	// Guards against abandoning an item for refused or unanswered reward calls: only failures count.
 	refused := forward.Response{MaxAttempts: 3, NotRun: true}
-	silent := forward.Response{Err: errSilent, MaxAttempts: 3}
+	silent := forward.Response{Err: errNoAnswer, MaxAttempts: 3}
 	failed := forward.Response{Failures: 1, MaxAttempts: 3, Status: 500}
 	both := forward.Response{Failures: 2, MaxAttempts: 3, Status: 500}
 	for _, tc := range []struct {
@@ -77,18 +77,18 @@
 		replies []forward.Response
 		state   itemState
 	}{
-		{"never taken", []forward.Response{refused, silent, refused, silent, refused, silent}, scoring},
-		{"failed as often as its step allows, not its route", []forward.Response{failed, failed}, scoring},
-		{"failed as often as both allow", []forward.Response{failed, silent, failed, refused, failed}, lost},
-		{"failed at two endpoints, and once more", []forward.Response{both, failed}, lost},
+		{"never run", []forward.Response{refused, silent, refused, silent, refused, silent}, scoring},
+		{"failures below the route's limit", []forward.Response{failed, failed}, scoring},
+		{"failures reach both limits", []forward.Response{failed, silent, failed, refused, failed}, lost},
+		{"two failures in one reply, and one more", []forward.Response{both, failed}, lost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ta := wholeTexts(t, scored(stepOf("s", 1)))
+			ta := completeTexts(t, scored(stepOf("s", 1)))
 			now := begin
 			var ir *itemRow
 			for _, re := range tc.replies {
 				now = now.Add(maxRewardPause)
-				irs := ta.startRewards(at(6), now)
+				irs := ta.startRewards(oneService(6), now)
 				assert.Equal(t, len(irs), 1)
 				ir = irs[0]
 				ta.handleReward(ir, re, time.Millisecond, now)
@@ -98,12 +98,12 @@
 	}
 }
 
-func TestCallsPause(t *testing.T) {
+func TestRewardCallBackoff(t *testing.T) {
 	// Guards against retrying refused reward calls without backoff.
-	ta := wholeTexts(t, scored(stepOf("s", 1)))
+	ta := completeTexts(t, scored(stepOf("s", 1)))
 	calls := 0
 	for now := begin; now.Before(begin.Add(5 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		for _, ir := range ta.startRewards(at(6), now) {
+		for _, ir := range ta.startRewards(oneService(6), now) {
 			calls++
 			ta.handleReward(ir, forward.Response{NotRun: true}, time.Millisecond, now)
 		}
@@ -111,7 +111,7 @@
 	assert.Equal(t, calls, 8, "after 0.1, 0.2, 0.4 and 0.8 s, and then each second")
 }
 
-func TestCallsLeavePlacesToCallers(t *testing.T) {
+func TestRewardCallsLeaveSlotsToLiveCallers(t *testing.T) {
 	// Guards against reward calls occupying all slots of a plain service, which live callers share. The step with the
 	// least time left goes first, and within it the group with the fewest open items.
 	ta := tableOf(t, 1, "a", "b", "c", "d", "e", "f")
@@ -128,26 +128,26 @@
 	}
 	order := []string{}
 	for len(order) < 6 {
-		irs := ta.startRewards(at(6), begin)
+		irs := ta.startRewards(oneService(6), begin)
 		assert.Assert(t, len(irs) > 0 && len(irs) <= 3, "%d calls", len(irs))
 		for _, ir := range irs {
 			order = append(order, ir.step.step.ID+" "+ir.item.Group)
-			ta.handleReward(ir, signed(ir), time.Millisecond, begin)
+			ta.handleReward(ir, scoredResponse(ir), time.Millisecond, begin)
 		}
 	}
 	assert.DeepEqual(t, order, []string{"older g1", "older g1", "older g0", "older g0", "older g0", "newer g0"})
-	assert.Equal(t, len(ta.startRewards(at(1), begin)), 0)
+	assert.Equal(t, len(ta.startRewards(oneService(1), begin)), 0)
 }
 
-func TestOneCallGoesWhereNoPlaceIsKnown(t *testing.T) {
-	ta := wholeTexts(t, scored(stepOf("s", 2)))
-	assert.Equal(t, len(ta.startRewards(at(0), begin)), 1)
+func TestOneRewardCallWithoutKnownSlots(t *testing.T) {
+	ta := completeTexts(t, scored(stepOf("s", 2)))
+	assert.Equal(t, len(ta.startRewards(oneService(0), begin)), 1)
 }
 
-func TestCallWithoutRouteWaits(t *testing.T) {
+func TestRewardCallWithoutRouteWaits(t *testing.T) {
 	// Guards against abandoning an item, or flooding the log, while no route matches its reward call.
 	lines := 0
-	ta := wholeTexts(t, scored(stepOf("s", 1)))
+	ta := completeTexts(t, scored(stepOf("s", 1)))
 	ta.log = func(event string, _ map[string]any) {
 		if event == "reward call has no route" {
 			lines++
@@ -158,17 +158,17 @@
 		assert.Equal(t, len(ta.startRewards(nowhere, begin)), 0)
 	}
 	assert.Equal(t, lines, 1)
-	assert.Equal(t, len(ta.startRewards(at(6), begin)), 1)
+	assert.Equal(t, len(ta.startRewards(oneService(6), begin)), 1)
 }
 
-func TestEndEndsCalls(t *testing.T) {
+func TestNoRewardCallsAfterStepEnd(t *testing.T) {
 	// Guards against reward calls being sent, or their answers applied, after the end of their step.
-	ta := wholeTexts(t, scored(stepOf("s", 2)))
-	irs := ta.startRewards(at(2), begin)
+	ta := completeTexts(t, scored(stepOf("s", 2)))
+	irs := ta.startRewards(oneService(2), begin)
 	assert.Equal(t, len(irs), 1)
 	ta.End("s")
-	assert.Equal(t, len(ta.startRewards(at(2), begin.Add(time.Minute))), 0)
-	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin) // an answer in flight
+	assert.Equal(t, len(ta.startRewards(oneService(2), begin.Add(time.Minute))), 0)
+	ta.handleReward(irs[0], scoredResponse(irs[0]), time.Millisecond, begin) // an answer in flight
 	assert.Equal(t, irs[0].state, scoring)
 }
 
@@ -185,15 +185,15 @@
 		{"another body", 1, func(ca *forward.Call) { ca.Body = []byte("other") }, scoring},
 		{"another path", 1, func(ca *forward.Call) { ca.Path = "/other" }, scoring},
 		{"another host", 1, func(ca *forward.Call) { ca.Host = "other" }, scoring},
-		{"text is made again", 2, func(*forward.Call) {}, waiting},
+		{"text is generated again", 2, func(*forward.Call) {}, waiting},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
 			ta.Accept(scored(stepOf("s", 2)), StoredStep{}, false, begin)
 			ta.Place(begin)
 			end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
-			irs := ta.startRewards(at(6), begin)
-			ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
+			irs := ta.startRewards(oneService(6), begin)
+			ta.handleReward(irs[0], scoredResponse(irs[0]), time.Millisecond, begin)
 			ta.End("s")
 			again := scored(stepOf("s", 2))
 			again.ID, again.MinVersion = "again", tc.min
@@ -206,16 +206,16 @@
 	}
 }
 
-func TestSuccessorScoresAnew(t *testing.T) {
+func TestSuccessorRepeatsRewardCall(t *testing.T) {
 	// Guards against losing or regenerating a complete text that is not scored, or not listed, when the scheduler
 	// fails twice: the attendant holds the text, and the successor sends the reward call again.
-	for _, calls := range []string{"none", "under way", "answered"} {
+	for _, calls := range []string{"none", "in flight", "answered"} {
 		t.Run(calls, func(t *testing.T) {
-			ta := wholeTexts(t, scored(stepOf("s", 1)))
+			ta := completeTexts(t, scored(stepOf("s", 1)))
 			if calls != "none" {
-				for _, ir := range ta.startRewards(at(6), begin) {
+				for _, ir := range ta.startRewards(oneService(6), begin) {
 					if calls == "answered" {
-						ta.handleReward(ir, signed(ir), time.Millisecond, begin)
+						ta.handleReward(ir, scoredResponse(ir), time.Millisecond, begin)
 					}
 				}
 			}
@@ -231,21 +231,21 @@
 				assert.Equal(t, ir.state, scoring)
 				rq, _ := next.Request("a")
 				assert.Equal(t, len(rq.Forget), 0, "the attendant holds the text until it is listed")
-				irs := next.startRewards(at(6), begin)
+				irs := next.startRewards(oneService(6), begin)
 				assert.Equal(t, len(irs), 1)
-				next.handleReward(ir, signed(ir), time.Millisecond, begin)
-				assert.Equal(t, listed(next, begin.Add(time.Minute))[0].Score, "mark of call-s-0-0")
+				next.handleReward(ir, scoredResponse(ir), time.Millisecond, begin)
+				assert.Equal(t, dueResults(next, begin.Add(time.Minute))[0].Score, "mark of call-s-0-0")
 			}
 		})
 	}
 }
 
-func TestScoreOutlivesTheScheduler(t *testing.T) {
+func TestScoreSurvivesFailover(t *testing.T) {
 	// Guards against repeating all reward calls after a failover: attendants hold the scores until they are listed.
-	ta := wholeTexts(t, scored(stepOf("s", 1)))
-	irs := ta.startRewards(at(6), begin)
+	ta := completeTexts(t, scored(stepOf("s", 1)))
+	irs := ta.startRewards(oneService(6), begin)
 	hear(ta, "a", runner.ExchangeResponse{}, begin) // acknowledges the end
-	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
+	ta.handleReward(irs[0], scoredResponse(irs[0]), time.Millisecond, begin)
 	rq, _ := ta.Request("a")
 	key := ta.steps["s"].items[0].run.key
 	want := runner.Ack{Ended: true, Events: 3, Key: key, Score: "mark of call-s-0-0"}
@@ -260,22 +260,22 @@
 	hear(next, "a", runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 3, 1), Key: key, Score: want.Score, State: runner.Complete},
 	}}, begin)
-	assert.Equal(t, len(next.startRewards(at(6), begin)), 0)
-	assert.Equal(t, listed(next, begin.Add(time.Minute))[0].Score, want.Score)
+	assert.Equal(t, len(next.startRewards(oneService(6), begin)), 0)
+	assert.Equal(t, dueResults(next, begin.Add(time.Minute))[0].Score, want.Score)
 }
 
-func TestAttendantDiesBeforeTheScore(t *testing.T) {
+func TestAttendantLostBeforeScore(t *testing.T) {
 	// Guards against regenerating a complete text when its attendant is removed before the score arrives.
-	ta := wholeTexts(t, scored(stepOf("s", 1)))
+	ta := completeTexts(t, scored(stepOf("s", 1)))
 	ta.SetEngines(nil, begin)
-	irs := ta.startRewards(at(6), begin)
+	irs := ta.startRewards(oneService(6), begin)
 	assert.Equal(t, len(irs), 1)
-	ta.handleReward(irs[0], signed(irs[0]), time.Millisecond, begin)
-	res := listed(ta, begin.Add(time.Minute))
+	ta.handleReward(irs[0], scoredResponse(irs[0]), time.Millisecond, begin)
+	res := dueResults(ta, begin.Add(time.Minute))
 	assert.Equal(t, string(res[0].Text), "e1\ne2\ne3")
 }
 
-func TestWholeTextsAreKept(t *testing.T) {
+func TestUnscoredTextsAreCheckpointed(t *testing.T) {
 	// Guards against checkpoints that omit complete texts whose scores are pending.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(scored(stepOf("s", 1)), StoredStep{}, false, begin)
@@ -286,8 +286,8 @@
 	assert.Equal(t, len(cps[0].Partials[0].Events), minFirstEvents)
 }
 
-func TestGivenUpInTime(t *testing.T) {
-	ta := wholeTexts(t, scored(stepOf("s", 1)))
+func TestUnscoredItemExpires(t *testing.T) {
+	ta := completeTexts(t, scored(stepOf("s", 1)))
 	ta.steps["s"].step.MaxWait = 10 * time.Second
 	ta.DropExpired(begin.Add(10 * time.Second))
 	assert.Equal(t, ta.steps["s"].items[0].state, scoring)
@@ -295,7 +295,7 @@
 	assert.Equal(t, ta.steps["s"].items[0].state, lost)
 }
 
-func TestScoresTakeTime(t *testing.T) {
+func TestSlackIncludesRewardTime(t *testing.T) {
 	// Guards against ignoring the duration of the reward call in an item's slack.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 2)
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -51,7 +51,7 @@
 	return se
 }
 
-// callReward makes one callReward call.
+// callReward makes one reward call.
 func (sc *Scheduler) callReward(ctx context.Context, te *term, ir *itemRow) {
 	begun := time.Now()
 	ca := *ir.item.Reward
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -64,7 +64,7 @@
 	return []peer.Code{
 		{Err: errNotScheduler, Name: "not-scheduler"},
 		{Err: ErrUnknownStep, Name: "unknown-step"},
-		{Err: ErrUnsure, Name: "unsure"},
+		{Err: ErrUndetermined, Name: "unsure"},
 		{Err: runner.ErrOldEpoch, Name: "old-epoch"},
 	}
 }
--- a/step/sendahead_test.go
+++ b/step/sendahead_test.go
@@ -24,7 +24,7 @@
 
 // With short runs, the idle time of a slot between two runs is a considerable part of the capacity. One more item is
 // sent to a full engine when a run is about to end.
-func TestOneItemMoreIsSentAheadOfAnEnd(t *testing.T) {
+func TestItemIsSentAheadOfRunEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		hint  int
@@ -32,8 +32,8 @@
 		want  int  // items on the engine
 	}{
 		{"runs end soon", 450, false, 3},
-		{"runs last", 900, false, 2},
-		{"a small customer may come", 450, true, 2},
+		{"runs don't end soon", 900, false, 2},
+		{"a small customer competes", 450, true, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := overloaded(t, tc.hint)
@@ -60,9 +60,9 @@
 		age  time.Duration // age of the step
 		want bool
 	}{
-		{"in time where it is", 0, false},
-		{"in time elsewhere alone", 6500 * time.Millisecond, true},
-		{"late anywhere", 7500 * time.Millisecond, false},
+		{"in time on its engine", 0, false},
+		{"in time only on the other engine", 6500 * time.Millisecond, true},
+		{"late on both", 7500 * time.Millisecond, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta, irs := crowded(t, 40*time.Millisecond, 100)
@@ -77,7 +77,7 @@
 
 // Under overload, steps run one after the other, so every engine must hold every model: otherwise the engines without
 // the model of the current step would run steps that are late anyway.
-func TestAllEnginesTakeAllModelsWhileCrowded(t *testing.T) {
+func TestAllEnginesLoadAllModelsUnderOverload(t *testing.T) {
 	ta := overloaded(t, 900)
 	addEngines(ta, begin, "a", "b", "c", "d")
 	for _, en := range ta.sorted {
@@ -86,10 +86,10 @@
 	ta.SetVersion("model", 2)
 	ta.SetVersion("other", 2)
 	before := ta.engineShares(ta.sorted)
-	assert.Assert(t, before["model"]+before["other"] < 4.01, "with room, each has its share: %v", before)
+	assert.Assert(t, before["model"]+before["other"] < 4.01, "without overload, each model has its share: %v", before)
 	assert.Equal(t, ta.toleratedLag("service"), uint64(0))
 	ta.planCapacity(begin)
 	assert.Assert(t, ta.overloaded("service"))
 	assert.DeepEqual(t, ta.engineShares(ta.sorted), map[string]float64{"model": 4, "other": 4})
-	assert.Equal(t, ta.toleratedLag("service"), uint64(unusableLag-1), "what steps take can wait for what they don't")
+	assert.Equal(t, ta.toleratedLag("service"), uint64(unusableLag-1), "a version that steps still accept may wait for one that they don't")
 }
--- a/step/settle.go
+++ b/step/settle.go
@@ -22,39 +22,39 @@
 // The service may apply a write and lose its answer, or stop responding before it applies the write. If the first key
 // doesn't hold the written value, the transaction is sent again; the one that arrives first counts. Without this, the
 // caller and all later writes would wait until the call times out.
-func (ke *Store) commit(ctx context.Context, tx keyvalue.Transaction) (version int64, err error) {
-	begun, looks := time.Now(), 0
-	defer func() { ke.logVerified(tx, looks, time.Since(begun), err) }()
+func (sto *Store) commit(ctx context.Context, tx keyvalue.Transaction) (version int64, err error) {
+	begun, checks := time.Now(), 0
+	defer func() { sto.logVerified(tx, checks, time.Since(begun), err) }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	outcomes := make(chan commitResult, maxCommitCalls)
-	go func() { outcomes <- newCommitResult(ke.Client.Transact(ctx, tx)) }()
+	results := make(chan commitResult, maxCommitCalls)
+	go func() { results <- newCommitResult(sto.Client.Transact(ctx, tx)) }()
 	var failure error
 	wait := verifyAfter + maxSendTime(tx)
 	for pending := 1; pending > 0; {
-		var doubt <-chan time.Time
+		var verifyTimer <-chan time.Time
 		if ctx.Err() == nil && pending < maxCommitCalls {
-			doubt = time.After(wait)
+			verifyTimer = time.After(wait)
 		}
 		select {
-		case ou := <-outcomes:
+		case cr := <-results:
 			pending--
 			switch {
-			case ou.err == nil, !notWritten(ou.err) && !errors.Is(ou.err, keyvalue.ErrOutcomeUnknown):
-				return ou.version, ou.err
+			case cr.err == nil, !notWritten(cr.err) && !errors.Is(cr.err, keyvalue.ErrOutcomeUnknown):
+				return cr.version, cr.err
 			case failure == nil || notWritten(failure):
-				failure = ou.err
+				failure = cr.err
 			}
-			if pending == 0 && looks == 0 && !notWritten(ou.err) && ctx.Err() == nil {
-				looks++
+			if pending == 0 && checks == 0 && !notWritten(cr.err) && ctx.Err() == nil {
+				checks++
 				pending++
-				go func() { outcomes <- newCommitResult(ke.verify(ctx, tx)) }()
+				go func() { results <- newCommitResult(sto.verify(ctx, tx)) }()
 			}
-		case <-doubt:
+		case <-verifyTimer:
 			wait *= 2
-			looks++
+			checks++
 			pending++
-			go func() { outcomes <- newCommitResult(ke.verify(ctx, tx)) }()
+			go func() { results <- newCommitResult(sto.verify(ctx, tx)) }()
 		}
 	}
 	return 0, failure
@@ -84,29 +84,29 @@
 }
 
 // logVerified logs a transaction whose outcome was verified.
-func (ke *Store) logVerified(tx keyvalue.Transaction, looks int, took time.Duration, err error) {
-	if ke.Log == nil || looks == 0 {
+func (sto *Store) logVerified(tx keyvalue.Transaction, checks int, took time.Duration, err error) {
+	if sto.Log == nil || checks == 0 {
 		return
 	}
-	ke.Log.WithFields(logrus.Fields{"error": err, "key": tx.Writes[0].Key, "looks": looks, "ms": took.Milliseconds()}).
-		Info("unanswered write looked for")
+	sto.Log.WithFields(logrus.Fields{"error": err, "key": tx.Writes[0].Key, "looks": checks, "ms": took.Milliseconds()}).
+		Info("outcome of unanswered write verified")
 }
 
 // maxCommitCalls bounds the concurrent calls for one transaction.
 const maxCommitCalls = 6
 
 // verify returns the version of what a transaction wrote if it was applied, and otherwise sends it again.
-func (ke *Store) verify(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
-	version, err := ke.appliedVersion(ctx, tx)
+func (sto *Store) verify(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
+	version, err := sto.appliedVersion(ctx, tx)
 	if version != 0 || err != nil {
 		return version, err
 	}
-	return ke.Client.Transact(ctx, tx)
+	return sto.Client.Transact(ctx, tx)
 }
 
 // appliedVersion returns the version of a transaction's first key if it holds the written value, or else 0.
-func (ke *Store) appliedVersion(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
-	it, err := ke.Client.Get(ctx, tx.Writes[0].Key)
+func (sto *Store) appliedVersion(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
+	it, err := sto.Client.Get(ctx, tx.Writes[0].Key)
 	if errors.Is(err, keyvalue.ErrNotFound) || err == nil && !bytes.Equal(it.Value, tx.Writes[0].Value) {
 		return 0, nil
 	}
--- a/step/settle_test.go
+++ b/step/settle_test.go
@@ -20,8 +20,8 @@
 	broken  bool // the connection breaks; otherwise the call hangs
 }
 
-// losing returns a client that loses the responses of its first transactions as described by losses.
-func losing(me *keyvalue.Memory, losses ...loss) *keyvalue.Client {
+// losingClient returns a client that loses the responses of its first transactions as described by losses.
+func losingClient(me *keyvalue.Memory, losses ...loss) *keyvalue.Client {
 	cl := me.Client()
 	transact := cl.TransactFunc
 	var calls atomic.Int64
@@ -44,7 +44,7 @@
 	return cl
 }
 
-func TestLostAnswersOfWrites(t *testing.T) {
+func TestLostResponsesOfWrites(t *testing.T) {
 	// Guards against waiting for the full call timeout when a write or its response is lost: reading the key tells
 	// whether the write took effect.
 	for name, tc := range map[string]struct {
@@ -63,7 +63,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 				defer cancel()
 				begun := time.Now()
-				assert.NilError(t, (&Store{Client: losing(&me, tc.losses...)}).Accept(ctx, stepOf("s", 1)))
+				assert.NilError(t, (&Store{Client: losingClient(&me, tc.losses...)}).Accept(ctx, stepOf("s", 1)))
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
 
 				ho := &lease.Holder{Client: me.Client(), Name: "name", Owner: "owner", TTL: time.Minute}
@@ -73,7 +73,7 @@
 				ctx, cancel = context.WithTimeout(t.Context(), resultsWriteTimeout)
 				defer cancel()
 				begun = time.Now()
-				done, err := (&Store{Client: losing(&me, tc.losses...)}).Write(ctx, fence, up)
+				done, err := (&Store{Client: losingClient(&me, tc.losses...)}).Write(ctx, fence, up)
 				assert.NilError(t, err)
 				assert.Assert(t, done)
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
@@ -85,11 +85,11 @@
 	}
 }
 
-func TestWritesOfASilentService(t *testing.T) {
+func TestWriteTimeoutOutcome(t *testing.T) {
 	// Guards against reporting a write that timed out as failed: its outcome is unknown.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		cl := losing(&me, loss{applied: true})
+		cl := losingClient(&me, loss{applied: true})
 		cl.GetFunc = func(ctx context.Context, _ string) (keyvalue.Item, error) {
 			<-ctx.Done()
 			return keyvalue.Item{}, keyvalue.ErrUnavailable
@@ -101,13 +101,13 @@
 	})
 }
 
-// A lateStore delays the first transaction until arrive is called.
-type lateStore struct {
+// A delayedStore delays the first transaction until arrive is called.
+type delayedStore struct {
 	keyvalue.Memory
 	kept atomic.Pointer[keyvalue.Transaction]
 }
 
-func (ls *lateStore) client() *keyvalue.Client {
+func (ls *delayedStore) client() *keyvalue.Client {
 	cl := ls.Client()
 	transact := cl.TransactFunc
 	cl.TransactFunc = func(ctx context.Context, tx keyvalue.Transaction) (int64, error) {
@@ -120,15 +120,15 @@
 	return cl
 }
 
-// arrive applies the delayed transaction, if its expectations hold.
-func (ls *lateStore) arrive(t *testing.T) {
+// deliver applies the delayed transaction, if its expectations hold.
+func (ls *delayedStore) deliver(t *testing.T) {
 	t.Helper()
 	_, err := ls.Client().Transact(t.Context(), *ls.kept.Load())
 	assert.Assert(t, err == nil || errors.Is(err, keyvalue.ErrConflict), "%v", err)
 }
 
-// write applies an update and fails the test unless it succeeds.
-func write(t *testing.T, ke *Store, up WriteSet) {
+// mustWrite applies an update and fails the test unless it succeeds.
+func mustWrite(t *testing.T, ke *Store, up WriteSet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 	defer cancel()
@@ -139,61 +139,61 @@
 
 // Guards against a delayed duplicate of a write, applied after later writes, restoring an old account or a dropped
 // step.
-func TestLateWritesUndoNothing(t *testing.T) {
+func TestDelayedWritesRevertNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var ls lateStore
+		var ls delayedStore
 		ke := &Store{Client: ls.client()}
-		write(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
-		write(t, ke, WriteSet{Account: []byte("b"), Deletes: []string{"y"}})
-		ls.arrive(t)
+		mustWrite(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		mustWrite(t, ke, WriteSet{Account: []byte("b"), Deletes: []string{"y"}})
+		ls.deliver(t)
 		account, err := ke.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "b")
-		write(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"z"}})
+		mustWrite(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"z"}})
 	})
 	t.Run("another process wrote the account", func(t *testing.T) {
 		var me keyvalue.Memory
 		ke := &Store{Client: me.Client()}
-		write(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
-		write(t, &Store{Client: me.Client()}, WriteSet{Account: []byte("b"), Deletes: []string{"x"}})
-		write(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"x"}})
+		mustWrite(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		mustWrite(t, &Store{Client: me.Client()}, WriteSet{Account: []byte("b"), Deletes: []string{"x"}})
+		mustWrite(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"x"}})
 		account, err := ke.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "c")
 	})
 	t.Run("a cut", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			var ls lateStore
+			var ls delayedStore
 			other := &Store{Client: ls.Client()}
 			assert.NilError(t, other.Accept(t.Context(), stepOf("s", 2)))
 			assert.NilError(t, other.End(t.Context(), "s"))
 			ke := &Store{Client: ls.client()}
-			write(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).withoutItems()}, Deletes: []string{"x"}})
+			mustWrite(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).withoutItems()}, Deletes: []string{"x"}})
 			assert.NilError(t, ke.Drop(t.Context(), "s"))
-			ls.arrive(t)
+			ls.deliver(t)
 			ch, err := ls.Client().Scan(t.Context(), intakePrefix)
 			assert.NilError(t, err)
 			var in intake
 			in.apply(ch.Items, true)
-			assert.Assert(t, in.steps["s"] == nil || in.ended["s"], "what comes back has ended, and is dropped again")
+			assert.Assert(t, in.steps["s"] == nil || in.ended["s"], "a restored step has ended and will be dropped")
 		})
 	})
 	t.Run("a checkpoint", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			var ls lateStore
+			var ls delayedStore
 			ke := &Store{Client: ls.client()}
 			cp := Checkpoint{Step: "s", Partials: []Partial{{Item: "s-0-0", Events: events(1, 20, 1)}}}
 			next := Checkpoint{Number: 1, Step: "s", Partials: []Partial{{Item: "s-0-0", First: 20, Events: events(21, 40, 1)}}}
-			write(t, ke, WriteSet{Checkpoints: []Checkpoint{cp}})
-			write(t, ke, WriteSet{Checkpoints: []Checkpoint{next}})
-			ls.arrive(t)
+			mustWrite(t, ke, WriteSet{Checkpoints: []Checkpoint{cp}})
+			mustWrite(t, ke, WriteSet{Checkpoints: []Checkpoint{next}})
+			ls.deliver(t)
 			kept, err := ke.Stored(t.Context(), "s")
 			assert.NilError(t, err)
 			ta := NewTable(1, nil)
 			ta.Accept(stepOf("s", 1), kept, false, begin)
 			assert.Equal(t, len(ta.steps["s"].items[0].events), 40)
-			write(t, ke, WriteSet{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // as at the end of the step
-			ls.arrive(t)
+			mustWrite(t, ke, WriteSet{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // as at the end of the step
+			ls.deliver(t)
 			ta = NewTable(1, nil)
 			kept, err = ke.Stored(t.Context(), "s")
 			assert.NilError(t, err)
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -23,13 +23,13 @@
 	}
 	re := newReplay(smallSheet, factors(5), trainers)
 	re.table.anyShare = anyShare
-	re.play(dayLength, nil)
+	re.play(replayTime, nil)
 	inTime, owed := 0, 0
 	for _, tr := range trainers {
 		inTime += tr.inTime
-		owed += int(dayLength/tr.every) * tr.target
+		owed += int(replayTime/tr.every) * tr.target
 	}
-	return float64(trainers[0].inTime) / float64(int(dayLength/trainers[0].every)*trainers[0].target), float64(inTime) / float64(owed)
+	return float64(trainers[0].inTime) / float64(int(replayTime/trainers[0].every)*trainers[0].target), float64(inTime) / float64(owed)
 }
 
 // A customer that asks for more than the engines can do must not delay the steps of a small
--- a/step/sharekeep.go
+++ b/step/sharekeep.go
@@ -79,12 +79,12 @@
 }
 
 // Account returns the stored encoded account, or nil if there is none.
-func (ke *Store) Account(ctx context.Context) ([]byte, error) {
-	it, err := ke.Client.Get(ctx, accountKey)
+func (sto *Store) Account(ctx context.Context) ([]byte, error) {
+	it, err := sto.Client.Get(ctx, accountKey)
 	if err != nil && !errors.Is(err, keyvalue.ErrNotFound) {
 		return nil, err
 	}
-	ke.account.set(it.Version)
+	sto.account.set(it.Version)
 	return it.Value, nil
 }
 
@@ -95,28 +95,28 @@
 // and restore an old account. After a conflict the transaction is retried with the current
 // version unless it was applied already. It also expects the lease, so its account is the
 // newest. Nothing else in it may depend on the replaced account.
-func (ke *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
+func (sto *Store) writeAccount(ctx context.Context, tx keyvalue.Transaction) (done bool, err error) {
 	expects := tx.Expects
 	for range maxAccountTries {
-		version, known := ke.account.get()
+		version, known := sto.account.get()
 		if !known {
-			if _, err = ke.Account(ctx); err != nil {
+			if _, err = sto.Account(ctx); err != nil {
 				return false, err
 			}
-			version, _ = ke.account.get()
+			version, _ = sto.account.get()
 		}
 		tx.Expects = append(expects[:len(expects):len(expects)], keyvalue.Expectation{Key: accountKey, Version: version})
-		written, err := ke.commit(ctx, tx)
+		written, err := sto.commit(ctx, tx)
 		if err == nil {
-			ke.account.set(written)
+			sto.account.set(written)
 			return true, nil
 		}
-		ke.account.forget()
+		sto.account.forget()
 		if !errors.Is(err, keyvalue.ErrConflict) {
 			return false, err
 		}
 		// An earlier try of the same update may have been applied.
-		found, errGet := ke.appliedVersion(ctx, tx)
+		found, errGet := sto.appliedVersion(ctx, tx)
 		if found != 0 || errGet != nil {
 			return found != 0, errGet
 		}
--- a/step/takeover_test.go
+++ b/step/takeover_test.go
@@ -18,7 +18,7 @@
 	old := func(item string) runner.Key { return runner.Key{Attempt: 7, Item: item, Step: "s"} }
 	hear(ta, "a", runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, 4, 1), Key: old("s-0-0")}}}, begin)
 	ta.Place(begin)
-	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "b has not been heard from")
+	assert.Equal(t, ta.steps["s"].items[1].state, waiting, "b has not responded")
 	hear(ta, "b", runner.ExchangeResponse{Runs: []runner.Progress{
 		{Events: events(1, 2, 1), Key: old("s-0-1"), State: runner.Complete},
 	}}, begin)
@@ -30,7 +30,7 @@
 	assert.Equal(t, len(rq.Launches), 0)
 }
 
-func TestSilentAttendantDoesNotHoldPlacingUp(t *testing.T) {
+func TestSilentAttendantDoesNotBlockPlacement(t *testing.T) {
 	ta := NewTable(2, nil)
 	addEngines(ta, begin, "a", "b")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
@@ -53,7 +53,7 @@
 	}}, begin)
 	cps := ta.Checkpoints(begin.Add(checkpointInterval))
 	assert.Equal(t, len(cps), 1)
-	assert.Equal(t, len(cps[0].Partials), 1, "five events are soon made again")
+	assert.Equal(t, len(cps[0].Partials), 1, "five events are cheap to generate again")
 	ta.CheckpointsSaved(cps)
 	assert.Equal(t, len(ta.Checkpoints(begin.Add(2*checkpointInterval))), 0, "nothing new")
 
@@ -66,7 +66,7 @@
 	assert.DeepEqual(t, next.ObsoleteKeys(), []string{checkpointKey("s", 0)})
 }
 
-func TestCheckpointsTakeTurns(t *testing.T) {
+func TestCheckpointsCoverAllItems(t *testing.T) {
 	// Guards against items at the end of a step never being checkpointed when there is more text per interval than
 	// one value holds.
 	ta := tableOf(t, 1, "a")
@@ -95,7 +95,7 @@
 	assert.Equal(t, len(saved), 2)
 }
 
-func TestReuse(t *testing.T) {
+func TestTextReuse(t *testing.T) {
 	// When a later step repeats an incomplete group, text of an allowed version is reused. Other text only gives a
 	// minimum length of the item.
 	for _, tc := range []struct {
@@ -103,8 +103,8 @@
 		min   uint64
 		prior int
 	}{
-		{"text that the step may have", 1, 3},
-		{"text that is too old", 2, 0},
+		{"allowed version", 1, 3},
+		{"version too old", 2, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := tableOf(t, 1, "a")
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestWholeItemsOutliveTheScheduler(t *testing.T) {
+func TestCompleteItemsSurviveFailover(t *testing.T) {
 	// Guards against attendants releasing the text of a run when it ends rather than when it is listed: a new
 	// scheduler would have to generate it again.
 	ta := tableOf(t, 1, "a")
@@ -156,7 +156,7 @@
 	assert.Equal(t, len(rq.Forget), 0)
 }
 
-func TestClocksThatDiffer(t *testing.T) {
+func TestClockSkew(t *testing.T) {
 	// Guards against abandoning items early because the age of a step is computed from the clocks of two instances.
 	ta := tableOf(t, 1, "a")
 	st := stepOf("s", 3)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestRequestsSayWhatIsNew(t *testing.T) {
+func TestRequestsAcknowledgeProgress(t *testing.T) {
 	// A request acknowledges a run's progress until a response confirms that the attendant received it.
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
@@ -190,7 +190,7 @@
 	assert.Equal(t, len(rq.Seen), 0)
 }
 
-func TestTakenOverTextStaysKept(t *testing.T) {
+func TestTakenOverTextStaysSaved(t *testing.T) {
 	// Guards against a new scheduler writing text that earlier checkpoints already hold, which delays listing.
 	for _, tc := range []struct {
 		name    string
--- a/step/update.go
+++ b/step/update.go
@@ -13,28 +13,28 @@
 // A scheduler repeats a write set unchanged until its outcome is known. One that is larger than a transaction may be
 // would be repeated forever and block all listing.
 func (ta *Table) NextWrites(now time.Time) WriteSet {
-	room := keyvalue.MaxTransaction - fenceEntries - accountEntries
-	up := WriteSet{Chunks: ta.DueChunks(now)}
-	room -= (valueEntries + markEntries) * len(up.Chunks)
-	if !ta.hasFinal(up.Chunks) {
+	free := keyvalue.MaxTransaction - fenceEntries - accountEntries
+	ws := WriteSet{Chunks: ta.DueChunks(now)}
+	free -= (valueEntries + markEntries) * len(ws.Chunks)
+	if !ta.hasFinal(ws.Chunks) {
 		cps := ta.Checkpoints(now)
-		up.Checkpoints = cps[:min(len(cps), room/valueEntries)]
-		room -= valueEntries * len(up.Checkpoints)
+		ws.Checkpoints = cps[:min(len(cps), free/valueEntries)]
+		free -= valueEntries * len(ws.Checkpoints)
 	}
-	if up.empty() {
-		return up
+	if ws.empty() {
+		return ws
 	}
-	up.Account = ta.share.dueAccount(now)
-	garbage := ta.ObsoleteKeys()
-	up.Deletes = garbage[:min(len(garbage), room)]
-	room -= len(up.Deletes)
+	ws.Account = ta.share.dueAccount(now)
+	obsolete := ta.ObsoleteKeys()
+	ws.Deletes = obsolete[:min(len(obsolete), free)]
+	free -= len(ws.Deletes)
 	for _, st := range ta.cuts {
-		if room -= max(st.Parts, 1); room < 0 {
+		if free -= max(st.Parts, 1); free < 0 {
 			break
 		}
-		up.Cuts = append(up.Cuts, st)
+		ws.Cuts = append(ws.Cuts, st)
 	}
-	return up
+	return ws
 }
 
 // hasFinal reports whether any of the chunks completes what a trainer waits for.
@@ -57,14 +57,14 @@
 )
 
 // WritesApplied records that a write set has been applied.
-func (ta *Table) WritesApplied(up WriteSet, now time.Time) {
-	ta.ChunksListed(up.Chunks, now)
-	ta.CheckpointsSaved(up.Checkpoints)
-	ta.share.accountWritten(up.Account, now)
-	ta.KeysDeleted(len(up.Deletes))
-	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(up.Cuts, st) })
+func (ta *Table) WritesApplied(ws WriteSet, now time.Time) {
+	ta.ChunksListed(ws.Chunks, now)
+	ta.CheckpointsSaved(ws.Checkpoints)
+	ta.share.accountWritten(ws.Account, now)
+	ta.KeysDeleted(len(ws.Deletes))
+	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(ws.Cuts, st) })
 }
 
-func (up WriteSet) empty() bool {
-	return len(up.Chunks) == 0 && len(up.Checkpoints) == 0 && len(up.Deletes) == 0
+func (ws WriteSet) empty() bool {
+	return len(ws.Chunks) == 0 && len(ws.Checkpoints) == 0 && len(ws.Deletes) == 0
 }
--- a/step/update_test.go
+++ b/step/update_test.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/runner"
 )
 
-func TestLastResultsGoBeforeCheckpoints(t *testing.T) {
+func TestFinalResultsPrecedeCheckpoints(t *testing.T) {
 	// Guards against a step's final results sharing a write with megabytes of checkpoints, which delays them.
 	ta := tableOf(t, 1, "a", "b")
 	ta.Accept(stepOf("whole", 1), StoredStep{}, false, begin)
--- a/step/work_test.go
+++ b/step/work_test.go
@@ -32,7 +32,7 @@
 	// quarantined.
 	for name, stop := range map[string]func(t *testing.T, ta *Table){
 		"held": func(t *testing.T, ta *Table) {
-			ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
+			ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 		},
 		"quarantined": func(_ *testing.T, ta *Table) {
 			ir := ta.steps["s"].items[0]
@@ -58,6 +58,6 @@
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
-	ta.SetHolds(sheetOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
+	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	assert.Equal(t, len(ta.openWork(begin)["service"]), 1)
 }
--- a/step/write.go
+++ b/step/write.go
@@ -9,26 +9,26 @@
 	"wisteriacroft/keyvalue"
 )
 
-// writeLoop writes results and checkpoints during the term, one writeLoop set at a time. One whose outcome is unknown is
+// writeLoop writes results and checkpoints during the term, one write set at a time. One whose outcome is unknown is
 // repeated unchanged.
 func (sc *Scheduler) writeLoop(ctx context.Context, te *term) {
-	var up WriteSet
+	var ws WriteSet
 	timeout := resultsWriteTimeout
 	for ctx.Err() == nil {
 		back := te.revival.recovered()
-		if up.empty() {
+		if ws.empty() {
 			sc.mu.Lock()
-			up = te.table.NextWrites(time.Now())
+			ws = te.table.NextWrites(time.Now())
 			sc.mu.Unlock()
 		}
-		if up.empty() {
+		if ws.empty() {
 			te.awaitWrites(ctx)
 			continue
 		}
 		sc.mu.Lock()
 		epoch := te.epoch
 		sc.mu.Unlock()
-		done, err := sc.applyWrites(ctx, te, epoch, up, timeout)
+		done, err := sc.applyWrites(ctx, te, epoch, ws, timeout)
 		switch {
 		case done:
 			if timeout != resultsWriteTimeout {
@@ -36,16 +36,16 @@
 			}
 			timeout = resultsWriteTimeout
 			sc.mu.Lock()
-			te.table.WritesApplied(up, time.Now())
+			te.table.WritesApplied(ws, time.Now())
 			sc.mu.Unlock()
-			up = WriteSet{}
+			ws = WriteSet{}
 		case errors.Is(err, keyvalue.ErrConflict):
 			// The term either ends or continues under another epoch and repeats the write.
-			sc.Log.WithError(err).WithField("epoch", epoch).Warn("results were not listed: the lease is gone")
+			sc.Log.WithError(err).WithField("epoch", epoch).Warn("can't list results: the lease was lost")
 			sc.Holder.FenceFailed(epoch)
 			te.awaitWrites(ctx)
 		default:
-			sc.Log.WithError(err).Warn("results can't be listed")
+			sc.Log.WithError(err).Warn("can't list results")
 			timeout = probeTimeout
 			te.revival.pause(ctx, back)
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (sc *Scheduler) applyWrites(ctx context.Context, te *term, epoch uint64, up WriteSet, timeout time.Duration) (bool, error) {
+func (sc *Scheduler) applyWrites(ctx context.Context, te *term, epoch uint64, ws WriteSet, timeout time.Duration) (bool, error) {
 	fence, ok := sc.Holder.Fence(epoch)
 	if !ok {
 		return false, keyvalue.ErrConflict
@@ -71,5 +71,5 @@
 	defer cancel()
 	ctx, cancel = te.revival.callContext(ctx)
 	defer cancel()
-	return sc.Keeper.Write(ctx, fence, up)
+	return sc.Keeper.Write(ctx, fence, ws)
 }
