--- a/step/byroom.go
+++ b/step/byroom.go
@@ -9,7 +9,7 @@
 // A passItem is an item to be placed in the current pass.
 type passItem struct {
 	item  *itemRow
-	slack time.Duration // slack
+	slack time.Duration
 }
 
 func comparePassItems(a, b passItem) int {
@@ -90,9 +90,9 @@
 		if ir.state != waiting {
 			continue
 		}
-		spare := ir.slack(now)
-		if kind == unplannedPass || (kind == urgentPass) == (spare < urgentSlack) {
-			items = append(items, passItem{item: ir, slack: spare})
+		slack := ir.slack(now)
+		if kind == unplannedPass || (kind == urgentPass) == (slack < urgentSlack) {
+			items = append(items, passItem{item: ir, slack: slack})
 		}
 	}
 	return items
--- a/step/byspare.go
+++ b/step/byspare.go
@@ -34,40 +34,40 @@
 // merges the queues of all steps.
 func (pl *placement) placeBySlack(ranks map[string]int) {
 	pl.rankSteps(ranks)
-	var heads []queueCursor
+	var cursors []queueCursor
 	var moving []slackKey // of items with a reserved slot
 	for _, sr := range pl.steps {
 		if sr.waitingCount == 0 {
 			continue
 		}
 		sr.queue.refresh(sr)
-		heads = pl.appendCursors(heads, sr)
+		cursors = pl.appendCursors(cursors, sr)
 		moving = pl.appendMovingKeys(moving, sr)
 	}
 	slices.SortFunc(moving, slackKey.compare)
 	for pl.openCount > 0 {
 		best, bestKey := -1, slackKey{}
-		for i := range heads {
-			if key, ok := heads[i].advance(moving); ok && (best < 0 || key.compare(bestKey) < 0) {
+		for i := range cursors {
+			if key, ok := cursors[i].advance(moving); ok && (best < 0 || key.compare(bestKey) < 0) {
 				best, bestKey = i, key
 			}
 		}
 		if best < 0 {
 			return
 		}
-		we := heads[best].queue.entries[heads[best].next]
-		heads[best].next++
+		we := cursors[best].queue.entries[cursors[best].next]
+		cursors[best].next++
 		if we.item.moveTarget != "" {
 			moving = moving[1:]
 		}
-		if we.item.moveTarget != "" || we.tokens <= heads[best].list.maxTokens {
+		if we.item.moveTarget != "" || we.tokens <= cursors[best].list.maxTokens {
 			pl.assign(we.item)
 		}
 	}
 }
 
 // appendCursors appends the heads of a step's nonempty queues.
-func (pl *placement) appendCursors(heads []queueCursor, sr *stepRow) []queueCursor {
+func (pl *placement) appendCursors(cursors []queueCursor, sr *stepRow) []queueCursor {
 	for number := range sr.queue.queues {
 		wq := &sr.queue.queues[number]
 		qc := queueCursor{list: pl.listOf(sr), queue: wq, slack: sr.step.Due - sr.age(pl.now), step: sr}
@@ -75,10 +75,10 @@
 			qc.slack -= sr.rewards.expected()
 		}
 		if len(wq.entries) > 0 {
-			heads = append(heads, qc)
+			cursors = append(cursors, qc)
 		}
 	}
-	return heads
+	return cursors
 }
 
 // appendMovingKeys appends the keys of a step's waiting items with a reserved slot.
--- a/step/choose.go
+++ b/step/choose.go
@@ -42,10 +42,10 @@
 // than the best one.
 //
 // On a slower engine a long item would be late, while a short one still ends in time.
-func paceCost(took, context, behind float64) float64 {
-	cost := took * slotsPerSecond * context * slowdownPerToken
-	if behind > 0 {
-		cost += behind * took * slotsPerSecond
+func paceCost(seconds, context, lag float64) float64 {
+	cost := seconds * slotsPerSecond * context * slowdownPerToken
+	if lag > 0 {
+		cost += lag * seconds * slotsPerSecond
 	}
 	return cost
 }
@@ -57,8 +57,8 @@
 	if best <= 0 || en.basePace <= 0 {
 		return 0
 	}
-	if behind := float64(en.basePace)/float64(best) - 1; behind >= paceTolerance {
-		return behind
+	if lag := float64(en.basePace)/float64(best) - 1; lag >= paceTolerance {
+		return lag
 	}
 	return 0
 }
--- a/step/crowded.go
+++ b/step/crowded.go
@@ -50,16 +50,16 @@
 		steps[i] = ta.plannerStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := sp.planner.Overloaded(), ta.usableSlots(service, now)
+	was, slots := sp.planner.Overloaded(), ta.usableSlots(service, now)
 	// A customer within its share must not wait for the overload of others to end.
 	sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
-	sp.planner.Plan(steps, places, now)
+	sp.planner.Plan(steps, slots, now)
 	sp.stale = true
-	sp.withinShare = ta.customersWithinShare(steps, rows, places)
+	sp.withinShare = ta.customersWithinShare(steps, rows, slots)
 	sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
 	if sp.planner.Overloaded() != was {
 		ta.log("overload state changed", map[string]any{
-			"crowded": sp.planner.Overloaded(), "load": sp.planner.Load(), "places": places, "service": service, "steps": len(steps),
+			"crowded": sp.planner.Overloaded(), "load": sp.planner.Load(), "places": slots, "service": service, "steps": len(steps),
 		})
 	}
 	if sp.planner.Overloaded() {
@@ -99,8 +99,8 @@
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
-	if gaveUp := ta.abandonAges[st.Trainer]; gaveUp > 0 {
-		st.GivesUp = max(gaveUp-sr.age(now), 1)
+	if abandonAge := ta.abandonAges[st.Trainer]; abandonAge > 0 {
+		st.GivesUp = max(abandonAge-sr.age(now), 1)
 	}
 	var open []*groupRow // ordered by their first open items, for a deterministic plan
 	for _, gr := range sr.groupList {
@@ -146,11 +146,11 @@
 		if en.service != service || !en.reachable() || now.Sub(en.respondedAt) > responseTimeout {
 			continue
 		}
-		part := 1.0
+		weight := 1.0
 		if median := ta.medianBases[service]; median > 0 && en.basePace > 0 {
-			part = float64(median) / float64(en.basePace)
+			weight = float64(median) / float64(en.basePace)
 		}
-		total += part * float64(max(en.slots-en.foreignRequests, 0))
+		total += weight * float64(max(en.slots-en.foreignRequests, 0))
 	}
 	return total
 }
@@ -161,6 +161,6 @@
 // one. Moves without a gain would never end.
 func (ta *Table) makesInTime(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
-	stays := ta.remainingTime(ir, now)
-	return stays > left && stays-ta.timeSaved(ir, from, to) <= left
+	remaining := ta.remainingTime(ir, now)
+	return remaining > left && remaining-ta.timeSaved(ir, from, to) <= left
 }
--- a/step/gauge.go
+++ b/step/gauge.go
@@ -28,7 +28,7 @@
 // that runs take and their remaining times. The zero value has no observations.
 type tokenEstimator struct {
 	changes  *estimateChanges // counts changes of the estimate; may be nil
-	estimate int              // the estimate; 0 means none
+	estimate int              // 0 means none
 
 	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
@@ -42,7 +42,7 @@
 // An estimateChanges counts changes of the estimates of all models, to invalidate caches.
 type estimateChanges struct{ counted int }
 
-// count returns the count, or 0 if gc is nil.
+// count returns the count, or 0 if ec is nil.
 func (ec *estimateChanges) count() int {
 	if ec == nil {
 		return 0
@@ -67,14 +67,14 @@
 // The longest items of a step are truncated at their limits and give the exact number of tokens
 // per event. The median of the hints may be too low, so that the ends of long items would be
 // expected too late.
-func (es *tokenEstimator) observeLimit(bound, events int) {
-	if bound <= 0 || events < estimatorMinEvents {
+func (es *tokenEstimator) observeLimit(limit, events int) {
+	if limit <= 0 || events < estimatorMinEvents {
 		return
 	}
 	defer es.update()
-	switch more := events*es.longestTokens - es.longestEvents*bound; {
+	switch more := events*es.longestTokens - es.longestEvents*limit; {
 	case es.longestTokens == 0, more > 0:
-		es.atLimit, es.longestTokens, es.longestEvents = 1, bound, events
+		es.atLimit, es.longestTokens, es.longestEvents = 1, limit, events
 	case more == 0:
 		es.atLimit++
 	}
@@ -121,8 +121,8 @@
 		return 0
 	}
 	tokens := es.fromLimits()
-	usual := float64(defaultTokenTime) * float64(tokens) // of an event
-	if float64(best) > otherTypeFactor*usual || float64(median) < usual/otherTypeFactor {
+	assumed := float64(defaultTokenTime) * float64(tokens) // of an event
+	if float64(best) > otherTypeFactor*assumed || float64(median) < assumed/otherTypeFactor {
 		return median / time.Duration(tokens)
 	}
 	return defaultTokenTime
--- a/step/pace.go
+++ b/step/pace.go
@@ -204,9 +204,9 @@
 		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < minMovedFraction*float64(en.tokens) {
 			continue
 		}
-		spare := ir.slack(now)
-		if best == nil || spare > most || spare == most && ir.item.ID < best.item.ID {
-			best, most = ir, spare
+		slack := ir.slack(now)
+		if best == nil || slack > most || slack == most && ir.item.ID < best.item.ID {
+			best, most = ir, slack
 		}
 	}
 	return best
--- a/step/place.go
+++ b/step/place.go
@@ -185,11 +185,11 @@
 // slack returns the slack of an item: how long it can wait and still be complete, and
 // scored if it needs a score, when its step is due.
 func (ir *itemRow) slack(now time.Time) time.Duration {
-	spare := ir.step.step.Due - ir.step.age(now) - ir.expectedTime()
+	slack := ir.step.step.Due - ir.step.age(now) - ir.expectedTime()
 	if ir.item.Reward != nil {
-		spare -= ir.step.rewards.expected()
+		slack -= ir.step.rewards.expected()
 	}
-	return spare
+	return slack
 }
 
 // defaultTokenTime is the assumed time per token until it is measured.
@@ -197,26 +197,26 @@
 
 // expectedTime returns the expected time to generate the rest of an item.
 func (ir *itemRow) expectedTime() time.Duration {
-	each := ir.step.tokenTime
-	if each <= 0 {
-		each = defaultTokenTime
+	tokenTime := ir.step.tokenTime
+	if tokenTime <= 0 {
+		tokenTime = defaultTokenTime
 	}
-	return time.Duration(ir.remainingTokens()) * each
+	return time.Duration(ir.remainingTokens()) * tokenTime
 }
 
 // remainingTokens returns the expected number of tokens still to generate. Hints are only right at the
 // median: an item that has exceeded its hint is expected to double its length.
 func (ir *itemRow) remainingTokens() int {
 	eventTokens := ir.step.estimator.eventTokens()
-	made := len(ir.events) * eventTokens
-	left := max(ir.item.expectedTokens(), ir.knownEvents*eventTokens) - made
-	if left <= 0 {
-		left = made
+	generated := len(ir.events) * eventTokens
+	remaining := max(ir.item.expectedTokens(), ir.knownEvents*eventTokens) - generated
+	if remaining <= 0 {
+		remaining = generated
 	}
-	if bound := ir.item.Tokens - ir.item.Prompt; bound > 0 {
-		left = min(left, max(bound-made, 0))
+	if limit := ir.item.Tokens - ir.item.Prompt; limit > 0 {
+		remaining = min(remaining, max(limit-generated, 0))
 	}
-	return left
+	return remaining
 }
 
 // startRun starts a run of an item on an engine.
--- a/step/placing.go
+++ b/step/placing.go
@@ -50,7 +50,7 @@
 	if ta.held(ir) || ta.quarantined(ir, pl.now) {
 		return
 	}
-	kept := ta.engines[ir.moveTarget]
+	target := ta.engines[ir.moveTarget]
 	pl.releaseReserved(ir)
 	if ta.needsTrial(ir, pl.now) {
 		if en := ta.trialEngine(ir, pl.now); en != nil {
@@ -59,8 +59,8 @@
 		}
 		return
 	}
-	i := pl.indexOf(kept)
-	if i < 0 || pl.candidates[i].openSlots <= 0 || !ta.canRunItem(kept, ir) || pl.candidates[i].runsTrial {
+	i := pl.indexOf(target)
+	if i < 0 || pl.candidates[i].openSlots <= 0 || !ta.canRunItem(target, ir) || pl.candidates[i].runsTrial {
 		i = pl.choose(ir)
 	}
 	if i >= 0 {
@@ -95,8 +95,8 @@
 
 // mayFit reports whether an item of a step may get a slot: one with held tokens may fit some
 // engine, or moving items may release reserved slots.
-func (pl *placement) mayFit(sr *stepRow, held, moving int) bool {
-	return moving > 0 || pl.listOf(sr).maxTokens >= held
+func (pl *placement) mayFit(sr *stepRow, tokens, moving int) bool {
+	return moving > 0 || pl.listOf(sr).maxTokens >= tokens
 }
 
 // exhausted reports whether no item of any step can get or release a slot.
--- a/step/queue.go
+++ b/step/queue.go
@@ -54,10 +54,10 @@
 			sq.added = append(sq.added, gr.summary.waiting...)
 		}
 	}
-	var fresh [4][]waitEntry
+	var added [4][]waitEntry
 	for _, ir := range sq.added {
 		if ir.state == waiting {
-			fresh[ir.queueIndex()] = append(fresh[ir.queueIndex()], ir.entry())
+			added[ir.queueIndex()] = append(added[ir.queueIndex()], ir.entry())
 		}
 	}
 	sq.added = sq.added[:0]
@@ -68,7 +68,7 @@
 			wq.reorder()
 		}
 		wq.eventTokens, wq.tokenTime = tokens, sr.tokenTime
-		wq.merge(fresh[i])
+		wq.merge(added[i])
 	}
 }
 
@@ -114,27 +114,27 @@
 const maxInserts = 16
 
 // merge adds entries. It drops invalid ones at the front, or all invalid ones if it merges.
-func (wq *waitQueue) merge(fresh []waitEntry) {
+func (wq *waitQueue) merge(added []waitEntry) {
 	for len(wq.entries) > 0 && !wq.entries[0].valid() {
 		wq.entries = wq.entries[1:]
 	}
-	if len(fresh) <= maxInserts {
-		for _, we := range fresh {
+	if len(added) <= maxInserts {
+		for _, we := range added {
 			at, _ := slices.BinarySearchFunc(wq.entries, we, compareEntries)
 			wq.entries = slices.Insert(wq.entries, at, we)
 		}
 		return
 	}
-	slices.SortFunc(fresh, compareEntries)
-	merged := make([]waitEntry, 0, len(wq.entries)+len(fresh))
+	slices.SortFunc(added, compareEntries)
+	merged := make([]waitEntry, 0, len(wq.entries)+len(added))
 	for _, we := range wq.entries {
 		if !we.valid() {
 			continue
 		}
-		for len(fresh) > 0 && compareEntries(fresh[0], we) < 0 {
-			merged, fresh = append(merged, fresh[0]), fresh[1:]
+		for len(added) > 0 && compareEntries(added[0], we) < 0 {
+			merged, added = append(merged, added[0]), added[1:]
 		}
 		merged = append(merged, we)
 	}
-	wq.entries = append(merged, fresh...)
+	wq.entries = append(merged, added...)
 }
--- a/step/room.go
+++ b/step/room.go
@@ -57,9 +57,9 @@
 
 // ServiceLoads returns the load of each service with a capacity plan.
 func (ta *Table) ServiceLoads() map[string]ServiceLoad {
-	rooms := make(map[string]ServiceLoad, len(ta.servicePlans))
+	loads := make(map[string]ServiceLoad, len(ta.servicePlans))
 	for service, sp := range ta.servicePlans {
-		rooms[service] = ServiceLoad{Crowded: sp.planner.Overloaded(), Load: sp.planner.Load()}
+		loads[service] = ServiceLoad{Crowded: sp.planner.Overloaded(), Load: sp.planner.Load()}
 	}
-	return rooms
+	return loads
 }
--- a/step/roomrank.go
+++ b/step/roomrank.go
@@ -11,13 +11,13 @@
 	if sp == nil || !sp.planner.Overloaded() {
 		return ranks
 	}
-	room := make(map[string]int, len(ranks))
+	adapted := make(map[string]int, len(ranks))
 	for customer, rank := range ranks {
 		if !sp.withinShare[customer] {
-			room[customer] = 1 + rank/ranksPerStep
+			adapted[customer] = 1 + rank/ranksPerStep
 		}
 	}
-	return room
+	return adapted
 }
 
 // ranksPerStep is the number of ranks that a customer may fall back by one executed step.
@@ -25,18 +25,18 @@
 
 // customersWithinShare returns, for each customer with open steps, whether their work needs no
 // more than its share of the slots. Customers without open steps have no share.
-func (ta *Table) customersWithinShare(steps []*overload.Step, rows []*stepRow, places float64) map[string]bool {
-	asked, total := map[string]float64{}, 0.0 // slots; weight
+func (ta *Table) customersWithinShare(steps []*overload.Step, rows []*stepRow, slots float64) map[string]bool {
+	demand, total := map[string]float64{}, 0.0 // slots; weight
 	for i, st := range steps {
 		customer := rows[i].step.Customer
-		if _, ok := asked[customer]; !ok {
+		if _, ok := demand[customer]; !ok {
 			total += ta.usage.account.Weight(customer)
 		}
-		asked[customer] += st.Demand()
+		demand[customer] += st.Demand()
 	}
 	within := map[string]bool{}
-	for customer, count := range asked {
-		within[customer] = count <= places*ta.usage.account.Weight(customer)/total
+	for customer, count := range demand {
+		within[customer] = count <= slots*ta.usage.account.Weight(customer)/total
 	}
 	return within
 }
--- a/step/seat.go
+++ b/step/seat.go
@@ -10,8 +10,8 @@
 // The values that exclude most candidates are kept in a compact candidateSummary, since every
 // candidate is checked for every waiting item.
 type candidate struct {
-	lagBehindBest float64 // see Table.behind
-	contextTokens float64 // see engineRow.context
+	lagBehindBest float64 // see Table.lagBehindBest
+	contextTokens float64 // see engineRow.contextTokens
 	endTokens     int     // total tokens at the ends of its runs
 	endsSoon      bool    // a run was about to end when an item was last started
 	engine        *engineRow
@@ -41,7 +41,7 @@
 type candidateList struct {
 	lastChosen int   // last chosen index, or -1
 	maxTokens  int   // upper bound of the tokens of an item that fits
-	indexes    []int // indexes
+	indexes    []int // of candidates
 }
 
 // countOpenSlots returns how many items an engine may get now.
@@ -168,7 +168,7 @@
 func (pl *placement) choose(ir *itemRow) int {
 	cl := pl.listOf(ir.step)
 	de := pl.demandOf(ir)
-	best, bestScore, most := -1, 0.0, noFreeTokens
+	best, bestScore, maxTokens := -1, 0.0, noFreeTokens
 	consider := func(i int, score float64) {
 		ca := &pl.candidates[i]
 		if !ca.accepts(&de) {
@@ -180,11 +180,11 @@
 		}
 	}
 	// Likely good ones first, so that most of the others are skipped by their summaries.
-	for _, mate := range ir.group.items {
-		if mate.state != running {
+	for _, peer := range ir.group.items {
+		if peer.state != running {
 			continue
 		}
-		if i := pl.indexOf(mate.run.engine); i >= 0 && de.tokens <= pl.summaries[i].freeTokens && pl.table.canRunStep(mate.run.engine, ir.step.step) {
+		if i := pl.indexOf(peer.run.engine); i >= 0 && de.tokens <= pl.summaries[i].freeTokens && pl.table.canRunStep(peer.run.engine, ir.step.step) {
 			consider(i, pl.summaries[i].score+sameGroupBonus)
 		}
 	}
@@ -193,12 +193,12 @@
 	}
 	for _, i := range cl.indexes {
 		cs := &pl.summaries[i]
-		most = max(most, cs.freeTokens)
+		maxTokens = max(maxTokens, cs.freeTokens)
 		if de.tokens <= cs.freeTokens && (best < 0 || cs.score >= bestScore || pl.table.scoreFunc != nil) {
 			consider(i, cs.score)
 		}
 	}
-	cl.maxTokens = most
+	cl.maxTokens = maxTokens
 	if best >= 0 {
 		cl.lastChosen = best
 	}
@@ -214,8 +214,8 @@
 
 // score returns the score of a candidate for an item, by the table's custom score if it has one.
 func (pl *placement) score(ca *candidate, de *itemDemand, score float64) float64 {
-	if rank := pl.table.scoreFunc; rank != nil {
-		return rank(ca.engine, de.item, pl.now)
+	if scoreFunc := pl.table.scoreFunc; scoreFunc != nil {
+		return scoreFunc(ca.engine, de.item, pl.now)
 	}
 	return ca.score(de, score)
 }
--- a/step/share.go
+++ b/step/share.go
@@ -90,12 +90,12 @@
 
 type usageKey struct{ customer, service string }
 
-// A itemCounts counts a customer's items at a service.
+// An itemCounts counts a customer's items at a service.
 type itemCounts struct {
-	running  int  // running items
+	running  int
 	canStart bool // a waiting item can start
 	tokens   int  // of running items
-	waiting  int  // waiting items
+	waiting  int
 }
 
 // scarceFraction is the fraction of a service's slots in use from which they count as scarce. With
@@ -116,10 +116,10 @@
 		if !some {
 			continue
 		}
-		places, tokens := ta.serviceCapacity(service)
-		scarce := ratio(held[service], places) >= scarceFraction
+		slots, tokens := ta.serviceCapacity(service)
+		scarce := ratio(held[service], slots) >= scarceFraction
 		ta.usage.scarce[service] = scarce
-		addUses(uses, service, counts, places, tokens, scarce)
+		addUses(uses, service, counts, slots, tokens, scarce)
 	}
 	for customer, part := range ta.usage.liveSlots {
 		if us, ok := uses[customer]; ok {
@@ -157,11 +157,11 @@
 
 // slotsInUse returns the number of slots in use by customer.
 func slotsInUse(counts map[usageKey]itemCounts) map[string]int {
-	places := map[string]int{}
+	slots := map[string]int{}
 	for key, ic := range counts {
-		places[key.customer] += ic.running
+		slots[key.customer] += ic.running
 	}
-	return places
+	return slots
 }
 
 // countUnheld counts the waiting items of a held step that aren't held themselves.
@@ -176,29 +176,29 @@
 }
 
 // serviceCapacity returns the slots and the memory of a service's engines.
-func (ta *Table) serviceCapacity(service string) (places, tokens int) {
+func (ta *Table) serviceCapacity(service string) (slots, tokens int) {
 	for _, en := range ta.sortedEngines {
 		if en.service == service && !en.replaced {
-			places += en.slots
+			slots += en.slots
 			tokens += en.tokens
 		}
 	}
-	return places, tokens
+	return slots, tokens
 }
 
 // addUses adds what customers want of a service and, if its slots are scarce, what they use.
-func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, places, tokens int, scarce bool) {
+func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, slots, tokens int, scarce bool) {
 	for key, ic := range counts {
 		if key.service != service || ic.running+ic.waiting == 0 {
 			continue
 		}
 		us := uses[key.customer]
 		if scarce {
-			us.Places = max(us.Places, ratio(ic.running, places))
+			us.Places = max(us.Places, ratio(ic.running, slots))
 			us.Memory = max(us.Memory, ratio(ic.tokens, tokens))
 		}
 		us.Waits = us.Waits || ic.canStart
-		us.Wants = max(us.Wants, ratio(ic.running+ic.waiting, places))
+		us.Wants = max(us.Wants, ratio(ic.running+ic.waiting, slots))
 		uses[key.customer] = us
 	}
 }
--- a/step/table.go
+++ b/step/table.go
@@ -116,13 +116,13 @@
 	if _, ok := ta.steps[st.ID]; ok {
 		return
 	}
-	gauge := ta.estimators[st.Model]
-	if gauge == nil {
-		gauge = &tokenEstimator{changes: &ta.estimateChanges}
-		ta.estimators[st.Model] = gauge
+	estimator := ta.estimators[st.Model]
+	if estimator == nil {
+		estimator = &tokenEstimator{changes: &ta.estimateChanges}
+		ta.estimators[st.Model] = estimator
 	}
 	sr := &stepRow{
-		listedSignal: make(chan struct{}), ended: ended, estimator: gauge, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
+		listedSignal: make(chan struct{}), ended: ended, estimator: estimator, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
 		seenAt: now, step: st,
 	}
 	ta.steps[st.ID] = sr
