--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -165,7 +165,7 @@
 	return least
 }
 
-// prune drops customers without usage that aren't ahead and, beyond maxRows, those that are
+// prune drops customers without usage that aren't ahead and, beyond maxCustomers, those that are
 // the least ahead.
 func (ac *Account) prune(uses map[string]Usage) {
 	maps.DeleteFunc(ac.rows, func(customer string, ro *row) bool {
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -85,8 +85,8 @@
 	return best, best != ""
 }
 
-func newSimulation(places int) *simulation {
-	return &simulation{slots: places, served: map[string]time.Duration{}, waiting: map[string]int{}}
+func newSimulation(slots int) *simulation {
+	return &simulation{slots: slots, served: map[string]time.Duration{}, waiting: map[string]int{}}
 }
 
 // setWaiting sets the numbers of waiting items.
--- a/fairshare/division.go
+++ b/fairshare/division.go
@@ -76,15 +76,15 @@
 	}
 	di.turn++
 	for _, service := range services(entries) {
-		wants, places, short := totalDemand(entries, service)
+		wants, slots, short := totalDemand(entries, service)
 		if len(wants) < 2 || !short {
 			continue
 		}
-		for customer, part := range MaxMinShares(places*overcommit, wants, weights) {
-			if part >= wants[customer] {
+		for customer, share := range MaxMinShares(slots*overcommit, wants, weights) {
+			if share >= wants[customer] {
 				continue
 			}
-			for entry, count := range di.splitAmongEntries(entries, service, customer, part) {
+			for entry, count := range di.splitAmongEntries(entries, service, customer, share) {
 				if out[entry][service] == nil {
 					out[entry][service] = map[string]int{}
 				}
@@ -108,11 +108,11 @@
 
 // totalDemand returns customers' demands for a service over all entries, its number of slots, and
 // whether it is short of them.
-func totalDemand(entries map[string]map[string]ServiceDemand, service string) (wants map[string]float64, places float64, short bool) {
+func totalDemand(entries map[string]map[string]ServiceDemand, service string) (wants map[string]float64, slots float64, short bool) {
 	wants = map[string]float64{}
 	for _, demands := range entries {
 		sd := demands[service]
-		places = max(places, float64(sd.Places))
+		slots = max(slots, float64(sd.Places))
 		short = short || sd.Short || sd.Bounded
 		for customer, de := range sd.Customers {
 			if de.wants() > 0 {
@@ -120,12 +120,12 @@
 			}
 		}
 	}
-	return wants, places, short
+	return wants, slots, short
 }
 
 // splitAmongEntries divides a customer's slots among entries in proportion to their demands. The remainder
 // rotates, so that no entry stays without slots.
-func (di *Divider) splitAmongEntries(entries map[string]map[string]ServiceDemand, service, customer string, part float64) map[string]int {
+func (di *Divider) splitAmongEntries(entries map[string]map[string]ServiceDemand, service, customer string, share float64) map[string]int {
 	names := slices.Sorted(maps.Keys(entries))
 	wants := map[string]float64{}
 	sum := 0.0
@@ -133,19 +133,19 @@
 		wants[entry] = max(entries[entry][service].Customers[customer].wants(), minDemand)
 		sum += wants[entry]
 	}
-	left := max(int(math.Round(part)), 1)
-	counts, rests := map[string]int{}, map[string]float64{}
+	left := max(int(math.Round(share)), 1)
+	counts, remainders := map[string]int{}, map[string]float64{}
 	whole := float64(left)
 	for _, entry := range names {
 		exact := whole * wants[entry] / sum
 		counts[entry] = int(exact)
-		rests[entry] = exact - float64(counts[entry])
+		remainders[entry] = exact - float64(counts[entry])
 		left -= counts[entry]
 	}
 	start := di.turn % max(len(names), 1)
 	rotated := append(slices.Clone(names[start:]), names[:start]...)
 	slices.SortStableFunc(rotated, func(a, b string) int {
-		return cmp.Compare(math.Ceil(rests[b]), math.Ceil(rests[a]))
+		return cmp.Compare(math.Ceil(remainders[b]), math.Ceil(remainders[a]))
 	})
 	for _, entry := range rotated[:min(left, len(rotated))] {
 		counts[entry]++
--- a/fairshare/division_test.go
+++ b/fairshare/division_test.go
@@ -20,7 +20,7 @@
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "no endpoint refused a request")
 	little := map[string]Demand{"large": {Asked: 9, Met: 81}, "small": {Asked: 3, Met: 3}}
 	bounds = di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(true, little)}, nil)
-	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "there is room for both")
+	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "the slots suffice for both")
 	alone := map[string]Demand{"large": {Asked: 900, Met: 900 * 90}}
 	bounds = di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(true, alone)}, nil)
 	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "no one else asks")
@@ -32,7 +32,7 @@
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"a": demandOf(true, seen), "b": demandOf(true, seen)}, nil)
 	for _, entry := range []string{"a", "b"} {
 		assert.Equal(t, bounds[entry].Of("small", "desk"), NoBound)
-		assert.Equal(t, bounds[entry].Of("large", "desk"), 7, "two requests a place, less six of the small one's, at two entries")
+		assert.Equal(t, bounds[entry].Of("large", "desk"), 7, "two requests per slot, less six of the small one's, at two entries")
 	}
 }
 
@@ -51,7 +51,7 @@
 	calm := map[string]Demand{"large": {Asked: 10, Met: 50}, "small": {Asked: 9, Met: 27}}
 	assert.Equal(t, di.Divide(bounded(calm), nil)["e"].Of("large", "desk"), NoBound)
 	bounds := di.Divide(map[string]map[string]ServiceDemand{"e": demandOf(false, held)}, nil)
-	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "lifted, it comes back for refusals only")
+	assert.Equal(t, bounds["e"].Of("large", "desk"), NoBound, "a lifted bound is restored only after refusals")
 }
 
 func TestRemainderOfSlotsRotates(t *testing.T) {
@@ -92,7 +92,7 @@
 func TestDividerProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var di Divider
-		places := rapid.IntRange(1, 12).Draw(rt, "places")
+		slots := rapid.IntRange(1, 12).Draw(rt, "places")
 		for range rapid.IntRange(1, 5).Draw(rt, "rounds") {
 			entries := map[string]map[string]ServiceDemand{}
 			wants := map[string]float64{}
@@ -104,7 +104,7 @@
 					customers[customer] = de
 					wants[customer] += de.wants()
 				}
-				entries[fmt.Sprint(i)] = map[string]ServiceDemand{"desk": {Customers: customers, Places: places, Short: rapid.Bool().Draw(rt, "short")}}
+				entries[fmt.Sprint(i)] = map[string]ServiceDemand{"desk": {Customers: customers, Places: slots, Short: rapid.Bool().Draw(rt, "short")}}
 			}
 			sums := map[string]int{}
 			for _, bounds := range di.Divide(entries, nil) {
@@ -116,10 +116,10 @@
 				}
 			}
 			for customer, sum := range sums {
-				if sum > overcommit*places+1 {
-					rt.Fatalf("%s may have %d of %d places", customer, sum, places)
+				if sum > overcommit*slots+1 {
+					rt.Fatalf("%s may have %d of %d places", customer, sum, slots)
 				}
-				if wants[customer] <= float64(overcommit*places)/3 {
+				if wants[customer] <= float64(overcommit*slots)/3 {
 					rt.Fatalf("%s wants %f and is bounded", customer, wants[customer])
 				}
 			}
--- a/fairshare/fill_test.go
+++ b/fairshare/fill_test.go
@@ -12,7 +12,7 @@
 		whole                float64
 		wants, weights, want map[string]float64
 	}{
-		"room for all":      {whole: 10, wants: map[string]float64{"a": 3, "b": 4}, want: map[string]float64{"a": 3, "b": 4}},
+		"enough for all":    {whole: 10, wants: map[string]float64{"a": 3, "b": 4}, want: map[string]float64{"a": 3, "b": 4}},
 		"one at ten times":  {whole: 10, wants: map[string]float64{"a": 50, "b": 4}, want: map[string]float64{"a": 6, "b": 4}},
 		"all want too much": {whole: 9, wants: map[string]float64{"a": 50, "b": 40, "c": 30}, want: map[string]float64{"a": 3, "b": 3, "c": 3}},
 		"weights": {
--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -21,14 +21,14 @@
 }
 
 // Add adds the slots that customers used during the elapsed time that ends now.
-func (re *RecentUsage) Add(places map[string]int, elapsed time.Duration, now time.Time) {
+func (re *RecentUsage) Add(slots map[string]int, elapsed time.Duration, now time.Time) {
 	re.advance(now)
 	span := re.spans[re.number%spanCount]
 	if span == nil {
 		span = map[string]float64{}
 		re.spans[re.number%spanCount] = span
 	}
-	for customer, count := range places {
+	for customer, count := range slots {
 		if _, known := span[customer]; known || len(span) < maxCustomers {
 			span[customer] += float64(count) * elapsed.Seconds()
 		}
--- a/fairshare/recent_test.go
+++ b/fairshare/recent_test.go
@@ -27,7 +27,7 @@
 	assert.DeepEqual(t, re.Parts(now), map[string]float64{"mill": 1})
 	assert.Equal(t, len(re.Parts(now.Add(2*RecentTime))), 0)
 	re.Add(map[string]int{"mill": 0}, time.Second, now.Add(2*RecentTime))
-	assert.Equal(t, len(re.Parts(now.Add(2*RecentTime))), 0, "who had nothing has no part")
+	assert.Equal(t, len(re.Parts(now.Add(2*RecentTime))), 0, "a customer without usage has no share")
 }
 
 func TestRecentUsageIsBounded(t *testing.T) {
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -81,7 +81,7 @@
 	FirstInFirstOut Discipline = iota
 	// ShortestFirst serves groups of all steps in the order of their work.
 	ShortestFirst
-	// EqualProgress serves the groups of all steps in turn.
+	// EqualProgress serves groups so that all steps progress equally.
 	EqualProgress
 	// LeastSlack disables overload mode, so that items are placed by least slack.
 	LeastSlack
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -46,15 +46,15 @@
 		slots float64
 		want  []string // by step, groups ordered by work
 	}{
-		{"room for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
-		{"room for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
-		{"the cheapest groups of a step", []*Step{stepOf("a", 8*time.Second, 9, 3, 3)}, 1, []string{"xx-"}},
+		{"capacity for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
+		{"capacity for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
+		{"the smallest groups of a step", []*Step{stepOf("a", 8*time.Second, 9, 3, 3)}, 1, []string{"xx-"}},
 		{"a later step has more time", []*Step{stepOf("a", 4*time.Second, 5), stepOf("b", 8*time.Second, 5)}, 1.2, []string{"-", "x"}},
 		{"an item that lasts too long", []*Step{tooLong}, 4, []string{"x-"}},
 		{"a step that is late", []*Step{stepOf("a", -time.Second, 1), stepOf("b", 8*time.Second, 1)}, 4, []string{"-", "x"}},
 		{"groups that nobody waits for", []*Step{fewWanted}, 4, []string{"x--"}},
-		{"groups that come again go first", []*Step{again}, 2, []string{"x-"}},
-		{"no places", []*Step{stepOf("a", 8*time.Second, 1)}, 0, []string{"-"}},
+		{"recurring groups go first", []*Step{again}, 2, []string{"x-"}},
+		{"no slots", []*Step{stepOf("a", 8*time.Second, 1)}, 0, []string{"-"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var pl Planner
@@ -153,12 +153,12 @@
 		pl.Plan([]*Step{st}, 2, begin.Add(time.Duration(i)*time.Second))
 		assert.Assert(t, pl.Load() < clearFraction && pl.Overloaded())
 	}
-	cheap, hasty := pl, pl
-	cheap.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !cheap.Overloaded(), "there are places for the little that has no room")
-	hasty.Lingers = false
-	hasty.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !hasty.Overloaded(), "others wait that ask for little")
+	small, strict := pl, pl
+	small.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
+	assert.Assert(t, !small.Overloaded(), "idle slots suffice for the rest")
+	strict.Lingers = false
+	strict.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
+	assert.Assert(t, !strict.Overloaded(), "a customer within its share waits")
 	st.Left = -time.Second // a late step doesn't prolong the overload
 	pl.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
 	pl.Plan([]*Step{st}, 2, begin.Add(5*time.Second))
@@ -202,7 +202,7 @@
 				}
 			}
 		}
-		assert.Assert(t, float64(work) <= slots*float64(max(st.Left, 0)), "round %d: more work than room", round)
+		assert.Assert(t, float64(work) <= slots*float64(max(st.Left, 0)), "round %d: more work than capacity", round)
 		for _, gr := range st.Groups {
 			assert.Assert(t, !taken[gr.Position()] && gr.Position() < total, "round %d: position %d", round, gr.Position())
 			taken[gr.Position()] = true
--- a/overload/room.go
+++ b/overload/room.go
@@ -12,9 +12,9 @@
 	steps []*Step // by due time, the earliest first
 }
 
-func newCapacity(steps []*Step, places float64) *capacity {
+func newCapacity(steps []*Step, slots float64) *capacity {
 	ordered := slices.SortedStableFunc(slices.Values(steps), func(a, b *Step) int { return cmp.Compare(a.Left, b.Left) })
-	return &capacity{slots: places, steps: ordered}
+	return &capacity{slots: slots, steps: ordered}
 }
 
 // fits reports whether additional work that is due with a step fits: the reserved work that is
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -20,13 +20,13 @@
 // go by their customers' ranks and then by ascending work, so that as many as possible become
 // complete.
 func byTier(cds []candidate) []candidate {
-	var chances [hopeless + 1][]candidate
+	var tiers [hopeless + 1][]candidate
 	for i, cd := range cds {
 		cd.order = i
-		chances[cd.tier] = append(chances[cd.tier], cd)
+		tiers[cd.tier] = append(tiers[cd.tier], cd)
 	}
 	ordered := make([]candidate, 0, len(cds))
-	for ch, some := range chances {
+	for ch, some := range tiers {
 		if tier(ch) >= late {
 			slices.SortFunc(some, func(a, b candidate) int {
 				return cmp.Or(cmp.Compare(a.step.Rank, b.step.Rank), cmp.Compare(a.group.Work, b.group.Work), cmp.Compare(a.order, b.order))
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -45,22 +45,22 @@
 			each(re, at)
 		}
 	})
-	got, owed := map[string]float64{}, map[string]float64{}
+	got, requested := map[string]float64{}, map[string]float64{}
 	for _, tr := range trainers {
 		got[tr.customer] += float64(tr.inTime)
-		owed[tr.customer] += float64(max(int(dayLength/tr.every)*tr.target, 1))
+		requested[tr.customer] += float64(max(int(dayLength/tr.every)*tr.target, 1))
 	}
 	for customer := range got {
-		got[customer] /= owed[customer]
+		got[customer] /= requested[customer]
 	}
 	return got
 }
 
-// meanFraction returns a customer's mean fraction of groups in time over as many seeds as luck.
-func meanFraction(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
+// meanFraction returns a customer's mean fraction of groups in time over that many seeds.
+func meanFraction(customer string, seeds uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
-	parts := make([]float64, luck)
-	for seed := range luck {
+	parts := make([]float64, seeds)
+	for seed := range seeds {
 		wg.Go(func() { parts[seed] = play(seed)[customer] })
 	}
 	wg.Wait()
@@ -68,21 +68,21 @@
 	for _, part := range parts {
 		total += part
 	}
-	return total / float64(luck)
+	return total / float64(seeds)
 }
 
 // A customer at ten times its share may reduce the other's groups in time by at most a tenth.
 func TestCustomerAtTenTimesItsShare(t *testing.T) {
-	const luck = 24
+	const seeds = 24
 	beside, before := 0.0, 0.0
 	for _, engines := range []int{10, 15} {
 		play := func(trainers int) float64 {
-			return meanFraction("small", luck, func(seed uint64) map[string]float64 {
+			return meanFraction("small", seeds, func(seed uint64) map[string]float64 {
 				return replayCustomers(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
 			})
 		}
 		one, ten := play(1), play(10)
-		t.Logf("%d engines: small %.3f beside one that asks for its part, %.3f beside one at ten times", engines, one, ten)
+		t.Logf("%d engines: small %.3f beside one within its share, %.3f beside one at ten times", engines, one, ten)
 		before, beside = before+one, beside+ten
 	}
 	assert.Assert(t, beside >= 0.9*before)
@@ -128,7 +128,7 @@
 			}
 		})
 		part := float64(held["returns"]) / float64(held["returns"]+held["stays"])
-		t.Logf("has %.3f of the places after its return", part)
+		t.Logf("has %.3f of the slots after its return", part)
 		assert.Assert(t, part > 0.35 && part < 0.65)
 	}
 }
--- a/step/crowded_test.go
+++ b/step/crowded_test.go
@@ -70,16 +70,16 @@
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
+func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, requested int, least float64) {
 	re := oc.newReplay(times, way)
 	re.run(dayLength, nil)
 	least = 1
 	for _, tr := range re.trainers {
 		scheduled := int(dayLength/tr.every) * tr.target
-		inTime, owed = inTime+tr.inTime, owed+scheduled
+		inTime, requested = inTime+tr.inTime, requested+scheduled
 		least = min(least, float64(tr.inTime)/float64(scheduled))
 	}
-	return inTime, owed, least
+	return inTime, requested, least
 }
 
 // policies are the overload disciplines to compare.
@@ -107,8 +107,8 @@
 					if i >= main && n < 4 {
 						continue
 					}
-					inTime, owed, least := oc.run(n, po.way)
-					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, owed, least)
+					inTime, requested, least := oc.run(n, po.way)
+					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, requested, least)
 					mu.Lock()
 					served[fmt.Sprint(oc.name, po.name, n)] = inTime
 					mu.Unlock()
@@ -123,7 +123,7 @@
 	golden.Assert(t, strings.Join(lines, ""), "crowded.golden")
 	for _, oc := range overloadCases() {
 		before, after := served[oc.name+"standing4"], served[oc.name+"handed-in4"]
-		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by time to spare alone", oc.name, after, before)
+		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by least slack alone", oc.name, after, before)
 	}
 }
 
@@ -236,8 +236,8 @@
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, owed, least := oc.run(times, overload.FirstInFirstOut)
-		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, owed, least)
+		inTime, requested, least := oc.run(times, overload.FirstInFirstOut)
+		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, requested, least)
 	}
 	golden.Assert(t, text, "other-make.golden")
 }
@@ -251,7 +251,7 @@
 	for range estimatorMinRatios {
 		es.observeHint(64*estimatorMinEvents, estimatorMinEvents)
 	}
-	assert.Equal(t, es.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone tell nothing")
+	assert.Equal(t, es.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone are not enough")
 	for range estimatorMinAtLimit {
 		es.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
 	}
@@ -261,7 +261,7 @@
 		"three times as long":     {usual * 3, usual * 3, defaultTokenTime * 3},
 		"a third as long":         {usual / 3, usual / 4, defaultTokenTime / 3},
 		"one is faster":           {usual, usual / 4, defaultTokenTime},
-		"not seen yet":            {0, 0, 0},
+		"not measured":            {0, 0, 0},
 	} {
 		assert.Equal(t, es.tokenTime(tc.median, tc.best), tc.want, name)
 	}
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -44,7 +44,7 @@
 				}
 				busy++
 				assert.Equal(t, ta.exchangePause(en.id), exchangeInterval)
-				assert.Assert(t, ta.exchangeUrgent(en.id), "what is placed is told at once")
+				assert.Assert(t, ta.exchangeUrgent(en.id), "a new run is sent at once")
 			}
 			assert.Equal(t, busy, 1)
 		})
--- a/step/mark_test.go
+++ b/step/mark_test.go
@@ -83,19 +83,19 @@
 	// The result at a position never changes: for any scheduler, any start of a read, before
 	// and after the step ends, and while the texts are loaded.
 	for _, tt := range []struct {
-		name          string
-		marks, filled bool
+		name              string
+		manifests, filled bool
 	}{
 		{"marks", true, false},
 		{"texts read meanwhile", true, true},
-		{"written by a version without marks", false, false},
+		{"written by a release without manifests", false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
 				ke := &Store{Client: me.Client()}
 				writeListed(t, ke, testChunks(2, 1))
-				if !tt.marks {
+				if !tt.manifests {
 					dropManifests(t, &me)
 				}
 				kept, err := ke.Stored(t.Context(), "s")
--- a/step/pace_test.go
+++ b/step/pace_test.go
@@ -43,7 +43,7 @@
 	ta, irs := fullEngine(t, usual, 4000, 3000, 2000, 100)
 	irs[0].item.Hint, irs[1].item.Hint, irs[2].item.Hint = 900, 100, 800
 	ta.RelieveMemory(begin)
-	assert.Assert(t, irs[1].run.stopping, "it has the most time to spare")
+	assert.Assert(t, irs[1].run.stopping, "it has the most slack")
 	for _, i := range []int{0, 2, 3} {
 		assert.Assert(t, !irs[i].run.stopping, "item %d", i)
 	}
@@ -80,7 +80,7 @@
 	full.basePace, empty.basePace = 40*time.Millisecond, 40*time.Millisecond
 	assert.Assert(t, ta.expectedPace(full, nil) > ta.expectedPace(empty, nil))
 	full.basePace = 60 * time.Millisecond
-	assert.Assert(t, ta.isLongRun(full, irs[0]), "it is slower all day")
+	assert.Assert(t, ta.isLongRun(full, irs[0]), "its base pace is slower")
 }
 
 func TestLoadsAtOnce(t *testing.T) {
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -134,7 +134,7 @@
 		}
 		re.Runs = append(re.Runs, pr)
 	}
-	goesOn := rapid.Bool().Draw(t, "goes on")
+	goesOn := rapid.Bool().Draw(t, "run restarts")
 	tp.both(func(ta *Table) {
 		rq, _ := ta.Request(en.id)
 		ta.HandleResponse(en.id, rq, re, tp.now)
@@ -146,7 +146,7 @@
 
 // drawGauge changes the observed number of tokens per event of a model.
 func (tp *tablePair) drawGauge(t *rapid.T) {
-	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens of an event")
+	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens per event")
 	tp.both(func(ta *Table) {
 		for range estimatorMaxRatios {
 			if gauge := ta.estimators[model]; gauge != nil {
@@ -233,8 +233,8 @@
 		}
 		for _, en := range ta.sortedEngines {
 			now, end := en.memoryUse()
-			plainNow, plainEnd := referenceMemory(en)
-			assert.Equal(t, fmt.Sprint(now, end), fmt.Sprint(plainNow, plainEnd), "memory of %s", en.id)
+			refNow, refEnd := referenceMemory(en)
+			assert.Equal(t, fmt.Sprint(now, end), fmt.Sprint(refNow, refEnd), "memory of %s", en.id)
 		}
 	}
 	assert.DeepEqual(t, lines[0], lines[1])
@@ -242,7 +242,7 @@
 	assert.Equal(t, fmt.Sprint(ta.customerCounts(tp.now)), fmt.Sprint(referenceCounts(ta, tp.now)))
 	for _, sr := range ta.openSteps {
 		assert.Equal(t, ta.endsIn(sr, tp.now), referenceEndsIn(ta, sr, tp.now), "end of %s", sr.step.ID)
-		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tp.now), referenceMoves(ta, sr, tp.now)), "runs of %s that leave", sr.step.ID)
+		assert.Assert(t, slices.Equal(ta.runsToMove(sr, tp.now), referenceMoves(ta, sr, tp.now)), "runs of %s to move", sr.step.ID)
 	}
 }
 
--- a/step/room_test.go
+++ b/step/room_test.go
@@ -75,12 +75,12 @@
 	for _, part := range ta.engineShares(ta.sortedEngines[1:]) {
 		total += part
 	}
-	assert.Assert(t, total < 4.01, "each model of the service with room has its share alone: %v", total)
+	assert.Assert(t, total < 4.01, "without overload each model gets its share: %v", total)
 	total = 0
 	for _, part := range ta.engineShares(ta.sortedEngines[:1]) {
 		total += part
 	}
-	assert.Equal(t, total, 2.0, "each model of the crowded one has all")
+	assert.Equal(t, total, 2.0, "under overload each model gets all engines")
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
@@ -94,10 +94,10 @@
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.planCapacity(begin.Add(planInterval))
-	rooms := ta.ServiceLoads()
-	assert.Assert(t, !rooms["service"].Crowded && !rooms["other"].Crowded)
-	assert.Equal(t, rooms["service"].Load, 0.0)
-	assert.Assert(t, rooms["other"].Load > 0)
+	loads := ta.ServiceLoads()
+	assert.Assert(t, !loads["service"].Crowded && !loads["other"].Crowded)
+	assert.Equal(t, loads["service"].Load, 0.0)
+	assert.Assert(t, loads["other"].Load > 0)
 }
 
 // A customer with steps at another service only doesn't prevent items from being sent ahead.
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -24,26 +24,26 @@
 	re := newReplay(smallSheet, factors(5), trainers)
 	re.table.ignoreShares = anyShare
 	re.run(dayLength, nil)
-	inTime, owed := 0, 0
+	inTime, requested := 0, 0
 	for _, tr := range trainers {
 		inTime += tr.inTime
-		owed += int(dayLength/tr.every) * tr.target
+		requested += int(dayLength/tr.every) * tr.target
 	}
-	return float64(trainers[0].inTime) / float64(int(dayLength/trainers[0].every)*trainers[0].target), float64(inTime) / float64(owed)
+	return float64(trainers[0].inTime) / float64(int(dayLength/trainers[0].every)*trainers[0].target), float64(inTime) / float64(requested)
 }
 
 // A customer that asks for more than the engines can do must not delay the steps of a small
 // customer.
 func TestSmallCustomerBesideALargeOne(t *testing.T) {
 	var small, all, smallBefore, allBefore float64
-	const luck = 4
-	for seed := range uint64(luck) {
+	const seeds = 4
+	for seed := range uint64(seeds) {
 		s, a := replayShares(seed, false)
-		small, all = small+s/luck, all+a/luck
+		small, all = small+s/seeds, all+a/seeds
 		s, a = replayShares(seed, true)
-		smallBefore, allBefore = smallBefore+s/luck, allBefore+a/luck
+		smallBefore, allBefore = smallBefore+s/seeds, allBefore+a/seeds
 	}
-	t.Logf("small %.3f of all %.3f; by time to spare alone %.3f of %.3f", small, all, smallBefore, allBefore)
+	t.Logf("small %.3f of all %.3f; by least slack alone %.3f of %.3f", small, all, smallBefore, allBefore)
 	assert.Assert(t, small >= all/4)
 	assert.Assert(t, small >= all)
 	assert.Assert(t, small > smallBefore)
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -38,7 +38,7 @@
 	end(ta, t, "s", 0, runner.Broken, events(1, 3, 1), begin)
 	ta.Place(begin)
 	second, _ := keyOf(t, ta, "s", 0)
-	assert.Assert(t, first != second, "the engine that broke it comes last")
+	assert.Assert(t, first != second, "the engine that broke the run is avoided")
 	rq, _ := ta.Request(second)
 	assert.DeepEqual(t, rq.Launches[0].Prior, events(1, 3, 1))
 	end(ta, t, "s", 0, runner.Complete, events(1, 5, 1), begin)
@@ -55,11 +55,11 @@
 		usable   bool
 	}{
 		{"made by two versions", false, []uint64{2, 2, 3}, true},
-		{"begun by an old one", false, []uint64{1, 2}, false},
-		{"ended by an old one", false, []uint64{2, 1}, false},
+		{"started by an old version", false, []uint64{1, 2}, false},
+		{"ended by an old version", false, []uint64{2, 1}, false},
 		{"unnamed version", false, []uint64{0}, false},
-		{"a single one", true, []uint64{2, 2}, true},
-		{"two where one must be single", true, []uint64{2, 3}, false},
+		{"a single version", true, []uint64{2, 2}, true},
+		{"two versions where one is required", true, []uint64{2, 3}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			st := stepOf("s", 1)
@@ -98,7 +98,7 @@
 		after  time.Duration
 		want   itemState
 	}{
-		{"can never be done", []runner.State{runner.Impossible}, 0, lost},
+		{"can never run", []runner.State{runner.Impossible}, 0, lost},
 		{"failed once of two", []runner.State{runner.Failed}, 0, waiting},
 		{"failed twice", []runner.State{runner.Failed, runner.Failed}, 0, lost},
 		{"broken often", []runner.State{runner.Broken, runner.Broken, runner.Broken}, 0, waiting},
