--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -192,7 +192,7 @@
 }
 
 // For random loads, every waiting customer gets a slot in bounded time, no waiting customer's
-// lead exceeds mostClaim, and the order of two waiting customers doesn't flap.
+// lead exceeds maxLag, and the order of two waiting customers doesn't flap.
 func TestAccountProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
--- a/step/listing.go
+++ b/step/listing.go
@@ -36,7 +36,7 @@
 }
 
 // endingSoon is the expected time to the end of a step below which the ends of its last items are awaited, see
-// awaitEnd.
+// maxAwait.
 const endingSoon = time.Second
 
 // listingState returns the input of the decision whether to list a step's results.
--- a/step/memory.go
+++ b/step/memory.go
@@ -5,7 +5,7 @@
 type memoryMemo struct {
 	coming, comingEnd int     // tokens of items that move here
 	endsSoon          bool    // a run is expected to end soon
-	gauges            int     // value of gaugeChanges at the time of the computation
+	gauges            int     // value of estimateChanges at the time of the computation
 	now, end          int     // tokens of the engine's runs
 	rate              float64 // expected ends of runs per second
 	valid             bool
