--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -59,14 +59,14 @@
 // meanFraction returns a customer's mean fraction of groups in time over that many seeds.
 func meanFraction(customer string, seeds uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
-	parts := make([]float64, seeds)
+	fractions := make([]float64, seeds)
 	for seed := range seeds {
-		wg.Go(func() { parts[seed] = play(seed)[customer] })
+		wg.Go(func() { fractions[seed] = play(seed)[customer] })
 	}
 	wg.Wait()
 	total := 0.0
-	for _, part := range parts {
-		total += part
+	for _, fraction := range fractions {
+		total += fraction
 	}
 	return total / float64(seeds)
 }
@@ -98,10 +98,10 @@
 	for seed := range uint64(3) {
 		got := replayCustomers(16, customers, seed, nil)
 		mean, small := 0.0, 0.0
-		for customer, part := range got {
-			mean += part / float64(len(got))
+		for customer, fraction := range got {
+			mean += fraction / float64(len(got))
 			if customer != "large" {
-				small += part / float64(len(got)-1)
+				small += fraction / float64(len(got)-1)
 			}
 		}
 		t.Log(got)
@@ -127,9 +127,9 @@
 				}
 			}
 		})
-		part := float64(held["returns"]) / float64(held["returns"]+held["stays"])
-		t.Logf("has %.3f of the slots after its return", part)
-		assert.Assert(t, part > 0.35 && part < 0.65)
+		fraction := float64(held["returns"]) / float64(held["returns"]+held["stays"])
+		t.Logf("has %.3f of the slots after its return", fraction)
+		assert.Assert(t, fraction > 0.35 && fraction < 0.65)
 	}
 }
 
--- a/step/engines.go
+++ b/step/engines.go
@@ -78,9 +78,9 @@
 }
 
 // requeueRuns requeues an engine's runs.
-func (ta *Table) requeueRuns(en *engineRow, why string, now time.Time) {
+func (ta *Table) requeueRuns(en *engineRow, reason string, now time.Time) {
 	for _, ir := range en.items {
-		ta.requeue(ir, why, now)
+		ta.requeue(ir, reason, now)
 	}
 }
 
--- a/step/grouporder.go
+++ b/step/grouporder.go
@@ -20,13 +20,13 @@
 // byPosition returns the groups of steps by position. It is a stable counting sort: positions
 // are less than the number of groups.
 func byPosition(steps []*stepRow) []*groupRow {
-	most := 0
+	maxPosition := 0
 	for _, sr := range steps {
 		for _, gr := range sr.groupList {
-			most = max(most, gr.plan.Position())
+			maxPosition = max(maxPosition, gr.plan.Position())
 		}
 	}
-	counts := make([]int, most+2) // groups before each position
+	counts := make([]int, maxPosition+2) // groups before each position
 	total := 0
 	for _, sr := range steps {
 		for _, gr := range sr.groupList {
@@ -34,7 +34,7 @@
 			total++
 		}
 	}
-	for i := range most + 1 {
+	for i := range maxPosition + 1 {
 		counts[i+1] += counts[i]
 	}
 	all := make([]*groupRow, total)
--- a/step/groupsummary.go
+++ b/step/groupsummary.go
@@ -106,13 +106,13 @@
 
 // add adds a waiting item.
 func (gs *groupSummary) add(ir *itemRow) {
-	took := ir.expectedTime()
+	remaining := ir.expectedTime()
 	gs.waiting = append(gs.waiting, ir)
 	gs.hasEvents = gs.hasEvents || ir.hasEvents()
 	gs.leastTokens = min(gs.leastTokens, ir.tokensNow())
-	gs.longest, gs.shortest = max(gs.longest, took), min(gs.shortest, took)
+	gs.longest, gs.shortest = max(gs.longest, remaining), min(gs.shortest, remaining)
 	gs.needsScore = gs.needsScore || ir.item.Reward != nil
-	gs.work += max(took, minWork)
+	gs.work += max(remaining, minWork)
 	if ir.moveTarget != "" {
 		gs.movingCount++
 	}
@@ -154,14 +154,14 @@
 		plan.Longest = max(gs.longest, minWork)
 	}
 	if gs.scoringCount > 0 {
-		took := max(gr.step.rewards.expected(), minWork)
-		plan.Work += time.Duration(gs.scoringCount) * took
-		plan.Longest = max(plan.Longest, took)
+		remaining := max(gr.step.rewards.expected(), minWork)
+		plan.Work += time.Duration(gs.scoringCount) * remaining
+		plan.Longest = max(plan.Longest, remaining)
 	}
 	for _, ir := range gs.running {
-		took := max(ta.remainingTimeCached(ir, now), minWork)
-		plan.Work += took
-		plan.Longest = max(plan.Longest, took)
+		remaining := max(ta.remainingTimeCached(ir, now), minWork)
+		plan.Work += remaining
+		plan.Longest = max(plan.Longest, remaining)
 	}
 }
 
--- a/step/manifest.go
+++ b/step/manifest.go
@@ -45,28 +45,28 @@
 	if err != nil {
 		return StoredStep{}, err
 	}
-	kept, gapless, err := decodeStoredStep(id, ch.Items)
+	stored, gapless, err := decodeStoredStep(id, ch.Items)
 	if err != nil {
 		return StoredStep{}, err
 	}
 	if gapless {
 		// A chunk without a manifest was written by an earlier release.
-		_, err := ke.Client.Get(ctx, listedKey(id, len(kept.Marked)))
+		_, err := ke.Client.Get(ctx, listedKey(id, len(stored.Marked)))
 		if errors.Is(err, keyvalue.ErrNotFound) {
-			return kept, nil
+			return stored, nil
 		}
 		if err != nil {
 			return StoredStep{}, err
 		}
 	}
-	kept.Marked = nil
-	kept.Listed, err = ke.Chunks(ctx, id)
-	return kept, err
+	stored.Marked = nil
+	stored.Listed, err = ke.Chunks(ctx, id)
+	return stored, err
 }
 
 // decodeStoredStep decodes manifests and checkpoints of a step, and reports whether the manifests cover
 // consecutive chunks from the first one on.
-func decodeStoredStep(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
+func decodeStoredStep(id string, items []keyvalue.Item) (stored StoredStep, gapless bool, err error) {
 	gapless = true
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, manifestPrefix(id)) {
@@ -74,17 +74,17 @@
 			if err := cbor.Unmarshal(it.Value, &ma); err != nil {
 				return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 			}
-			gapless = gapless && it.Key == manifestKey(id, len(kept.Marked))
-			kept.Marked = append(kept.Marked, ma.Listed)
+			gapless = gapless && it.Key == manifestKey(id, len(stored.Marked))
+			stored.Marked = append(stored.Marked, ma.Listed)
 			continue
 		}
 		var cp Checkpoint
 		if err := cbor.Unmarshal(it.Value, &cp); err != nil {
 			return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 		}
-		kept.Checkpoints = append(kept.Checkpoints, cp)
+		stored.Checkpoints = append(stored.Checkpoints, cp)
 	}
-	return kept, gapless, nil
+	return stored, gapless, nil
 }
 
 // chunkItems returns the item IDs of each listed chunk.
--- a/step/overload_test.go
+++ b/step/overload_test.go
@@ -70,16 +70,16 @@
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, requested int, least float64) {
+func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, requested int, minFraction float64) {
 	re := oc.newReplay(times, way)
 	re.run(dayLength, nil)
-	least = 1
+	minFraction = 1
 	for _, tr := range re.trainers {
 		scheduled := int(dayLength/tr.every) * tr.target
 		inTime, requested = inTime+tr.inTime, requested+scheduled
-		least = min(least, float64(tr.inTime)/float64(scheduled))
+		minFraction = min(minFraction, float64(tr.inTime)/float64(scheduled))
 	}
-	return inTime, requested, least
+	return inTime, requested, minFraction
 }
 
 // policies are the overload disciplines to compare.
@@ -107,8 +107,8 @@
 					if i >= main && n < 4 {
 						continue
 					}
-					inTime, requested, least := oc.run(n, po.way)
-					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, requested, least)
+					inTime, requested, minFraction := oc.run(n, po.way)
+					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, requested, minFraction)
 					mu.Lock()
 					served[fmt.Sprint(oc.name, po.name, n)] = inTime
 					mu.Unlock()
@@ -236,8 +236,8 @@
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, requested, least := oc.run(times, overload.FirstInFirstOut)
-		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, requested, least)
+		inTime, requested, minFraction := oc.run(times, overload.FirstInFirstOut)
+		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, requested, minFraction)
 	}
 	golden.Assert(t, text, "other-make.golden")
 }
--- a/step/pace.go
+++ b/step/pace.go
@@ -99,8 +99,8 @@
 // median.
 func (ta *Table) ratePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
-		held, _ := en.memoryUse()
-		en.basePace = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
+		used, _ := en.memoryUse()
+		en.basePace = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), used))
 	}
 	median := ta.medianPaces[en.service]
 	if median == 0 || en.report.PaceGaps < paceGaps || float64(en.report.Pace) <= slowFactor*float64(median) {
@@ -140,15 +140,15 @@
 	ta.updateSummaries()
 	for _, sr := range ta.openSteps {
 		for _, mc := range ta.runsToMove(sr, now) {
-			ta.moveRun(mc.item, mc.item.run.engine, mc.why, now)
+			ta.moveRun(mc.item, mc.item.run.engine, mc.reason, now)
 		}
 	}
 }
 
 // A moveCandidate is a run to move, with the reason.
 type moveCandidate struct {
-	item *itemRow
-	why  string
+	item   *itemRow
+	reason string
 }
 
 // runsToMove returns the runs of a step to move, in the order of the items.
@@ -159,12 +159,12 @@
 			if ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 				continue
 			}
-			why := ir.run.engine.reasonToMove(ir, now)
-			if why == "" && ta.isLongRun(ir.run.engine, ir) {
-				why = "faster engine"
+			reason := ir.run.engine.reasonToMove(ir, now)
+			if reason == "" && ta.isLongRun(ir.run.engine, ir) {
+				reason = "faster engine"
 			}
-			if why != "" {
-				moves = append(moves, moveCandidate{item: ir, why: why})
+			if reason != "" {
+				moves = append(moves, moveCandidate{item: ir, reason: reason})
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 // that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
 	for _, en := range ta.sortedEngines {
-		if held, _ := en.memoryUse(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
+		if used, _ := en.memoryUse(); en.tokens == 0 || float64(used) < highMemoryFraction*float64(en.tokens) {
 			continue
 		}
 		if ir := en.mostSlack(now); ir != nil {
@@ -200,8 +200,8 @@
 		if ir.run.stopping {
 			return nil
 		}
-		held, _ := ir.tokenUse()
-		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < minMovedFraction*float64(en.tokens) {
+		used, _ := ir.tokenUse()
+		if !ir.run.confirmed || ir.moves >= maxMoves || float64(used) < minMovedFraction*float64(en.tokens) {
 			continue
 		}
 		slack := ir.slack(now)
@@ -213,8 +213,8 @@
 }
 
 // moveRun stops a run and reserves a slot for it on another engine, if one qualifies.
-func (ta *Table) moveRun(ir *itemRow, from *engineRow, why string, now time.Time) {
-	to := ta.bestMoveTarget(ir, from, why, now)
+func (ta *Table) moveRun(ir *itemRow, from *engineRow, reason string, now time.Time) {
+	to := ta.bestMoveTarget(ir, from, reason, now)
 	if to == nil {
 		return
 	}
@@ -226,19 +226,19 @@
 	ta.log("run moved", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: from.id, "events": len(ir.events), itemField: ir.item.ID,
 		"pace-ms": from.report.Pace.Milliseconds(), "quiet-ms": now.Sub(ir.run.eventAt).Milliseconds(),
-		stepField: ir.step.step.ID, "to": to.id, whyField: why,
+		stepField: ir.step.step.ID, "to": to.id, whyField: reason,
 	})
 }
 
 // bestMoveTarget returns the best engine to move a run to, or nil.
-func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
+func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, reason string, now time.Time) *engineRow {
 	var best *engineRow
 	for _, en := range ta.sortedEngines {
 		if en == from || ta.trials.runsTrial(en.id, now) || en.freeSlots() <= slotsLeftFree || en.slow(now) || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) {
 			continue
 		}
 		switch {
-		case why == memoryReason:
+		case reason == memoryReason:
 			if !en.hasSpareMemory(ir) || float64(en.basePace) > (1+paceTolerance)*float64(from.basePace) {
 				continue
 			}
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -134,11 +134,11 @@
 		}
 		re.Runs = append(re.Runs, pr)
 	}
-	goesOn := rapid.Bool().Draw(t, "run restarts")
+	restarts := rapid.Bool().Draw(t, "run restarts")
 	tp.both(func(ta *Table) {
 		rq, _ := ta.Request(en.id)
 		ta.HandleResponse(en.id, rq, re, tp.now)
-		if goesOn {
+		if restarts {
 			ta.restartStopped(tp.now)
 		}
 	})
@@ -149,8 +149,8 @@
 	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens per event")
 	tp.both(func(ta *Table) {
 		for range estimatorMaxRatios {
-			if gauge := ta.estimators[model]; gauge != nil {
-				gauge.observeHint(tokens*estimatorMinEvents, estimatorMinEvents)
+			if estimator := ta.estimators[model]; estimator != nil {
+				estimator.observeHint(tokens*estimatorMinEvents, estimatorMinEvents)
 			}
 		}
 	})
--- a/step/reference_test.go
+++ b/step/reference_test.go
@@ -38,12 +38,12 @@
 	var must time.Duration
 	var others []time.Duration
 	missing := min(sr.step.Groups, len(sr.groups)) - (len(sr.groups) - len(groups))
-	for name, took := range groups {
+	for name, remaining := range groups {
 		if sr.groups[name].recurring {
-			must = max(must, took)
+			must = max(must, remaining)
 			missing--
 		} else {
-			others = append(others, took)
+			others = append(others, remaining)
 		}
 	}
 	if missing <= 0 || len(others) == 0 {
@@ -61,12 +61,12 @@
 		if en == nil || ir.state != running || ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 			continue
 		}
-		why := en.reasonToMove(ir, now)
-		if why == "" && ta.isLongRun(en, ir) {
-			why = "faster engine"
+		reason := en.reasonToMove(ir, now)
+		if reason == "" && ta.isLongRun(en, ir) {
+			reason = "faster engine"
 		}
-		if why != "" {
-			moves = append(moves, moveCandidate{item: ir, why: why})
+		if reason != "" {
+			moves = append(moves, moveCandidate{item: ir, reason: reason})
 		}
 	}
 	return moves
--- a/step/referenceplace_test.go
+++ b/step/referenceplace_test.go
@@ -38,9 +38,9 @@
 			}
 			continue
 		}
-		kept := ta.engines[ir.moveTarget]
+		target := ta.engines[ir.moveTarget]
 		rp.release(ta, ir)
-		en := kept
+		en := target
 		if en == nil || rp.open(ta, en) <= 0 || !ta.canRunItem(en, ir) || ta.trials.runsTrial(en.id, now) {
 			en = referenceChoose(rp, ta, ir, open, now)
 		}
@@ -95,10 +95,10 @@
 			st.Rank = ranks[sr.step.Customer]
 			steps, rows = append(steps, st), append(rows, sr)
 		}
-		places := ta.usableSlots(service, now)
+		slots := ta.usableSlots(service, now)
 		sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
-		sp.planner.Plan(steps, places, now)
-		sp.withinShare = ta.customersWithinShare(steps, rows, places)
+		sp.planner.Plan(steps, slots, now)
+		sp.withinShare = ta.customersWithinShare(steps, rows, slots)
 		sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
 		if len(rows) == 0 && sp.planner.Idle() {
 			delete(ta.servicePlans, service)
@@ -164,7 +164,7 @@
 func referenceOrder(ta *Table, now time.Time) []*itemRow {
 	irs := referenceWaiting(ta, now)
 	waiting := referenceRanks(ta, irs)
-	turn := func(ir *itemRow) passKind {
+	kind := func(ir *itemRow) passKind {
 		switch {
 		case !ir.group.plan.InTime():
 			return unplannedPass
@@ -182,7 +182,7 @@
 		ranks := ta.servicePlans[service].adaptRanks(waiting)
 		order := cmp.Compare(ranks[a.step.step.Customer], ranks[b.step.step.Customer])
 		if order == 0 && ta.overloaded(service) {
-			order = cmp.Or(cmp.Compare(turn(a), turn(b)), cmp.Compare(a.group.plan.Position(), b.group.plan.Position()))
+			order = cmp.Or(cmp.Compare(kind(a), kind(b)), cmp.Compare(a.group.plan.Position(), b.group.plan.Position()))
 		}
 		return cmp.Or(order, cmp.Compare(a.slack(now), b.slack(now)))
 	})
@@ -265,11 +265,11 @@
 		score -= float64(2 * en.slots)
 	}
 	held, end := referenceMemory(en)
-	took := ir.expectedTime().Seconds()
-	cost := took * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
+	seconds := ir.expectedTime().Seconds()
+	cost := seconds * slotsPerSecond * float64((held+end)/2) * slowdownPerToken
 	if best := ta.bestBases[en.service]; best > 0 && en.basePace > 0 {
 		if behind := float64(en.basePace)/float64(best) - 1; behind >= paceTolerance {
-			cost += behind * took * slotsPerSecond
+			cost += behind * seconds * slotsPerSecond
 		}
 	}
 	crowding := 0.0
--- a/step/share.go
+++ b/step/share.go
@@ -86,7 +86,7 @@
 
 // SetLiveUsage sets, by customer, the fractions of scarce slots of plain services that live requests
 // use.
-func (ta *Table) SetLiveUsage(parts map[string]float64) { ta.usage.liveSlots = parts }
+func (ta *Table) SetLiveUsage(fractions map[string]float64) { ta.usage.liveSlots = fractions }
 
 type usageKey struct{ customer, service string }
 
@@ -105,10 +105,10 @@
 // customerUses returns what customers use and want of services with waiting items. Slots in use count
 // only where they are scarce.
 func (ta *Table) customerUses(counts map[usageKey]itemCounts) map[string]fairshare.Usage {
-	waits, held := map[string]bool{}, map[string]int{} // by service
+	waits, running := map[string]bool{}, map[string]int{} // by service
 	for key, ic := range counts {
 		waits[key.service] = waits[key.service] || ic.canStart
-		held[key.service] += ic.running
+		running[key.service] += ic.running
 	}
 	uses := map[string]fairshare.Usage{}
 	ta.usage.scarce = map[string]bool{}
@@ -117,13 +117,13 @@
 			continue
 		}
 		slots, tokens := ta.serviceCapacity(service)
-		scarce := ratio(held[service], slots) >= scarceFraction
+		scarce := ratio(running[service], slots) >= scarceFraction
 		ta.usage.scarce[service] = scarce
 		addUses(uses, service, counts, slots, tokens, scarce)
 	}
-	for customer, part := range ta.usage.liveSlots {
+	for customer, fraction := range ta.usage.liveSlots {
 		if us, ok := uses[customer]; ok {
-			us.Places = max(us.Places, part)
+			us.Places = max(us.Places, fraction)
 			uses[customer] = us
 		}
 	}
--- a/step/table.go
+++ b/step/table.go
@@ -285,10 +285,10 @@
 }
 
 // requeue releases an item's run and lets the item wait again.
-func (ta *Table) requeue(ir *itemRow, why string, now time.Time) {
+func (ta *Table) requeue(ir *itemRow, reason string, now time.Time) {
 	ta.log("run given up", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: ir.run.engineID, "events": len(ir.events), itemField: ir.item.ID,
-		stepField: ir.step.step.ID, whyField: why,
+		stepField: ir.step.step.ID, whyField: reason,
 	})
 	ir.avoidedEngine = ir.run.engineID
 	if ir.moveTarget != "" {
--- a/step/weights.go
+++ b/step/weights.go
@@ -49,16 +49,16 @@
 			loading++
 		}
 	}
-	shares, parts := ta.engineShares(ens), ta.modelClaims(ens)
-	for model, part := range parts {
+	shares, claims := ta.engineShares(ens), ta.modelClaims(ens)
+	for model, claim := range claims {
 		if share, ok := shares[model]; ok {
-			shares[model] = max(share, part.engines)
+			shares[model] = max(share, claim.engines)
 		}
 	}
 	for loading < maxConcurrentLoads(len(ens)) {
-		en, model := ta.nextLoad(ens, shares, parts, ta.toleratedLag(ens[0].service))
+		en, model := ta.nextLoad(ens, shares, claims, ta.toleratedLag(ens[0].service))
 		if en == nil {
-			en, model = ta.nextLoad(ens, shares, parts, 0)
+			en, model = ta.nextLoad(ens, shares, claims, 0)
 		}
 		if en == nil {
 			return
@@ -87,25 +87,25 @@
 // first customer by rank with the fewest engines that lag at most lag versions, relative to its
 // share.
 func (ta *Table) nextLoad(
-	ens []*engineRow, shares map[string]float64, parts map[string]modelClaim, lag uint64,
+	ens []*engineRow, shares map[string]float64, claims map[string]modelClaim, lag uint64,
 ) (en *engineRow, model string) {
 	least := 1.0
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
 		version := ta.newestVersions[name] - min(lag, ta.newestVersions[name])
-		fresh := 0
+		upToDate := 0
 		for _, other := range ens {
 			if other.hasOrLoads(name, version) {
-				fresh++
+				upToDate++
 			}
 		}
 		// A fractional share is rounded up to whole engines.
-		part := float64(fresh) / math.Ceil(shares[name])
-		order := cmp.Or(cmp.Compare(parts[name].rank, parts[model].rank), cmp.Compare(part, least))
-		if part >= 1 || en != nil && order >= 0 {
+		progress := float64(upToDate) / math.Ceil(shares[name])
+		order := cmp.Or(cmp.Compare(claims[name].rank, claims[model].rank), cmp.Compare(progress, least))
+		if progress >= 1 || en != nil && order >= 0 {
 			continue
 		}
 		if oldest := ta.engineToLoad(ens, name, version); oldest != nil {
-			en, model, least = oldest, name, part
+			en, model, least = oldest, name, progress
 		}
 	}
 	return en, model
