--- a/step/engines.go
+++ b/step/engines.go
@@ -138,7 +138,7 @@
 
 // awaitTime returns how long an attendant should delay its response until a run ends.
 //
-// It does so for runs that hold something up: the last items of a step, and moving runs, which
+// It does so for runs that block progress: the last items of a step, and moving runs, which
 // are resumed only after they have stopped. For all runs, the load on the scheduler would be too
 // high.
 func (en *engineRow) awaitTime() time.Duration {
--- a/step/manifest.go
+++ b/step/manifest.go
@@ -88,32 +88,32 @@
 }
 
 // chunkItems returns the item IDs of each listed chunk.
-func (ke StoredStep) chunkItems() [][]string {
-	if ke.Listed == nil {
-		return ke.Marked
+func (ss StoredStep) chunkItems() [][]string {
+	if ss.Listed == nil {
+		return ss.Marked
 	}
 	var chunks [][]string
-	for _, results := range ke.Listed {
+	for _, results := range ss.Listed {
 		chunks = append(chunks, manifestOf(Chunk{Results: results}).Listed)
 	}
 	return chunks
 }
 
 // restoreListed restores the listed results of a step, and returns the set of their items.
-func (sr *stepRow) restoreListed(ke StoredStep) map[string]bool {
-	sr.results = slices.Concat(ke.Listed...)
+func (sr *stepRow) restoreListed(ss StoredStep) map[string]bool {
+	sr.results = slices.Concat(ss.Listed...)
 	listed := map[string]bool{}
-	var counts []int
+	var sizes []int
 	total := 0
-	for _, items := range ke.chunkItems() {
-		counts = append(counts, len(items))
+	for _, items := range ss.chunkItems() {
+		sizes = append(sizes, len(items))
 		total += len(items)
 		for _, item := range items {
 			listed[item] = true
 		}
 	}
 	if !sr.ended {
-		sr.setChunkSizes(counts)
+		sr.setChunkSizes(sizes)
 		sr.unread = total - len(sr.results)
 	}
 	return listed
@@ -126,12 +126,12 @@
 // the stored chunks from there on.
 func (sc *Scheduler) readStoredResults(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
-	counts, unread, later, total := sr.chunkSizes, sr.unread, sr.results, sr.step.Total()
+	sizes, unread, later, total := sr.chunkSizes, sr.unread, sr.results, sr.step.Total()
 	sc.mu.Unlock()
 	var results []Result
 	size := 0
 	for at := max(rq.After, 0); at < unread && size <= maxListingBytes; {
-		number, first, _ := findChunk(counts, at)
+		number, first, _ := findChunk(sizes, at)
 		chunk, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 		if err != nil {
 			return Listing{}, errors.Wrapf(ErrUnsure, "%v", err)
@@ -140,7 +140,7 @@
 			size += len(re.Text)
 			results = append(results, re)
 		}
-		at = first + counts[number]
+		at = first + sizes[number]
 	}
 	if size <= maxListingBytes {
 		results = append(results, later...)
--- a/step/row.go
+++ b/step/row.go
@@ -64,10 +64,10 @@
 type groupRow struct {
 	recurring bool // also in an earlier step
 	items     []*itemRow
-	stale     bool // wait is out of date
+	stale     bool // summary is out of date
 	step      *stepRow
 	summary   groupSummary
-	openItems int            // open items
+	openItems int
 	plan      overload.Group // of the last capacity plan
 }
 
@@ -86,16 +86,16 @@
 	queue              stepQueue      // of waiting items
 	summaryEventTokens int            // tokens per event that the group summaries were made with
 	summaryTokenTime   time.Duration  // time per token that the group summaries were made with
-	summariesChanged   bool           // group summaries changed after least and moving
+	summariesChanged   bool           // group summaries changed after leastTokens and movingCount
 	leastTokens        int            // lower bound of the tokens of a waiting item
 	movingCount        int            // waiting items with a reserved slot
 	orderIndex         int            // index of the step, in this round of placement
-	placement          *placement     // that seats belongs to
+	placement          *placement     // that candidates belongs to
 	candidates         *candidateList // engines that can run the step's items
 	customerRank       int            // of the customer, in this round of placement
 	items              []*itemRow
 	chunks             int             // number of listed chunks
-	chunkSizesKnown    bool            // counts is set
+	chunkSizesKnown    bool            // chunkSizes is set
 	chunkSizes         []int           // results per chunk
 	checkpoints        int             // number of stored checkpoints
 	listedAt           time.Time       // of the last results
