--- a/fairshare/recent.go
+++ b/fairshare/recent.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Parts returns each customer's fraction of the slot time used within RecentTime.
-func (re *RecentUsage) Parts(now time.Time) map[string]float64 {
+// Shares returns, by customer, the fraction of the slot time used within RecentTime.
+func (re *RecentUsage) Shares(now time.Time) map[string]float64 {
 	re.advance(now)
 	parts, total := map[string]float64{}, 0.0
 	for _, span := range re.spans {
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -190,7 +190,7 @@
 	assert.NilError(t, err)
 	te := &term{table: tableOf(t, 2, "a")}
 	assert.NilError(t, sc.restoreAccount(t.Context(), te, []*Step{{Customer: "ada"}}))
-	assert.Equal(t, len(te.table.Shares()), 0)
+	assert.Equal(t, len(te.table.Balances()), 0)
 }
 
 func TestAccountIsWrittenWithOtherWritesOnly(t *testing.T) {
--- a/step/overview.go
+++ b/step/overview.go
@@ -61,10 +61,10 @@
 // customerShares returns the recent share and the rank of each customer.
 func (ta *Table) customerShares(now time.Time) map[string]overview.Share {
 	shares := map[string]overview.Share{}
-	for customer, had := range ta.Parts(now) {
+	for customer, had := range ta.RecentShares(now) {
 		shares[customer] = overview.Share{Had: had}
 	}
-	for customer, st := range ta.Shares() {
+	for customer, st := range ta.Balances() {
 		sh := shares[customer]
 		sh.Ahead, sh.Rank = st.Ahead, st.Rank
 		shares[customer] = sh
--- a/step/share.go
+++ b/step/share.go
@@ -75,11 +75,11 @@
 	}
 }
 
-// Shares returns the balances of customers.
-func (ta *Table) Shares() map[string]fairshare.Balance { return ta.usage.account.Balances() }
+// Balances returns the balances of customers.
+func (ta *Table) Balances() map[string]fairshare.Balance { return ta.usage.account.Balances() }
 
-// Parts returns each customer's fraction of the slot time used within fairshare.RecentTime.
-func (ta *Table) Parts(now time.Time) map[string]float64 { return ta.usage.recentSlots.Parts(now) }
+// RecentShares returns each customer's fraction of the slot time used within fairshare.RecentTime.
+func (ta *Table) RecentShares(now time.Time) map[string]float64 { return ta.usage.recentSlots.Shares(now) }
 
 // SetWeights sets the customers' weights. The default weight is 1.
 func (ta *Table) SetWeights(weights map[string]float64) { ta.usage.account.SetWeights(weights) }
