--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -13,42 +13,42 @@
 
 const testTick = 50 * time.Millisecond
 
-// A shop simulates slots that customers compete for by the ranks of an account.
-type shop struct {
+// A simulation simulates slots that customers compete for by the ranks of an account.
+type simulation struct {
 	account Account
 	at      time.Duration
-	places  int
-	runs    []shopRun
+	slots   int
+	runs    []simRun
 	served  map[string]time.Duration // slot time
-	wants   map[string]int           // waiting items
+	waiting map[string]int           // waiting items
 }
 
-type shopRun struct {
+type simRun struct {
 	customer string
 	end      time.Duration
 }
 
-// step advances by a tick and gives free slots to items of the given length.
-func (sh *shop) step(length time.Duration) {
-	sh.at += testTick
-	sh.runs = slices.DeleteFunc(sh.runs, func(ru shopRun) bool { return ru.end <= sh.at })
-	sh.account.Advance(sh.uses(), testTick)
-	for len(sh.runs) < sh.places {
-		customer, ok := sh.next()
+// tick advances by a tick and gives free slots to items of the given length.
+func (si *simulation) tick(length time.Duration) {
+	si.at += testTick
+	si.runs = slices.DeleteFunc(si.runs, func(ru simRun) bool { return ru.end <= si.at })
+	si.account.Advance(si.uses(), testTick)
+	for len(si.runs) < si.slots {
+		customer, ok := si.next()
 		if !ok {
 			break
 		}
-		sh.wants[customer]--
-		sh.runs = append(sh.runs, shopRun{customer: customer, end: sh.at + length})
+		si.waiting[customer]--
+		si.runs = append(si.runs, simRun{customer: customer, end: si.at + length})
 	}
-	for _, ru := range sh.runs {
-		sh.served[ru.customer] += testTick
+	for _, ru := range si.runs {
+		si.served[ru.customer] += testTick
 	}
 }
 
-func (sh *shop) held(customer string) int {
+func (si *simulation) held(customer string) int {
 	count := 0
-	for _, ru := range sh.runs {
+	for _, ru := range si.runs {
 		if ru.customer == customer {
 			count++
 		}
@@ -56,13 +56,13 @@
 	return count
 }
 
-func (sh *shop) uses() map[string]Usage {
+func (si *simulation) uses() map[string]Usage {
 	uses := map[string]Usage{}
-	for customer, wants := range sh.wants {
-		held := sh.held(customer)
+	for customer, wants := range si.waiting {
+		held := si.held(customer)
 		if held+wants > 0 {
 			uses[customer] = Usage{
-				Places: float64(held) / float64(sh.places), Waits: wants > 0, Wants: float64(held+wants) / float64(sh.places),
+				Places: float64(held) / float64(si.slots), Waits: wants > 0, Wants: float64(held+wants) / float64(si.slots),
 			}
 		}
 	}
@@ -71,43 +71,43 @@
 
 // next returns the customer whose item goes next. Of equal ranks it is the one with the most
 // waiting items.
-func (sh *shop) next() (string, bool) {
+func (si *simulation) next() (string, bool) {
 	best := ""
-	for _, customer := range slices.Sorted(maps.Keys(sh.wants)) {
-		if sh.wants[customer] == 0 {
+	for _, customer := range slices.Sorted(maps.Keys(si.waiting)) {
+		if si.waiting[customer] == 0 {
 			continue
 		}
-		rank, bestRank := sh.account.Rank(customer), sh.account.Rank(best)
-		if best == "" || rank < bestRank || rank == bestRank && sh.wants[customer] > sh.wants[best] {
+		rank, bestRank := si.account.Rank(customer), si.account.Rank(best)
+		if best == "" || rank < bestRank || rank == bestRank && si.waiting[customer] > si.waiting[best] {
 			best = customer
 		}
 	}
 	return best, best != ""
 }
 
-func newShop(places int) *shop {
-	return &shop{places: places, served: map[string]time.Duration{}, wants: map[string]int{}}
+func newSimulation(slots int) *simulation {
+	return &simulation{slots: slots, served: map[string]time.Duration{}, waiting: map[string]int{}}
 }
 
-// fill sets the numbers of waiting items.
-func (sh *shop) fill(wants map[string]int) { maps.Copy(sh.wants, wants) }
+// setWaiting sets the numbers of waiting items.
+func (si *simulation) setWaiting(wants map[string]int) { maps.Copy(si.waiting, wants) }
 
-func TestCustomersThatAllWaitGetTheirWeights(t *testing.T) {
-	sh := newShop(12)
-	sh.account.SetWeights(map[string]float64{"half": 0.5})
+func TestWaitingCustomersGetTheirWeights(t *testing.T) {
+	si := newSimulation(12)
+	si.account.SetWeights(map[string]float64{"half": 0.5})
 	const length = 60 * time.Second
-	for sh.at < length {
-		sh.fill(map[string]int{"large": 500, "small": 20, "half": 20})
-		sh.step(time.Second)
+	for si.at < length {
+		si.setWaiting(map[string]int{"large": 500, "small": 20, "half": 20})
+		si.tick(time.Second)
 	}
-	total := sh.served["large"] + sh.served["small"] + sh.served["half"]
+	total := si.served["large"] + si.served["small"] + si.served["half"]
 	for customer, due := range map[string]float64{"large": 0.4, "small": 0.4, "half": 0.2} {
-		got := float64(sh.served[customer]) / float64(total)
+		got := float64(si.served[customer]) / float64(total)
 		assert.Assert(t, got > due-0.03 && got < due+0.03, "%s has %.3f of %.1f", customer, got, due)
 	}
 }
 
-func TestMemoryCountsWhereItIsTheMost(t *testing.T) {
+func TestDominantShareCounts(t *testing.T) {
 	// A few slots with most of the memory count as much as many slots.
 	var ac Account
 	uses := map[string]Usage{"long": {Places: 0.2, Memory: 0.8, Waits: true}, "short": {Places: 0.7, Memory: 0.1, Waits: true}}
@@ -118,25 +118,25 @@
 	assert.Assert(t, ac.Rank("long") >= ac.Rank("short"))
 }
 
-func TestUnusedPartIsLentAndNotOwed(t *testing.T) {
+func TestUnusedShareIsNotCredited(t *testing.T) {
 	// Guards against crediting unused time: a customer must not monopolize the engines after
 	// a long absence.
-	sh := newShop(12)
-	for sh.at < time.Hour {
-		sh.fill(map[string]int{"stays": 100})
-		sh.step(time.Second)
+	si := newSimulation(12)
+	for si.at < time.Hour {
+		si.setWaiting(map[string]int{"stays": 100})
+		si.tick(time.Second)
 	}
-	clear(sh.served)
-	back := sh.at
-	for sh.at < back+20*time.Second {
-		sh.fill(map[string]int{"stays": 100, "comes": 100})
-		sh.step(time.Second)
+	clear(si.served)
+	back := si.at
+	for si.at < back+20*time.Second {
+		si.setWaiting(map[string]int{"stays": 100, "comes": 100})
+		si.tick(time.Second)
 	}
-	got := float64(sh.served["comes"]) / float64(sh.served["comes"]+sh.served["stays"])
+	got := float64(si.served["comes"]) / float64(si.served["comes"]+si.served["stays"])
 	assert.Assert(t, got > 0.42 && got < 0.58, "%.3f", got)
 }
 
-func TestCustomerThatWasAheadIsAheadOnItsReturn(t *testing.T) {
+func TestLeadIsKeptDuringPause(t *testing.T) {
 	// A customer must not get more than its share by pausing now and then: its usage is
 	// remembered.
 	var ac Account
@@ -149,7 +149,7 @@
 	assert.Assert(t, ac.Rank("large") > ac.Rank("small"))
 }
 
-func TestIdleTimePaysBack(t *testing.T) {
+func TestLeadShrinksWhileIdle(t *testing.T) {
 	var ac Account
 	for range 40 {
 		ac.Advance(map[string]Usage{"large": {Places: 1, Waits: true, Wants: 2}, "small": {Waits: true, Wants: 2}}, testTick)
@@ -161,20 +161,20 @@
 	assert.Equal(t, len(ac.Balances()), 0)
 }
 
-func TestMemoryOfAnAccountIsBounded(t *testing.T) {
+func TestAccountSizeIsBounded(t *testing.T) {
 	var ac Account
 	uses := map[string]Usage{"behind": {Waits: true, Wants: 1}}
-	for i := range 3 * maxRows {
+	for i := range 3 * maxCustomers {
 		customer := fmt.Sprint("customer-", i)
 		uses[customer] = Usage{Places: 0.5, Waits: true, Wants: 1}
 		ac.Advance(uses, testTick)
 		delete(uses, customer)
 	}
-	assert.Assert(t, len(ac.rows) <= maxRows+1, "%d", len(ac.rows))
-	assert.Assert(t, len(ac.Snapshot().Ahead) <= maxKept)
+	assert.Assert(t, len(ac.rows) <= maxCustomers+1, "%d", len(ac.rows))
+	assert.Assert(t, len(ac.Snapshot().Ahead) <= maxSnapshotCustomers)
 }
 
-func TestRecall(t *testing.T) {
+func TestRestore(t *testing.T) {
 	// Guards against an account that starts with all customers equal after a change of
 	// scheduler.
 	var ac, next Account
@@ -188,20 +188,20 @@
 	assert.Equal(t, next.Rank("small"), ac.Rank("small"))
 	next.Restore(Snapshot{Ahead: map[string]float64{"large": 1e300, "small": -1}})
 	next.Advance(uses, testTick)
-	assert.Assert(t, next.Balances()["large"].Ahead <= mostClaim)
+	assert.Assert(t, next.Balances()["large"].Ahead <= maxLag)
 }
 
 // For random loads, every waiting customer gets a slot in bounded time, no waiting customer's
-// lead exceeds mostClaim, and the order of two waiting customers doesn't flap.
-func TestExploreAccount(t *testing.T) {
+// lead exceeds maxLag, and the order of two waiting customers doesn't flap.
+func TestAccountProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
-		sh := newShop(rapid.IntRange(1, 8).Draw(rt, "places"))
+		si := newSimulation(rapid.IntRange(1, 8).Draw(rt, "places"))
 		weights := map[string]float64{}
 		for _, customer := range customers {
 			weights[customer] = rapid.SampledFrom([]float64{0.25, 0.5, 1, 2}).Draw(rt, "weight")
 		}
-		sh.account.SetWeights(weights)
+		si.account.SetWeights(weights)
 		total := 0.0
 		for _, weight := range weights {
 			total += weight
@@ -217,20 +217,20 @@
 			first := ""
 			const ticks = 40
 			for range ticks {
-				sh.fill(wants)
-				before := maps.Clone(sh.served)
-				sh.step(length)
+				si.setWaiting(wants)
+				before := maps.Clone(si.served)
+				si.tick(length)
 				for _, customer := range customers {
-					if wants[customer] == 0 || sh.held(customer) > 0 || sh.served[customer] > before[customer] {
-						waitedSince[customer] = sh.at
+					if wants[customer] == 0 || si.held(customer) > 0 || si.served[customer] > before[customer] {
+						waitedSince[customer] = si.at
 					}
 					// The claims of the others, in slot time, and the items that run meanwhile.
-					bound := time.Duration((mostClaim+foresight+1)*total/weights[customer]*float64(time.Second)) + 4*length
-					if waited := sh.at - waitedSince[customer]; waited > bound {
+					bound := time.Duration((maxLag+chargeAhead+1)*total/weights[customer]*float64(time.Second)) + 4*length
+					if waited := si.at - waitedSince[customer]; waited > bound {
 						rt.Fatalf("%s waited for %s", customer, waited)
 					}
 				}
-				if now := sh.order(customers[0], customers[1]); now != "" && now != first {
+				if now := si.order(customers[0], customers[1]); now != "" && now != first {
 					turns[now]++
 					first = now
 				}
@@ -239,8 +239,8 @@
 			if wants[customers[0]] > 8 && wants[customers[1]] > 8 && turns[customers[0]]+turns[customers[1]] > 2+ticks/4 {
 				rt.Fatalf("order turned %v times in %d ticks", turns, ticks)
 			}
-			for customer, st := range sh.account.Balances() {
-				if st.Ahead > mostClaim+1e-6 && st.Use.Waits {
+			for customer, st := range si.account.Balances() {
+				if st.Ahead > maxLag+1e-6 && st.Use.Waits {
 					rt.Fatalf("%s is %f ahead", customer, st.Ahead)
 				}
 			}
@@ -249,8 +249,8 @@
 }
 
 // order returns which of two customers goes first, or "".
-func (sh *shop) order(a, b string) string {
-	switch ra, rb := sh.account.Rank(a), sh.account.Rank(b); {
+func (si *simulation) order(a, b string) string {
+	switch ra, rb := si.account.Rank(a), si.account.Rank(b); {
 	case ra < rb:
 		return a
 	case rb < ra:
--- a/fairshare/memory.go
+++ b/fairshare/snapshot.go
@@ -1,7 +1,7 @@
 package fairshare
 
-// maxKept limits the number of customers in a Snapshot.
-const maxKept = 200
+// maxSnapshotCustomers limits the number of customers in a Snapshot.
+const maxSnapshotCustomers = 200
 
 // A Snapshot is the persistent state of an account: customers' leads over the virtual time. A
 // missing customer isn't ahead.
@@ -9,22 +9,22 @@
 
 // Snapshot returns the state of the account to persist.
 func (ac *Account) Snapshot() Snapshot {
-	me := Snapshot{Ahead: map[string]float64{}}
+	sn := Snapshot{Ahead: map[string]float64{}}
 	customers := ac.byServed()
-	for _, customer := range customers[max(0, len(customers)-maxKept):] {
+	for _, customer := range customers[max(0, len(customers)-maxSnapshotCustomers):] {
 		if ahead := ac.rows[customer].served - ac.virtual; ahead > 0 {
-			me.Ahead[customer] = ahead
+			sn.Ahead[customer] = ahead
 		}
 	}
-	return me
+	return sn
 }
 
 // Restore restores an account from persistent state.
-func (ac *Account) Restore(me Snapshot) {
+func (ac *Account) Restore(sn Snapshot) {
 	ac.rows, ac.virtual = map[string]*row{}, 0
-	for customer, ahead := range me.Ahead {
-		if ahead > 0 && len(ac.rows) < maxRows {
-			ac.rows[customer] = &row{served: min(ahead, mostClaim)}
+	for customer, ahead := range sn.Ahead {
+		if ahead > 0 && len(ac.rows) < maxCustomers {
+			ac.rows[customer] = &row{served: min(ahead, maxLag)}
 		}
 	}
 }
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// crowdedPart and roomyPart are the loads, as fractions of the capacity, at which overload
+	// overloadFraction and clearFraction are the loads, as fractions of the capacity, at which overload
 	// begins and below which it ends. They are far below 1 since hints often underestimate
 	// the work.
-	crowdedPart = 0.55
-	roomyPart   = 0.4
-	// emptyPart is the load below which there is no overload, even if groups have no capacity.
+	overloadFraction = 0.55
+	clearFraction    = 0.4
+	// idleFraction is the load below which there is no overload, even if groups have no capacity.
 	// Those have an item that can't be in time anyway.
-	emptyPart = 0.25
-	// usablePart is the fraction of the capacity that is reserved. The rest is lost between
+	idleFraction = 0.25
+	// reservableFraction is the fraction of the capacity that is reserved. The rest is lost between
 	// runs and to weight loads.
-	usablePart = 0.75
-	// starvedAfter is the multiple of a step's allowed time without any group in time after
+	reservableFraction = 0.75
+	// starvationFactor is the multiple of a step's allowed time without any group in time after
 	// which a trainer's steps go first.
-	starvedAfter = 2
+	starvationFactor = 2
 )
 
 // A Group is a set of items of a step that are useful only together.
@@ -81,7 +81,7 @@
 	FirstInFirstOut Discipline = iota
 	// ShortestFirst serves groups of all steps in the order of their work.
 	ShortestFirst
-	// EqualProgress serves the groups of all steps in turn.
+	// EqualProgress serves groups so that all steps progress equally.
 	EqualProgress
 	// LeastSlack disables overload mode, so that items are placed by least slack.
 	LeastSlack
@@ -98,69 +98,69 @@
 	Lingers bool
 	Way     Discipline
 
-	crowded bool
-	starved map[string]*starvation // by trainer
-	load    float64
+	overloaded bool
+	starved    map[string]*starvation // by trainer
+	load       float64
 }
 
 // Overloaded reports whether the capacity is insufficient for all open steps.
-func (pl *Planner) Overloaded() bool { return pl.crowded }
+func (pl *Planner) Overloaded() bool { return pl.overloaded }
 
 // Load returns the wanted work as a fraction of the capacity within a step's allowed time.
 func (pl *Planner) Load() float64 { return pl.load }
 
 // Idle reports whether the planner has no state, so that it can be replaced by a new one.
-func (pl *Planner) Idle() bool { return !pl.crowded && len(pl.starved) == 0 }
+func (pl *Planner) Idle() bool { return !pl.overloaded && len(pl.starved) == 0 }
 
 // Plan reserves capacity for groups of the open steps and sets the positions of all groups.
-// Steps must be ordered from the oldest. Places is the number of slots, in which those of slow
+// Steps must be ordered from the oldest. Slots is the number of slots, in which those of slow
 // engines count in part.
-func (pl *Planner) Plan(steps []*Step, places float64, now time.Time) {
-	pl.load = load(steps, places)
+func (pl *Planner) Plan(steps []*Step, slots float64, now time.Time) {
+	pl.load = load(steps, slots)
 	short := false // a wanted group has no reserved capacity, and its step isn't late yet
 	steps = pl.starvedFirst(steps, now)
-	cds, ro := pl.candidates(steps), newRoom(steps, usablePart*places)
+	cds, ca := pl.candidates(steps), newCapacity(steps, reservableFraction*slots)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = chanceOf(cds[i])
-		gr.inTime = cds[i].chance == possible && ro.fits(st, gr.Work)
+		cds[i].tier = tierOf(cds[i])
+		gr.inTime = cds[i].tier == possible && ca.fits(st, gr.Work)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
-			cds[i].chance = planned
+			cds[i].tier = planned
 			st.work += gr.Work
 		}
 	}
-	for position, cd := range byChance(cds) {
+	for position, cd := range byTier(cds) {
 		cd.group.position = position
 	}
-	pl.setCrowded(short)
+	pl.updateOverloaded(short)
 }
 
-// setCrowded updates whether there is overload, by the load and by whether a wanted group has
+// updateOverloaded updates whether there is overload, by the load and by whether a wanted group has
 // no reserved capacity.
-func (pl *Planner) setCrowded(short bool) {
+func (pl *Planner) updateOverloaded(short bool) {
 	switch {
 	case pl.Way == LeastSlack:
-	case pl.load >= crowdedPart:
-		pl.crowded = true
-	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
-		pl.crowded = false
+	case pl.load >= overloadFraction:
+		pl.overloaded = true
+	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
+		pl.overloaded = false
 	}
 }
 
-// A chance is how useful a group can still be to its trainer.
-type chance int
+// A tier is how useful a group can still be to its trainer.
+type tier int
 
-// The chances, from the best.
+// The tiers, from the best.
 const (
-	planned  chance = iota // capacity is reserved
-	possible               // could be in time, but the capacity is reserved for others
-	late                   // can be complete before its trainer ends the step
+	planned  tier = iota // capacity is reserved
+	possible             // could be in time, but the capacity is reserved for others
+	late                 // can be complete before its trainer ends the step
 	hopeless
 )
 
-// chanceOf returns the chance of a group without reserved capacity.
-func chanceOf(cd candidate) chance {
+// tierOf returns the tier of a group without reserved capacity.
+func tierOf(cd candidate) tier {
 	gr, st := cd.group, cd.step
 	switch {
 	case cd.wanted && gr.Longest <= st.Left:
@@ -174,7 +174,7 @@
 
 // load returns the wanted work as a fraction of what the slots can do within the longest allowed
 // time. It also sorts the groups of all steps and resets their reserved work.
-func load(steps []*Step, places float64) float64 {
+func load(steps []*Step, slots float64) float64 {
 	var work, due time.Duration
 	for _, st := range steps {
 		st.work = 0
@@ -185,7 +185,7 @@
 	if work == 0 {
 		return 0
 	}
-	return float64(work) / max(1, places*float64(due))
+	return float64(work) / max(1, slots*float64(due))
 }
 
 func compareBool(a, b bool) int {
@@ -203,7 +203,7 @@
 // had no group in time for too long.
 func (pl *Planner) starvedFirst(steps []*Step, now time.Time) []*Step {
 	pl.trackStarvation(steps, now)
-	starved := func(st *Step) bool { return pl.starved[st.Trainer].lasts(now) > starvedAfter*st.Due }
+	starved := func(st *Step) bool { return pl.starved[st.Trainer].duration(now) > starvationFactor*st.Due }
 	ordered := slices.Clone(steps)
 	slices.SortStableFunc(ordered, func(a, b *Step) int {
 		return cmp.Or(compareBool(starved(b), starved(a)), cmp.Compare(a.Rank, b.Rank))
@@ -213,12 +213,12 @@
 
 // A candidate is a group to reserve capacity for.
 type candidate struct {
-	chance chance
-	group  *Group
-	order  int     // index before sorting
-	part   float64 // number of earlier groups of its step, as a fraction of the wanted ones
-	step   *Step
-	wanted bool // the trainer waits for the group
+	tier     tier
+	group    *Group
+	order    int     // index before sorting
+	progress float64 // number of earlier groups of its step, as a fraction of the wanted ones
+	step     *Step
+	wanted   bool // the trainer waits for the group
 }
 
 // candidates returns all groups in the order in which capacity is reserved for them.
@@ -227,7 +227,7 @@
 	for _, st := range steps {
 		for i, gr := range st.Groups {
 			cds = append(cds, candidate{
-				group: gr, part: float64(i) / float64(max(st.Wanted, 1)), step: st, wanted: i < st.Wanted || gr.Again,
+				group: gr, progress: float64(i) / float64(max(st.Wanted, 1)), step: st, wanted: i < st.Wanted || gr.Again,
 			})
 		}
 	}
@@ -235,7 +235,7 @@
 	case ShortestFirst:
 		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.group.Work, b.group.Work) })
 	case EqualProgress:
-		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.part, b.part) })
+		slices.SortStableFunc(cds, func(a, b candidate) int { return cmp.Compare(a.progress, b.progress) })
 	case FirstInFirstOut, LeastSlack:
 	}
 	return cds
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -41,24 +41,24 @@
 	again := stepOf("a", 8*time.Second, 1, 9)
 	again.Wanted, again.Groups[1].Again = 1, true
 	for _, tc := range []struct {
-		name   string
-		steps  []*Step
-		places float64
-		want   []string // by step, groups ordered by work
+		name  string
+		steps []*Step
+		slots float64
+		want  []string // by step, groups ordered by work
 	}{
-		{"room for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
-		{"room for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
-		{"the cheapest groups of a step", []*Step{stepOf("a", 8*time.Second, 9, 3, 3)}, 1, []string{"xx-"}},
+		{"capacity for all", []*Step{stepOf("a", 8*time.Second, 2, 2), stepOf("b", 8*time.Second, 2, 2)}, 4, []string{"xx", "xx"}},
+		{"capacity for one step", []*Step{stepOf("a", 8*time.Second, 5, 5), stepOf("b", 8*time.Second, 5, 5)}, 2, []string{"xx", "--"}},
+		{"the smallest groups of a step", []*Step{stepOf("a", 8*time.Second, 9, 3, 3)}, 1, []string{"xx-"}},
 		{"a later step has more time", []*Step{stepOf("a", 4*time.Second, 5), stepOf("b", 8*time.Second, 5)}, 1.2, []string{"-", "x"}},
 		{"an item that lasts too long", []*Step{tooLong}, 4, []string{"x-"}},
 		{"a step that is late", []*Step{stepOf("a", -time.Second, 1), stepOf("b", 8*time.Second, 1)}, 4, []string{"-", "x"}},
 		{"groups that nobody waits for", []*Step{fewWanted}, 4, []string{"x--"}},
-		{"groups that come again go first", []*Step{again}, 2, []string{"x-"}},
-		{"no places", []*Step{stepOf("a", 8*time.Second, 1)}, 0, []string{"-"}},
+		{"recurring groups go first", []*Step{again}, 2, []string{"x-"}},
+		{"no slots", []*Step{stepOf("a", 8*time.Second, 1)}, 0, []string{"-"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var pl Planner
-			pl.Plan(tc.steps, tc.places, begin)
+			pl.Plan(tc.steps, tc.slots, begin)
 			for i, st := range tc.steps {
 				assert.Equal(t, inTime(st), tc.want[i], "step %d", i)
 			}
@@ -67,7 +67,7 @@
 }
 
 // Overload mode must not toggle while the load varies around the threshold.
-func TestCrowdedHasHysteresis(t *testing.T) {
+func TestOverloadHysteresis(t *testing.T) {
 	var pl Planner
 	changes, was := 0, false
 	for i := range 100 {
@@ -86,7 +86,7 @@
 }
 
 // Guards against starving a trainer whose steps always come after those of others.
-func TestTrainerThatHadNothingGoesFirst(t *testing.T) {
+func TestStarvedTrainerGoesFirst(t *testing.T) {
 	var pl Planner
 	first, second := stepOf("first", 8*time.Second, 8), stepOf("second", 8*time.Second, 8)
 	longest := time.Duration(0)
@@ -104,11 +104,11 @@
 			longest = max(longest, now.Sub(servedAt[st.Trainer]))
 		}
 	}
-	assert.Assert(t, longest <= starvedAfter*8*time.Second+time.Second, "waited %s", longest)
+	assert.Assert(t, longest <= starvationFactor*8*time.Second+time.Second, "waited %s", longest)
 }
 
 // Time in which a trainer waits for nothing doesn't count as starvation.
-func TestPauseIsNoHunger(t *testing.T) {
+func TestPauseIsNoStarvation(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		pause, waited time.Duration // without a step, and with one that isn't served
@@ -143,7 +143,7 @@
 
 // Overload mode lasts while a wanted group has no capacity, even if the load falls below the
 // threshold: least-slack order would make late steps displace those that are in time.
-func TestCrowdedUntilAllHaveRoom(t *testing.T) {
+func TestOverloadLastsUntilAllHaveCapacity(t *testing.T) {
 	pl := Planner{Lingers: true}
 	st := stepOf("a", 8*time.Second, 6, 6)
 	pl.Plan([]*Step{st}, 2, begin)
@@ -151,14 +151,14 @@
 	st.Groups, st.Left, st.Wanted = st.Groups[:1], 2*time.Second, 1 // 6 s of work in 2 s
 	for i := range 3 {
 		pl.Plan([]*Step{st}, 2, begin.Add(time.Duration(i)*time.Second))
-		assert.Assert(t, pl.Load() < roomyPart && pl.Overloaded())
+		assert.Assert(t, pl.Load() < clearFraction && pl.Overloaded())
 	}
-	cheap, hasty := pl, pl
-	cheap.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !cheap.Overloaded(), "there are places for the little that has no room")
-	hasty.Lingers = false
-	hasty.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
-	assert.Assert(t, !hasty.Overloaded(), "others wait that ask for little")
+	small, strict := pl, pl
+	small.Plan([]*Step{stepOf("a", time.Second, 3)}, 2, begin.Add(4*time.Second))
+	assert.Assert(t, !small.Overloaded(), "idle slots suffice for the rest")
+	strict.Lingers = false
+	strict.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
+	assert.Assert(t, !strict.Overloaded(), "a customer within its share waits")
 	st.Left = -time.Second // a late step doesn't prolong the overload
 	pl.Plan([]*Step{st}, 2, begin.Add(4*time.Second))
 	pl.Plan([]*Step{st}, 2, begin.Add(5*time.Second))
@@ -167,7 +167,7 @@
 
 // For random steps, positions are unique, groups in time come first, and their work fits into
 // the capacity until their steps are due.
-func TestPlansOfAnySteps(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 2000 {
 		var steps []*Step
@@ -183,13 +183,13 @@
 			steps = append(steps, st)
 		}
 		pl := Planner{Way: Discipline(rng.IntN(3))}
-		places := 3 * rng.Float64()
-		pl.Plan(steps, places, begin)
-		checkPlan(t, steps, places, total, round)
+		slots := 3 * rng.Float64()
+		pl.Plan(steps, slots, begin)
+		checkPlan(t, steps, slots, total, round)
 	}
 }
 
-func checkPlan(t *testing.T, steps []*Step, places float64, total, round int) {
+func checkPlan(t *testing.T, steps []*Step, slots float64, total, round int) {
 	t.Helper()
 	taken := map[int]bool{}
 	lastInTime, firstLate := -1, total
@@ -202,7 +202,7 @@
 				}
 			}
 		}
-		assert.Assert(t, float64(work) <= places*float64(max(st.Left, 0)), "round %d: more work than room", round)
+		assert.Assert(t, float64(work) <= slots*float64(max(st.Left, 0)), "round %d: more work than capacity", round)
 		for _, gr := range st.Groups {
 			assert.Assert(t, !taken[gr.Position()] && gr.Position() < total, "round %d: position %d", round, gr.Position())
 			taken[gr.Position()] = true
--- a/overload/plan_property_test.go
+++ b/overload/plan_property_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// planPlainly is a reference implementation of Plan in quadratic time per group.
-func planPlainly(pl *Planner, steps []*Step, places float64, now time.Time) {
+// referencePlan is a reference implementation of Plan in quadratic time per group.
+func referencePlan(pl *Planner, steps []*Step, slots float64, now time.Time) {
 	var work, due time.Duration
 	for _, st := range steps {
 		st.work = 0
@@ -24,24 +24,24 @@
 	}
 	pl.load = 0
 	if work > 0 {
-		pl.load = float64(work) / max(1, places*float64(due))
+		pl.load = float64(work) / max(1, slots*float64(due))
 	}
 	short := false
 	steps = pl.starvedFirst(steps, now)
 	cds := pl.candidates(steps)
 	for i := range cds {
 		gr, st := cds[i].group, cds[i].step
-		cds[i].chance = chanceOf(cds[i])
-		gr.inTime = cds[i].chance == possible && fitsPlainly(steps, st, gr.Work, usablePart*places)
+		cds[i].tier = tierOf(cds[i])
+		gr.inTime = cds[i].tier == possible && referenceFits(steps, st, gr.Work, reservableFraction*slots)
 		short = short || cds[i].wanted && !gr.inTime && st.Left > 0
 		if gr.inTime {
-			cds[i].chance = planned
+			cds[i].tier = planned
 			st.work += gr.Work
 		}
 	}
 	slices.SortStableFunc(cds, func(a, b candidate) int {
-		order := cmp.Compare(a.chance, b.chance)
-		if order == 0 && a.chance >= late {
+		order := cmp.Compare(a.tier, b.tier)
+		if order == 0 && a.tier >= late {
 			order = cmp.Or(cmp.Compare(a.step.Rank, b.step.Rank), cmp.Compare(a.group.Work, b.group.Work))
 		}
 		return order
@@ -51,14 +51,14 @@
 	}
 	switch {
 	case pl.Way == LeastSlack:
-	case pl.load >= crowdedPart:
-		pl.crowded = true
-	case pl.load < emptyPart, pl.load < roomyPart && (!pl.Lingers || !short):
-		pl.crowded = false
+	case pl.load >= overloadFraction:
+		pl.overloaded = true
+	case pl.load < idleFraction, pl.load < clearFraction && (!pl.Lingers || !short):
+		pl.overloaded = false
 	}
 }
 
-func fitsPlainly(steps []*Step, st *Step, work time.Duration, places float64) bool {
+func referenceFits(steps []*Step, st *Step, work time.Duration, slots float64) bool {
 	for _, until := range steps {
 		if until.Left < st.Left {
 			continue
@@ -69,7 +69,7 @@
 				total += other.work
 			}
 		}
-		if float64(total) > places*float64(until.Left) {
+		if float64(total) > slots*float64(until.Left) {
 			return false
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // Guards against optimizations of Plan that change its result.
-func TestPlansAsAPlainPlanDoes(t *testing.T) {
+func TestPlanMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		way := rapid.SampledFrom([]Discipline{FirstInFirstOut, ShortestFirst, EqualProgress, LeastSlack}).Draw(t, "way")
 		lingers := rapid.Bool().Draw(t, "lingers")
@@ -119,9 +119,9 @@
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		for range rapid.IntRange(1, 5).Draw(t, "plans") {
 			steps, twins := drawSteps(t)
-			places := float64(rapid.IntRange(0, 12).Draw(t, "places"))
-			pl.Plan(steps, places, now)
-			planPlainly(twin, twins, places, now)
+			slots := float64(rapid.IntRange(0, 12).Draw(t, "places"))
+			pl.Plan(steps, slots, now)
+			referencePlan(twin, twins, slots, now)
 			assert.DeepEqual(t, describe(pl, steps), describe(twin, twins))
 			now = now.Add(10 * time.Second)
 		}
--- a/overview/foresee.go
+++ b/overview/foresee.go
@@ -42,8 +42,8 @@
 
 // A queuedItem is a waiting item and its prediction, which assignSlots sets.
 type queuedItem struct {
-	item ItemRow
-	prediction   *prediction
+	item       ItemRow
+	prediction *prediction
 }
 
 // predict returns predictions for the open items of each step. Waiting items get slots in the order of their turns,
--- a/step/archive.go
+++ b/step/archive.go
@@ -75,7 +75,7 @@
 // archived reports whether a step's results must be read from the key-value service: the step ended before the
 // scheduler's term, or its results were evicted from memory.
 func (sr *stepRow) archived() bool {
-	return sr.ended && len(sr.results) == 0 && !sr.loaded && (!sr.counted || len(sr.counts) > 0)
+	return sr.ended && len(sr.results) == 0 && !sr.resultsLoaded && (!sr.chunkSizesKnown || len(sr.chunkSizes) > 0)
 }
 
 // findChunk returns the chunk that holds a position, and the position of the chunk's first result. counts holds the
@@ -96,7 +96,7 @@
 // updated, and a reader would get an empty answer for results that exist.
 func (sc *Scheduler) readArchived(ctx context.Context, te *term, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
-	counts, counted, total := sr.counts, sr.counted, sr.step.Total()
+	counts, counted, total := sr.chunkSizes, sr.chunkSizesKnown, sr.step.Total()
 	sc.mu.Unlock()
 	if !counted {
 		return sc.readAllChunks(ctx, te, sr, rq)
@@ -121,18 +121,18 @@
 	results := slices.Concat(chunks...)
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	if sc.term == te && !sr.counted {
+	if sc.term == te && !sr.chunkSizesKnown {
 		var counts []int
 		for _, chunk := range chunks {
 			counts = append(counts, len(chunk))
 		}
 		sr.setChunkSizes(counts)
-		sr.loaded, sr.results = true, results
+		sr.resultsLoaded, sr.results = true, results
 	}
 	return page(results, rq.After, sr.step.Total()), nil
 }
 
 // setChunkSizes records how many results each stored chunk holds.
 func (sr *stepRow) setChunkSizes(counts []int) {
-	sr.counted, sr.chunks, sr.counts = true, len(counts), counts
+	sr.chunkSizesKnown, sr.chunks, sr.chunkSizes = true, len(counts), counts
 }
--- a/step/crowded.go
+++ b/step/capacityplan.go
@@ -20,7 +20,7 @@
 	graceTime = 400 * time.Millisecond
 )
 
-// planCapacity plans the capacity of each service, at intervals of planEvery.
+// planCapacity plans the capacity of each service, at intervals of planInterval.
 func (ta *Table) planCapacity(now time.Time) {
 	if now.Sub(ta.plannedAt) < planInterval {
 		return
@@ -29,46 +29,46 @@
 	ta.paceRound++
 	ranks := ta.customerRanks(ta.waitingCustomers(now))
 	rows := map[string][]*stepRow{} // by service
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		// A step without a due time is never late and needs no plan.
 		if sr.step.Due > 0 && !ta.fullyHeld(sr) {
 			rows[sr.step.Service] = append(rows[sr.step.Service], sr)
 			ta.servicePlan(sr.step.Service)
 		}
 	}
-	for _, service := range slices.Sorted(maps.Keys(ta.rooms)) {
+	for _, service := range slices.Sorted(maps.Keys(ta.servicePlans)) {
 		ta.planService(service, rows[service], ranks, now)
 	}
 }
 
 // planService plans the capacity of one service.
 func (ta *Table) planService(service string, rows []*stepRow, ranks map[string]int, now time.Time) {
-	rm := ta.servicePlan(service)
-	ranks = rm.adaptRanks(ranks)
+	sp := ta.servicePlan(service)
+	ranks = sp.adaptRanks(ranks)
 	steps := make([]*overload.Step, len(rows))
 	for i, sr := range rows {
 		steps[i] = ta.plannerStep(sr, now)
 		steps[i].Rank = ranks[sr.step.Customer]
 	}
-	was, places := rm.planner.Overloaded(), ta.usableSlots(service, now)
+	was, slots := sp.planner.Overloaded(), ta.usableSlots(service, now)
 	// A customer within its share must not wait for the overload of others to end.
-	rm.planner.Lingers = !ta.smallCustomerCompetes(rm)
-	rm.planner.Plan(steps, places, now)
-	rm.stale = true
-	rm.withinPart = ta.customersWithinShare(steps, rows, places)
-	rm.sendsAhead = rm.planner.Overloaded() && !ta.smallCustomerCompetes(rm)
-	if rm.planner.Overloaded() != was {
-		ta.log("room for steps", map[string]any{
-			"crowded": rm.planner.Overloaded(), "load": rm.planner.Load(), "places": places, "service": service, "steps": len(steps),
+	sp.planner.Lingers = !ta.smallCustomerCompetes(sp)
+	sp.planner.Plan(steps, slots, now)
+	sp.stale = true
+	sp.withinShare = ta.customersWithinShare(steps, rows, slots)
+	sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
+	if sp.planner.Overloaded() != was {
+		ta.log("overload state changed", map[string]any{
+			"crowded": sp.planner.Overloaded(), "load": sp.planner.Load(), "places": slots, "service": service, "steps": len(steps),
 		})
 	}
-	if rm.planner.Overloaded() {
+	if sp.planner.Overloaded() {
 		for i, sr := range rows {
 			ta.logPlan(sr, steps[i], now)
 		}
 	}
-	if len(rows) == 0 && rm.planner.Idle() {
-		delete(ta.rooms, service)
+	if len(rows) == 0 && sp.planner.Idle() {
+		delete(ta.servicePlans, service)
 	}
 }
 
@@ -87,7 +87,7 @@
 		return
 	}
 	sr.planned, sr.plannedAt = planned, now
-	ta.log("room for step", map[string]any{
+	ta.log("planned groups of step changed", map[string]any{
 		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.servicePlan(sr.step.Service).planner.Load(), "open": len(st.Groups),
 		stepField: sr.step.ID, "wanted": st.Wanted,
 	})
@@ -99,13 +99,13 @@
 		Due: sr.step.Due, Left: sr.step.Due + graceTime - sr.age(now), ServedAt: sr.servedAt, Trainer: sr.trainerKey(),
 		Wanted: min(sr.step.Groups, len(sr.groups)),
 	}
-	if gaveUp := ta.gaveUp[st.Trainer]; gaveUp > 0 {
-		st.GivesUp = max(gaveUp-sr.age(now), 1)
+	if abandonAge := ta.abandonAges[st.Trainer]; abandonAge > 0 {
+		st.GivesUp = max(abandonAge-sr.age(now), 1)
 	}
 	var open []*groupRow // ordered by their first open items, for a deterministic plan
-	for _, gr := range sr.list {
-		gr.plan = overload.Group{Again: gr.again}
-		if gr.left == 0 {
+	for _, gr := range sr.groupList {
+		gr.plan = overload.Group{Again: gr.recurring}
+		if gr.openItems == 0 {
 			st.Wanted--
 			continue
 		}
@@ -121,7 +121,7 @@
 	return st
 }
 
-// trainerKey returns a key for the step's trainerKey that is unique among all customers.
+// trainerKey returns a key for the step's trainer that is unique among all customers.
 func (sr *stepRow) trainerKey() string { return sr.step.Customer + "/" + sr.step.Model }
 
 // recordAbandonAge records at which age a trainer ended a step that was late and incomplete. Its
@@ -129,9 +129,9 @@
 func (ta *Table) recordAbandonAge(sr *stepRow, now time.Time) {
 	switch age := sr.age(now); {
 	case sr.satisfied():
-		delete(ta.gaveUp, sr.trainerKey())
+		delete(ta.abandonAges, sr.trainerKey())
 	case age > sr.step.Due:
-		ta.gaveUp[sr.trainerKey()] = age
+		ta.abandonAges[sr.trainerKey()] = age
 	}
 }
 
@@ -142,15 +142,15 @@
 // engines' speed relative to the median.
 func (ta *Table) usableSlots(service string, now time.Time) float64 {
 	total := 0.0
-	for _, en := range ta.sorted {
-		if en.service != service || !en.reachable() || now.Sub(en.heardAt) > responseTimeout {
+	for _, en := range ta.sortedEngines {
+		if en.service != service || !en.reachable() || now.Sub(en.respondedAt) > responseTimeout {
 			continue
 		}
-		part := 1.0
-		if median := ta.bases[service]; median > 0 && en.base > 0 {
-			part = float64(median) / float64(en.base)
+		weight := 1.0
+		if median := ta.medianBases[service]; median > 0 && en.basePace > 0 {
+			weight = float64(median) / float64(en.basePace)
 		}
-		total += part * float64(max(en.slots-en.foreign, 0))
+		total += weight * float64(max(en.slots-en.foreignRequests, 0))
 	}
 	return total
 }
@@ -161,6 +161,6 @@
 // one. Moves without a gain would never end.
 func (ta *Table) makesInTime(ir *itemRow, from, to *engineRow, now time.Time) bool {
 	left := ir.step.step.Due + graceTime - ir.step.age(now)
-	stays := ta.remainingTime(ir, now)
-	return stays > left && stays-ta.timeSaved(ir, from, to) <= left
+	remaining := ta.remainingTime(ir, now)
+	return remaining > left && remaining-ta.timeSaved(ir, from, to) <= left
 }
--- a/step/earlier.go
+++ b/step/earlier.go
@@ -19,7 +19,7 @@
 // reuseText sets an item's text to what an earlier step generated for it, if the body is the same and the step allows
 // the versions.
 func (ta *Table) reuseText(ir *itemRow, now time.Time) {
-	old, ok := ta.reuse[ir.key()]
+	old, ok := ta.reusableItems[ir.key()]
 	if !ok || !bytes.Equal(old.item.Body, ir.item.Body) || !ir.step.step.allows(old.events) {
 		return
 	}
@@ -44,8 +44,8 @@
 // A trainer ends a step based on what it has read, so groups that are complete but unread are requested again.
 // Without a record, their longest items would seem as short as their hints.
 func (ta *Table) recordLength(ir *itemRow) {
-	if events := max(ir.known, len(ir.events)); events > 0 {
-		ta.lengths[ir.key()] = minLength{events: events, step: ir.step}
+	if events := max(ir.knownEvents, len(ir.events)); events > 0 {
+		ta.knownLengths[ir.key()] = minLength{events: events, step: ir.step}
 	}
 }
 
@@ -57,17 +57,17 @@
 		if sr.ended && sr.age(now) > keep {
 			delete(ta.steps, id)
 			ids = append(ids, id)
-			ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return st.ID == id })
+			ta.endedSteps = slices.DeleteFunc(ta.endedSteps, func(st *Step) bool { return st.ID == id })
 		}
 	}
-	for id, ir := range ta.reuse {
+	for id, ir := range ta.reusableItems {
 		if ir.step.age(now) > reuseRetention || ta.outdated(ir) {
-			delete(ta.reuse, id)
+			delete(ta.reusableItems, id)
 		}
 	}
-	for id, le := range ta.lengths {
+	for id, le := range ta.knownLengths {
 		if le.step.age(now) > reuseRetention {
-			delete(ta.lengths, id)
+			delete(ta.knownLengths, id)
 		}
 	}
 	ta.forgetFormer(now)
@@ -80,7 +80,7 @@
 // If most groups of many steps are late, their text is most of the scheduler's memory. Retaining all of it for
 // reuseRetention would exhaust the memory, and garbage collection would delay the listing of results.
 func (ta *Table) outdated(ir *itemRow) bool {
-	newest := ta.named[ir.step.step.Model]
+	newest := ta.newestVersions[ir.step.step.Model]
 	return slices.ContainsFunc(ir.events, func(ev runner.Event) bool { return ev.Version+unusableLag <= newest })
 }
 
@@ -109,7 +109,7 @@
 			size += len(re.Text)
 		}
 		if size > maxCachedResults {
-			sr.results, sr.loaded = nil, false
+			sr.results, sr.resultsLoaded = nil, false
 		}
 	}
 }
--- a/step/exchangepause_test.go
+++ b/step/exchangepause_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a scheduler overloaded by exchanges with thousands of idle engines.
-func TestIdleEnginesAreLookedAtLessOften(t *testing.T) {
+func TestIdleEnginesArePolledLessOften(t *testing.T) {
 	for _, tc := range []struct {
 		engines int
 		idle    time.Duration
@@ -33,18 +33,18 @@
 			ta.Accept(stepOf("step", 1), StoredStep{}, false, begin)
 			assert.Equal(t, ta.exchangePause("engine-0000"), tc.idle)
 
-			for _, en := range ta.sorted {
-				hear(ta, en.id, runner.ExchangeResponse{}, begin)
+			for _, en := range ta.sortedEngines {
+				respond(ta, en.id, runner.ExchangeResponse{}, begin)
 			}
 			ta.Place(begin)
 			busy := 0
-			for _, en := range ta.sorted {
+			for _, en := range ta.sortedEngines {
 				if len(en.items) == 0 {
 					continue
 				}
 				busy++
 				assert.Equal(t, ta.exchangePause(en.id), exchangeInterval)
-				assert.Assert(t, ta.exchangeUrgent(en.id), "what is placed is told at once")
+				assert.Assert(t, ta.exchangeUrgent(en.id), "a new run is sent at once")
 			}
 			assert.Equal(t, busy, 1)
 		})
--- a/step/roomorder.go
+++ b/step/grouporder.go
@@ -1,18 +1,18 @@
 package step
 
-// sortGroups sorts the groups of a service's open steps by position into withRoom and without. It
-// does nothing unless the sortGroups is stale.
-func (rm *servicePlan) sortGroups(steps []*stepRow) {
-	if !rm.stale {
+// sortGroups sorts the groups of a service's open steps by position into reserved and unreserved.
+// It does nothing unless the order is stale.
+func (sp *servicePlan) sortGroups(steps []*stepRow) {
+	if !sp.stale {
 		return
 	}
-	rm.stale = false
-	rm.withRoom, rm.without = rm.withRoom[:0], rm.without[:0]
+	sp.stale = false
+	sp.reserved, sp.unreserved = sp.reserved[:0], sp.unreserved[:0]
 	for _, gr := range byPosition(steps) {
 		if gr.plan.InTime() {
-			rm.withRoom = append(rm.withRoom, gr)
+			sp.reserved = append(sp.reserved, gr)
 		} else {
-			rm.without = append(rm.without, gr)
+			sp.unreserved = append(sp.unreserved, gr)
 		}
 	}
 }
@@ -20,26 +20,26 @@
 // byPosition returns the groups of steps by position. It is a stable counting sort: positions
 // are less than the number of groups.
 func byPosition(steps []*stepRow) []*groupRow {
-	most := 0
+	maxPosition := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
-			most = max(most, gr.plan.Position())
+		for _, gr := range sr.groupList {
+			maxPosition = max(maxPosition, gr.plan.Position())
 		}
 	}
-	counts := make([]int, most+2) // groups before each position
+	counts := make([]int, maxPosition+2) // groups before each position
 	total := 0
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			counts[gr.plan.Position()+1]++
 			total++
 		}
 	}
-	for i := range most + 1 {
+	for i := range maxPosition + 1 {
 		counts[i+1] += counts[i]
 	}
 	all := make([]*groupRow, total)
 	for _, sr := range steps {
-		for _, gr := range sr.list {
+		for _, gr := range sr.groupList {
 			at := &counts[gr.plan.Position()]
 			all[*at] = gr
 			*at++
--- a/step/held.go
+++ b/step/held.go
@@ -15,7 +15,7 @@
 	}
 	before := ta.holds
 	ta.holds = sh
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		_, was := before.Step(sr.step.ID, sr.step.Customer)
 		re, is := sh.Step(sr.step.ID, sr.step.Customer)
 		if was == is {
@@ -42,7 +42,7 @@
 //
 // Items that have started continue, also on another engine: an item that moves stops first and would lose its text.
 func (ta *Table) held(ir *itemRow) bool {
-	if len(ir.events) > 0 || ir.target != "" {
+	if len(ir.events) > 0 || ir.moveTarget != "" {
 		return false
 	}
 	_, held := ta.holds.Step(ir.step.step.ID, ir.step.step.Customer)
@@ -61,7 +61,7 @@
 // heldItemCount returns how many waiting items are held by operators.
 func (ta *Table) heldItemCount() int {
 	count := 0
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if _, held := ta.holds.Step(sr.step.ID, sr.step.Customer); !held {
 			continue
 		}
--- a/step/keep_test.go
+++ b/step/keep_test.go
@@ -280,10 +280,10 @@
 	for id := range ta.steps {
 		end(ta, t, id, 0, runner.Complete, events(1, 3, 1), begin)
 		engine, key := keyOf(t, ta, id, 1)
-		hear(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
+		respond(ta, engine, runner.ExchangeResponse{Runs: []runner.Progress{{Events: events(1, minFirstEvents, 1), Key: key}}}, begin)
 	}
 	for i := range 20 {
-		ta.garbage = append(ta.garbage, checkpointKey("old", i))
+		ta.garbageKeys = append(ta.garbageKeys, checkpointKey("old", i))
 	}
 	ke := &Store{Client: me.Client()}
 	now, listed, saved := begin.Add(time.Minute), 0, map[string]bool{}
@@ -306,7 +306,7 @@
 	}
 	assert.Equal(t, listed, 10)
 	assert.Equal(t, len(saved), 10)
-	assert.Assert(t, len(ta.garbage) < 20, "some keys are deleted along with the writes")
+	assert.Assert(t, len(ta.garbageKeys) < 20, "some keys are deleted along with the writes")
 }
 
 func TestTooLargeTransaction(t *testing.T) {
--- a/step/listing.go
+++ b/step/listing.go
@@ -18,7 +18,7 @@
 func (ta *Table) DueChunks(now time.Time) []Chunk {
 	reasons := map[*stepRow]listing.Reason{}
 	finals := false
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		st := sr.listingState(now)
 		st.EndsIn = ta.endsIn(sr, now)
 		sr.ending = st.EndsIn < endingSoon && !sr.served
@@ -26,9 +26,9 @@
 		finals = finals || reasons[sr] == listing.Final
 	}
 	var chunks []Chunk
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		if why := reasons[sr]; why != listing.Wait && (why != listing.Full || !finals) {
-			sr.why, sr.writtenAt = why, now
+			sr.listingReason, sr.writtenAt = why, now
 			chunks = append(chunks, sr.pendingChunks(why, maxChunks-len(chunks))...)
 		}
 	}
@@ -36,7 +36,7 @@
 }
 
 // endingSoon is the expected time to the end of a step below which the ends of its last items are awaited, see
-// awaitEnd.
+// maxAwait.
 const endingSoon = time.Second
 
 // listingState returns the input of the decision whether to list a step's results.
@@ -56,7 +56,7 @@
 		st.Results++
 		st.Size += ir.size
 		st.PendingAge = max(st.PendingAge, now.Sub(ir.doneAt))
-		if gr := sr.groups[ir.item.Group]; gr.left == 0 {
+		if gr := sr.groups[ir.item.Group]; gr.openItems == 0 {
 			groups[gr] = true
 		}
 	}
@@ -70,13 +70,13 @@
 	ta.paceRound++
 	var repeated time.Duration // for groups that an earlier step requested too
 	var others []time.Duration
-	missing := min(sr.step.Groups, len(sr.list)) - len(sr.list)
-	for _, gr := range sr.list {
-		if gr.left == 0 {
+	missing := min(sr.step.Groups, len(sr.groupList)) - len(sr.groupList)
+	for _, gr := range sr.groupList {
+		if gr.openItems == 0 {
 			continue
 		}
 		missing++
-		if took := ta.groupTime(gr, now); gr.again {
+		if took := ta.groupTime(gr, now); gr.recurring {
 			repeated = max(repeated, took)
 			missing--
 		} else {
@@ -92,9 +92,9 @@
 
 // groupTime returns the expected time until all open items of a group end.
 func (ta *Table) groupTime(gr *groupRow, now time.Time) time.Duration {
-	gw := &gr.wait
+	gw := &gr.summary
 	longest := gw.longest
-	if gw.scoring > 0 {
+	if gw.scoringCount > 0 {
 		longest = max(longest, gr.step.rewards.expected())
 	}
 	for _, ir := range gw.running {
@@ -108,8 +108,8 @@
 	if ir.state == scoring {
 		return ir.step.rewards.expected()
 	}
-	en := ir.run.at
-	if ir.state != running || en == nil || en.base == 0 {
+	en := ir.run.engine
+	if ir.state != running || en == nil || en.basePace == 0 {
 		return ir.expectedTime()
 	}
 	return ir.remainingAt(ta.expectedPace(en, nil), now)
@@ -117,7 +117,7 @@
 
 // remainingAt returns how long a run is expected to take from now if each event takes pace.
 func (ir *itemRow) remainingAt(pace time.Duration, now time.Time) time.Duration {
-	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.estimator.eventTokens())
 	return time.Duration(events*float64(pace)) - now.Sub(ir.run.eventAt)
 }
 
@@ -126,9 +126,9 @@
 func (sr *stepRow) satisfied() bool {
 	completeGroups := 0
 	for _, gr := range sr.groups {
-		if gr.left == 0 {
+		if gr.openItems == 0 {
 			completeGroups++
-		} else if gr.again {
+		} else if gr.recurring {
 			return false
 		}
 	}
@@ -175,7 +175,7 @@
 	for _, ir := range sr.items {
 		switch {
 		case ir.listed || ir.open():
-		case sr.groups[ir.item.Group].left == 0:
+		case sr.groups[ir.item.Group].openItems == 0:
 			first = append(first, ir)
 		default:
 			rest = append(rest, ir)
@@ -248,9 +248,9 @@
 func (ta *Table) chunkListed(sr *stepRow, ch Chunk, now time.Time) {
 	sr.results = append(sr.results, ch.Results...)
 	sr.chunks = ch.Number + 1
-	sr.counts = append(sr.counts, len(ch.Results))
+	sr.chunkSizes = append(sr.chunkSizes, len(ch.Results))
 	sr.listedAt, sr.writtenAt = now, time.Time{}
-	sr.served = sr.served || sr.why == listing.Final
+	sr.served = sr.served || sr.listingReason == listing.Final
 	itemIDs := map[string]bool{}
 	for _, re := range ch.Results {
 		itemIDs[re.Item] = true
@@ -261,7 +261,7 @@
 			ir.listed = true
 			ta.forgetRun(ir)
 		}
-		if ir.listed && sr.groups[ir.item.Group].left == 0 {
+		if ir.listed && sr.groups[ir.item.Group].openItems == 0 {
 			ir.events = nil // the results hold the text
 		}
 		all = all && ir.listed
@@ -271,6 +271,6 @@
 	sr.notifyReaders()
 	ta.log("results listed", map[string]any{
 		"chunk": ch.Number, "listed": sr.listedCount(), "reads": reads, stepField: ch.Step, "total": sr.step.Total(),
-		whyField: string(sr.why),
+		whyField: string(sr.listingReason),
 	})
 }
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -28,7 +28,7 @@
 		return
 	}
 	slots, troubled := 0, 0
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		slots += en.slots
 		if st := ta.engineState(en, now); st != overview.Serving && st != overview.Loading {
 			troubled++
@@ -38,7 +38,7 @@
 		return cmp.Or(cmp.Compare(loads[b].items.Waiting, loads[a].items.Waiting), cmp.Compare(a, b))
 	})
 	ta.log("load", map[string]any{
-		"customers": len(names), "engines": len(ta.sorted), "held": ta.heldItemCount(), "open": len(ta.order), "places": slots,
+		"customers": len(names), "engines": len(ta.sortedEngines), "held": ta.heldItemCount(), "open": len(ta.openSteps), "places": slots,
 		"running": total.Running, "store-heard-ms": storeHeard.Milliseconds(), "troubled": troubled, "waiting": total.Waiting,
 	})
 	for _, name := range names[:min(len(names), maxLoadLines)] {
@@ -68,7 +68,7 @@
 // customerLoads counts the items of open steps by customer and in total.
 func (ta *Table) customerLoads() (loads map[string]*customerLoad, total overview.Items) {
 	loads = map[string]*customerLoad{}
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		cu := loads[sr.step.Customer]
 		if cu == nil {
 			cu = &customerLoad{}
--- a/step/mark.go
+++ b/step/manifest.go
@@ -23,7 +23,7 @@
 	Listed []string // item IDs, in the order of the results
 }
 
-// manifestPrefix returns the key prefix of a step's marks.
+// manifestPrefix returns the key prefix of a step's manifests.
 func manifestPrefix(id string) string { return checkpointPrefix + id + "/listed/" }
 
 func manifestKey(id string, number int) string {
@@ -38,34 +38,35 @@
 	return ma
 }
 
-// Stored returns the stored progress of an open step, without results if all chunks have a mark.
+// Stored returns the stored progress of an open step, without results if all chunks have a
+// manifest.
 func (sto *Store) Stored(ctx context.Context, id string) (StoredStep, error) {
 	ch, err := sto.Client.Scan(ctx, checkpointPrefix+id+"/")
 	if err != nil {
 		return StoredStep{}, err
 	}
-	kept, gapless, err := decodeStoredStep(id, ch.Items)
+	stored, gapless, err := decodeStoredStep(id, ch.Items)
 	if err != nil {
 		return StoredStep{}, err
 	}
 	if gapless {
-		// A chunk without a mark was written by an earlier release.
-		_, err := sto.Client.Get(ctx, listedKey(id, len(kept.Marked)))
+		// A chunk without a manifest was written by an earlier release.
+		_, err := sto.Client.Get(ctx, listedKey(id, len(stored.Marked)))
 		if errors.Is(err, keyvalue.ErrNotFound) {
-			return kept, nil
+			return stored, nil
 		}
 		if err != nil {
 			return StoredStep{}, err
 		}
 	}
-	kept.Marked = nil
-	kept.Listed, err = sto.Chunks(ctx, id)
-	return kept, err
+	stored.Marked = nil
+	stored.Listed, err = sto.Chunks(ctx, id)
+	return stored, err
 }
 
-// decodeStoredStep decodes marks and checkpoints of a step, and reports whether the marks cover
+// decodeStoredStep decodes manifests and checkpoints of a step, and reports whether the manifests cover
 // consecutive chunks from the first one on.
-func decodeStoredStep(id string, items []keyvalue.Item) (kept StoredStep, gapless bool, err error) {
+func decodeStoredStep(id string, items []keyvalue.Item) (stored StoredStep, gapless bool, err error) {
 	gapless = true
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, manifestPrefix(id)) {
@@ -73,46 +74,46 @@
 			if err := cbor.Unmarshal(it.Value, &ma); err != nil {
 				return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 			}
-			gapless = gapless && it.Key == manifestKey(id, len(kept.Marked))
-			kept.Marked = append(kept.Marked, ma.Listed)
+			gapless = gapless && it.Key == manifestKey(id, len(stored.Marked))
+			stored.Marked = append(stored.Marked, ma.Listed)
 			continue
 		}
 		var cp Checkpoint
 		if err := cbor.Unmarshal(it.Value, &cp); err != nil {
 			return StoredStep{}, false, errors.Wrapf(err, "decode %s", it.Key)
 		}
-		kept.Checkpoints = append(kept.Checkpoints, cp)
+		stored.Checkpoints = append(stored.Checkpoints, cp)
 	}
-	return kept, gapless, nil
+	return stored, gapless, nil
 }
 
 // chunkItems returns the item IDs of each listed chunk.
-func (ke StoredStep) chunkItems() [][]string {
-	if ke.Listed == nil {
-		return ke.Marked
+func (ss StoredStep) chunkItems() [][]string {
+	if ss.Listed == nil {
+		return ss.Marked
 	}
 	var chunks [][]string
-	for _, results := range ke.Listed {
+	for _, results := range ss.Listed {
 		chunks = append(chunks, manifestOf(Chunk{Results: results}).Listed)
 	}
 	return chunks
 }
 
 // restoreListed restores the listed results of a step, and returns the set of their items.
-func (sr *stepRow) restoreListed(ke StoredStep) map[string]bool {
-	sr.results = slices.Concat(ke.Listed...)
+func (sr *stepRow) restoreListed(ss StoredStep) map[string]bool {
+	sr.results = slices.Concat(ss.Listed...)
 	listed := map[string]bool{}
-	var counts []int
+	var sizes []int
 	total := 0
-	for _, items := range ke.chunkItems() {
-		counts = append(counts, len(items))
+	for _, items := range ss.chunkItems() {
+		sizes = append(sizes, len(items))
 		total += len(items)
 		for _, item := range items {
 			listed[item] = true
 		}
 	}
 	if !sr.ended {
-		sr.setChunkSizes(counts)
+		sr.setChunkSizes(sizes)
 		sr.unread = total - len(sr.results)
 	}
 	return listed
@@ -125,12 +126,12 @@
 // the stored chunks from there on.
 func (sc *Scheduler) readStoredResults(ctx context.Context, sr *stepRow, rq ReadRequest) (Listing, error) {
 	sc.mu.Lock()
-	counts, unread, later, total := sr.counts, sr.unread, sr.results, sr.step.Total()
+	sizes, unread, later, total := sr.chunkSizes, sr.unread, sr.results, sr.step.Total()
 	sc.mu.Unlock()
 	var results []Result
 	size := 0
 	for at := max(rq.After, 0); at < unread && size <= maxListingBytes; {
-		number, first, _ := findChunk(counts, at)
+		number, first, _ := findChunk(sizes, at)
 		chunk, err := sc.archive.chunk(ctx, sc.Keeper, rq.ID, number)
 		if err != nil {
 			return Listing{}, errors.Wrapf(ErrUndetermined, "%v", err)
@@ -139,7 +140,7 @@
 			size += len(re.Text)
 			results = append(results, re)
 		}
-		at = first + counts[number]
+		at = first + sizes[number]
 	}
 	if size <= maxListingBytes {
 		results = append(results, later...)
@@ -150,14 +151,14 @@
 	return page(results, 0, total), nil
 }
 
-// loadListedResults loads the results of open steps that were restored from marks. Until then, reads
+// loadListedResults loads the results of open steps that were restored from manifests. Until then, reads
 // of them depend on the key-value service.
 func (sc *Scheduler) loadListedResults(ctx context.Context) {
 	sc.mu.Lock()
 	te := sc.term
 	var srs []*stepRow
 	if te != nil && te.ready {
-		for _, sr := range te.table.order {
+		for _, sr := range te.table.openSteps {
 			if sr.unread > 0 {
 				srs = append(srs, sr)
 			}
--- a/step/memory.go
+++ b/step/memory.go
@@ -5,7 +5,7 @@
 type memoryMemo struct {
 	coming, comingEnd int     // tokens of items that move here
 	endsSoon          bool    // a run is expected to end soon
-	gauges            int     // value of gaugeChanges at the time of the computation
+	gauges            int     // value of estimateChanges at the time of the computation
 	now, end          int     // tokens of the engine's runs
 	rate              float64 // expected ends of runs per second
 	valid             bool
@@ -19,7 +19,7 @@
 
 // tokensNow returns how many tokens an item holds now.
 func (ir *itemRow) tokensNow() int {
-	return ir.item.Prompt + len(ir.events)*ir.step.gauge.eventTokens()
+	return ir.item.Prompt + len(ir.events)*ir.step.estimator.eventTokens()
 }
 
 // memoryUse returns how many tokens an engine holds now, and would hold if all of its runs reached their expected
@@ -32,7 +32,7 @@
 
 // refreshMemo recomputes the memo unless it is valid.
 func (en *engineRow) refreshMemo() {
-	changes := en.gauges.count()
+	changes := en.estimateChanges.count()
 	if en.memo.valid && en.memo.gauges == changes {
 		return
 	}
@@ -40,7 +40,7 @@
 	for _, ir := range en.items {
 		me.add(ir, 1)
 	}
-	for ir := range en.coming {
+	for ir := range en.incoming {
 		now, end := ir.tokenUse()
 		me.coming, me.comingEnd = me.coming+now, me.comingEnd+end
 	}
@@ -57,7 +57,7 @@
 
 // adjustMemo adds or subtracts one of the engine's runs, see memoryMemo.add, if the memo is valid.
 func (en *engineRow) adjustMemo(ir *itemRow, sign int) {
-	if en.memo.valid && en.memo.gauges == en.gauges.count() {
+	if en.memo.valid && en.memo.gauges == en.estimateChanges.count() {
 		en.memo.add(ir, sign)
 	}
 }
@@ -67,8 +67,8 @@
 
 // invalidateTargetMemo invalidates the memo of the engine that an item moves to, as the item's tokens have changed.
 func (ta *Table) invalidateTargetMemo(ir *itemRow) {
-	if ir.target != "" {
-		if en, ok := ta.engines[ir.target]; ok {
+	if ir.moveTarget != "" {
+		if en, ok := ta.engines[ir.moveTarget]; ok {
 			en.invalidateMemo()
 		}
 	}
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -10,13 +10,13 @@
 		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(rl.Load)
 		sc.Metrics.GetOrCreateGauge(serviceGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
 	}
-	for service := range sc.measured {
+	for service := range sc.measuredServices {
 		if _, ok := rooms[service]; !ok {
 			sc.Metrics.UnregisterMetric(serviceGauge(loadGauge, service))
 			sc.Metrics.UnregisterMetric(serviceGauge(crowdedGauge, service))
 		}
 	}
-	sc.measured = rooms
+	sc.measuredServices = rooms
 }
 
 // Gauges by service.
@@ -29,7 +29,7 @@
 
 // updateCustomerMetrics sets the gauges of the competing customers: their number, and how far the first is ahead.
 func (sc *Scheduler) updateCustomerMetrics(ta *Table) {
-	count, most := ta.share.account.Spread()
+	count, most := ta.usage.account.Spread()
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customers_competing`, nil).Set(float64(count))
 	sc.Metrics.GetOrCreateGauge(`wisteriacroft_customer_ahead_seconds`, nil).Set(most)
 }
--- a/step/crowded_test.go
+++ b/step/overload_test.go
@@ -15,27 +15,27 @@
 	"wisteriacroft/runner"
 )
 
-// A heavyLoad describes trainers that ask for more than their engines can do.
-type heavyLoad struct {
+// An overloadCase describes trainers that ask for more than their engines can do.
+type overloadCase struct {
 	name    string
 	factors []float64 // of the engines' time per event
-	sheet   simSheet
+	sheet   simDeployment
 	shapes  []shape
 }
 
 // A shape is the size of a trainer's steps at a load factor of 1.
 type shape struct {
 	groups, size, maxEvents int
-	lesson                  time.Duration
+	trainingTime            time.Duration
 }
 
-// heavyLoads returns three trainers with 47 engines, three with 46 engines of which a third
+// overloadCases returns three trainers with 47 engines, three with 46 engines of which a third
 // take 2.4 times as long, and four with 38 engines of which a third are slower.
-func heavyLoads() []heavyLoad {
-	even := simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}
-	tight := simSheet{eventTokens: 77, maxEvents: 152, prompt: 276, slots: 8, tokens: 32564}
+func overloadCases() []overloadCase {
+	even := simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}
+	tight := simDeployment{eventTokens: 77, maxEvents: 152, prompt: 276, slots: 8, tokens: 32564}
 	second := time.Second
-	return []heavyLoad{
+	return []overloadCase{
 		{"even engines", factors(47), even, []shape{{24, 8, 156, second}, {24, 8, 156, second}, {10, 16, 121, second / 2}}},
 		{"uneven engines", unevenFactors(46), tight, []shape{{22, 8, 152, second / 2}, {22, 8, 80, second}, {11, 16, 152, second}}},
 		{
@@ -55,62 +55,62 @@
 }
 
 // newReplay returns a replay of the load with steps larger by the factor times.
-func (hl *heavyLoad) newReplay(times float64, way overload.Discipline) *replay {
+func (oc *overloadCase) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
-	for i, sh := range hl.shapes {
-		sheet := hl.sheet
+	for i, sh := range oc.shapes {
+		sheet := oc.sheet
 		sheet.maxEvents = sh.maxEvents
 		groups := int(times*float64(sh.groups) + 0.5)
-		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.lesson, uint64(100*i)))
+		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.trainingTime, uint64(100*i)))
 	}
-	re := newReplay(hl.sheet, hl.factors, trainers)
-	re.table.way = way
+	re := newReplay(oc.sheet, oc.factors, trainers)
+	re.table.policy = way
 	return re
 }
 
 // run replays the load. It returns how many groups were in time, how many were requested,
 // and the smallest fraction in time of any trainer.
-func (hl *heavyLoad) run(times float64, way overload.Discipline) (inTime, owed int, least float64) {
-	re := hl.newReplay(times, way)
-	re.play(replayTime, nil)
-	least = 1
+func (oc *overloadCase) run(times float64, way overload.Discipline) (inTime, requested int, minFraction float64) {
+	re := oc.newReplay(times, way)
+	re.run(replayTime, nil)
+	minFraction = 1
 	for _, tr := range re.trainers {
 		scheduled := int(replayTime/tr.every) * tr.target
-		inTime, owed = inTime+tr.inTime, owed+scheduled
-		least = min(least, float64(tr.inTime)/float64(scheduled))
+		inTime, requested = inTime+tr.inTime, requested+scheduled
+		minFraction = min(minFraction, float64(tr.inTime)/float64(scheduled))
 	}
-	return inTime, owed, least
+	return inTime, requested, minFraction
 }
 
-// ways are the overload policies to compare.
-var ways = []struct {
+// policies are the overload disciplines to compare.
+var policies = []struct {
 	name string
 	way  overload.Discipline
 }{{"standing", overload.LeastSlack}, {"handed-in", overload.FirstInFirstOut}, {"cheapest", overload.ShortestFirst}, {"alike", overload.EqualProgress}}
 
-// TestStepsBeyondTheRoom replays overload. Guards against least-slack placement under
+// TestReplayOverload replays overload. Guards against least-slack placement under
 // overload, by which all items end at about the same time, and late.
-func TestStepsBeyondTheRoom(t *testing.T) {
+func TestReplayOverload(t *testing.T) {
 	times := []float64{1, 2.5, 4}
 	const main = 2 // these first policies are also replayed at lower load
 	var lines []string
 	var wg sync.WaitGroup
 	served := map[string]int{}
 	var mu sync.Mutex
-	for _, hl := range heavyLoads() {
-		for i, wa := range ways {
+	for _, oc := range overloadCases() {
+		for i, po := range policies {
 			at := len(lines)
 			lines = append(lines, "")
 			wg.Go(func() {
-				line := fmt.Sprintf("%-16s %-10s", hl.name, wa.name)
+				line := fmt.Sprintf("%-16s %-10s", oc.name, po.name)
 				for _, n := range times {
 					if i >= main && n < 4 {
 						continue
 					}
-					inTime, owed, least := hl.run(n, wa.way)
-					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, owed, least)
+					inTime, requested, minFraction := oc.run(n, po.way)
+					line += fmt.Sprintf("   %4.1f: %4d of %4d, least %.3f", n, inTime, requested, minFraction)
 					mu.Lock()
-					served[fmt.Sprint(hl.name, wa.name, n)] = inTime
+					served[fmt.Sprint(oc.name, po.name, n)] = inTime
 					mu.Unlock()
 				}
 				mu.Lock()
@@ -121,15 +121,15 @@
 	}
 	wg.Wait()
 	golden.Assert(t, strings.Join(lines, ""), "crowded.golden")
-	for _, hl := range heavyLoads() {
-		before, after := served[hl.name+"standing4"], served[hl.name+"handed-in4"]
-		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by time to spare alone", hl.name, after, before)
+	for _, oc := range overloadCases() {
+		before, after := served[oc.name+"standing4"], served[oc.name+"handed-in4"]
+		assert.Assert(t, after > 4*before && after > 0, "%s: %d in time, %d by least slack alone", oc.name, after, before)
 	}
 }
 
 // A new scheduler must plan capacity for the same groups as its predecessor, or the work
 // started for them would be wasted.
-func TestSuccessorPlansAlike(t *testing.T) {
+func TestNewSchedulerPlansSameGroups(t *testing.T) {
 	steps := []*Step{stepOf("first", 4, 4, 4, 4, 4, 4, 4), stepOf("second", 4, 4, 4, 4, 4)}
 	for _, st := range steps {
 		for i := range st.Items {
@@ -142,12 +142,12 @@
 		for _, st := range order {
 			ta.Accept(st, StoredStep{}, false, begin.Add(time.Second))
 		}
-		hear(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
-		hear(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
+		respond(ta, "a", runner.ExchangeResponse{}, begin.Add(time.Second))
+		respond(ta, "b", runner.ExchangeResponse{}, begin.Add(time.Second))
 		ta.planCapacity(begin.Add(time.Second))
 		assert.Assert(t, ta.overloaded("service"))
 		text := ""
-		for _, sr := range ta.order {
+		for _, sr := range ta.openSteps {
 			for _, ir := range sr.items {
 				text += fmt.Sprint(ir.item.ID, " ", ir.group.plan.InTime(), " ", ir.group.plan.Position(), "\n")
 			}
@@ -160,7 +160,7 @@
 }
 
 // Steps without a due time never cause overload mode.
-func TestStepsWithoutADueTimeAreNotCrowded(t *testing.T) {
+func TestStepsWithoutDueTimeCauseNoOverload(t *testing.T) {
 	for due, want := range map[time.Duration]bool{0: false, 7500 * time.Millisecond: true} {
 		ta := tableOf(t, 1, "a")
 		st := stepOf("large", 100, 100)
@@ -172,34 +172,34 @@
 }
 
 // largeLoad returns six trainers whose step sizes are proportional to the number of engines.
-func largeLoad(engines int) *heavyLoad {
-	hl := &heavyLoad{factors: factors(engines), sheet: simSheet{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
+func largeLoad(engines int) *overloadCase {
+	oc := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
-		hl.shapes = append(hl.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, lesson: time.Second})
+		oc.shapes = append(oc.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, trainingTime: time.Second})
 	}
-	return hl
+	return oc
 }
 
 // BenchmarkTick times ticks with six trainers most of whose items wait: placement and whole
 // ticks under changing load, placement without changes, and planning alone.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{46, 300, 1100} {
-		for _, wa := range ways[:2] {
-			re := largeLoad(engines).newReplay(2.5, wa.way)
-			re.play(4*time.Second, nil)
-			name := fmt.Sprintf("%s-%d", wa.name, engines)
+		for _, po := range policies[:2] {
+			re := largeLoad(engines).newReplay(2.5, po.way)
+			re.run(4*time.Second, nil)
+			name := fmt.Sprintf("%s-%d", po.name, engines)
 			tick := 0
 			live := func(b *testing.B, before, timed, after func()) {
 				for b.Loop() {
 					b.StopTimer()
 					re.now = re.now.Add(simTick)
-					re.hear(tick)
+					re.respond(tick)
 					before()
 					b.StartTimer()
 					timed()
 					b.StopTimer()
 					after()
-					re.readOn()
+					re.runTrainers()
 					b.StartTimer()
 					tick++
 				}
@@ -228,16 +228,16 @@
 
 // Engines that take three times the default time per token, under overload. With the default
 // time, work would be underestimated and the overload detected too late.
-func TestEnginesOfAnotherMake(t *testing.T) {
-	sheet := simSheet{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
-	hl := heavyLoad{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
-	for i := range hl.factors {
-		hl.factors[i] *= 3
+func TestEnginesOfAnotherType(t *testing.T) {
+	sheet := simDeployment{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
+	oc := overloadCase{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
+	for i := range oc.factors {
+		oc.factors[i] *= 3
 	}
 	text := ""
 	for _, times := range []float64{2, 3, 4, 6} {
-		inTime, owed, least := hl.run(times, overload.FirstInFirstOut)
-		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, owed, least)
+		inTime, requested, minFraction := oc.run(times, overload.FirstInFirstOut)
+		text += fmt.Sprintf("%.0f times: %4d of %4d, least %.3f\n", times, inTime, requested, minFraction)
 	}
 	golden.Assert(t, text, "other-make.golden")
 }
@@ -245,15 +245,15 @@
 // The time per token is measured only if engines differ from the default by more than their
 // load explains.
 func TestTokenTime(t *testing.T) {
-	var ga tokenEstimator
+	var es tokenEstimator
 	usual := defaultTokenTime * 64
-	assert.Equal(t, ga.tokenTime(usual, usual), time.Duration(0), "nothing has ended yet")
+	assert.Equal(t, es.tokenTime(usual, usual), time.Duration(0), "nothing has ended yet")
 	for range estimatorMinRatios {
-		ga.observeHint(64*estimatorMinEvents, estimatorMinEvents)
+		es.observeHint(64*estimatorMinEvents, estimatorMinEvents)
 	}
-	assert.Equal(t, ga.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone tell nothing")
+	assert.Equal(t, es.tokenTime(usual*3, usual*3), time.Duration(0), "hints alone are not enough")
 	for range estimatorMinAtLimit {
-		ga.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
+		es.observeLimit(64*estimatorMinEvents, estimatorMinEvents)
 	}
 	for name, tc := range map[string]struct{ median, best, want time.Duration }{
 		"usual":                   {usual, usual, defaultTokenTime},
@@ -261,8 +261,8 @@
 		"three times as long":     {usual * 3, usual * 3, defaultTokenTime * 3},
 		"a third as long":         {usual / 3, usual / 4, defaultTokenTime / 3},
 		"one is faster":           {usual, usual / 4, defaultTokenTime},
-		"not seen yet":            {0, 0, 0},
+		"not measured":            {0, 0, 0},
 	} {
-		assert.Equal(t, ga.tokenTime(tc.median, tc.best), tc.want, name)
+		assert.Equal(t, es.tokenTime(tc.median, tc.best), tc.want, name)
 	}
 }
--- a/step/overview.go
+++ b/step/overview.go
@@ -40,19 +40,19 @@
 	if err != nil {
 		return overview.Snapshot{}, err
 	}
-	return te.table.Snapshot(now.Sub(te.freshAt), now), nil
+	return te.table.Snapshot(now.Sub(te.polledAt), now), nil
 }
 
 // Snapshot returns the input of an overview of the load. The key-value service last answered storeHeard ago.
 func (ta *Table) Snapshot(storeHeard time.Duration, now time.Time) overview.Snapshot {
 	sn := overview.Snapshot{Epoch: ta.epoch, Holds: ta.holds.Records(), Now: now, Shares: ta.customerShares(now), StoreHeard: storeHeard}
 	paces := map[string]time.Duration{} // time per event at each engine under its present runs
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		sn.Engines = append(sn.Engines, ta.engineLoad(en, now))
 		paces[en.id] = ta.expectedPace(en, nil)
 	}
 	storeAway := storeHeard >= intakeWait+intakeSlack
-	for _, sr := range ta.order {
+	for _, sr := range ta.openSteps {
 		sn.Steps = append(sn.Steps, ta.stepLoad(sr, paces, storeAway, now))
 	}
 	return sn
@@ -61,10 +61,10 @@
 // customerShares returns the recent share and the rank of each customer.
 func (ta *Table) customerShares(now time.Time) map[string]overview.Share {
 	shares := map[string]overview.Share{}
-	for customer, had := range ta.Parts(now) {
+	for customer, had := range ta.RecentShares(now) {
 		shares[customer] = overview.Share{Had: had}
 	}
-	for customer, st := range ta.Shares() {
+	for customer, st := range ta.Balances() {
 		sh := shares[customer]
 		sh.Ahead, sh.Rank = st.Ahead, st.Rank
 		shares[customer] = sh
@@ -76,11 +76,11 @@
 func (ta *Table) engineLoad(en *engineRow, now time.Time) overview.Engine {
 	held, _ := en.memoryUse()
 	le := overview.Engine{
-		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.paces[en.service], Memory: en.tokens, Others: en.foreign,
-		Places: en.slots, Runs: len(en.items) + len(en.coming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
+		Address: en.endpoint, Heard: -1, ID: en.id, Median: ta.medianPaces[en.service], Memory: en.tokens, Others: en.foreignRequests,
+		Places: en.slots, Runs: len(en.items) + len(en.incoming), Service: en.service, State: ta.engineState(en, now), Tokens: held,
 	}
-	if !en.heardAt.IsZero() {
-		le.Heard = now.Sub(en.heardAt)
+	if !en.respondedAt.IsZero() {
+		le.Heard = now.Sub(en.respondedAt)
 	}
 	if en.report.PaceGaps >= paceGaps {
 		le.Pace = en.report.Pace
@@ -92,11 +92,11 @@
 func (ta *Table) engineState(en *engineRow, now time.Time) overview.State {
 	_, drained := ta.holds.Endpoint(en.id, en.endpoint)
 	switch {
-	case en.gone:
+	case en.replaced:
 		return overview.Gone
-	case en.heardAt.IsZero(), now.Sub(en.heardAt) > responseTimeout:
+	case en.respondedAt.IsZero(), now.Sub(en.respondedAt) > responseTimeout:
 		return overview.Silent
-	case en.sick:
+	case en.unreachable:
 		return overview.Sick
 	case drained:
 		return overview.Drained
@@ -123,7 +123,7 @@
 		broken[ir.item.Group] = broken[ir.item.Group] || ir.state == lost
 	}
 	for group, gr := range sr.groups {
-		if gr.left == 0 && !broken[group] {
+		if gr.openItems == 0 && !broken[group] {
 			lo.Whole++
 		}
 	}
@@ -170,8 +170,8 @@
 	lo := overview.ItemRow{Group: ir.item.Group, Left: ir.expectedTime(), Turn: ta.placingRank(ir, now)}
 	switch ir.state {
 	case running:
-		lo.Engine, lo.Stand = ir.run.engine, overview.ItemRunning
-		if pace := paces[ir.run.engine]; pace > 0 {
+		lo.Engine, lo.Stand = ir.run.engineID, overview.ItemRunning
+		if pace := paces[ir.run.engineID]; pace > 0 {
 			lo.Left = max(ir.remainingAt(pace, now), 0)
 		}
 	case scoring:
@@ -202,7 +202,7 @@
 		return overview.HeldByOperator
 	case ta.quarantined(ir, now):
 		return overview.Quarantined
-	case wait == overview.ToBePlaced && now.Sub(ir.since) > maxPlacingDelay:
+	case wait == overview.ToBePlaced && now.Sub(ir.stateSince) > maxPlacingDelay:
 		return overview.HeldBack
 	case (wait == overview.NoPlace || wait == overview.NoMemory) && ta.overloaded(ir.step.step.Service) && !ir.group.plan.InTime():
 		return overview.HeldBack
@@ -227,7 +227,7 @@
 		}
 	}
 	st := ir.step.step
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		version := en.versions[st.Model]
 		switch {
 		case en.service != st.Service:
--- a/step/pace.go
+++ b/step/pace.go
@@ -17,7 +17,7 @@
 	// slowDelay is how long an engine must exceed slowFactor to be rated slow. Prefill of
 	// new runs slows it down for a shorter time.
 	slowDelay = 400 * time.Millisecond
-	// verySlowFactor and verySlowSince are the same for a ratio that prefill can't cause.
+	// verySlowFactor and verySlowDelay are the same for a ratio that prefill can't cause.
 	verySlowFactor = 2.5
 	verySlowDelay  = 100 * time.Millisecond
 	// slowDuration is how long an engine stays rated slow. Without runs it can't be measured.
@@ -34,7 +34,7 @@
 	// moveCost is the minimum time that a move must save.
 	moveCost = 400 * time.Millisecond
 	// highMemoryFraction is the fraction of an engine's memory above which a run is moved away,
-	// and roomyMemory the fraction up to which the target may be filled. The difference
+	// and lowMemoryFraction the fraction up to which the target may be filled. The difference
 	// leaves space for growth during the move.
 	highMemoryFraction = 0.88
 	lowMemoryFraction  = 0.6
@@ -50,27 +50,27 @@
 // per token.
 func (ta *Table) MeasurePace(now time.Time) {
 	byService := map[string][]time.Duration{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.report.PaceGaps >= paceGaps {
 			byService[en.service] = append(byService[en.service], en.report.Pace)
 		}
 	}
 	for service, paces := range byService {
-		ta.paces[service] = median(paces)
+		ta.medianPaces[service] = median(paces)
 	}
 	bases := map[string][]time.Duration{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		ta.ratePace(en, now)
-		if en.base > 0 {
-			bases[en.service] = append(bases[en.service], en.base)
+		if en.basePace > 0 {
+			bases[en.service] = append(bases[en.service], en.basePace)
 		}
 	}
-	clear(ta.bests)
+	clear(ta.bestBases)
 	for service, all := range bases {
-		ta.bases[service], ta.bests[service] = median(all), slices.Min(all)
+		ta.medianBases[service], ta.bestBases[service] = median(all), slices.Min(all)
 	}
-	for _, sr := range ta.order {
-		ta.setTokenTime(sr, sr.gauge.tokenTime(ta.bases[sr.step.Service], ta.bests[sr.step.Service]))
+	for _, sr := range ta.openSteps {
+		ta.setTokenTime(sr, sr.estimator.tokenTime(ta.medianBases[sr.step.Service], ta.bestBases[sr.step.Service]))
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	if each != sr.tokenTime {
 		sr.tokenTime = each
-		ta.gaugeChanges.counted++
+		ta.estimateChanges.counted++
 	}
 }
 
@@ -99,28 +99,28 @@
 // median.
 func (ta *Table) ratePace(en *engineRow, now time.Time) {
 	if en.report.PaceGaps >= paceGaps {
-		held, _ := en.memoryUse()
-		en.base = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), held))
+		used, _ := en.memoryUse()
+		en.basePace = time.Duration(float64(en.report.Pace) / slowdown(len(en.items), used))
 	}
-	median := ta.paces[en.service]
+	median := ta.medianPaces[en.service]
 	if median == 0 || en.report.PaceGaps < paceGaps || float64(en.report.Pace) <= slowFactor*float64(median) {
-		en.slowerAt = time.Time{}
+		en.slowerSince = time.Time{}
 		return
 	}
-	if en.slowerAt.IsZero() {
-		en.slowerAt = now
+	if en.slowerSince.IsZero() {
+		en.slowerSince = now
 	}
 	since := slowDelay
 	if float64(en.report.Pace) > verySlowFactor*float64(median) {
 		since = verySlowDelay
 	}
-	if now.Sub(en.slowerAt) < since {
+	if now.Sub(en.slowerSince) < since {
 		return
 	}
 	if !en.slow(now) {
 		ta.log("engine is slow", map[string]any{
 			engineField: en.id, "gaps": en.report.PaceGaps, "median-ms": median.Milliseconds(),
-			"pace-ms": en.report.Pace.Milliseconds(), "report-ms": now.Sub(en.heardAt).Milliseconds(),
+			"pace-ms": en.report.Pace.Milliseconds(), "report-ms": now.Sub(en.respondedAt).Milliseconds(),
 		})
 	}
 	en.slowAt = now
@@ -138,40 +138,40 @@
 // would end up on another slow engine.
 func (ta *Table) MoveStragglers(now time.Time) {
 	ta.updateSummaries()
-	for _, sr := range ta.order {
-		for _, le := range ta.runsToMove(sr, now) {
-			ta.moveRun(le.item, le.item.run.at, le.why, now)
+	for _, sr := range ta.openSteps {
+		for _, mc := range ta.runsToMove(sr, now) {
+			ta.moveRun(mc.item, mc.item.run.engine, mc.reason, now)
 		}
 	}
 }
 
 // A moveCandidate is a run to move, with the reason.
 type moveCandidate struct {
-	item *itemRow
-	why  string
+	item   *itemRow
+	reason string
 }
 
 // runsToMove returns the runs of a step to move, in the order of the items.
 func (ta *Table) runsToMove(sr *stepRow, now time.Time) []moveCandidate {
-	var les []moveCandidate
-	for _, gr := range sr.list {
-		for _, ir := range gr.wait.running {
+	var moves []moveCandidate
+	for _, gr := range sr.groupList {
+		for _, ir := range gr.summary.running {
 			if ir.run.stopping || !ir.run.confirmed || ir.moves >= maxMoves {
 				continue
 			}
-			why := ir.run.at.reasonToMove(ir, now)
-			if why == "" && ta.isLongRun(ir.run.at, ir) {
-				why = "faster engine"
+			reason := ir.run.engine.reasonToMove(ir, now)
+			if reason == "" && ta.isLongRun(ir.run.engine, ir) {
+				reason = "faster engine"
 			}
-			if why != "" {
-				les = append(les, moveCandidate{item: ir, why: why})
+			if reason != "" {
+				moves = append(moves, moveCandidate{item: ir, reason: reason})
 			}
 		}
 	}
 	if sr.interleaved {
-		slices.SortFunc(les, func(a, b moveCandidate) int { return cmp.Compare(a.item.index, b.item.index) })
+		slices.SortFunc(moves, func(a, b moveCandidate) int { return cmp.Compare(a.item.index, b.item.index) })
 	}
-	return les
+	return moves
 }
 
 // RelieveMemory moves one run off each engine whose memory is nearly full, if another engine has
@@ -181,8 +181,8 @@
 // for a second or more. The run with the most slack is moved: the largest one is often the one
 // that its step waits for.
 func (ta *Table) RelieveMemory(now time.Time) {
-	for _, en := range ta.sorted {
-		if held, _ := en.memoryUse(); en.tokens == 0 || float64(held) < highMemoryFraction*float64(en.tokens) {
+	for _, en := range ta.sortedEngines {
+		if used, _ := en.memoryUse(); en.tokens == 0 || float64(used) < highMemoryFraction*float64(en.tokens) {
 			continue
 		}
 		if ir := en.mostSlack(now); ir != nil {
@@ -200,46 +200,46 @@
 		if ir.run.stopping {
 			return nil
 		}
-		held, _ := ir.tokenUse()
-		if !ir.run.confirmed || ir.moves >= maxMoves || float64(held) < minMovedFraction*float64(en.tokens) {
+		used, _ := ir.tokenUse()
+		if !ir.run.confirmed || ir.moves >= maxMoves || float64(used) < minMovedFraction*float64(en.tokens) {
 			continue
 		}
-		spare := ir.slack(now)
-		if best == nil || spare > most || spare == most && ir.item.ID < best.item.ID {
-			best, most = ir, spare
+		slack := ir.slack(now)
+		if best == nil || slack > most || slack == most && ir.item.ID < best.item.ID {
+			best, most = ir, slack
 		}
 	}
 	return best
 }
 
 // moveRun stops a run and reserves a slot for it on another engine, if one qualifies.
-func (ta *Table) moveRun(ir *itemRow, from *engineRow, why string, now time.Time) {
-	to := ta.bestMoveTarget(ir, from, why, now)
+func (ta *Table) moveRun(ir *itemRow, from *engineRow, reason string, now time.Time) {
+	to := ta.bestMoveTarget(ir, from, reason, now)
 	if to == nil {
 		return
 	}
 	ir.moves++
 	ir.run.stopping = true
-	ir.target = to.id
-	to.coming[ir] = true
+	ir.moveTarget = to.id
+	to.incoming[ir] = true
 	to.invalidateMemo()
 	ta.log("run moved", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: from.id, "events": len(ir.events), itemField: ir.item.ID,
 		"pace-ms": from.report.Pace.Milliseconds(), "quiet-ms": now.Sub(ir.run.eventAt).Milliseconds(),
-		stepField: ir.step.step.ID, "to": to.id, whyField: why,
+		stepField: ir.step.step.ID, "to": to.id, whyField: reason,
 	})
 }
 
 // bestMoveTarget returns the best engine to move a run to, or nil.
-func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, why string, now time.Time) *engineRow {
+func (ta *Table) bestMoveTarget(ir *itemRow, from *engineRow, reason string, now time.Time) *engineRow {
 	var best *engineRow
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en == from || ta.trials.runsTrial(en.id, now) || en.freeSlots() <= slotsLeftFree || en.slow(now) || !ta.canRunItem(en, ir) || !en.hasMemoryFor(ir) {
 			continue
 		}
 		switch {
-		case why == memoryReason:
-			if !en.hasSpareMemory(ir) || float64(en.base) > (1+paceTolerance)*float64(from.base) {
+		case reason == memoryReason:
+			if !en.hasSpareMemory(ir) || float64(en.basePace) > (1+paceTolerance)*float64(from.basePace) {
 				continue
 			}
 		case from.stalled(ir, now):
@@ -253,7 +253,7 @@
 	return best
 }
 
-// hasSpareMemory reports whether an engine would stay within roomyMemory with an additional item.
+// hasSpareMemory reports whether an engine would stay within lowMemoryFraction with an additional item.
 func (en *engineRow) hasSpareMemory(ir *itemRow) bool {
 	now, _ := en.memoryUse()
 	added, _ := ir.tokenUse()
@@ -262,32 +262,32 @@
 
 // timeSaved returns the expected time that a move saves.
 func (ta *Table) timeSaved(ir *itemRow, from, to *engineRow) time.Duration {
-	if from.base == 0 {
+	if from.basePace == 0 {
 		return 0
 	}
-	events := float64(ir.remainingTokens()) / float64(ir.step.gauge.eventTokens())
+	events := float64(ir.remainingTokens()) / float64(ir.step.estimator.eventTokens())
 	return time.Duration(events * float64(ta.expectedPace(from, nil)-ta.expectedPace(to, ir)))
 }
 
 // releaseReserved releases the reserved slot of an item, if any.
 func (ta *Table) releaseReserved(ir *itemRow) {
-	if en, ok := ta.engines[ir.target]; ok && ir.target != "" {
-		delete(en.coming, ir)
+	if en, ok := ta.engines[ir.moveTarget]; ok && ir.moveTarget != "" {
+		delete(en.incoming, ir)
 		en.invalidateMemo()
 	}
-	if ir.target != "" {
+	if ir.moveTarget != "" {
 		ir.group.markStale(ta)
 	}
-	ir.target = ""
+	ir.moveTarget = ""
 }
 
 // reasonToMove returns the reason to move a run away, or "".
 func (en *engineRow) reasonToMove(ir *itemRow, now time.Time) string {
 	quiet := now.Sub(ir.run.eventAt)
 	switch {
-	case en.sick && quiet > stallTimeout/2:
+	case en.unreachable && quiet > stallTimeout/2:
 		return "engine does not answer"
-	case quiet > firstEventTimeout, quiet > stallTimeout && len(ir.events) > ir.run.prior:
+	case quiet > firstEventTimeout, quiet > stallTimeout && len(ir.events) > ir.run.priorEvents:
 		return "no event"
 	case en.slow(now):
 		return "slow engine"
@@ -301,8 +301,8 @@
 	return en.reasonToMove(ir, now) != "" && !en.slow(now)
 }
 
-// isLongRun reports whether a run is isLongRun and its engine slower than the best one at equal load.
+// isLongRun reports whether a run is long and its engine slower than the best one at equal load.
 // The current load isn't considered, as it changes quickly.
 func (ta *Table) isLongRun(en *engineRow, ir *itemRow) bool {
-	return len(ir.events)-ir.run.prior >= minMoveEvents && float64(ta.bests[en.service]) < (1-paceTolerance)*float64(en.base)
+	return len(ir.events)-ir.run.priorEvents >= minMoveEvents && float64(ta.bestBases[en.service]) < (1-paceTolerance)*float64(en.basePace)
 }
--- a/step/queue.go
+++ b/step/queue.go
@@ -8,14 +8,14 @@
 
 // A waitEntry is a waiting item with its properties when it was enqueued.
 type waitEntry struct {
-	held   int // tokens
-	item   *itemRow
-	need   time.Duration // expected time to complete
-	ticket int           // the entry is valid while the item has the same ticket
+	tokens   int
+	item     *itemRow
+	duration time.Duration // expected time to complete
+	ticket   int           // the entry is valid while the item has the same ticket
 }
 
 func compareEntries(a, b waitEntry) int {
-	return cmp.Or(cmp.Compare(b.need, a.need), cmp.Compare(a.item.index, b.item.index))
+	return cmp.Or(cmp.Compare(b.duration, a.duration), cmp.Compare(a.item.index, b.item.index))
 }
 
 // A waitQueue holds waiting items of a step by descending expected time, that is, by ascending
@@ -31,15 +31,15 @@
 // under overload.
 type stepQueue struct {
 	built  bool
-	fresh  []*itemRow   // items that started to wait after the last refresh
-	queues [4]waitQueue // indexed by itemRow.queue
+	added  []*itemRow   // items that started to wait after the last refresh
+	queues [4]waitQueue // indexed by itemRow.queueIndex
 }
 
 // add adds an item that starts to wait.
 func (sq *stepQueue) add(ir *itemRow) {
 	ir.ticket++
 	if sq.built {
-		sq.fresh = append(sq.fresh, ir)
+		sq.added = append(sq.added, ir)
 	}
 }
 
@@ -50,25 +50,25 @@
 func (sq *stepQueue) refresh(sr *stepRow) {
 	if !sq.built {
 		sq.built = true
-		for _, gr := range sr.list {
-			sq.fresh = append(sq.fresh, gr.wait.waiting...)
+		for _, gr := range sr.groupList {
+			sq.added = append(sq.added, gr.summary.waiting...)
 		}
 	}
-	var fresh [4][]waitEntry
-	for _, ir := range sq.fresh {
+	var added [4][]waitEntry
+	for _, ir := range sq.added {
 		if ir.state == waiting {
-			fresh[ir.queueIndex()] = append(fresh[ir.queueIndex()], ir.entry())
+			added[ir.queueIndex()] = append(added[ir.queueIndex()], ir.entry())
 		}
 	}
-	sq.fresh = sq.fresh[:0]
-	tokens := sr.gauge.eventTokens()
+	sq.added = sq.added[:0]
+	tokens := sr.estimator.eventTokens()
 	for i := range sq.queues {
 		wq := &sq.queues[i]
 		if i&queueWithEvents != 0 && wq.eventTokens != tokens || wq.tokenTime != sr.tokenTime {
 			wq.reorder()
 		}
 		wq.eventTokens, wq.tokenTime = tokens, sr.tokenTime
-		wq.merge(fresh[i])
+		wq.merge(added[i])
 	}
 }
 
@@ -78,7 +78,7 @@
 	queueWithReward = 2
 )
 
-// queueIndex returns the index of the queueIndex for an item.
+// queueIndex returns the index of the queue for an item.
 func (ir *itemRow) queueIndex() int {
 	number := 0
 	if ir.hasEvents() {
@@ -92,7 +92,7 @@
 
 // entry returns a new entry for the item.
 func (ir *itemRow) entry() waitEntry {
-	return waitEntry{held: ir.tokensNow(), item: ir, need: ir.expectedTime(), ticket: ir.ticket}
+	return waitEntry{tokens: ir.tokensNow(), item: ir, duration: ir.expectedTime(), ticket: ir.ticket}
 }
 
 // valid reports whether the item has been waiting ever since the entry was made.
@@ -114,27 +114,27 @@
 const maxInserts = 16
 
 // merge adds entries. It drops invalid ones at the front, or all invalid ones if it merges.
-func (wq *waitQueue) merge(fresh []waitEntry) {
+func (wq *waitQueue) merge(added []waitEntry) {
 	for len(wq.entries) > 0 && !wq.entries[0].valid() {
 		wq.entries = wq.entries[1:]
 	}
-	if len(fresh) <= maxInserts {
-		for _, we := range fresh {
+	if len(added) <= maxInserts {
+		for _, we := range added {
 			at, _ := slices.BinarySearchFunc(wq.entries, we, compareEntries)
 			wq.entries = slices.Insert(wq.entries, at, we)
 		}
 		return
 	}
-	slices.SortFunc(fresh, compareEntries)
-	merged := make([]waitEntry, 0, len(wq.entries)+len(fresh))
+	slices.SortFunc(added, compareEntries)
+	merged := make([]waitEntry, 0, len(wq.entries)+len(added))
 	for _, we := range wq.entries {
 		if !we.valid() {
 			continue
 		}
-		for len(fresh) > 0 && compareEntries(fresh[0], we) < 0 {
-			merged, fresh = append(merged, fresh[0]), fresh[1:]
+		for len(added) > 0 && compareEntries(added[0], we) < 0 {
+			merged, added = append(merged, added[0]), added[1:]
 		}
 		merged = append(merged, we)
 	}
-	wq.entries = append(merged, fresh...)
+	wq.entries = append(merged, added...)
 }
--- a/step/restart_test.go
+++ b/step/restart_test.go
@@ -29,26 +29,26 @@
 		name string
 		tell func(ta *Table)
 	}{
-		{"report arrives first", func(ta *Table) { hear(ta, "a", reportOf(20, 2), begin) }},
+		{"report arrives first", func(ta *Table) { respond(ta, "a", reportOf(20, 2), begin) }},
 		{"entry arrives first", func(ta *Table) { setEntry(ta, 20, 2) }},
 		{"old report arrives later", func(ta *Table) {
 			setEntry(ta, 20, 2)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 		}},
 		{"old entry arrives later", func(ta *Table) {
-			hear(ta, "a", reportOf(20, 2), begin)
+			respond(ta, "a", reportOf(20, 2), begin)
 			setEntry(ta, 10, 5)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := NewTable(1, nil)
 			setEntry(ta, 10, 5)
-			hear(ta, "a", reportOf(10, 5), begin)
+			respond(ta, "a", reportOf(10, 5), begin)
 			en := ta.engines["a"]
-			en.gone, en.failed, en.slowAt, en.base = true, begin, begin, time.Second
+			en.replaced, en.brokeRunAt, en.slowAt, en.basePace = true, begin, begin, time.Second
 			tc.tell(ta)
-			assert.Equal(t, en.born, incarnation.Number(20))
-			assert.Assert(t, !en.gone && !en.slow(begin) && en.failed.IsZero() && en.base == 0)
+			assert.Equal(t, en.incarnation, incarnation.Number(20))
+			assert.Assert(t, !en.replaced && !en.slow(begin) && en.brokeRunAt.IsZero() && en.basePace == 0)
 			assert.Equal(t, en.versions["model"], uint64(2))
 		})
 	}
@@ -58,13 +58,13 @@
 	// A report or directory entry without an incarnation doesn't reset the state of the engine.
 	ta := NewTable(1, nil)
 	setEntry(ta, 10, 5)
-	hear(ta, "a", reportOf(10, 5), begin)
+	respond(ta, "a", reportOf(10, 5), begin)
 	en := ta.engines["a"]
 	en.slowAt = begin
-	hear(ta, "a", reportOf(0, 6), begin)
+	respond(ta, "a", reportOf(0, 6), begin)
 	setEntry(ta, 0, 5)
 	assert.Assert(t, en.slow(begin))
-	assert.Equal(t, en.born, incarnation.Number(10))
+	assert.Equal(t, en.incarnation, incarnation.Number(10))
 	assert.Equal(t, en.versions["model"], uint64(6), "reports take precedence over entries")
 }
 
@@ -72,7 +72,7 @@
 	// Guards against an item being stuck on an engine that restarted and whose attendant never responds again.
 	ta := NewTable(1, nil)
 	setEntry(ta, 10, 1)
-	hear(ta, "a", reportOf(10, 1), begin)
+	respond(ta, "a", reportOf(10, 1), begin)
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
--- a/step/reward.go
+++ b/step/reward.go
@@ -40,7 +40,7 @@
 // completeText handles the completion of an item's text. The item is complete once it also has its score, if it has a
 // reward call.
 func (ta *Table) completeText(ir *itemRow, now time.Time) {
-	ir.known = max(ir.known, len(ir.events))
+	ir.knownEvents = max(ir.knownEvents, len(ir.events))
 	if ir.item.Reward == nil || ir.reward.score != "" {
 		ta.finish(ir, complete, now)
 		return
@@ -101,7 +101,7 @@
 	slices.SortFunc(due, func(a, b *itemRow) int {
 		return cmp.Or(
 			cmp.Compare(a.step.step.Due-a.step.age(now), b.step.step.Due-b.step.age(now)),
-			cmp.Compare(a.step.groups[a.item.Group].left, b.step.groups[b.item.Group].left),
+			cmp.Compare(a.step.groups[a.item.Group].openItems, b.step.groups[b.item.Group].openItems),
 			a.reward.since.Compare(b.reward.since),
 			cmp.Compare(a.item.ID, b.item.ID),
 		)
--- a/step/rewarder.go
+++ b/step/rewarder.go
@@ -13,7 +13,7 @@
 // Reward calls continue while the key-value service is unavailable. No step can end meanwhile, and scored texts can
 // be listed as soon as the service recovers.
 func (sc *Scheduler) startRewards(te *term, now time.Time) {
-	for ir, cancel := range te.calls {
+	for ir, cancel := range te.rewardCalls {
 		if ir.step.ended {
 			cancel()
 		}
@@ -25,8 +25,8 @@
 	places := map[string]int{}
 	locate := func(ca *forward.Call) plainService { return sc.locate(co, places, ca) }
 	for _, ir := range te.table.startRewards(locate, now) {
-		ctx, cancel := te.begin()
-		te.calls[ir] = cancel
+		ctx, cancel := te.newContext()
+		te.rewardCalls[ir] = cancel
 		go sc.callReward(ctx, te, ir)
 	}
 }
@@ -62,8 +62,8 @@
 	sc.Metrics.GetOrCreateCounter(`wisteriacroft_reward_calls_total{outcome="` + re.Outcome() + `"}`).Inc()
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.calls[ir]()
-	delete(te.calls, ir)
+	te.rewardCalls[ir]()
+	delete(te.rewardCalls, ir)
 	if sc.term != te {
 		return // the next scheduler repeats the call
 	}
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -20,19 +20,19 @@
 // smallCustomerCompetes reports whether two or more customers compete and one that requests no more than its share of
 // the room's capacity has open steps there, or may soon have some. Customers that have open steps only at other
 // services don't count.
-func (ta *Table) smallCustomerCompetes(rm *servicePlan) bool {
-	customers := ta.share.account.Balances()
+func (ta *Table) smallCustomerCompetes(sp *servicePlan) bool {
+	customers := ta.usage.account.Balances()
 	if len(customers) < 2 {
 		return false
 	}
 	elsewhere := map[string]bool{}
-	for _, other := range ta.rooms {
-		for customer := range other.withinPart {
-			elsewhere[customer] = elsewhere[customer] || other != rm
+	for _, other := range ta.servicePlans {
+		for customer := range other.withinShare {
+			elsewhere[customer] = elsewhere[customer] || other != sp
 		}
 	}
 	for customer := range customers {
-		if within, open := rm.withinPart[customer]; within || !open && !elsewhere[customer] {
+		if within, open := sp.withinShare[customer]; within || !open && !elsewhere[customer] {
 			return true
 		}
 	}
--- a/step/room_test.go
+++ b/step/serviceplan_test.go
@@ -24,8 +24,8 @@
 		infos = append(infos, EngineInfo{ID: string(rune('a' + i)), Service: service, Slots: 2, Tokens: 10000})
 	}
 	ta.SetEngines(infos, begin)
-	for _, en := range ta.sorted {
-		hear(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
+	for _, en := range ta.sortedEngines {
+		respond(ta, en.id, runner.ExchangeResponse{Report: runner.Report{Versions: map[string]uint64{"model": 1, "second": 1}}}, begin)
 	}
 	sizes := make([]int, items)
 	for i := range sizes {
@@ -49,7 +49,7 @@
 	return count
 }
 
-func TestFreeRoomOfOneServiceIsNotAnothers(t *testing.T) {
+func TestCapacityIsPlannedByService(t *testing.T) {
 	// Guards against planning a step's groups into slots of engines of another service,
 	// which can't run them.
 	ta := twoServices(t, 1, 20, 30)
@@ -61,7 +61,7 @@
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
-func TestCrowdedServiceCrowdsNoOther(t *testing.T) {
+func TestOverloadIsDetectedByService(t *testing.T) {
 	// An overloaded service must not put another service, which has free slots, into
 	// overload mode.
 	ta := twoServices(t, 1, 4, 300)
@@ -72,20 +72,20 @@
 	ta.SetVersion("second", 2)
 	ta.planCapacity(begin)
 	total := 0.0
-	for _, part := range ta.engineShares(ta.sorted[1:]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[1:]) {
 		total += part
 	}
-	assert.Assert(t, total < 4.01, "each model of the service with room has its share alone: %v", total)
+	assert.Assert(t, total < 4.01, "without overload each model gets its share: %v", total)
 	total = 0
-	for _, part := range ta.engineShares(ta.sorted[:1]) {
+	for _, part := range ta.engineShares(ta.sortedEngines[:1]) {
 		total += part
 	}
-	assert.Equal(t, total, 2.0, "each model of the crowded one has all")
+	assert.Equal(t, total, 2.0, "under overload each model gets all engines")
 	assert.Equal(t, plannedGroups(ta, "t"), 1)
 }
 
 // The hysteresis of overload detection is kept for each service on its own.
-func TestServicesRememberWhetherTheyWereCrowded(t *testing.T) {
+func TestOverloadHysteresisByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 30)
 	ta.planCapacity(begin)
 	assert.Assert(t, ta.overloaded("service") && !ta.overloaded("other"))
@@ -94,10 +94,10 @@
 	st.Service = "other"
 	ta.Accept(st, StoredStep{}, false, begin)
 	ta.planCapacity(begin.Add(planInterval))
-	rooms := ta.ServiceLoads()
-	assert.Assert(t, !rooms["service"].Crowded && !rooms["other"].Crowded)
-	assert.Equal(t, rooms["service"].Load, 0.0)
-	assert.Assert(t, rooms["other"].Load > 0)
+	loads := ta.ServiceLoads()
+	assert.Assert(t, !loads["service"].Crowded && !loads["other"].Crowded)
+	assert.Equal(t, loads["service"].Load, 0.0)
+	assert.Assert(t, loads["other"].Load > 0)
 }
 
 // A customer with steps at another service only doesn't prevent items from being sent ahead.
@@ -115,7 +115,7 @@
 }
 
 // Each service has its own metrics, which are unregistered after it had no steps for a while.
-func TestRoomsAreMeasuredByService(t *testing.T) {
+func TestLoadMetricsByService(t *testing.T) {
 	ta := twoServices(t, 1, 1, 60)
 	ta.planCapacity(begin)
 	sc := &Scheduler{Metrics: metrics.NewSet()}
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// shares replays a small customer with one trainer beside a large one with ten. It returns
+// replayShares replays a small customer with one trainer beside a large one with ten. It returns
 // the fraction of groups in time of the small customer, and of both together.
-func shares(seed uint64, anyShare bool) (small, all float64) {
+func replayShares(seed uint64, anyShare bool) (small, all float64) {
 	trainers := []*simTrainer{newTrainer(smallSheet, "small", 10, 4, 500*time.Millisecond, seed)}
 	for i := range 10 {
 		trainers = append(trainers, newTrainer(smallSheet, fmt.Sprintf("large-%d", i), 10, 4, 500*time.Millisecond, seed+uint64(10*i+10)))
@@ -22,28 +22,28 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(5), trainers)
-	re.table.anyShare = anyShare
-	re.play(replayTime, nil)
-	inTime, owed := 0, 0
+	re.table.ignoreShares = anyShare
+	re.run(replayTime, nil)
+	inTime, requested := 0, 0
 	for _, tr := range trainers {
 		inTime += tr.inTime
-		owed += int(replayTime/tr.every) * tr.target
+		requested += int(replayTime/tr.every) * tr.target
 	}
-	return float64(trainers[0].inTime) / float64(int(replayTime/trainers[0].every)*trainers[0].target), float64(inTime) / float64(owed)
+	return float64(trainers[0].inTime) / float64(int(replayTime/trainers[0].every)*trainers[0].target), float64(inTime) / float64(requested)
 }
 
 // A customer that asks for more than the engines can do must not delay the steps of a small
 // customer.
 func TestSmallCustomerBesideALargeOne(t *testing.T) {
 	var small, all, smallBefore, allBefore float64
-	const luck = 4
-	for seed := range uint64(luck) {
-		s, a := shares(seed, false)
-		small, all = small+s/luck, all+a/luck
-		s, a = shares(seed, true)
-		smallBefore, allBefore = smallBefore+s/luck, allBefore+a/luck
+	const seeds = 4
+	for seed := range uint64(seeds) {
+		s, a := replayShares(seed, false)
+		small, all = small+s/seeds, all+a/seeds
+		s, a = replayShares(seed, true)
+		smallBefore, allBefore = smallBefore+s/seeds, allBefore+a/seeds
 	}
-	t.Logf("small %.3f of all %.3f; by time to spare alone %.3f of %.3f", small, all, smallBefore, allBefore)
+	t.Logf("small %.3f of all %.3f; by least slack alone %.3f of %.3f", small, all, smallBefore, allBefore)
 	assert.Assert(t, small >= all/4)
 	assert.Assert(t, small >= all)
 	assert.Assert(t, small > smallBefore)
--- a/step/gauge.go
+++ b/step/tokenestimator.go
@@ -27,38 +27,38 @@
 // A tokenEstimator estimates the number of tokens per event of a model, which determines the memory
 // that runs take and their remaining times. The zero value has no observations.
 type tokenEstimator struct {
-	changes *estimateChanges // counts changes of the estimate; may be nil
-	tokens  int              // the estimate; 0 means none
+	changes  *estimateChanges // counts changes of the estimate; may be nil
+	estimate int              // 0 means none
 
 	ratios []float64 // hint per event, of items that ended
 	next   int       // index of the oldest ratio
 	median int       // of the ratios
 
-	atBound       int // number of items with the most events for their limit
-	fullest       int // their token limit
-	fullestEvents int // their events
+	atLimit       int // number of items with the most events for their limit
+	longestTokens int // their token limit
+	longestEvents int // their events
 }
 
-// A estimateChanges counts changes of the estimates of all gauges, to invalidate caches.
+// An estimateChanges counts changes of the estimates of all models, to invalidate caches.
 type estimateChanges struct{ counted int }
 
-// count returns the count, or 0 if gc is nil.
-func (gc *estimateChanges) count() int {
-	if gc == nil {
+// count returns the count, or 0 if ec is nil.
+func (ec *estimateChanges) count() int {
+	if ec == nil {
 		return 0
 	}
-	return gc.counted
+	return ec.counted
 }
 
 // update recomputes the estimate.
-func (ga *tokenEstimator) update() {
-	before := ga.eventTokens()
-	ga.tokens = ga.fromLimits()
-	if ga.tokens <= 0 {
-		ga.tokens = ga.median
+func (es *tokenEstimator) update() {
+	before := es.eventTokens()
+	es.estimate = es.fromLimits()
+	if es.estimate <= 0 {
+		es.estimate = es.median
 	}
-	if ga.changes != nil && ga.eventTokens() != before {
-		ga.changes.counted++
+	if es.changes != nil && es.eventTokens() != before {
+		es.changes.counted++
 	}
 }
 
@@ -67,79 +67,79 @@
 // The longest items of a step are truncated at their limits and give the exact number of tokens
 // per event. The median of the hints may be too low, so that the ends of long items would be
 // expected too late.
-func (ga *tokenEstimator) observeLimit(bound, events int) {
-	if bound <= 0 || events < estimatorMinEvents {
+func (es *tokenEstimator) observeLimit(limit, events int) {
+	if limit <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
-	switch more := events*ga.fullest - ga.fullestEvents*bound; {
-	case ga.fullest == 0, more > 0:
-		ga.atBound, ga.fullest, ga.fullestEvents = 1, bound, events
+	defer es.update()
+	switch more := events*es.longestTokens - es.longestEvents*limit; {
+	case es.longestTokens == 0, more > 0:
+		es.atLimit, es.longestTokens, es.longestEvents = 1, limit, events
 	case more == 0:
-		ga.atBound++
+		es.atLimit++
 	}
 }
 
 // observeHint records the number of events of an item with a hint. Hints are right at the
 // median.
-func (ga *tokenEstimator) observeHint(hint, events int) {
+func (es *tokenEstimator) observeHint(hint, events int) {
 	if hint <= 0 || events < estimatorMinEvents {
 		return
 	}
-	defer ga.update()
+	defer es.update()
 	ratio := float64(hint) / float64(events)
-	if len(ga.ratios) < estimatorMaxRatios {
-		ga.ratios = append(ga.ratios, ratio)
+	if len(es.ratios) < estimatorMaxRatios {
+		es.ratios = append(es.ratios, ratio)
 	} else {
-		ga.ratios[ga.next] = ratio
-		ga.next = (ga.next + 1) % estimatorMaxRatios
+		es.ratios[es.next] = ratio
+		es.next = (es.next + 1) % estimatorMaxRatios
 	}
-	if len(ga.ratios) >= estimatorMinRatios {
-		sorted := slices.Sorted(slices.Values(ga.ratios))
-		ga.median = int(sorted[len(sorted)/2])
+	if len(es.ratios) >= estimatorMinRatios {
+		sorted := slices.Sorted(slices.Values(es.ratios))
+		es.median = int(sorted[len(sorted)/2])
 	}
 }
 
 // eventTokens returns the estimated tokens per event. The receiver may be nil.
-func (ga *tokenEstimator) eventTokens() int {
-	if ga == nil || ga.tokens <= 0 {
+func (es *tokenEstimator) eventTokens() int {
+	if es == nil || es.estimate <= 0 {
 		return defaultEventTokens
 	}
-	return ga.tokens
+	return es.estimate
 }
 
 // tokenTime returns the time per token of engines with the given median and best times per
 // event, or 0 if unknown.
 //
-// Engines of other types may be several times slower or faster than usualTokenTime, which would
+// Engines of other types may be several times slower or faster than defaultTokenTime, which would
 // give wrong slack and work.
 //
 // Only items at their limits are used here. Hints would be biased, as the items that end first
 // are those with far too high hints.
-func (ga *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
-	if ga == nil || ga.fromLimits() <= 0 || best <= 0 {
+func (es *tokenEstimator) tokenTime(median, best time.Duration) time.Duration {
+	if es == nil || es.fromLimits() <= 0 || best <= 0 {
 		return 0
 	}
-	tokens := ga.fromLimits()
-	usual := float64(defaultTokenTime) * float64(tokens) // of an event
-	if float64(best) > otherTypeFactor*usual || float64(median) < usual/otherTypeFactor {
+	tokens := es.fromLimits()
+	assumed := float64(defaultTokenTime) * float64(tokens) // of an event
+	if float64(best) > otherTypeFactor*assumed || float64(median) < assumed/otherTypeFactor {
 		return median / time.Duration(tokens)
 	}
 	return defaultTokenTime
 }
 
 // otherTypeFactor is the factor by which the best engine must be slower, or the median one faster,
-// than usualTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
+// than defaultTokenTime for it to be replaced. Prefill and weight loads may slow down most engines
 // for a short time.
 const otherTypeFactor = 2
 
 // fromLimits returns the tokens per event according to items at their limits, or 0 if unknown.
-func (ga *tokenEstimator) fromLimits() int {
-	if ga.atBound < estimatorMinAtLimit || ga.median <= 0 {
+func (es *tokenEstimator) fromLimits() int {
+	if es.atLimit < estimatorMinAtLimit || es.median <= 0 {
 		return 0
 	}
-	exact := ga.fullest / ga.fullestEvents
-	if float64(exact) > estimatorMaxDeviation*float64(ga.median) || float64(ga.median) > estimatorMaxDeviation*float64(exact) {
+	exact := es.longestTokens / es.longestEvents
+	if float64(exact) > estimatorMaxDeviation*float64(es.median) || float64(es.median) > estimatorMaxDeviation*float64(exact) {
 		return 0 // items that ended early had the same length by chance
 	}
 	return exact
--- a/step/update.go
+++ b/step/update.go
@@ -24,11 +24,11 @@
 	if ws.empty() {
 		return ws
 	}
-	ws.Account = ta.share.dueAccount(now)
+	ws.Account = ta.usage.dueAccount(now)
 	obsolete := ta.ObsoleteKeys()
 	ws.Deletes = obsolete[:min(len(obsolete), free)]
 	free -= len(ws.Deletes)
-	for _, st := range ta.cuts {
+	for _, st := range ta.endedSteps {
 		if free -= max(st.Parts, 1); free < 0 {
 			break
 		}
@@ -44,7 +44,7 @@
 func (ta *Table) hasFinal(chunks []Chunk) bool {
 	return slices.ContainsFunc(chunks, func(ch Chunk) bool {
 		sr, ok := ta.steps[ch.Step]
-		return ok && sr.why == listing.Final
+		return ok && sr.listingReason == listing.Final
 	})
 }
 
@@ -60,9 +60,9 @@
 func (ta *Table) WritesApplied(ws WriteSet, now time.Time) {
 	ta.ChunksListed(ws.Chunks, now)
 	ta.CheckpointsSaved(ws.Checkpoints)
-	ta.share.accountWritten(ws.Account, now)
+	ta.usage.accountWritten(ws.Account, now)
 	ta.KeysDeleted(len(ws.Deletes))
-	ta.cuts = slices.DeleteFunc(ta.cuts, func(st *Step) bool { return slices.Contains(ws.Cuts, st) })
+	ta.endedSteps = slices.DeleteFunc(ta.endedSteps, func(st *Step) bool { return slices.Contains(ws.Cuts, st) })
 }
 
 func (ws WriteSet) empty() bool {
--- a/step/weights.go
+++ b/step/weights.go
@@ -12,7 +12,7 @@
 
 // Limits of loading weights.
 const (
-	// minConcurrentLoads is the minimum number of concurrent loads of a service, and partAtOnce the
+	// minConcurrentLoads is the minimum number of concurrent loads of a service, and enginesPerLoad the
 	// number of engines per load. The weight store serves this many at full speed.
 	minConcurrentLoads = 2
 	enginesPerLoad     = 5
@@ -28,7 +28,7 @@
 // models.
 func (ta *Table) OrderLoads(now time.Time) {
 	byService := map[string][]*engineRow{}
-	for _, en := range ta.sorted {
+	for _, en := range ta.sortedEngines {
 		if en.order != nil && now.Sub(en.orderAt) > orderTimeout {
 			en.order = nil
 		}
@@ -49,16 +49,16 @@
 			loading++
 		}
 	}
-	shares, parts := ta.engineShares(ens), ta.modelClaims(ens)
-	for model, part := range parts {
+	shares, claims := ta.engineShares(ens), ta.modelClaims(ens)
+	for model, claim := range claims {
 		if share, ok := shares[model]; ok {
-			shares[model] = max(share, part.engines)
+			shares[model] = max(share, claim.engines)
 		}
 	}
 	for loading < maxConcurrentLoads(len(ens)) {
-		en, model := ta.nextLoad(ens, shares, parts, ta.toleratedLag(ens[0].service))
+		en, model := ta.nextLoad(ens, shares, claims, ta.toleratedLag(ens[0].service))
 		if en == nil {
-			en, model = ta.nextLoad(ens, shares, parts, 0)
+			en, model = ta.nextLoad(ens, shares, claims, 0)
 		}
 		if en == nil {
 			return
@@ -87,25 +87,25 @@
 // first customer by rank with the fewest engines that lag at most lag versions, relative to its
 // share.
 func (ta *Table) nextLoad(
-	ens []*engineRow, shares map[string]float64, parts map[string]modelClaim, lag uint64,
+	ens []*engineRow, shares map[string]float64, claims map[string]modelClaim, lag uint64,
 ) (en *engineRow, model string) {
 	least := 1.0
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
-		version := ta.named[name] - min(lag, ta.named[name])
-		fresh := 0
+		version := ta.newestVersions[name] - min(lag, ta.newestVersions[name])
+		upToDate := 0
 		for _, other := range ens {
 			if other.hasOrLoads(name, version) {
-				fresh++
+				upToDate++
 			}
 		}
 		// A fractional share is rounded up to whole engines.
-		part := float64(fresh) / math.Ceil(shares[name])
-		order := cmp.Or(cmp.Compare(parts[name].rank, parts[model].rank), cmp.Compare(part, least))
-		if part >= 1 || en != nil && order >= 0 {
+		progress := float64(upToDate) / math.Ceil(shares[name])
+		order := cmp.Or(cmp.Compare(claims[name].rank, claims[model].rank), cmp.Compare(progress, least))
+		if progress >= 1 || en != nil && order >= 0 {
 			continue
 		}
 		if oldest := ta.engineToLoad(ens, name, version); oldest != nil {
-			en, model, least = oldest, name, part
+			en, model, least = oldest, name, progress
 		}
 	}
 	return en, model
@@ -117,7 +117,7 @@
 	return en.versions[model] >= version || loads
 }
 
-// engineToLoad returns the engine that should load a model next, or nil: the one with the engineToLoad
+// engineToLoad returns the engine that should load a model next, or nil: the one with the oldest
 // version before the given one, then the one with the fewest other usable models, then the one
 // with the most runs, which can't start new ones anyway.
 func (ta *Table) engineToLoad(ens []*engineRow, model string, version uint64) *engineRow {
@@ -146,10 +146,10 @@
 	)
 }
 
-// negativeLag returns the negative number of versions that an engine lags behind, at least -uselessLag.
+// negativeLag returns the negative number of versions that an engine lags behind, at least -unusableLag.
 // Steps accept only the newest version and the one before it.
 func (ta *Table) negativeLag(en *engineRow, model string) int {
-	return -int(min(ta.named[model]-en.versions[model], unusableLag))
+	return -int(min(ta.newestVersions[model]-en.versions[model], unusableLag))
 }
 
 // unusableLag is the lag from which on a version is useless to all steps.
@@ -159,18 +159,18 @@
 func (ta *Table) countUsableModels(en *engineRow, except string) int {
 	count := 0
 	for model, version := range en.versions {
-		if model != except && version+unusableLag > ta.named[model] {
+		if model != except && version+unusableLag > ta.newestVersions[model] {
 			count++
 		}
 	}
 	return count
 }
 
-// orderLoad orders an engine to orderLoad a model's newest version.
+// orderLoad orders an engine to load a model's newest version.
 func (ta *Table) orderLoad(en *engineRow, model string, now time.Time) {
-	version := ta.named[model]
+	version := ta.newestVersions[model]
 	en.order = &runner.Order{Endpoint: en.id, Fence: ta.epoch, Keep: !ta.needsSingleVersion(model), Model: model, Version: version}
-	en.orderAt, en.ordered = now, false
+	en.orderAt, en.orderAcked = now, false
 	ta.log("weights ordered", map[string]any{
 		engineField: en.id, "from": en.versions[model], "items": len(en.items), "model": model, "version": version,
 	})
@@ -184,7 +184,7 @@
 // models are waiting.
 func (ta *Table) engineShares(ens []*engineRow) map[string]float64 {
 	demand, total := map[string]float64{}, 0.0
-	for model := range ta.named {
+	for model := range ta.newestVersions {
 		if slices.ContainsFunc(ens, func(en *engineRow) bool { return en.versions[model] > 0 }) {
 			demand[model] = max(ta.demand[model], minDemand)
 			total += demand[model]
@@ -221,7 +221,7 @@
 
 // needsSingleVersion reports whether an open step of a model needs samples of a single version.
 func (ta *Table) needsSingleVersion(model string) bool {
-	return slices.ContainsFunc(ta.order, func(sr *stepRow) bool {
+	return slices.ContainsFunc(ta.openSteps, func(sr *stepRow) bool {
 		return sr.step.Model == model && sr.step.SingleVersion
 	})
 }
--- a/step/witness.go
+++ b/step/witness.go
@@ -37,7 +37,7 @@
 // replace each other repeatedly.
 func (sc *Scheduler) IsDead(owner string) bool {
 	sc.mu.Lock()
-	paused := time.Since(sc.replacedAt) < takeoverPause && !sc.replacedAt.IsZero()
+	paused := time.Since(sc.termEndedAt) < takeoverPause && !sc.termEndedAt.IsZero()
 	sc.mu.Unlock()
 	if paused || ping[Empty](sc, owner, pingMethod) == nil {
 		return false
