--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -85,8 +85,8 @@
 	return best, best != ""
 }
 
-func newSimulation(places int) *simulation {
-	return &simulation{slots: places, served: map[string]time.Duration{}, waiting: map[string]int{}}
+func newSimulation(slots int) *simulation {
+	return &simulation{slots: slots, served: map[string]time.Duration{}, waiting: map[string]int{}}
 }
 
 // setWaiting sets the numbers of waiting items.
@@ -192,7 +192,7 @@
 }
 
 // For random loads, every waiting customer gets a slot in bounded time, no waiting customer's
-// lead exceeds mostClaim, and the order of two waiting customers doesn't flap.
+// lead exceeds maxLag, and the order of two waiting customers doesn't flap.
 func TestAccountProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		customers := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(rt, "customers")]
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	re := newReplay(smallSheet, factors(engines), trainers)
-	re.run(dayLength, func(at time.Duration) {
+	re.run(replayTime, func(at time.Duration) {
 		for _, tr := range trainers {
 			if stays := away[tr]; stays != nil && stays(at) {
 				tr.start = re.now.Add(simTick - time.Duration(tr.next)*tr.every)
@@ -45,44 +45,44 @@
 			each(re, at)
 		}
 	})
-	got, owed := map[string]float64{}, map[string]float64{}
+	got, requested := map[string]float64{}, map[string]float64{}
 	for _, tr := range trainers {
 		got[tr.customer] += float64(tr.inTime)
-		owed[tr.customer] += float64(max(int(dayLength/tr.every)*tr.target, 1))
+		requested[tr.customer] += float64(max(int(replayTime/tr.every)*tr.target, 1))
 	}
 	for customer := range got {
-		got[customer] /= owed[customer]
+		got[customer] /= requested[customer]
 	}
 	return got
 }
 
-// meanFraction returns a customer's mean fraction of groups in time over as many seeds as luck.
-func meanFraction(customer string, luck uint64, play func(seed uint64) map[string]float64) float64 {
+// meanFraction returns a customer's mean fraction of groups in time over that many seeds.
+func meanFraction(customer string, seeds uint64, play func(seed uint64) map[string]float64) float64 {
 	var wg sync.WaitGroup
-	parts := make([]float64, luck)
-	for seed := range luck {
-		wg.Go(func() { parts[seed] = play(seed)[customer] })
+	fractions := make([]float64, seeds)
+	for seed := range seeds {
+		wg.Go(func() { fractions[seed] = play(seed)[customer] })
 	}
 	wg.Wait()
 	total := 0.0
-	for _, part := range parts {
-		total += part
+	for _, fraction := range fractions {
+		total += fraction
 	}
-	return total / float64(luck)
+	return total / float64(seeds)
 }
 
 // A customer at ten times its share may reduce the other's groups in time by at most a tenth.
 func TestCustomerAtTenTimesItsShare(t *testing.T) {
-	const luck = 24
+	const seeds = 24
 	beside, before := 0.0, 0.0
 	for _, engines := range []int{10, 15} {
 		play := func(trainers int) float64 {
-			return meanFraction("small", luck, func(seed uint64) map[string]float64 {
+			return meanFraction("small", seeds, func(seed uint64) map[string]float64 {
 				return replayCustomers(engines, []simCustomer{{name: "small", trainers: 1}, {name: "large", trainers: trainers}}, seed, nil)
 			})
 		}
 		one, ten := play(1), play(10)
-		t.Logf("%d engines: small %.3f beside one that asks for its part, %.3f beside one at ten times", engines, one, ten)
+		t.Logf("%d engines: small %.3f beside one within its share, %.3f beside one at ten times", engines, one, ten)
 		before, beside = before+one, beside+ten
 	}
 	assert.Assert(t, beside >= 0.9*before)
@@ -98,10 +98,10 @@
 	for seed := range uint64(3) {
 		got := replayCustomers(16, customers, seed, nil)
 		mean, small := 0.0, 0.0
-		for customer, part := range got {
-			mean += part / float64(len(got))
+		for customer, fraction := range got {
+			mean += fraction / float64(len(got))
 			if customer != "large" {
-				small += part / float64(len(got)-1)
+				small += fraction / float64(len(got)-1)
 			}
 		}
 		t.Log(got)
@@ -114,11 +114,11 @@
 
 // A customer that returns after inactivity gets as much as one that stayed, not everything.
 func TestCustomerThatComesBack(t *testing.T) {
-	gone := func(at time.Duration) bool { return at < dayLength/2 }
+	gone := func(at time.Duration) bool { return at < replayTime/2 }
 	for seed := range uint64(3) {
 		held := map[string]int{}
 		replayCustomers(6, []simCustomer{{name: "stays", trainers: 6}, {name: "returns", trainers: 6, away: gone}}, seed, func(re *replay, at time.Duration) {
-			if at < dayLength/2+2*time.Second {
+			if at < replayTime/2+2*time.Second {
 				return
 			}
 			for _, en := range re.table.sortedEngines {
@@ -127,9 +127,9 @@
 				}
 			}
 		})
-		part := float64(held["returns"]) / float64(held["returns"]+held["stays"])
-		t.Logf("has %.3f of the places after its return", part)
-		assert.Assert(t, part > 0.35 && part < 0.65)
+		fraction := float64(held["returns"]) / float64(held["returns"]+held["stays"])
+		t.Logf("has %.3f of the slots after its return", fraction)
+		assert.Assert(t, fraction > 0.35 && fraction < 0.65)
 	}
 }
 
@@ -190,7 +190,7 @@
 	assert.NilError(t, err)
 	te := &term{table: tableOf(t, 2, "a")}
 	assert.NilError(t, sc.restoreAccount(t.Context(), te, []*Step{{Customer: "ada"}}))
-	assert.Equal(t, len(te.table.Shares()), 0)
+	assert.Equal(t, len(te.table.Balances()), 0)
 }
 
 func TestAccountIsWrittenWithOtherWritesOnly(t *testing.T) {
--- a/step/memory.go
+++ b/step/memory.go
@@ -5,13 +5,13 @@
 type memoryMemo struct {
 	coming, comingEnd int     // tokens of items that move here
 	endsSoon          bool    // a run is expected to end soon
-	gauges            int     // value of gaugeChanges at the time of the computation
+	gauges            int     // value of estimateChanges at the time of the computation
 	now, end          int     // tokens of the engine's runs
 	rate              float64 // expected ends of runs per second
 	valid             bool
 }
 
-// tokenUse returns how many tokens an item tokenUse now, and is expected to hold at its end.
+// tokenUse returns how many tokens an item holds now, and is expected to hold at its end.
 func (ir *itemRow) tokenUse() (now, end int) {
 	now = ir.tokensNow()
 	return now, now + ir.remainingTokens()
@@ -24,7 +24,7 @@
 
 // memoryUse returns how many tokens an engine holds now, and would hold if all of its runs reached their expected
 // ends. It includes items that move here; otherwise several could arrive at once and be evicted again for lack of
-// memoryUse.
+// memory.
 func (en *engineRow) memoryUse() (now, end int) {
 	en.refreshMemo()
 	return max(en.memo.now, en.report.Tokens) + en.memo.coming, en.memo.end + en.memo.comingEnd
@@ -48,17 +48,17 @@
 }
 
 // add adds a run to the sums if sign is 1. If sign is -1, it subtracts the run, before the run changes.
-func (me *memoryMemo) add(ir *itemRow, times int) {
+func (me *memoryMemo) add(ir *itemRow, sign int) {
 	now, end := ir.tokenUse()
-	me.now, me.end = me.now+times*now, me.end+times*end
-	me.rate += float64(times) * ir.endRate()
+	me.now, me.end = me.now+sign*now, me.end+sign*end
+	me.rate += float64(sign) * ir.endRate()
 	me.endsSoon = expectedEnd(me.rate) <= sendAheadTime
 }
 
 // adjustMemo adds or subtracts one of the engine's runs, see memoryMemo.add, if the memo is valid.
-func (en *engineRow) adjustMemo(ir *itemRow, times int) {
+func (en *engineRow) adjustMemo(ir *itemRow, sign int) {
 	if en.memo.valid && en.memo.gauges == en.estimateChanges.count() {
-		en.memo.add(ir, times)
+		en.memo.add(ir, sign)
 	}
 }
 
--- a/step/share.go
+++ b/step/share.go
@@ -75,27 +75,29 @@
 	}
 }
 
-// Shares returns the balances of customers.
-func (ta *Table) Shares() map[string]fairshare.Balance { return ta.usage.account.Balances() }
+// Balances returns the balances of customers.
+func (ta *Table) Balances() map[string]fairshare.Balance { return ta.usage.account.Balances() }
 
-// Parts returns each customer's fraction of the slot time used within fairshare.RecentTime.
-func (ta *Table) Parts(now time.Time) map[string]float64 { return ta.usage.recentSlots.Parts(now) }
+// RecentShares returns each customer's fraction of the slot time used within fairshare.RecentTime.
+func (ta *Table) RecentShares(now time.Time) map[string]float64 {
+	return ta.usage.recentSlots.Shares(now)
+}
 
 // SetWeights sets the customers' weights. The default weight is 1.
 func (ta *Table) SetWeights(weights map[string]float64) { ta.usage.account.SetWeights(weights) }
 
 // SetLiveUsage sets, by customer, the fractions of scarce slots of plain services that live requests
 // use.
-func (ta *Table) SetLiveUsage(parts map[string]float64) { ta.usage.liveSlots = parts }
+func (ta *Table) SetLiveUsage(fractions map[string]float64) { ta.usage.liveSlots = fractions }
 
 type usageKey struct{ customer, service string }
 
-// A itemCounts counts a customer's items at a service.
+// An itemCounts counts a customer's items at a service.
 type itemCounts struct {
-	running  int  // running items
+	running  int
 	canStart bool // a waiting item can start
 	tokens   int  // of running items
-	waiting  int  // waiting items
+	waiting  int
 }
 
 // scarceFraction is the fraction of a service's slots in use from which they count as scarce. With
@@ -105,10 +107,10 @@
 // customerUses returns what customers use and want of services with waiting items. Slots in use count
 // only where they are scarce.
 func (ta *Table) customerUses(counts map[usageKey]itemCounts) map[string]fairshare.Usage {
-	waits, held := map[string]bool{}, map[string]int{} // by service
+	waits, running := map[string]bool{}, map[string]int{} // by service
 	for key, ic := range counts {
 		waits[key.service] = waits[key.service] || ic.canStart
-		held[key.service] += ic.running
+		running[key.service] += ic.running
 	}
 	uses := map[string]fairshare.Usage{}
 	ta.usage.scarce = map[string]bool{}
@@ -116,14 +118,14 @@
 		if !some {
 			continue
 		}
-		places, tokens := ta.serviceCapacity(service)
-		scarce := ratio(held[service], places) >= scarceFraction
+		slots, tokens := ta.serviceCapacity(service)
+		scarce := ratio(running[service], slots) >= scarceFraction
 		ta.usage.scarce[service] = scarce
-		addUses(uses, service, counts, places, tokens, scarce)
+		addUses(uses, service, counts, slots, tokens, scarce)
 	}
-	for customer, part := range ta.usage.liveSlots {
+	for customer, fraction := range ta.usage.liveSlots {
 		if us, ok := uses[customer]; ok {
-			us.Places = max(us.Places, part)
+			us.Places = max(us.Places, fraction)
 			uses[customer] = us
 		}
 	}
@@ -157,11 +159,11 @@
 
 // slotsInUse returns the number of slots in use by customer.
 func slotsInUse(counts map[usageKey]itemCounts) map[string]int {
-	places := map[string]int{}
+	slots := map[string]int{}
 	for key, ic := range counts {
-		places[key.customer] += ic.running
+		slots[key.customer] += ic.running
 	}
-	return places
+	return slots
 }
 
 // countUnheld counts the waiting items of a held step that aren't held themselves.
@@ -176,29 +178,29 @@
 }
 
 // serviceCapacity returns the slots and the memory of a service's engines.
-func (ta *Table) serviceCapacity(service string) (places, tokens int) {
+func (ta *Table) serviceCapacity(service string) (slots, tokens int) {
 	for _, en := range ta.sortedEngines {
 		if en.service == service && !en.replaced {
-			places += en.slots
+			slots += en.slots
 			tokens += en.tokens
 		}
 	}
-	return places, tokens
+	return slots, tokens
 }
 
 // addUses adds what customers want of a service and, if its slots are scarce, what they use.
-func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, places, tokens int, scarce bool) {
+func addUses(uses map[string]fairshare.Usage, service string, counts map[usageKey]itemCounts, slots, tokens int, scarce bool) {
 	for key, ic := range counts {
 		if key.service != service || ic.running+ic.waiting == 0 {
 			continue
 		}
 		us := uses[key.customer]
 		if scarce {
-			us.Places = max(us.Places, ratio(ic.running, places))
+			us.Places = max(us.Places, ratio(ic.running, slots))
 			us.Memory = max(us.Memory, ratio(ic.tokens, tokens))
 		}
 		us.Waits = us.Waits || ic.canStart
-		us.Wants = max(us.Wants, ratio(ic.running+ic.waiting, places))
+		us.Wants = max(us.Wants, ratio(ic.running+ic.waiting, slots))
 		uses[key.customer] = us
 	}
 }
--- a/step/table.go
+++ b/step/table.go
@@ -116,13 +116,13 @@
 	if _, ok := ta.steps[st.ID]; ok {
 		return
 	}
-	gauge := ta.estimators[st.Model]
-	if gauge == nil {
-		gauge = &tokenEstimator{changes: &ta.estimateChanges}
-		ta.estimators[st.Model] = gauge
+	estimator := ta.estimators[st.Model]
+	if estimator == nil {
+		estimator = &tokenEstimator{changes: &ta.estimateChanges}
+		ta.estimators[st.Model] = estimator
 	}
 	sr := &stepRow{
-		listedSignal: make(chan struct{}), ended: ended, estimator: gauge, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
+		listedSignal: make(chan struct{}), ended: ended, estimator: estimator, groups: map[string]*groupRow{}, idle: ended, rewards: ta.rewards,
 		seenAt: now, step: st,
 	}
 	ta.steps[st.ID] = sr
@@ -285,10 +285,10 @@
 }
 
 // requeue releases an item's run and lets the item wait again.
-func (ta *Table) requeue(ir *itemRow, why string, now time.Time) {
+func (ta *Table) requeue(ir *itemRow, reason string, now time.Time) {
 	ta.log("run given up", map[string]any{
 		attemptField: ir.run.key.Attempt, engineField: ir.run.engineID, "events": len(ir.events), itemField: ir.item.ID,
-		stepField: ir.step.step.ID, whyField: why,
+		stepField: ir.step.step.ID, whyField: reason,
 	})
 	ir.avoidedEngine = ir.run.engineID
 	if ir.moveTarget != "" {
