--- a/allocation/allocation.go
+++ b/allocation/allocation.go
@@ -29,7 +29,7 @@
 )
 
 // ErrNotHolder means that the process does not hold the lease, or not for long enough to decide.
-var ErrNotHolder = errors.New("does not divide slots")
+var ErrNotHolder = errors.New("does not divide places")
 
 // Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-allotment-holder"}} }
--- a/attendant/attempt.go
+++ b/attendant/attempt.go
@@ -16,7 +16,7 @@
 	// ErrStale means that tokens are older than the request allows.
 	ErrStale = errors.New("weights are older than allowed")
 	// ErrTooLong means that an answer has more tokens than requested.
-	ErrTooLong = errors.New("answer is longer than requested")
+	ErrTooLong = errors.New("answer is longer than asked for")
 	// ErrNoVersion means that a chunk does not name its version.
 	ErrNoVersion = errors.New("chunk names no weight version")
 )
--- a/attendant/execution.go
+++ b/attendant/execution.go
@@ -19,7 +19,7 @@
 )
 
 // errAnswerLost means that the service no longer runs a request whose answer has not arrived.
-var errAnswerLost = errors.New("service no longer runs the request and sent no answer")
+var errAnswerLost = errors.New("service reports that it runs no such request, and no answer came")
 
 // An execution is a non-repeatable request that has been sent to a service.
 type execution struct {
--- a/attendant/refusal.go
+++ b/attendant/refusal.go
@@ -101,7 +101,7 @@
 	case notSent(err):
 		return outcome.NewRefusal(outcome.Refused, id, err.Error())
 	case ctx.Err() != nil:
-		return outcome.NewRefusal(outcome.DeadlineExceeded, id, "canceled while it ran: "+err.Error())
+		return outcome.NewRefusal(outcome.DeadlineExceeded, id, "given up while it ran: "+err.Error())
 	default:
 		return outcome.NewRefusal(outcome.OutcomeUnknown, id, err.Error())
 	}
--- a/attendant/sample.go
+++ b/attendant/sample.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return errors.Wrap(err, "read body")
 	}
-	return errors.Wrap(json.Unmarshal(body, value), "decode request")
+	return errors.Wrap(json.Unmarshal(body, value), "read request")
 }
 
 // checkSample validates a request and returns the time until its deadline.
@@ -92,7 +92,7 @@
 	defer at.inflight.exit()
 	pa := at.partials.start(en, atm)
 	if pa == nil {
-		ev.Refusal = outcome.NewRefusal(outcome.InProgress, atm.id(), "the same attempt is already running")
+		ev.Refusal = outcome.NewRefusal(outcome.InProgress, atm.id(), "the same attempt runs here")
 		return ev
 	}
 	err := at.generate(ctx, en, atm)
@@ -177,7 +177,7 @@
 		return err
 	}
 	if !atm.finished() {
-		return errors.Wrapf(engine.ErrBroken, "attempt %s: answer is incomplete", atm.id())
+		return errors.Wrapf(engine.ErrBroken, "attempt %s: answer without an end", atm.id())
 	}
 	if count, _ := atm.progress(); count == 0 {
 		return errors.Wrapf(ErrEmpty, "attempt %s", atm.id())
--- a/attendant/stream.go
+++ b/attendant/stream.go
@@ -31,7 +31,7 @@
 	// A stalled connection looks like a slow engine. The timeout makes it an error, so that another
 	// engine can continue.
 	watchdog := time.AfterFunc(stall, func() {
-		cancel(errors.Wrapf(ErrStalled, "%s: no tokens for %s", en.name, stall))
+		cancel(errors.Wrapf(ErrStalled, "%s: nothing for %s", en.name, stall))
 	})
 	defer watchdog.Stop()
 	err = en.engine.GenerateFunc(ctx, req, func(ch engine.Chunk) error {
--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -73,7 +73,7 @@
 // the cursor is refused.
 func (ow *Owner) skipTo(tr *trainer, cu message.Cursor, po position) error {
 	if tr.step(po.step) != nil && !tr.policy.WholeSteps {
-		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit the rest of step %d as a new step", cu.Batch, po.step)
+		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit what is left of step %d as a new step", cu.Batch, po.step)
 	}
 	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that is not in the ledger")
 	for len(tr.steps) > 0 && tr.steps[0].number <= po.step {
@@ -90,13 +90,13 @@
 // are no longer known.
 func (ow *Owner) rewind(tr *trainer, cu message.Cursor, po position, restarted bool, st lease.State) error {
 	if !restarted {
-		return refuse(outcome.BadRequest, "cursor %q is before the kept steps", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept", cu.Batch)
 	}
 	if id, err := ledger.ParseBatchID(cu.Batch); err == nil && !id.Whole {
-		return refuse(outcome.BadRequest, "cursor %q is before the kept steps: go back to the end of a step", cu.Batch)
+		return refuse(outcome.BadRequest, "cursor %q is behind the steps that are kept: go back to the end of a step", cu.Batch)
 	}
 	if st != lease.Held {
-		return refuse(outcome.Refused, "the key-value service is unavailable: can't go back to step %d", po.step)
+		return refuse(outcome.Refused, "the key-value service is away: can't go back to step %d", po.step)
 	}
 	ow.log(tr).WithField("batch", cu.Batch).Warn("trainer restarts before the kept steps")
 	for _, sp := range tr.steps {
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -47,7 +47,7 @@
 		}
 		places, err := ow.ReplicateFunc(ctx, body)
 		if len(places) == 0 {
-			return message.StepResponse{}, refuse(outcome.Overloaded, "no data folder accepted step %d: %v", number, err)
+			return message.StepResponse{}, refuse(outcome.Overloaded, "no data folder took step %d: %v", number, err)
 		}
 		ow.locked(func() { ow.accept(name, number, digest, places, &req) })
 	}
@@ -80,7 +80,7 @@
 		return submission{err: notOwned(name)}
 	case st == lease.Unconfirmed:
 		// A later owner may have rewound the trainer behind the step.
-		return submission{err: refuse(outcome.Refused, "the key-value service is unavailable: step %d can't be recorded", number)}
+		return submission{err: refuse(outcome.Refused, "the key-value service is away: step %d can't be recorded", number)}
 	case sp != nil && sp.digest != digest:
 		return submission{err: refuse(outcome.BadRequest, "step %d was submitted with other content", number)}
 	case sp != nil && sp.lost:
--- a/call/client.go
+++ b/call/client.go
@@ -20,7 +20,7 @@
 	errBroken             = errors.New("connection to the attendant broke")
 	errMismatchedResponse = errors.New("answer belongs to another request")
 	errNotSent            = errors.New("no connection to the attendant")
-	errStalled            = errors.New("connection to the attendant stalled")
+	errStalled            = errors.New("connection to the attendant fell silent")
 )
 
 const (
@@ -81,7 +81,7 @@
 		stallTimeout: cl.stallTimeout,
 	}
 	ex.stallTimer = time.AfterFunc(cl.stallTimeout, func() {
-		cancel(errors.Wrapf(errStalled, "no progress for %s", cl.stallTimeout))
+		cancel(errors.Wrapf(errStalled, "nothing for %s", cl.stallTimeout))
 	})
 	trace := &httptrace.ClientTrace{
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
--- a/call/run.go
+++ b/call/run.go
@@ -91,7 +91,7 @@
 	home := req.key.Home(req.policy.Homes.Endpoints)
 	en, ok := ru.server.Routes.Take(home)
 	if !ok {
-		re := req.refusal(outcome.NotHome, "the key's home is unknown to this entry")
+		re := req.refusal(outcome.NotHome, "the key's home is not known here")
 		re.RetryAfter = noEndpointWait.String()
 		return nil, re
 	}
@@ -138,7 +138,7 @@
 	case refused:
 		return en, ru.forwardRefusal(re)
 	}
-	re = req.refusal(outcome.Overloaded, "no endpoint accepts requests now")
+	re = req.refusal(outcome.Overloaded, "no endpoint takes work now")
 	re.RetryAfter = noEndpointWait.String()
 	return en, ru.correctOutcome(re)
 }
--- a/call/stream.go
+++ b/call/stream.go
@@ -161,7 +161,7 @@
 	for {
 		var ch engine.Chunk
 		if err := decoder.Decode(&ch); err != nil {
-			return errors.Wrap(err, "read stream")
+			return errors.Wrap(err, "stream broke off")
 		}
 		if ch.RequestID != at.id {
 			crossed(at.call.policy.Service).Inc()
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -35,9 +35,9 @@
 // Errors of the feed.
 var (
 	// ErrNotFeeder means that the process does not follow the endpoints itself.
-	ErrNotFeeder = errors.New("process is not a feeder")
+	ErrNotFeeder = errors.New("does not feed")
 	// ErrOldEndpoints means that the feeder has not confirmed its endpoints recently.
-	ErrOldEndpoints = errors.New("endpoints are stale")
+	ErrOldEndpoints = errors.New("endpoints are old")
 )
 
 var errNoFeeder = errors.New("no feeder is known")
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -52,7 +52,7 @@
 			ga.Tick(now)
 		case <-ctx.Done():
 			ga.remove(req.ID, NotSent)
-			return nil, outcome.NewRefusal(outcome.Refused, req.ID, "caller disconnected before the request started")
+			return nil, outcome.NewRefusal(outcome.Refused, req.ID, "caller went away before the request started")
 		}
 	}
 }
--- a/gate/table.go
+++ b/gate/table.go
@@ -65,7 +65,7 @@
 		return outcome.NewRefusal(outcome.Leaving, req.ID, "endpoint is leaving")
 	}
 	if _, ok := ta.rows[req.ID]; ok {
-		return outcome.NewRefusal(outcome.InProgress, req.ID, "a request with this id is waiting or running")
+		return outcome.NewRefusal(outcome.InProgress, req.ID, "a request with this id waits or runs")
 	}
 	if re := ta.checkOverload(now, req); re != nil {
 		return re
@@ -89,11 +89,11 @@
 	}
 	switch {
 	case len(ta.waiting[req.Class]) >= ta.policy.MaxWaiting:
-		return ta.refuse(now, req, fmt.Sprintf("%d %s requests are already waiting", ta.policy.MaxWaiting, req.Class))
+		return ta.refuse(now, req, fmt.Sprintf("%d %s requests wait already", ta.policy.MaxWaiting, req.Class))
 	case ta.profileQueueFull(req.Profile):
-		return ta.refuse(now, req, fmt.Sprintf("queue of profile %q is full", req.Profile))
+		return ta.refuse(now, req, fmt.Sprintf("profile %q has as many waiting as it may", req.Profile))
 	case !ta.canFinish(now, req):
-		return ta.refuse(now, req, "deadline is shorter than the mean service time")
+		return ta.refuse(now, req, "deadline is shorter than requests take here")
 	case ta.waitsTooLong(now, req):
 		return ta.refuse(now, req, "would wait too long to be answered before its deadline")
 	}
@@ -177,7 +177,7 @@
 // expired returns the refusal of a waiting request that has expired, or nil.
 func (ta *Table) expired(now time.Time, ro *row) *outcome.Refusal {
 	if ta.closed && !now.Before(ta.closeAt) {
-		return outcome.NewRefusal(outcome.Leaving, ro.request.ID, "endpoint left before the request started")
+		return outcome.NewRefusal(outcome.Leaving, ro.request.ID, "endpoint has left before the request could start")
 	}
 	if !ro.expireAt.IsZero() && !now.Before(ro.expireAt) {
 		return ta.refuse(now, ro.request, "waited too long to be answered before its deadline")
--- a/idempotency/check.go
+++ b/idempotency/check.go
@@ -41,7 +41,7 @@
 	skew := ta.options.Skew
 	switch {
 	case at.After(now.Add(skew)):
-		re := refuse(outcome.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its client").Refusal
+		re := refuse(outcome.OutcomeUnknown, req, "idempotency key was minted in the future: check the clock of its minter").Refusal
 		re.RetryAfter = at.Sub(now.Add(skew)).Round(time.Millisecond).String()
 		return re
 	case !at.After(ta.options.Started.Add(2 * skew)):
@@ -82,7 +82,7 @@
 	ys := ta.homes.yieldStateOf(req.Key, ta.options.Endpoint)
 	if ys.unyielded != "" {
 		re := refuse(outcome.OutcomeUnknown, req, fmt.Sprintf(
-			"former home %q has not yet yielded the idempotency key", ys.unyielded)).Refusal
+			"former home %q has not yet given up the idempotency key", ys.unyielded)).Refusal
 		re.RetryAfter = settleWait.String()
 		return re
 	}
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -28,7 +28,7 @@
 func NewKey(now time.Time) (Key, error) {
 	id, err := uuid.NewRandom()
 	if err != nil {
-		return Key{}, errors.Wrap(err, "generate idempotency key")
+		return Key{}, errors.Wrap(err, "mint a key")
 	}
 	ms := now.UnixMilli()
 	for i := timeSize - 1; i >= 0; i-- {
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -109,9 +109,9 @@
 func (ta *Table) repeat(ro *row, req Request) Decision {
 	switch {
 	case ro.digest != req.Digest:
-		return refuse(outcome.BadRequest, req, "idempotency key was used before for another request")
+		return refuse(outcome.BadRequest, req, "idempotency key came before with another request")
 	case ro.state == barred:
-		return Decision{Refusal: outcome.NewRefusal(outcome.Refused, req.ID, "the request was barred before it arrived and will not run")}
+		return Decision{Refusal: outcome.NewRefusal(outcome.Refused, req.ID, "the request was given up before it came, and won't run")}
 	case ro.state == running:
 		re := refuse(outcome.InProgress, req, "the request with this idempotency key is running")
 		re.Refusal.RetryAfter = time.Second.String()
@@ -123,9 +123,9 @@
 			Status: ro.answer.Status,
 		}}
 	case ro.state == ran:
-		return refuse(outcome.OutcomeUnknown, req, "the request ran; its answer is no longer available")
+		return refuse(outcome.OutcomeUnknown, req, "the request ran; its answer is no longer kept")
 	default:
-		return refuse(outcome.OutcomeUnknown, req, "the request may have run; its answer is not available")
+		return refuse(outcome.OutcomeUnknown, req, "the request may have run; no answer to it is at hand")
 	}
 }
 
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -57,7 +57,7 @@
 )
 
 // errNotScheduler means that this process doesn't hold the scheduler lease.
-var errNotScheduler = errors.New("this process is not the scheduler")
+var errNotScheduler = errors.New("not the scheduler")
 
 // Codes returns the errors of this package that are sent to peers, with their wire names.
 func Codes() []peer.Code {
--- a/step/step.go
+++ b/step/step.go
@@ -57,7 +57,7 @@
 const maxID = 150
 
 // ErrBadID means that a step ID is not valid.
-var ErrBadID = errors.New("invalid step id")
+var ErrBadID = errors.New("step has no proper id")
 
 // QualifiedID returns the ID of a customer's step within the system.
 //
