--- a/step/metrics.go
+++ b/step/metrics.go
@@ -8,12 +8,12 @@
 	rooms := ta.ServiceLoads()
 	for service, rl := range rooms {
 		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(rl.Load)
-		sc.Metrics.GetOrCreateGauge(serviceGauge(crowdedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
+		sc.Metrics.GetOrCreateGauge(serviceGauge(overloadedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
 	}
 	for service := range sc.measuredServices {
 		if _, ok := rooms[service]; !ok {
 			sc.Metrics.UnregisterMetric(serviceGauge(loadGauge, service))
-			sc.Metrics.UnregisterMetric(serviceGauge(crowdedGauge, service))
+			sc.Metrics.UnregisterMetric(serviceGauge(overloadedGauge, service))
 		}
 	}
 	sc.measuredServices = rooms
@@ -21,8 +21,8 @@
 
 // Gauges by service.
 const (
-	crowdedGauge = "wisteriacroft_steps_crowded"
-	loadGauge    = "wisteriacroft_step_load"
+	overloadedGauge = "wisteriacroft_steps_crowded"
+	loadGauge       = "wisteriacroft_step_load"
 )
 
 func serviceGauge(name, service string) string { return fmt.Sprintf("%s{service=%q}", name, service) }
--- a/step/reward_test.go
+++ b/step/reward_test.go
@@ -13,7 +13,7 @@
 	"wisteriacroft/runner"
 )
 
-var errNoAnswer = errors.New("no whole answer")
+var errNoAnswer = errors.New("no complete answer")
 
 // scored adds a reward call to each item of a step.
 func scored(st *Step) *Step {
@@ -80,7 +80,7 @@
 		{"never run", []forward.Response{refused, silent, refused, silent, refused, silent}, scoring},
 		{"failures below the route's limit", []forward.Response{failed, failed}, scoring},
 		{"failures reach both limits", []forward.Response{failed, silent, failed, refused, failed}, lost},
-		{"two failures in one reply, and one more", []forward.Response{both, failed}, lost},
+		{"two failures in one response, and one more", []forward.Response{both, failed}, lost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ta := completeTexts(t, scored(stepOf("s", 1)))
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -18,7 +18,7 @@
 }
 
 // smallCustomerCompetes reports whether two or more customers compete and one that requests no more than its share of
-// the room's capacity has open steps there, or may soon have some. Customers that have open steps only at other
+// the service's capacity has open steps there, or may soon have some. Customers that have open steps only at other
 // services don't count.
 func (ta *Table) smallCustomerCompetes(sp *servicePlan) bool {
 	customers := ta.usage.account.Balances()
--- a/step/update_test.go
+++ b/step/update_test.go
@@ -26,6 +26,6 @@
 	ta.WritesApplied(up, now)
 	now = now.Add(10 * time.Millisecond)
 	up = ta.NextWrites(now)
-	assert.Equal(t, len(up.Checkpoints), 1, "the text waits for no more than the one write")
+	assert.Equal(t, len(up.Checkpoints), 1, "the checkpoint is in the next write")
 	assert.Equal(t, up.Checkpoints[0].Step, "open")
 }
