--- a/step/archive.go
+++ b/step/archive.go
@@ -21,17 +21,17 @@
 type archive struct {
 	fetches singleflight.Group
 	mu      sync.Mutex
-	recent  *simplelru.LRU[string, []Result]
+	cache   *simplelru.LRU[string, []Result]
 }
 
 // chunk returns one chunk of a step's results.
 func (ar *archive) chunk(ctx context.Context, sto *Store, id string, number int) ([]Result, error) {
 	key := listedKey(id, number)
 	ar.mu.Lock()
-	if ar.recent == nil {
-		ar.recent, _ = simplelru.NewLRU[string, []Result](maxCachedChunks, nil) // fails only if the size is not positive
+	if ar.cache == nil {
+		ar.cache, _ = simplelru.NewLRU[string, []Result](maxCachedChunks, nil) // fails only if the size is not positive
 	}
-	results, ok := ar.recent.Get(key)
+	results, ok := ar.cache.Get(key)
 	ar.mu.Unlock()
 	if ok {
 		return results, nil
@@ -40,7 +40,7 @@
 		results, err := sto.Chunk(ctx, id, number)
 		if err == nil {
 			ar.mu.Lock()
-			ar.recent.Add(key, results)
+			ar.cache.Add(key, results)
 			ar.mu.Unlock()
 		}
 		return results, err
--- a/step/archive_test.go
+++ b/step/archive_test.go
@@ -20,10 +20,10 @@
 		t.Run(fmt.Sprintf("ended before the term %v", before), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
-				ke := &Store{Client: me.Client()}
+				sto := &Store{Client: me.Client()}
 				chunks := [][]Result{{{Item: "a"}, {Item: "b"}}, {{Item: "c"}}, {{Item: "d"}}}
 				for number, results := range chunks {
-					_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
+					_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 						Chunks: []Chunk{{Number: number, Results: results, Step: "s"}},
 					})
 					assert.NilError(t, err)
@@ -33,7 +33,7 @@
 				ta.End("s")
 				ta.steps["s"].results = nil // as after eviction from memory
 				te := &term{epoch: 1, ready: true, table: ta}
-				sc := &Scheduler{Keeper: ke, Log: discardLog(), term: te}
+				sc := &Scheduler{Keeper: sto, Log: discardLog(), term: te}
 				me.SetFaults(keyvalue.Faults{Delay: 10 * time.Millisecond})
 				calls := me.Calls().Reads
 				var wg sync.WaitGroup
@@ -68,8 +68,8 @@
 	// Guards against a shared fetch being canceled, for all readers, when the reader that started it times out.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Store{Client: me.Client()}
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
+		sto := &Store{Client: me.Client()}
+		_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "a"}}, Step: "s"}}})
 		assert.NilError(t, err)
 		me.SetFaults(keyvalue.Faults{Delay: time.Second})
 		var ar archive
@@ -77,11 +77,11 @@
 		defer cancel()
 		var wg sync.WaitGroup
 		wg.Go(func() {
-			_, err := ar.chunk(short, ke, "s", 0)
+			_, err := ar.chunk(short, sto, "s", 0)
 			assert.ErrorIs(t, err, context.DeadlineExceeded)
 		})
 		time.Sleep(time.Millisecond)
-		results, err := ar.chunk(t.Context(), ke, "s", 0)
+		results, err := ar.chunk(t.Context(), sto, "s", 0)
 		assert.NilError(t, err)
 		assert.Equal(t, results[0].Item, "a")
 		wg.Wait()
--- a/step/commit_test.go
+++ b/step/commit_test.go
@@ -69,11 +69,11 @@
 				ho := &lease.Holder{Client: me.Client(), Name: "name", Owner: "owner", TTL: time.Minute}
 				ho.Step(t.Context())
 				fence, _ := ho.Fence(1)
-				up := WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "s-0-0"}}, Step: "s"}}}
+				ws := WriteSet{Chunks: []Chunk{{Results: []Result{{Item: "s-0-0"}}, Step: "s"}}}
 				ctx, cancel = context.WithTimeout(t.Context(), resultsWriteTimeout)
 				defer cancel()
 				begun = time.Now()
-				done, err := (&Store{Client: losingClient(&me, tc.losses...)}).Write(ctx, fence, up)
+				done, err := (&Store{Client: losingClient(&me, tc.losses...)}).Write(ctx, fence, ws)
 				assert.NilError(t, err)
 				assert.Assert(t, done)
 				assert.Assert(t, time.Since(begun).Truncate(time.Millisecond) == tc.within, "%v", time.Since(begun))
@@ -128,11 +128,11 @@
 }
 
 // mustWrite applies an update and fails the test unless it succeeds.
-func mustWrite(t *testing.T, ke *Store, up WriteSet) {
+func mustWrite(t *testing.T, sto *Store, up WriteSet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
 	defer cancel()
-	done, err := ke.Write(ctx, keyvalue.Expectation{Key: "fence"}, up)
+	done, err := sto.Write(ctx, keyvalue.Expectation{Key: "fence"}, up)
 	assert.NilError(t, err)
 	assert.Assert(t, done)
 }
@@ -142,22 +142,22 @@
 func TestDelayedWritesRevertNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ls delayedStore
-		ke := &Store{Client: ls.client()}
-		mustWrite(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
-		mustWrite(t, ke, WriteSet{Account: []byte("b"), Deletes: []string{"y"}})
+		sto := &Store{Client: ls.client()}
+		mustWrite(t, sto, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		mustWrite(t, sto, WriteSet{Account: []byte("b"), Deletes: []string{"y"}})
 		ls.deliver(t)
-		account, err := ke.Account(t.Context())
+		account, err := sto.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "b")
-		mustWrite(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"z"}})
+		mustWrite(t, sto, WriteSet{Account: []byte("c"), Deletes: []string{"z"}})
 	})
 	t.Run("another process wrote the account", func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Store{Client: me.Client()}
-		mustWrite(t, ke, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
+		sto := &Store{Client: me.Client()}
+		mustWrite(t, sto, WriteSet{Account: []byte("a"), Deletes: []string{"x"}})
 		mustWrite(t, &Store{Client: me.Client()}, WriteSet{Account: []byte("b"), Deletes: []string{"x"}})
-		mustWrite(t, ke, WriteSet{Account: []byte("c"), Deletes: []string{"x"}})
-		account, err := ke.Account(t.Context())
+		mustWrite(t, sto, WriteSet{Account: []byte("c"), Deletes: []string{"x"}})
+		account, err := sto.Account(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, string(account), "c")
 	})
@@ -167,9 +167,9 @@
 			other := &Store{Client: ls.Client()}
 			assert.NilError(t, other.Accept(t.Context(), stepOf("s", 2)))
 			assert.NilError(t, other.End(t.Context(), "s"))
-			ke := &Store{Client: ls.client()}
-			mustWrite(t, ke, WriteSet{Cuts: []*Step{stepOf("s", 2).withoutItems()}, Deletes: []string{"x"}})
-			assert.NilError(t, ke.Drop(t.Context(), "s"))
+			sto := &Store{Client: ls.client()}
+			mustWrite(t, sto, WriteSet{Cuts: []*Step{stepOf("s", 2).withoutItems()}, Deletes: []string{"x"}})
+			assert.NilError(t, sto.Drop(t.Context(), "s"))
 			ls.deliver(t)
 			ch, err := ls.Client().Scan(t.Context(), intakePrefix)
 			assert.NilError(t, err)
@@ -181,25 +181,25 @@
 	t.Run("a checkpoint", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var ls delayedStore
-			ke := &Store{Client: ls.client()}
+			sto := &Store{Client: ls.client()}
 			cp := Checkpoint{Step: "s", Partials: []Partial{{Item: "s-0-0", Events: events(1, 20, 1)}}}
 			next := Checkpoint{Number: 1, Step: "s", Partials: []Partial{{Item: "s-0-0", First: 20, Events: events(21, 40, 1)}}}
-			mustWrite(t, ke, WriteSet{Checkpoints: []Checkpoint{cp}})
-			mustWrite(t, ke, WriteSet{Checkpoints: []Checkpoint{next}})
+			mustWrite(t, sto, WriteSet{Checkpoints: []Checkpoint{cp}})
+			mustWrite(t, sto, WriteSet{Checkpoints: []Checkpoint{next}})
 			ls.deliver(t)
-			kept, err := ke.Stored(t.Context(), "s")
+			kept, err := sto.Stored(t.Context(), "s")
 			assert.NilError(t, err)
 			ta := NewTable(1, nil)
 			ta.Accept(stepOf("s", 1), kept, false, begin)
 			assert.Equal(t, len(ta.steps["s"].items[0].events), 40)
-			mustWrite(t, ke, WriteSet{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // as at the end of the step
+			mustWrite(t, sto, WriteSet{Deletes: []string{checkpointKey("s", 0), checkpointKey("s", 1)}}) // as at the end of the step
 			ls.deliver(t)
 			ta = NewTable(1, nil)
-			kept, err = ke.Stored(t.Context(), "s")
+			kept, err = sto.Stored(t.Context(), "s")
 			assert.NilError(t, err)
 			ta.Accept(stepOf("s", 1).withoutItems(), kept, true, begin)
 			assert.Assert(t, !ta.HasOpenWork())
-			assert.NilError(t, ke.Drop(t.Context(), "s"))
+			assert.NilError(t, sto.Drop(t.Context(), "s"))
 			ch, err := ls.Client().Scan(t.Context(), checkpointPrefix)
 			assert.NilError(t, err)
 			assert.Equal(t, len(ch.Items), 0)
--- a/step/cut_test.go
+++ b/step/cut_test.go
@@ -13,11 +13,11 @@
 	// Guards against a slow failover: a new scheduler reads all stored steps, including the item bodies of ended ones
 	// unless these are removed when a step ends.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	ta := tableOf(t, 1, "a", "b")
 	for _, id := range []string{"ended", "open"} {
 		st := stepOf(id, 2)
-		assert.NilError(t, ke.Accept(t.Context(), st))
+		assert.NilError(t, sto.Accept(t.Context(), st))
 		ta.Accept(st, StoredStep{}, false, begin)
 	}
 	ta.Place(begin)
@@ -26,13 +26,13 @@
 	end(ta, t, "open", 0, runner.Complete, events(1, 1, 1), begin)
 	ta.savedAt = begin.Add(-checkpointInterval)
 	ta.steps["open"].items[1].events = events(1, minFirstEvents, 1)
-	up := ta.NextWrites(begin)
-	assert.Equal(t, len(up.Cuts), 1)
+	ws := ta.NextWrites(begin)
+	assert.Equal(t, len(ws.Cuts), 1)
 	for range 2 { // the write is idempotent
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, up)
+		_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, ws)
 		assert.NilError(t, err)
 	}
-	ta.WritesApplied(up, begin)
+	ta.WritesApplied(ws, begin)
 	assert.Equal(t, len(ta.endedSteps), 0)
 
 	ch, err := me.Client().Scan(t.Context(), intakePrefix)
@@ -52,8 +52,8 @@
 	assert.Equal(t, len(next.endedSteps), 0)
 	assert.Equal(t, next.steps["ended"].listingFrom(0).Total, 2)
 	assert.DeepEqual(t, next.steps["ended"].step.body("ended-0-0"), BodyResponse{})
-	assert.NilError(t, ke.Accept(t.Context(), stepOf("ended", 2)), "a repeated submission succeeds")
-	li, err := ke.Read(t.Context(), ReadRequest{ID: "ended"})
+	assert.NilError(t, sto.Accept(t.Context(), stepOf("ended", 2)), "a repeated submission succeeds")
+	li, err := sto.Read(t.Context(), ReadRequest{ID: "ended"})
 	assert.NilError(t, err)
 	assert.Equal(t, li.Total, 2)
 }
@@ -62,14 +62,14 @@
 	// Truncating a step that is stored in several values deletes all but the first. A step that has been dropped is
 	// no longer truncated.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	st := stepOf("s", 1)
 	st.Items[0].Body = make([]byte, 2*partSize)
-	assert.NilError(t, ke.Accept(t.Context(), st))
-	st, err := ke.Load(t.Context(), "s")
+	assert.NilError(t, sto.Accept(t.Context(), st))
+	st, err := sto.Load(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Equal(t, st.Parts, 3)
-	_, err = ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
+	_, err = sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Chunks: []Chunk{{Step: "s"}}, Cuts: []*Step{st.withoutItems()},
 	})
 	assert.NilError(t, err)
--- a/step/hold.go
+++ b/step/hold.go
@@ -9,15 +9,15 @@
 
 // SetHolds sets the holds of operators, unless sh is not newer than the current sheet. It logs the steps whose hold
 // changes.
-func (ta *Table) SetHolds(sh *hold.Set, now time.Time) {
-	if !sh.Newer(ta.holds) {
+func (ta *Table) SetHolds(hs *hold.Set, now time.Time) {
+	if !hs.Newer(ta.holds) {
 		return
 	}
 	before := ta.holds
-	ta.holds = sh
+	ta.holds = hs
 	for _, sr := range ta.openSteps {
 		_, was := before.Step(sr.step.ID, sr.step.Customer)
-		re, is := sh.Step(sr.step.ID, sr.step.Customer)
+		re, is := hs.Step(sr.step.ID, sr.step.Customer)
 		if was == is {
 			continue
 		}
@@ -33,7 +33,7 @@
 		}
 		ta.log(event, map[string]any{
 			"age-ms": sr.age(now).Milliseconds(), "by": re.By, customerField: sr.step.Customer, "of": string(re.Kind),
-			"revision": sh.Version(), stepField: sr.step.ID, "waiting": waits, whyField: re.Why,
+			"revision": hs.Version(), stepField: sr.step.ID, "waiting": waits, whyField: re.Why,
 		})
 	}
 }
--- a/step/hold_test.go
+++ b/step/hold_test.go
@@ -87,9 +87,9 @@
 	ta.SetHolds(holdsOf(t, nil, hold.Target{Kind: hold.Step, Name: "s"}), begin)
 	end(ta, t, "s", 0, runner.Complete, events(1, 3, 1), begin)
 	end(ta, t, "s", 1, runner.Complete, events(1, 3, 1), begin)
-	up := ta.NextWrites(begin.Add(time.Second))
-	assert.Equal(t, len(up.Chunks), 1)
-	assert.Equal(t, len(up.Chunks[0].Results), 2)
+	ws := ta.NextWrites(begin.Add(time.Second))
+	assert.Equal(t, len(ws.Chunks), 1)
+	assert.Equal(t, len(ws.Chunks[0].Results), 2)
 }
 
 func TestHeldItemExpires(t *testing.T) {
--- a/step/liveness.go
+++ b/step/liveness.go
@@ -42,22 +42,22 @@
 	if paused || ping[Empty](sc, owner, pingMethod) == nil {
 		return false
 	}
-	heard, silent := 0, 0
+	recent, silent := 0, 0
 	for _, en := range sc.Directory.Endpoints("") {
-		if len(en.Models) == 0 || heard+silent >= maxWitnesses {
+		if len(en.Models) == 0 || recent+silent >= maxWitnesses {
 			continue
 		}
 		re, err := probe[Empty, runner.LastContactResponse](sc, sc.attendantAddress(en), runner.LastContactMethod)
 		switch {
 		case err != nil:
 		case re.Since < deadAfter:
-			heard++
+			recent++
 		default:
 			silent++
 		}
 	}
-	dead := heard == 0 && silent > 0
-	sc.Log.WithField("owner", owner).WithField("heard", heard).WithField("silent", silent).
+	dead := recent == 0 && silent > 0
+	sc.Log.WithField("owner", owner).WithField("heard", recent).WithField("silent", silent).
 		WithField("dead", dead).Warn("scheduler can't be reached")
 	return dead
 }
--- a/step/recovery.go
+++ b/step/recovery.go
@@ -11,27 +11,27 @@
 // A call from before the recovery gets no answer and would block until its timeout. The first caller that gets an
 // answer notifies the others, which cancel their calls and retry.
 type recoverySignal struct {
-	mu   sync.Mutex
-	back chan struct{} // closed on recovery
+	mu     sync.Mutex
+	signal chan struct{} // closed on recovery
 }
 
 // recovered returns a channel that is closed at the next recovery.
 func (rs *recoverySignal) recovered() <-chan struct{} {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if rs.back == nil {
-		rs.back = make(chan struct{})
+	if rs.signal == nil {
+		rs.signal = make(chan struct{})
 	}
-	return rs.back
+	return rs.signal
 }
 
 // notify wakes all waiting callers.
 func (rs *recoverySignal) notify() {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if rs.back != nil {
-		close(rs.back)
-		rs.back = nil
+	if rs.signal != nil {
+		close(rs.signal)
+		rs.signal = nil
 	}
 }
 
--- a/step/store_test.go
+++ b/step/store_test.go
@@ -23,27 +23,27 @@
 	return logrus.NewEntry(logger)
 }
 
-func frontendOf(ke *Store) *Frontend {
+func frontendOf(sto *Store) *Frontend {
 	return &Frontend{
-		Keeper: ke, Log: discardLog(), Pool: &peer.Pool{},
-		Scheduler: &lease.Resolver{Client: ke.Client, Log: discardLog(), Name: LeaseName},
+		Keeper: sto, Log: discardLog(), Pool: &peer.Pool{},
+		Scheduler: &lease.Resolver{Client: sto.Client, Log: discardLog(), Name: LeaseName},
 	}
 }
 
 func TestAcceptOnce(t *testing.T) {
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	large := stepOf("s", 3)
 	for i := range large.Items {
 		large.Items[i].Body = make([]byte, partSize) // forces several values
 	}
-	assert.NilError(t, ke.Accept(t.Context(), large))
-	assert.NilError(t, ke.Accept(t.Context(), large))
-	st, err := ke.Load(t.Context(), "s")
+	assert.NilError(t, sto.Accept(t.Context(), large))
+	assert.NilError(t, sto.Accept(t.Context(), large))
+	st, err := sto.Load(t.Context(), "s")
 	assert.NilError(t, err)
 	assert.Equal(t, len(st.Items), 3)
 	assert.Equal(t, len(st.Items[2].Body), partSize)
-	_, err = ke.Load(t.Context(), "other")
+	_, err = sto.Load(t.Context(), "other")
 	assert.Assert(t, errors.Is(err, ErrUnknownStep))
 }
 
@@ -60,43 +60,43 @@
 func TestUpdateIsAppliedOnce(t *testing.T) {
 	// Guards against an item being listed at two positions when a write whose response was lost is retried.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	fence := keyvalue.Expectation{Key: "lease"}
-	up := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a", Text: []byte("x"), Versions: []uint64{1}}}}}}
+	ws := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a", Text: []byte("x"), Versions: []uint64{1}}}}}}
 	for range 2 {
-		done, err := ke.Write(t.Context(), fence, up)
+		done, err := sto.Write(t.Context(), fence, ws)
 		assert.NilError(t, err)
 		assert.Assert(t, done)
 	}
-	listed, err := ke.Chunks(t.Context(), "s")
+	listed, err := sto.Chunks(t.Context(), "s")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, listed, [][]Result{up.Chunks[0].Results})
+	assert.DeepEqual(t, listed, [][]Result{ws.Chunks[0].Results})
 }
 
 func TestOldSchedulerCannotWrite(t *testing.T) {
 	// Guards against a delayed write of a scheduler that has lost its lease replacing results of its successor.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	_, err := me.Client().Put(t.Context(), "lease", []byte("successor"), 0, 0)
 	assert.NilError(t, err)
-	up := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}}}
-	done, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease", Version: 7}, up)
+	ws := WriteSet{Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}}}
+	done, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease", Version: 7}, ws)
 	assert.Assert(t, !done)
 	assert.Assert(t, errors.Is(err, keyvalue.ErrConflict))
 }
 
 func TestDropRemovesAll(t *testing.T) {
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
-	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 1)))
-	assert.NilError(t, ke.End(t.Context(), "s"))
-	assert.NilError(t, ke.End(t.Context(), "s"))
-	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
+	sto := &Store{Client: me.Client()}
+	assert.NilError(t, sto.Accept(t.Context(), stepOf("s", 1)))
+	assert.NilError(t, sto.End(t.Context(), "s"))
+	assert.NilError(t, sto.End(t.Context(), "s"))
+	_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Checkpoints: []Checkpoint{{Step: "s", Partials: []Partial{{Item: "a"}}}},
 		Chunks:      []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}},
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, ke.Drop(t.Context(), "s"))
+	assert.NilError(t, sto.Drop(t.Context(), "s"))
 	left, err := me.Client().List(t.Context(), "")
 	assert.NilError(t, err)
 	assert.Equal(t, len(left), 0)
@@ -131,9 +131,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				var me keyvalue.Memory
 				tc.faults(&me)
-				do := frontendOf(&Store{Client: me.Client()})
+				fr := frontendOf(&Store{Client: me.Client()})
 				begun := time.Now()
-				err := do.Accept(t.Context(), stepOf("s", 1))
+				err := fr.Accept(t.Context(), stepOf("s", 1))
 				took := time.Since(begun)
 				if tc.want == nil {
 					assert.NilError(t, err)
@@ -152,23 +152,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := frontendOf(&Store{Client: me.Client()})
+		fr := frontendOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
-		do.CutOffFunc = cutOff.Load
+		fr.CutOffFunc = cutOff.Load
 		time.AfterFunc(2*time.Second, func() { cutOff.Store(true) })
 		begun := time.Now()
-		err := do.Accept(t.Context(), stepOf("s", 1))
+		err := fr.Accept(t.Context(), stepOf("s", 1))
 		assert.Assert(t, errors.Is(err, keyvalue.ErrUnavailable))
 		assert.Assert(t, time.Since(begun) < 2500*time.Millisecond, "it stops retrying once it is cut off")
 		begun = time.Now()
-		assert.Assert(t, errors.Is(do.Accept(t.Context(), stepOf("s", 1)), keyvalue.ErrUnavailable))
+		assert.Assert(t, errors.Is(fr.Accept(t.Context(), stepOf("s", 1)), keyvalue.ErrUnavailable))
 		assert.Assert(t, time.Since(begun) < 1100*time.Millisecond)
 		begun = time.Now()
-		_, err = do.Read(t.Context(), ReadRequest{ID: "s", Wait: time.Second})
+		_, err = fr.Read(t.Context(), ReadRequest{ID: "s", Wait: time.Second})
 		assert.Assert(t, err != nil && !errors.Is(err, ErrUnknownStep))
-		_, err = do.Body(t.Context(), BodyRequest{Step: "s"})
+		_, err = fr.Body(t.Context(), BodyRequest{Step: "s"})
 		assert.Assert(t, err != nil && !errors.Is(err, ErrUnknownStep))
-		assert.Assert(t, do.End(t.Context(), "s") != nil)
+		assert.Assert(t, fr.End(t.Context(), "s") != nil)
 		assert.Equal(t, time.Since(begun), time.Duration(0))
 	})
 }
@@ -179,10 +179,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		do := frontendOf(&Store{Client: me.Client()})
-		do.CutOffFunc = func() bool { return true }
+		fr := frontendOf(&Store{Client: me.Client()})
+		fr.CutOffFunc = func() bool { return true }
 		time.AfterFunc(cutOffTimeout/2, func() { me.SetFaults(keyvalue.Faults{}) })
-		assert.NilError(t, do.Accept(t.Context(), stepOf("s", 1)))
+		assert.NilError(t, fr.Accept(t.Context(), stepOf("s", 1)))
 	})
 }
 
@@ -191,11 +191,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Delay: time.Minute})
-		do := frontendOf(&Store{Client: me.Client()})
+		fr := frontendOf(&Store{Client: me.Client()})
 		var cutOff atomic.Bool
-		do.CutOffFunc = cutOff.Load
+		fr.CutOffFunc = cutOff.Load
 		time.AfterFunc(time.Second, func() { cutOff.Store(true) })
-		assert.Assert(t, errors.Is(do.Accept(t.Context(), stepOf("s", 1)), keyvalue.ErrOutcomeUnknown))
+		assert.Assert(t, errors.Is(fr.Accept(t.Context(), stepOf("s", 1)), keyvalue.ErrOutcomeUnknown))
 	})
 }
 
@@ -203,24 +203,24 @@
 	// Guards against existing steps being reported as unknown while no scheduler is active.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
-		ke := &Store{Client: me.Client()}
-		do := frontendOf(ke)
-		assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
-		_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
+		sto := &Store{Client: me.Client()}
+		fr := frontendOf(sto)
+		assert.NilError(t, sto.Accept(t.Context(), stepOf("s", 2)))
+		_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 			Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}}}},
 		})
 		assert.NilError(t, err)
-		li, err := do.Read(t.Context(), ReadRequest{ID: "s"})
+		li, err := fr.Read(t.Context(), ReadRequest{ID: "s"})
 		assert.NilError(t, err)
 		assert.Equal(t, li.Total, 2)
 		assert.Equal(t, len(li.Results), 1)
-		re, err := do.Body(t.Context(), BodyRequest{Item: "s-0-1", Step: "s"})
+		re, err := fr.Body(t.Context(), BodyRequest{Item: "s-0-1", Step: "s"})
 		assert.NilError(t, err)
 		assert.Equal(t, string(re.Body), "body")
-		_, err = do.Read(t.Context(), ReadRequest{ID: "other"})
+		_, err = fr.Read(t.Context(), ReadRequest{ID: "other"})
 		assert.Assert(t, errors.Is(err, ErrUnknownStep))
 		me.SetFaults(keyvalue.Faults{Outage: true})
-		_, err = do.Read(t.Context(), ReadRequest{ID: "other"})
+		_, err = fr.Read(t.Context(), ReadRequest{ID: "other"})
 		assert.Assert(t, err != nil && !errors.Is(err, ErrUnknownStep), "%v", err)
 	})
 }
@@ -228,9 +228,9 @@
 func TestReadWhileTheTermEnds(t *testing.T) {
 	// Guards against an empty answer for stored results when the scheduler's term ends while they are being fetched.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
-	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 2)))
-	_, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
+	sto := &Store{Client: me.Client()}
+	assert.NilError(t, sto.Accept(t.Context(), stepOf("s", 2)))
+	_, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "lease"}, WriteSet{
 		Chunks: []Chunk{{Step: "s", Results: []Result{{Item: "a"}, {Item: "b"}}}},
 	})
 	assert.NilError(t, err)
@@ -241,7 +241,7 @@
 		name string
 		term *term
 	}{{"term ended", nil}, {"term continues", te}, {"results are in memory", te}} {
-		sc := &Scheduler{Keeper: ke, term: tc.term}
+		sc := &Scheduler{Keeper: sto, term: tc.term}
 		li, err := sc.readArchived(t.Context(), te, ta.steps["s"], ReadRequest{After: 1, ID: "s"})
 		assert.NilError(t, err, tc.name)
 		assert.Equal(t, li.Total, 2, tc.name)
@@ -253,10 +253,10 @@
 func TestIntakeReleasesDroppedSteps(t *testing.T) {
 	// Guards against a memory leak: the intake releases a step when its keys are removed.
 	var me keyvalue.Memory
-	ke := &Store{Client: me.Client()}
-	assert.NilError(t, ke.Accept(t.Context(), stepOf("s", 1)))
-	assert.NilError(t, ke.End(t.Context(), "s"))
-	assert.NilError(t, ke.Drop(t.Context(), "s"))
+	sto := &Store{Client: me.Client()}
+	assert.NilError(t, sto.Accept(t.Context(), stepOf("s", 1)))
+	assert.NilError(t, sto.End(t.Context(), "s"))
+	assert.NilError(t, sto.Drop(t.Context(), "s"))
 	ch, err := me.Client().Follow(t.Context(), intakePrefix, 0, 0)
 	assert.NilError(t, err)
 	var in intake
@@ -285,21 +285,21 @@
 	for i := range 20 {
 		ta.garbageKeys = append(ta.garbageKeys, checkpointKey("old", i))
 	}
-	ke := &Store{Client: me.Client()}
+	sto := &Store{Client: me.Client()}
 	now, listed, saved := begin.Add(time.Minute), 0, map[string]bool{}
 	for range 8 {
-		up := ta.NextWrites(now)
-		tx, err := up.transaction(keyvalue.Expectation{Key: "fence"})
+		ws := ta.NextWrites(now)
+		tx, err := ws.transaction(keyvalue.Expectation{Key: "fence"})
 		assert.NilError(t, err)
 		assert.Assert(t, tx.Size() <= keyvalue.MaxTransaction, "%d entries", tx.Size())
-		done, err := ke.Write(t.Context(), keyvalue.Expectation{Key: "fence"}, up)
+		done, err := sto.Write(t.Context(), keyvalue.Expectation{Key: "fence"}, ws)
 		assert.NilError(t, err)
 		assert.Assert(t, done)
-		ta.WritesApplied(up, now)
-		for _, ch := range up.Chunks {
+		ta.WritesApplied(ws, now)
+		for _, ch := range ws.Chunks {
 			listed += len(ch.Results)
 		}
-		for _, cp := range up.Checkpoints {
+		for _, cp := range ws.Checkpoints {
 			saved[cp.Step] = true
 		}
 		now = now.Add(checkpointInterval)
