--- a/overview/overview_test.go
+++ b/overview/overview_test.go
@@ -95,10 +95,10 @@
 	assert.Equal(t, got.Reason, ToBeListed)
 }
 
-// overloadedSnapshot returns an overload situation: ten steps of one customer are ahead of those of three others, and of four
+// overloadedSnapshot returns an overload: ten steps of one customer are ahead of those of three others, and of four
 // engines one is slow, one drained and one silent.
 func overloadedSnapshot() Snapshot {
-	si := Snapshot{
+	sn := Snapshot{
 		Engines: []Engine{
 			{Address: "10.0.0.1:80", Heard: second / 10, ID: "i-1", Median: 40 * time.Millisecond, Memory: 1000, Pace: 41 * time.Millisecond, Places: 4, Runs: 4, Service: "llm", State: Serving, Tokens: 700},
 			{Address: "10.0.0.2:80", Heard: second / 10, ID: "i-2", Median: 40 * time.Millisecond, Memory: 1000, Pace: 120 * time.Millisecond, Places: 4, Runs: 4, Service: "llm", State: Slow, Tokens: 900},
@@ -120,15 +120,15 @@
 			sr = stepOf(sr.ID, "bakery", sr.Age, runs("i-1", second), runs("i-2", time.Duration(4+i)*second))
 			sr.Tokens = 400
 		}
-		si.Steps = append(si.Steps, sr)
+		sn.Steps = append(sn.Steps, sr)
 	}
 	for _, customer := range []string{"butcher", "dairy"} {
-		si.Steps = append(si.Steps, stepOf(customer+":s", customer, 2*second, waits(NoPlace, 5*second, 2*second)))
+		sn.Steps = append(sn.Steps, stepOf(customer+":s", customer, 2*second, waits(NoPlace, 5*second, 2*second)))
 	}
 	held := stepOf("mill:s", "mill", second, waits(HeldByOperator, second, second))
 	held.Held = true
-	si.Steps = append(si.Steps, held)
-	return si
+	sn.Steps = append(sn.Steps, held)
+	return sn
 }
 
 // TestOverload checks that the overview shows which customer uses the capacity and whose steps are late.
@@ -140,17 +140,17 @@
 
 // The overview is bounded in size and omits the least troubled rows.
 func TestOverviewBounds(t *testing.T) {
-	si := overloadedSnapshot()
+	sn := overloadedSnapshot()
 	for i := range 2 * MaxRows {
-		si.Engines = append(si.Engines, Engine{ID: fmt.Sprint("e", i), Service: "llm", State: Serving})
-		si.Steps = append(si.Steps, stepOf(fmt.Sprint("c:s", i), fmt.Sprint("c", i), 0))
+		sn.Engines = append(sn.Engines, Engine{ID: fmt.Sprint("e", i), Service: "llm", State: Serving})
+		sn.Steps = append(sn.Steps, stepOf(fmt.Sprint("c:s", i), fmt.Sprint("c", i), 0))
 	}
-	ov := Summarize(si, 0)
+	ov := Summarize(sn, 0)
 	assert.Equal(t, len(ov.Engines), DefaultRows)
 	assert.Equal(t, ov.Omitted.Engines, 2*MaxRows+4-DefaultRows)
 	assert.Equal(t, ov.Engines[0].ID, "i-4")
 	assert.Assert(t, ov.Steps[0].Late)
-	assert.Equal(t, len(Summarize(si, 10*MaxRows).Steps), MaxRows)
+	assert.Equal(t, len(Summarize(sn, 10*MaxRows).Steps), MaxRows)
 }
 
 func TestEmptySnapshot(t *testing.T) {
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -52,8 +52,8 @@
 			st := stepOf("s", 1)
 			tc.prepare(ta, st)
 			ta.Accept(st, StoredStep{}, false, begin)
-			si := ta.Snapshot(tc.away, begin)
-			row := si.Steps[len(si.Steps)-1]
+			sn := ta.Snapshot(tc.away, begin)
+			row := sn.Steps[len(sn.Steps)-1]
 			assert.Equal(t, row.ID, "s")
 			assert.Equal(t, row.Open[0].Wait, tc.want)
 		})
@@ -63,8 +63,8 @@
 func TestHeldBackItem(t *testing.T) {
 	ta := tableOf(t, 1, "a")
 	ta.Accept(stepOf("s", 1), StoredStep{}, false, begin)
-	si := ta.Snapshot(0, begin.Add(maxPlacingDelay+1))
-	assert.Equal(t, si.Steps[0].Open[0].Wait, overview.HeldBack)
+	sn := ta.Snapshot(0, begin.Add(maxPlacingDelay+1))
+	assert.Equal(t, sn.Steps[0].Open[0].Wait, overview.HeldBack)
 }
 
 // TestSituation checks the overview of a step with listed, running and waiting items.
@@ -149,9 +149,9 @@
 
 // BenchmarkOverview measures summarizing the data that BenchmarkSituation copies.
 func BenchmarkOverview(b *testing.B) {
-	si := loadedTable(1100, 6).Snapshot(0, begin.Add(time.Second))
+	sn := loadedTable(1100, 6).Snapshot(0, begin.Add(time.Second))
 	for b.Loop() {
-		overview.Summarize(si, 0)
+		overview.Summarize(sn, 0)
 	}
 }
 
--- a/step/recovery_test.go
+++ b/step/recovery_test.go
@@ -10,7 +10,7 @@
 
 func TestCallersDoNotCancelEachOther(t *testing.T) {
 	// Guards against a livelock in which two callers cancel each other's new calls: only calls older than
-	// swallowedAfter are canceled.
+	// minCancelAge are canceled.
 	synctest.Test(t, func(t *testing.T) {
 		var re recoverySignal
 		old, cancelOld := re.callContext(t.Context())
--- a/step/table_test.go
+++ b/step/table_test.go
@@ -230,7 +230,7 @@
 }
 
 func TestOldResultsLeaveMemory(t *testing.T) {
-	// Guards against unbounded memory: results of ended steps beyond cachedResults bytes
+	// Guards against unbounded memory: results of ended steps beyond maxCachedResults bytes
 	// are dropped before their retention period ends.
 	ta := tableOf(t, 1, "a")
 	for i := range 4 {
