--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -98,7 +98,7 @@
 	after := customersOf(al.bounds)
 	al.Metrics.GetOrCreateGauge(`wisteriacroft_customers_bounded`, nil).Set(float64(len(after)))
 	if !maps.Equal(before, after) {
-		al.Log.WithFields(logrus.Fields{"bounded": after, "entries": len(entries), "epoch": al.epoch}).Info("limited customers changed")
+		al.Log.WithFields(logrus.Fields{"bounded": after, "entries": len(entries), "epoch": al.epoch}).Info("customers are bounded")
 	}
 }
 
--- a/allocation/demandreporter.go
+++ b/allocation/demandreporter.go
@@ -98,7 +98,7 @@
 		return // the previous limits are still valid
 	}
 	dr.bounds = dr.local.Standalone(demands, dr.WeightsFunc(), dr.entries)
-	dr.Log.WithError(err).WithFields(logrus.Fields{"bounds": dr.bounds, "entries": dr.entries}).Warn("holder unreachable; entry sets limits by itself")
+	dr.Log.WithError(err).WithFields(logrus.Fields{"bounds": dr.bounds, "entries": dr.entries}).Warn("entry divides places by itself")
 }
 
 // limiting reports whether the entry limits any customer, and marks the limited services in demands.
--- a/allocation/ratelimiter.go
+++ b/allocation/ratelimiter.go
@@ -69,7 +69,7 @@
 	re, err := rl.fetch(ctx, GrantRequest{Customer: customer, Rate: rate, Want: cb.RefillSize()})
 	if err != nil {
 		rl.Metrics.GetOrCreateCounter(`wisteriacroft_quota_failures_total`).Inc()
-		rl.Log.WithError(err).WithField("customer", customer).Warn("request for quota tokens failed")
+		rl.Log.WithError(err).WithField("customer", customer).Warn("no tokens can be asked for")
 		re = GrantResponse{Next: unreachableRetry}
 	}
 	cb.Refill(li, re.Tokens, max(re.Next, minRetry), now)
--- a/attendant/orders.go
+++ b/attendant/orders.go
@@ -42,7 +42,7 @@
 		"version":  or.Version,
 	})
 	if err != nil {
-		lo.WithError(err).Warn("order may not have been accepted")
+		lo.WithError(err).Warn("order may not have been taken")
 	} else {
 		lo.Info("order accepted")
 	}
--- a/batch/acknowledge.go
+++ b/batch/acknowledge.go
@@ -75,7 +75,7 @@
 	if tr.step(po.step) != nil && !tr.policy.WholeSteps {
 		return refuse(outcome.OutcomeUnknown, "batch %s is not in the ledger: submit the rest of step %d as a new step", cu.Batch, po.step)
 	}
-	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that is not in the ledger")
+	ow.log(tr).WithField("batch", cu.Batch).Error("trainer has taken a batch that the ledger does not hold")
 	for len(tr.steps) > 0 && tr.steps[0].number <= po.step {
 		ow.dropStep(tr, tr.steps[0])
 		tr.steps = tr.steps[1:]
--- a/call/attempt.go
+++ b/call/attempt.go
@@ -145,7 +145,7 @@
 // the ping fails.
 func (se *Server) diagnose(ctx context.Context, at *attempt) {
 	pong := se.attendants.ping(ctx, at.endpoint.Address)
-	se.Log.WithField("endpoint", at.endpoint.ID).WithField("pong", pong).Warn("connection stalled")
+	se.Log.WithField("endpoint", at.endpoint.ID).WithField("pong", pong).Warn("connection fell silent")
 	if pong {
 		se.Routes.Succeeded(time.Now(), at.endpoint.ID)
 		return
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -24,7 +24,7 @@
 	fo.Log.WithFields(logrus.Fields{
 		customerField: rq.customer, digestField: rq.digest, "endpoint": re.endpoint.ID, "held-ms": ve.HeldFor.Milliseconds(), "ms": re.took.Milliseconds(),
 		"path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
-	}).Warn("endpoint crashed while running a request")
+	}).Warn("endpoint ended under a request")
 	fo.Metrics.GetOrCreateCounter(`wisteriacroft_requests_endpoint_ended_total`).Inc()
 }
 
@@ -45,7 +45,7 @@
 	if ve.Held() {
 		fo.Log.WithFields(logrus.Fields{
 			customerField: rq.customer, digestField: rq.digest, "held-ms": ve.HeldFor.Milliseconds(), "path": rq.target, requestField: rq.id, "strikes": ve.Strikes,
-		}).Warn("request is quarantined")
+		}).Warn("request held back")
 		fo.Metrics.GetOrCreateCounter(`wisteriacroft_requests_held_back_total`).Inc()
 	}
 	return ve
--- a/forward/slotusage.go
+++ b/forward/slotusage.go
@@ -124,7 +124,7 @@
 	fo.Metrics.GetOrCreateCounter(`wisteriacroft_live_bounded_total`).Inc()
 	fo.Log.WithFields(logrus.Fields{
 		"bound": bound, customerField: rq.customer, "free-ms": free.Milliseconds(), requestField: rq.id, "service": rq.service,
-	}).Info("customer reached its concurrency limit")
+	}).Info("customer has its places")
 	return false, free
 }
 
--- a/listing/listing.go
+++ b/listing/listing.go
@@ -16,12 +16,12 @@
 // Reasons for listing; Wait means that results are not listed yet.
 const (
 	Wait     Reason = ""
-	Final    Reason = "target complete"
-	LastCall Reason = "complete groups are due"
-	ReadEnds Reason = "a read is about to end"
+	Final    Reason = "the trainer waits for no more"
+	LastCall Reason = "groups are due"
+	ReadEnds Reason = "a read ends"
 	Full     Reason = "an answer is full"
-	Renew    Reason = "read renewed before the end of the step"
-	Unread   Reason = "no read waits"
+	Renew    Reason = "the read at the end would be young"
+	Unread   Reason = "no one reads"
 )
 
 // Limits of listing.
--- a/step/capacityplan.go
+++ b/step/capacityplan.go
@@ -58,7 +58,7 @@
 	sp.withinShare = ta.customersWithinShare(steps, rows, slots)
 	sp.prequeues = sp.planner.Overloaded() && !ta.smallCustomerCompetes(sp)
 	if sp.planner.Overloaded() != was {
-		ta.log("overload state changed", map[string]any{
+		ta.log("room for steps", map[string]any{
 			"crowded": sp.planner.Overloaded(), "load": sp.planner.Load(), "places": slots, "service": service, "steps": len(steps),
 		})
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	sr.planned, sr.plannedAt = planned, now
-	ta.log("planned groups of step changed", map[string]any{
+	ta.log("room for step", map[string]any{
 		"groups": planned, "left-ms": st.Left.Milliseconds(), "load": ta.servicePlan(sr.step.Service).planner.Load(), "open": len(st.Groups),
 		stepField: sr.step.ID, "wanted": st.Wanted,
 	})
--- a/step/follow.go
+++ b/step/follow.go
@@ -26,7 +26,7 @@
 			scan = true
 			continue
 		case err != nil:
-			sc.Log.WithError(err).Warn("can't follow the changes of steps")
+			sc.Log.WithError(err).Warn("steps can't be followed")
 			lost = true
 			te.revival.pause(ctx, back)
 			continue
--- a/step/frontend.go
+++ b/step/frontend.go
@@ -58,7 +58,7 @@
 		unsure = unsure || err != nil && !notWritten(err)
 		fr.Log.WithFields(logrus.Fields{
 			"cut-off": fr.cutOff(), "error": err, stepField: st.ID, "try": try, "unsure": unsure,
-		}).Info("step submission attempt")
+		}).Info("step handed in")
 		switch {
 		case err == nil:
 			return nil
--- a/step/manifest.go
+++ b/step/manifest.go
@@ -147,7 +147,7 @@
 	}
 	sc.Log.WithFields(logrus.Fields{
 		"after": rq.After, "results": len(results), stepField: rq.ID, "unread": unread,
-	}).Info("read results listed by an earlier scheduler")
+	}).Info("earlier results read")
 	return page(results, 0, total), nil
 }
 
--- a/step/reward.go
+++ b/step/reward.go
@@ -161,7 +161,7 @@
 		ta.finish(ir, complete, now)
 	case ir.reward.failures >= max(ir.step.step.MaxAttempts, re.MaxAttempts, 1):
 		ta.releaseRun(ir)
-		ta.markLost(ir, "reward call failed too often", now)
+		ta.markLost(ir, "its reward call failed too often", now)
 	default:
 		ir.reward.nextAt = now.Add(max(re.HeldFor, min(minRewardPause<<min(ir.reward.calls-1, 10), maxRewardPause)))
 	}
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -206,13 +206,13 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil && epoch != 0 && sc.Holder.Continues(sc.term.epoch) {
-		sc.Log.WithFields(logrus.Fields{"epoch": epoch, "former": sc.term.epoch}).Info("scheduler term continues under a new epoch")
+		sc.Log.WithFields(logrus.Fields{"epoch": epoch, "former": sc.term.epoch}).Info("scheduler goes on")
 		sc.Metrics.GetOrCreateCounter(`wisteriacroft_scheduler_continuations_total`).Inc()
 		sc.term.renew(epoch)
 		return
 	}
 	if sc.term != nil && sc.term.epoch != epoch {
-		sc.Log.WithField("epoch", sc.term.epoch).Warn("scheduler term ended")
+		sc.Log.WithField("epoch", sc.term.epoch).Warn("no longer the scheduler")
 		sc.term.cancel()
 		sc.term = nil
 		sc.termEndedAt = time.Now()
--- a/step/settle.go
+++ b/step/settle.go
@@ -89,7 +89,7 @@
 		return
 	}
 	sto.Log.WithFields(logrus.Fields{"error": err, "key": tx.Writes[0].Key, "looks": checks, "ms": took.Milliseconds()}).
-		Info("outcome of unanswered write verified")
+		Info("unanswered write looked for")
 }
 
 // maxCommitCalls bounds the concurrent calls for one transaction.
--- a/step/share.go
+++ b/step/share.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		lines++
-		ta.log("customer rank changed", map[string]any{
+		ta.log("customer ranked", map[string]any{
 			"ahead-s": st.Ahead, "before": before[customer], customerField: customer, "memory": st.Use.Memory,
 			"places": st.Use.Places, "rank": st.Rank, "waits": st.Use.Waits, "wants": st.Use.Wants,
 		})
--- a/step/trial.go
+++ b/step/trial.go
@@ -119,7 +119,7 @@
 		ta.quarantine.RecordCrash(ir.digest, fmt.Sprintf("%s/%d/%d", ir.run.engineID, ir.run.key.Attempt, i), now)
 	}
 	ve := ta.quarantine.CheckItem(ir.digest, now)
-	ta.log("engine ended while running an item", map[string]any{
+	ta.log("engine ended under an item", map[string]any{
 		attemptField: ir.run.key.Attempt, customerField: ir.step.step.Customer, "digest": ir.digest, engineField: ir.run.engineID,
 		"held-ms": ve.HeldFor.Milliseconds(), itemField: ir.item.ID, "others": others, stepField: ir.step.step.ID,
 		"strikes": ve.Strikes, "tried": tried, "young": young,
--- a/step/write.go
+++ b/step/write.go
@@ -45,7 +45,7 @@
 			sc.Holder.FenceFailed(epoch)
 			te.awaitWrites(ctx)
 		default:
-			sc.Log.WithError(err).Warn("can't list results")
+			sc.Log.WithError(err).Warn("results can't be listed")
 			timeout = probeTimeout
 			te.revival.pause(ctx, back)
 		}
