--- a/runner/await_test.go
+++ b/runner/await_test.go
@@ -8,10 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAnswerAwaitsTheEndOfARun(t *testing.T) {
-	// Symptom: a step ends 50 ms after its last item for no reason.
-	// Sequence: the item ends just after the scheduler has asked.
-	// Cause: an answer told what was known when the question came.
+func TestExchangeWaitsForRunEnd(t *testing.T) {
+	// Guards against a response that misses a run's end just after the request, which
+	// delays the end of the step by an exchange interval.
 	synctest.Test(t, func(t *testing.T) {
 		const await = 500 * time.Millisecond
 		rn := newRunner(&fakeEngine{length: 5})
--- a/runner/engine.go
+++ b/runner/engine.go
@@ -2,41 +2,41 @@
 
 import "context"
 
-// A Stream is the answer to a run that has begun.
+// A Stream is the event stream of a run that has started.
 type Stream struct {
 	CloseFunc func()
 	// NextFunc returns the next event, or io.EOF after the last.
 	NextFunc func() (Event, error)
 }
 
-// A Start is what an engine answers to a run.
+// A Start is an engine's response to a RunRequest.
 type Start struct {
 	Detail string
-	Engine string // the engine that answered, if it isn't the one that was asked
+	Engine string // the engine that answered, if it isn't the requested one
 	State  State  // Running, or why there is no stream
 	Stream Stream // if State is Running
 }
 
-// An OrderState is what became of an order.
+// An OrderState is an engine's response to an order.
 type OrderState int
 
 // The states of orders.
 const (
-	OrderTaken   OrderState = iota // the engine carries it out
-	OrderHolds                     // it holds already
-	OrderBusy                      // another is under way, or came between: look again
-	OrderRefused                   // this engine won't take it
+	OrderTaken   OrderState = iota // accepted
+	OrderHolds                     // the engine already serves the version
+	OrderBusy                      // another order is in progress or came first: retry after the next report
+	OrderRefused                   // refused for good
 )
 
-// An Engine reaches the engine beside the attendant. Each field is a seam.
+// An Engine calls the engine on the attendant's instance. Tests replace its functions.
 type Engine struct {
-	// EndedFunc reports whether the engine's process has ended. Nil can't tell.
+	// EndedFunc reports whether the engine's process has exited. Nil means unknown.
 	EndedFunc func(ctx context.Context) bool
-	// OrderFunc gives an order that is carried out only if the engine has taken
+	// OrderFunc sends an order, which is executed only if the engine has accepted
 	// exactly sequence orders before it.
 	OrderFunc func(ctx context.Context, or Order, sequence uint64) (OrderState, error)
-	// ReportFunc asks the engine what it holds.
+	// ReportFunc fetches the engine's report.
 	ReportFunc func(ctx context.Context) (Report, error)
-	// StartFunc begins a run.
+	// StartFunc starts a run.
 	StartFunc func(ctx context.Context, la RunRequest) Start
 }
--- a/runner/exchange.go
+++ b/runner/exchange.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Exchange takes what the scheduler wants done and returns what it lacks.
+// Exchange applies the scheduler's request and returns the changes that it has not
+// acknowledged.
 func (rn *Runner) Exchange(ctx context.Context, rq ExchangeRequest) (ExchangeResponse, error) {
-	if err := rn.take(rq); err != nil {
+	if err := rn.apply(rq); err != nil {
 		return ExchangeResponse{}, err
 	}
-	rn.awaitEnd(ctx, rq.Await)
+	rn.waitForEnd(ctx, rq.Await)
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	return rn.response(), nil
 }
 
-// awaitEnd waits until a run ends, unless the scheduler doesn't know yet of one that
-// has.
-func (rn *Runner) awaitEnd(ctx context.Context, wait time.Duration) {
+// waitForEnd waits at most wait for a run to end. It doesn't wait if the scheduler has yet
+// to acknowledge an ended run.
+func (rn *Runner) waitForEnd(ctx context.Context, wait time.Duration) {
 	rn.mu.Lock()
 	ended := rn.ended
 	for _, ru := range rn.runs {
-		if ru.state != Running && ru.noted != ru.state {
+		if ru.state != Running && ru.ackedState != ru.state {
 			wait = 0
 		}
 	}
@@ -38,28 +39,28 @@
 	}
 }
 
-// response returns what the scheduler lacks.
+// response returns the changes that the scheduler has not acknowledged.
 func (rn *Runner) response() ExchangeResponse {
 	re := ExchangeResponse{
-		Boot: rn.boot, Engine: rn.engine, Ordered: rn.orders.underWay(), Reachable: rn.reachable(), Report: rn.report,
+		Boot: rn.boot, Engine: rn.engine, Ordered: rn.orderTracker.pendingVersion(), Reachable: rn.reachable(), Report: rn.report,
 		ReportAge: time.Since(rn.reportAt), Wall: time.Now().UnixMicro(),
 	}
 	re.Report.Pace, re.Report.PaceGaps = rn.pacer.median(time.Now())
-	// Runs that have ended stay until they are listed, and need not be spoken of ten
-	// times a second meanwhile.
+	// Ended runs are kept until the scheduler forgets them; sending each in every
+	// response would waste bandwidth.
 	size := 0
 	for _, ru := range rn.runs {
 		if ru.state == Running {
 			re.Running++
 		}
-		if !ru.news() {
+		if !ru.unacked() {
 			continue
 		}
 		if size > maxResponse {
-			continue // the next response has it
+			continue // left to the next response
 		}
 		pr := Progress{
-			Detail: ru.detail, Endpoint: ru.endpoint, EngineEnded: ru.engineEnded, Events: ru.events[ru.seen:], First: ru.seen,
+			Detail: ru.detail, Endpoint: ru.endpoint, EngineEnded: ru.engineEnded, Events: ru.events[ru.ackedEvents:], First: ru.ackedEvents,
 			Key: ru.key, Score: ru.score, State: ru.state,
 		}
 		for _, ev := range pr.Events {
--- a/runner/message.go
+++ b/runner/message.go
@@ -1,7 +1,6 @@
-// Package runner is what an attendant does for the scheduler: it runs items of
-// steps at the engine beside it, keeps their text until the scheduler has made
-// it last, and gives the engine its orders. It is the only one that gives that
-// engine orders, so that no two processes can.
+// Package runner is the attendant's part of scheduling: it runs step items at the
+// engine on its instance, keeps their text until the scheduler has stored it, and sends
+// the engine its orders. No other process sends orders to that engine.
 package runner
 
 import (
@@ -10,10 +9,10 @@
 	"wisteriacroft/incarnation"
 )
 
-// ExchangeMethod is the one call that the scheduler makes to an attendant.
+// ExchangeMethod is the RPC by which the scheduler controls an attendant.
 const ExchangeMethod = "runner.Exchange"
 
-// A Key names one run of an item.
+// A Key identifies one run of an item.
 type Key struct {
 	Attempt uint64 // unique among all runs of all schedulers
 	Item    string
@@ -24,66 +23,66 @@
 type Event struct {
 	Data    []byte
 	ID      int64
-	Version uint64 // of the weights that generated it
+	Version uint64 // weights version that generated it
 }
 
-// A RunRequest asks for a run.
+// A RunRequest starts a run.
 type RunRequest struct {
 	Body     []byte
-	Customer string `cbor:",omitempty"` // whose item it is, or ""
+	Customer string `cbor:",omitempty"` // owner of the item, or ""
 	Endpoint string // the engine that the run is for; any other refuses it
 	Header   map[string]string
 	Host     string
 	Key      Key
 	Path     string
-	Prior    []Event // text that earlier runs made; the run goes on after it
-	Version  uint64  // of the weights that the run is for; 0 means any
+	Prior    []Event // text of earlier runs, which this one continues
+	Version  uint64  // required weights version; 0 means any
 }
 
-// An Order asks for other weights.
+// An Order tells an engine to load another weights version.
 type Order struct {
 	Endpoint string
 	Fence    uint64 // the scheduler's epoch
-	Keep     bool   // what runs goes on under the new version, else it ends first
+	Keep     bool   // running requests continue on the new version; else they finish before the load
 	Model    string
 	Version  uint64
 }
 
-// An Ack is what the scheduler has of a run.
+// An Ack says how much of a run the scheduler has received.
 type Ack struct {
-	Ended  bool `cbor:",omitempty"` // it knows that the run has ended
+	Ended  bool `cbor:",omitempty"` // the end of the run was received
 	Events int
 	Key    Key
-	Score  string `cbor:",omitempty"` // of the run's whole text, to be kept with it
+	Score  string `cbor:",omitempty"` // of the run's whole text, to be stored with it
 }
 
-// An ExchangeRequest is what the scheduler wants done, and what it knows.
+// An ExchangeRequest carries the scheduler's commands and acknowledgments.
 type ExchangeRequest struct {
-	// Await is for how long the answer may wait for the end of a run. Zero answers at
-	// once.
+	// Await is how long the response may wait for the end of a run. Zero responds
+	// immediately.
 	Await    time.Duration `cbor:",omitempty"`
 	Endpoint string        // the engine that the request concerns
 	Epoch    uint64        // of the scheduler; an older one is refused
-	Forget   []Key         // runs that need not be kept any longer
+	Forget   []Key         // runs to delete
 	Launches []RunRequest
-	Number   uint64 // of the epoch's requests for the engine; one that was overtaken is refused
+	Number   uint64 // increases with each request for the engine in an epoch; one out of order is refused
 	Order    *Order
-	Seen     []Ack // runs of which the scheduler has more than it last said
+	Seen     []Ack // runs with new acknowledgments
 	Stops    []Key
 }
 
-// A State is what became of a run.
+// A State is the state of a run.
 type State int
 
 // The states of runs.
 const (
 	Running    State = iota
-	Complete         // the text is whole
-	Broken           // ended without its last event; may go on elsewhere
-	Failed           // the engine answered that it failed
-	Impossible       // the engine answered that the item can never be done
+	Complete         // ended with its last event
+	Broken           // ended without its last event; another run may continue it
+	Failed           // the engine reported a failure
+	Impossible       // the engine reported that the item can never succeed
 	NotRun           // the engine did not run it
-	Stopped          // ended because the scheduler asked
+	Stopped          // canceled by the scheduler
 )
 
 var states = [...]string{
@@ -94,46 +93,47 @@
 // String returns the state's name.
 func (st State) String() string { return states[st] }
 
-// A Progress is a run and those of its events that the scheduler lacks.
+// A Progress is the state of a run with the events that the scheduler has not
+// acknowledged.
 type Progress struct {
 	Detail   string // why it ended, for logs
 	Endpoint string // engine that the run was for
-	// EngineEnded means that the engine's process had ended when the run broke.
+	// EngineEnded means that the engine's process had exited when the run broke off.
 	EngineEnded bool `cbor:",omitempty"`
 	Events      []Event
-	First       int // position of the first of Events in the run's text
+	First       int // index of Events[0] in the run's text
 	Key         Key
-	Score       string `cbor:",omitempty"` // of the whole text, if a scheduler has had it scored
+	Score       string `cbor:",omitempty"` // of the whole text, if known
 	State       State
 }
 
-// A Report is what an engine says of itself.
+// A Report is an engine's report of its state.
 type Report struct {
 	Active      int
-	Busy        bool               // an order is under way
-	Incarnation incarnation.Number // the start of the engine that says it
-	Pace        time.Duration      // median time between two events of a run of late
-	PaceGaps    int                // that the median is of
+	Busy        bool               // an order is in progress
+	Incarnation incarnation.Number // start of the engine that reports
+	Pace        time.Duration      // median of the recent gaps between two events of a run
+	PaceGaps    int                // number of gaps in the median
 	Queued      int
-	Sequence    uint64 // orders that it has taken
+	Sequence    uint64 // number of accepted orders
 	Tokens      int    // memory that can't be freed, in tokens
 	Versions    map[string]uint64
 }
 
-// An ExchangeResponse is what an attendant holds.
+// An ExchangeResponse is the state of an attendant and its runs.
 type ExchangeResponse struct {
 	Boot      string // changes with each start of the attendant
-	Engine    string // the engine that answers at the address now, if known
-	Ordered   uint64 // version of the order under way, or 0
-	Reachable bool   // the engine answers its report
+	Engine    string // the engine that currently answers at the address, if known
+	Ordered   uint64 // version of the order in progress, or 0
+	Reachable bool   // the engine has reported recently
 	Report    Report
 	ReportAge time.Duration
-	Running   int        // runs that go on
-	Runs      []Progress // of which the scheduler lacks something
-	Wall      int64      // the instance's time of day, in Unix microseconds
+	Running   int        // runs in progress
+	Runs      []Progress // runs with changes that the scheduler has not acknowledged
+	Wall      int64      // the instance's wall clock, in Unix microseconds
 }
 
-// LastContactMethod asks an attendant when the scheduler last called it.
+// LastContactMethod is the RPC that returns when the scheduler last called an attendant.
 const LastContactMethod = "runner.Witness"
 
 // A LastContactResponse says when the scheduler last called.
--- a/runner/orders.go
+++ b/runner/orders.go
@@ -7,63 +7,58 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Bounds of orders.
 const (
-	// orderTimeout bounds one call that gives an order.
+	// orderTimeout bounds one call that sends an order.
 	orderTimeout = 800 * time.Millisecond
-	// loadBound is after how long an order that the engine took must show in
-	// its report, else it is given again. A load takes 0.9 s, and longer while
-	// others load.
-	loadBound = 6 * time.Second
+	// loadTimeout is the time an accepted order has to appear in the engine's report
+	// before it is sent again.
+	loadTimeout = 6 * time.Second
 )
 
-// An orders is the order that the scheduler wants carried out, and where it
-// stands. The zero orders wants none.
-type orders struct {
-	done    Order // that ended last; the scheduler may still ask for it
-	order   Order
-	givenAt time.Time // zero until the engine has taken it
+// An orderTracker holds the scheduler's current order and its progress. The zero value
+// has no order.
+type orderTracker struct {
+	done       Order // the last that ended; the scheduler may still request it
+	order      Order
+	acceptedAt time.Time // zero until the engine has accepted the order
 }
 
-// want replaces the order, unless it is wanted already or has ended. It returns
+// setOrder replaces the order unless it is already set or has ended, and reports
 // whether it did.
-func (os *orders) want(or Order) bool {
-	if os.order == or || os.done == or && or.Version > 0 {
+func (ot *orderTracker) setOrder(or Order) bool {
+	if ot.order == or || ot.done == or && or.Version > 0 {
 		return false
 	}
-	os.order, os.givenAt = or, time.Time{}
+	ot.order, ot.acceptedAt = or, time.Time{}
 	return true
 }
 
-// restart takes in that the engine has started again: it holds nothing of what
-// an earlier start was told.
-//
-// The order that is wanted counted as given for its whole bound, in which the
-// engine loaded nothing.
-func (os *orders) restart() { os.done, os.givenAt = Order{}, time.Time{} }
+// restart resets the progress after a restart of the engine, which keeps no orders.
+// Otherwise the current order would not be sent again before loadTimeout.
+func (ot *orderTracker) restart() { ot.done, ot.acceptedAt = Order{}, time.Time{} }
 
-// underWay returns the version that is wanted, or 0.
-func (os *orders) underWay() uint64 { return os.order.Version }
+// pendingVersion returns the ordered version, or 0.
+func (ot *orderTracker) pendingVersion() uint64 { return ot.order.Version }
 
-// stepOrder gives the wanted order if the engine's report says that it can take
-// it, and drops it once the report shows that it holds.
+// stepOrder sends the order if the engine's report shows that it is ready for one, and
+// ends it once the report shows the ordered version.
 //
-// An engine may carry out an order seconds after the call went unanswered. Each
-// order names how many orders the engine had taken before it: of two calls for
-// the same change, only the first to arrive is carried out.
+// An engine may execute an order seconds after the call timed out. Each order carries
+// the number of orders that the engine had accepted before it, so that of two calls
+// for the same change only the first to arrive is executed.
 func (rn *Runner) stepOrder(ctx context.Context) {
 	rn.mu.Lock()
-	or, re, fresh := rn.orders.order, rn.report, rn.reachable()
-	given := rn.orders.givenAt
+	or, re, fresh := rn.orderTracker.order, rn.report, rn.reachable()
+	given := rn.orderTracker.acceptedAt
 	rn.mu.Unlock()
 	if or.Version == 0 || !fresh {
 		return
 	}
 	if re.Versions[or.Model] >= or.Version && !re.Busy {
-		rn.finish(or, "order holds")
+		rn.finish(or, "engine serves the ordered version")
 		return
 	}
-	if re.Busy || !given.IsZero() && time.Since(given) < loadBound {
+	if re.Busy || !given.IsZero() && time.Since(given) < loadTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -72,15 +67,15 @@
 	rn.Log.WithFields(logrus.Fields{
 		"endpoint": or.Endpoint, "error": err, "fence": or.Fence, "model": or.Model,
 		"sequence": re.Sequence, "state": int(state), "version": or.Version,
-	}).Info("order given")
+	}).Info("order sent to engine")
 	switch {
-	case err != nil, state == OrderBusy: // the next report says more
+	case err != nil, state == OrderBusy: // decide after the next report
 	case state == OrderRefused, state == OrderHolds:
 		rn.finish(or, "order ended")
 	default:
 		rn.mu.Lock()
-		if rn.orders.order == or {
-			rn.orders.givenAt = time.Now()
+		if rn.orderTracker.order == or {
+			rn.orderTracker.acceptedAt = time.Now()
 		}
 		rn.mu.Unlock()
 	}
@@ -89,10 +84,10 @@
 func (rn *Runner) finish(or Order, message string) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	if rn.orders.order != or {
+	if rn.orderTracker.order != or {
 		return
 	}
-	rn.orders.done = or
-	rn.orders.want(Order{})
+	rn.orderTracker.done = or
+	rn.orderTracker.setOrder(Order{})
 	rn.Log.WithFields(logrus.Fields{"endpoint": or.Endpoint, "model": or.Model, "version": or.Version}).Info(message)
 }
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -5,14 +5,11 @@
 	"time"
 )
 
-// Bounds of measuring an engine's pace.
 const (
-	// paceGaps is how many of the newest gaps between two events are kept:
-	// about a quarter of a second of an engine with full places.
+	// paceGaps is the number of newest gaps between two events that are kept.
 	paceGaps = 48
-	// paceLife is how long a gap counts. An engine with one run that turns 3.6
-	// times slower shows after 0.72 s; with a life of 1.5 s it took 1.26 s.
-	paceLife = 800 * time.Millisecond
+	// paceWindow is the maximum age of a gap. A longer window detects a slowdown later.
+	paceWindow = 800 * time.Millisecond
 )
 
 // A gap is the time between two events of a run.
@@ -21,11 +18,10 @@
 	took time.Duration
 }
 
-// A pacer holds the newest gaps of an engine. The zero pacer is empty.
+// A pacer measures the gaps between an engine's events. The zero value is ready to use.
 //
-// The gaps are measured here, where the events arrive: measured from the
-// scheduler's exchanges, 100 ms apart, engines of the same pace differ by a
-// factor of two, and a third of all runs was moved for nothing.
+// The attendant measures them as events arrive, since the scheduler's exchanges are
+// too coarse to compare the pace of engines.
 type pacer struct {
 	gaps []gap
 	next int
@@ -41,12 +37,12 @@
 	pa.next = (pa.next + 1) % paceGaps
 }
 
-// median returns the median of the gaps that count, and their number. A load of
-// weights makes one long gap in each run; the median passes over it.
+// median returns the median and the number of the gaps within paceWindow. The median
+// ignores the one long gap that a weight load causes in each run.
 func (pa *pacer) median(now time.Time) (time.Duration, int) {
 	var took []time.Duration
 	for _, ga := range pa.gaps {
-		if now.Sub(ga.at) < paceLife {
+		if now.Sub(ga.at) < paceWindow {
 			took = append(took, ga.took)
 		}
 	}
--- a/runner/pace_test.go
+++ b/runner/pace_test.go
@@ -7,17 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSlowEngineShows(t *testing.T) {
-	// Symptom: runs are moved off a slow engine 1.6 s after it turned slow, and
-	// their steps are late by as much.
-	// Sequence: an engine with few runs turns 3.6 times slower.
-	// Cause: the many quick gaps of the last 1.5 s outnumbered the few slow ones.
+func TestPaceDetectsSlowdown(t *testing.T) {
+	// Guards against a window so long that the earlier quick gaps hide the few slow ones
+	// of an engine that slows down, which delays moving its runs.
 	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const quick, slow = 50 * time.Millisecond, 180 * time.Millisecond
 	for _, tc := range []struct {
 		name string
 		runs int
-		most time.Duration // until the median shows it
+		most time.Duration // until the median shows the slowdown
 	}{
 		{"one run", 1, 800 * time.Millisecond},
 		{"two runs", 2, 800 * time.Millisecond},
--- a/runner/report.go
+++ b/runner/report.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/incarnation"
 )
 
-// refresh asks the engine for its report.
+// refresh fetches the engine's report.
 func (rn *Runner) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -18,10 +18,10 @@
 	defer rn.mu.Unlock()
 	was := rn.reachable()
 	if err == nil {
-		rn.takeReport(re)
+		rn.storeReport(re)
 	} else {
-		// It may come back under another ID, and the scheduler would take that for one
-		// that was replaced.
+		// The engine may restart under another ID. Reporting the old ID would make the
+		// scheduler treat the new one as replaced.
 		rn.engine = ""
 	}
 	if is := rn.reachable(); is != was {
@@ -29,41 +29,40 @@
 	}
 }
 
-// takeReport takes in what the engine says of itself.
+// storeReport stores a report of the engine.
 //
-// An engine that crashes may come back under its ID. It holds no order, runs
-// nothing and its pace is not known. A report of its former start that comes late
-// says nothing of it: taken for news, an order would name a sequence that the
-// engine no longer has.
-func (rn *Runner) takeReport(re Report) {
-	born := rn.report.Incarnation
-	if born.Supersedes(re.Incarnation) {
-		rn.Log.WithFields(logrus.Fields{"born": int64(re.Incarnation), "newest": int64(born)}).Warn("report of an earlier start ignored")
+// An engine that crashes may restart under the same ID, with no orders, no runs and an
+// unknown pace. A delayed report of an earlier start is ignored: an order based on it
+// would carry an invalid sequence number.
+func (rn *Runner) storeReport(re Report) {
+	current := rn.report.Incarnation
+	if current.Supersedes(re.Incarnation) {
+		rn.Log.WithFields(logrus.Fields{"born": int64(re.Incarnation), "newest": int64(current)}).Warn("report of an earlier engine start ignored")
 		return
 	}
-	if re.Incarnation.Supersedes(born) {
-		rn.restarted(re.Incarnation)
+	if re.Incarnation.Supersedes(current) {
+		rn.handleRestart(re.Incarnation)
 	}
-	re.Incarnation = max(re.Incarnation, born)
+	re.Incarnation = max(re.Incarnation, current)
 	rn.report, rn.reportAt = re, time.Now()
 }
 
-// restarted drops what was known of the engine's former start, and breaks the runs
-// that it was given: those that were begun before it last reported.
-func (rn *Runner) restarted(born incarnation.Number) {
-	broken := 0
+// handleRestart discards the state of the engine's previous start and cancels the runs that
+// began before that start's last report.
+func (rn *Runner) handleRestart(current incarnation.Number) {
+	canceled := 0
 	for _, ru := range rn.runs {
 		if ru.state == Running && ru.begun.Before(rn.reportAt) {
 			ru.cancel()
-			broken++
+			canceled++
 		}
 	}
 	rn.engine = ""
-	rn.orders.restart()
+	rn.orderTracker.restart()
 	rn.pacer = pacer{}
 	rn.Log.WithFields(logrus.Fields{
-		"born": int64(born), "runs": broken, "report-ms": time.Since(rn.reportAt).Milliseconds(),
-	}).Warn("engine has started again")
+		"born": int64(current), "runs": canceled, "report-ms": time.Since(rn.reportAt).Milliseconds(),
+	}).Warn("engine restarted")
 }
 
-func (rn *Runner) reachable() bool { return time.Since(rn.reportAt) < reachableFor }
+func (rn *Runner) reachable() bool { return time.Since(rn.reportAt) < reportTTL }
--- a/runner/restart_test.go
+++ b/runner/restart_test.go
@@ -20,18 +20,14 @@
 	change(&fe.report)
 }
 
-func TestEngineStartsAgainUnderItsID(t *testing.T) {
-	// Symptom: an engine that has started again stays on old weights for 6 s, and a
-	// run that it no longer has counts as running for 2 s.
-	// Sequence: an engine takes an order, falls silent with a run under way, and
-	// comes back under its ID, empty.
-	// Cause: the order counted as given and the run as alive, since the ID was the
-	// same.
+func TestEngineRestartsUnderSameID(t *testing.T) {
+	// Guards against treating an order as accepted and a run as running after the engine
+	// has restarted under the same ID and lost both.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fe := &fakeEngine{length: 500, report: Report{Incarnation: 10, Sequence: 3, Versions: map[string]uint64{"m": 1}}}
 		rn := newRunner(fe)
-		rn.begin = func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) }
+		rn.newRunContext = func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) }
 		go rn.Run(ctx)
 		synctest.Wait()
 		key := Key{Attempt: 1, Item: "i", Step: "s"}
@@ -41,44 +37,43 @@
 		exchange(t, rn, ExchangeRequest{Epoch: 1, Order: or})
 		synctest.Wait()
 		assert.DeepEqual(t, fe.ordered(), []uint64{2})
-		time.Sleep(time.Second) // the load has ended, and a crash undoes it
+		time.Sleep(time.Second) // the load has ended; the crash discards it
 		fe.set(func(re *Report) {
 			*re = Report{Incarnation: 20, Versions: map[string]uint64{"m": 1}}
 		})
-		time.Sleep(2 * reportEvery)
+		time.Sleep(2 * reportInterval)
 		re := exchange(t, rn, ExchangeRequest{Epoch: 1, Order: or})
 		assert.Equal(t, re.Runs[0].State, Broken)
-		assert.Equal(t, re.Report.PaceGaps, 0, "the pace was that of the former start")
+		assert.Equal(t, re.Report.PaceGaps, 0, "the pace was that of the previous start")
 		assert.Equal(t, re.Report.Incarnation, incarnation.Number(20))
-		time.Sleep(reportEvery)
+		time.Sleep(reportInterval)
 		assert.DeepEqual(t, fe.ordered(), []uint64{2, 2})
 		fe.set(func(re *Report) { re.Incarnation, re.Versions = 10, map[string]uint64{"m": 9} })
-		time.Sleep(reportEvery)
+		time.Sleep(reportInterval)
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1, Order: or})
-		assert.Assert(t, re.Report.Versions["m"] != 9, "a report of the former start")
+		assert.Assert(t, re.Report.Versions["m"] != 9, "a report of the previous start")
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func TestReportWithoutAStart(t *testing.T) {
-	// A report that names no start is neither of a new one nor of an old one.
+func TestReportWithoutIncarnation(t *testing.T) {
+	// A report without an incarnation is neither a restart nor outdated.
 	var rn Runner
 	rn.init()
 	rn.Log = newRunner(&fakeEngine{}).Log
-	rn.takeReport(Report{Incarnation: 10, Sequence: 4})
-	rn.orders.order, rn.orders.givenAt = Order{Version: 2}, time.Now()
-	rn.takeReport(Report{Sequence: 5})
+	rn.storeReport(Report{Incarnation: 10, Sequence: 4})
+	rn.orderTracker.order, rn.orderTracker.acceptedAt = Order{Version: 2}, time.Now()
+	rn.storeReport(Report{Sequence: 5})
 	assert.Equal(t, rn.report.Sequence, uint64(5))
 	assert.Equal(t, rn.report.Incarnation, incarnation.Number(10))
-	assert.Assert(t, !rn.orders.givenAt.IsZero(), "the order counts as given")
+	assert.Assert(t, !rn.orderTracker.acceptedAt.IsZero(), "the order is still accepted")
 }
 
-func TestEngineThatAnswersNoMoreIsNotNamed(t *testing.T) {
-	// As in step's TestAttendantNamesTheFormerEngine: an engine that crashes comes back
-	// under another ID, and its reports say nothing of their start. A scheduler that
-	// has just taken over knows no former engine, so that the attendant must not name
-	// one that has stopped answering.
+func TestUnreachableEngineIsNotNamed(t *testing.T) {
+	// Guards against reporting the ID of an engine that has stopped answering: the engine
+	// may restart under another ID, and a new scheduler can't detect that the reported
+	// one is outdated.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fe := &fakeEngine{length: 2}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -13,31 +13,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Bounds of an attendant's work.
 const (
-	// reportEvery is how often the engine is asked for its report while the
-	// scheduler is there. The engine's own figures lag by about 100 ms.
-	reportEvery = 150 * time.Millisecond
+	// reportInterval is the interval between reports while a scheduler is connected.
+	reportInterval = 150 * time.Millisecond
 	// reportTimeout bounds one report, which the engine answers without a slot.
 	reportTimeout = 500 * time.Millisecond
-	// reachableFor is how long a report counts.
-	reachableFor = time.Second
-	// schedulerGone is after how long without a scheduler, or without one since the
-	// start, the engine is no longer asked: nothing would use the answer.
-	schedulerGone = 5 * time.Second
+	// reportTTL is the maximum age of a report for the engine to count as reachable.
+	reportTTL = time.Second
+	// schedulerTimeout is the time without a scheduler's call after which the engine is
+	// not polled.
+	schedulerTimeout = 5 * time.Second
 	// maxResponse bounds the text in one response, in bytes. A message may have
 	// 2 MB.
 	maxResponse = 1 << 20
-	// maxHeld bounds the runs that are kept for a scheduler that doesn't come.
-	// Each may hold some 70 KB.
-	maxHeld = 400
+	// maxRuns bounds the runs that are kept while no scheduler forgets them.
+	maxRuns = 400
 )
 
-// ErrOldEpoch means that the call came from a scheduler that was replaced.
+// ErrOldEpoch means that the caller is a scheduler that was replaced.
 var ErrOldEpoch = errors.New("a later scheduler has called")
 
-// errOvertaken means that a later call of the same scheduler came first.
-var errOvertaken = errors.New("a later call has come")
+// errOutOfOrder means that a later request of the same scheduler arrived first.
+var errOutOfOrder = errors.New("a later call has come")
 
 // A run is one run of an item.
 type run struct {
@@ -46,145 +43,144 @@
 	detail      string
 	ended       time.Time
 	endpoint    string
-	engineEnded bool // as it broke
+	engineEnded bool // when the run broke off
 	events      []Event
 	key         Key
-	noted       State // as the scheduler knows it
+	ackedState  State // as acknowledged by the scheduler
 	score       string
-	seen        int // events that the scheduler has
+	ackedEvents int // number of acknowledged events
 	state       State
-	told        bool // the scheduler knows of the run
+	acked       bool // the scheduler has acknowledged the run
 	stopped     bool
 }
 
-// A Runner runs items at one engine. Fill the exported fields, then call Run.
+// A Runner runs items at one engine. Set the exported fields, then call Run.
 type Runner struct {
 	Engine  Engine
 	Log     *logrus.Entry
 	Metrics *metrics.Set
 
-	begun    time.Time
-	boot     string
-	ended    chan struct{} // closed when a run ends
-	engine   string        // that answered for another one
-	kick     chan struct{}
-	epoch    uint64
-	lastCall time.Time
-	mu       sync.Mutex
-	numbers  map[string]uint64 // of the newest request of the epoch, by engine
-	orders   orders
-	pacer    pacer
-	report   Report
-	reportAt time.Time
-	begin    func() (context.Context, context.CancelFunc) // of a run
-	runs     map[Key]*run
+	begun         time.Time
+	boot          string
+	ended         chan struct{} // closed when a run ends
+	engine        string        // ID of the engine that answered last, if known
+	wake          chan struct{}
+	epoch         uint64
+	lastCall      time.Time
+	mu            sync.Mutex
+	numbers       map[string]uint64 // highest request number of the epoch, by engine
+	orderTracker  orderTracker
+	pacer         pacer
+	report        Report
+	reportAt      time.Time
+	newRunContext func() (context.Context, context.CancelFunc) // context of a new run
+	runs          map[Key]*run
 }
 
-// Run asks the engine for its report and carries out orders until ctx ends.
+// Run polls the engine's report and sends orders until ctx ends.
 func (rn *Runner) Run(ctx context.Context) {
 	rn.mu.Lock()
 	rn.init()
-	rn.begin = func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) }
+	rn.newRunContext = func() (context.Context, context.CancelFunc) { return context.WithCancel(ctx) }
 	rn.mu.Unlock()
-	ti := time.NewTicker(reportEvery)
+	ti := time.NewTicker(reportInterval)
 	defer ti.Stop()
 	for {
 		rn.mu.Lock()
-		wanted := rn.awaited()
+		active := rn.schedulerActive()
 		rn.mu.Unlock()
-		if wanted {
+		if active {
 			rn.refresh(ctx)
 			rn.stepOrder(ctx)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-rn.kick:
+		case <-rn.wake:
 		case <-ti.C:
 		}
 	}
 }
 
-// want replaces the order, and has it given at once if it is a new one.
-func (rn *Runner) want(or Order) {
-	if rn.orders.want(or) {
-		rn.hurry()
+// setOrder replaces the order and, if it is new, wakes Run to send it.
+func (rn *Runner) setOrder(or Order) {
+	if rn.orderTracker.setOrder(or) {
+		rn.wakeUp()
 	}
 }
 
-// hurry has Run ask the engine, and give its order, at once.
-func (rn *Runner) hurry() {
+// wakeUp wakes Run without waiting for its next tick.
+func (rn *Runner) wakeUp() {
 	select {
-	case rn.kick <- struct{}{}:
+	case rn.wake <- struct{}{}:
 	default:
 	}
 }
 
-// heardAt returns when the scheduler last called, or the start if none has.
-func (rn *Runner) heardAt() time.Time {
+// lastContact returns when the scheduler last called, or the start time if none has.
+func (rn *Runner) lastContact() time.Time {
 	if rn.lastCall.IsZero() {
 		return rn.begun
 	}
 	return rn.lastCall
 }
 
-// awaited reports whether a scheduler is there, or may come soon as the attendant has just
-// started. After a loss of power a new scheduler's first call finds such attendants, and it
-// can place nothing at an engine until its attendant has a report of it.
-func (rn *Runner) awaited() bool { return time.Since(rn.heardAt()) < schedulerGone }
+// schedulerActive reports whether a scheduler has called recently or the attendant has just
+// started. Polling right after the start lets the first call of a scheduler return a
+// report, which the scheduler needs before it can place items.
+func (rn *Runner) schedulerActive() bool { return time.Since(rn.lastContact()) < schedulerTimeout }
 
 func (rn *Runner) init() {
 	if rn.runs == nil {
 		rn.begun = time.Now()
 		rn.boot = uuid.NewString()
 		rn.ended = make(chan struct{})
-		rn.kick = make(chan struct{}, 1)
-		rn.begin = func() (context.Context, context.CancelFunc) { return context.WithCancel(context.Background()) }
+		rn.wake = make(chan struct{}, 1)
+		rn.newRunContext = func() (context.Context, context.CancelFunc) { return context.WithCancel(context.Background()) }
 		rn.numbers = map[string]uint64{}
 		rn.runs = map[Key]*run{}
 	}
 }
 
-// LastContact says when the scheduler last called.
+// LastContact returns when the scheduler last called, and its epoch.
 func (rn *Runner) LastContact() LastContactResponse {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	return LastContactResponse{Epoch: rn.epoch, Since: time.Since(rn.heardAt())}
+	return LastContactResponse{Epoch: rn.epoch, Since: time.Since(rn.lastContact())}
 }
 
-// take applies a request.
+// apply applies a request.
 //
-// While an instance is cut off, what was sent to it lies in the sender's buffers,
-// and may be delivered after the cut ends: an item would begin after its step's end, or
-// an order for old weights be taken. By then the scheduler has called anew, so that the
-// number tells.
-func (rn *Runner) take(rq ExchangeRequest) error {
+// A request sent during a network partition may be delivered after the partition ends
+// and would start an item after its step's end, or order old weights. The scheduler has
+// sent later requests by then, so the request number reveals it.
+func (rn *Runner) apply(rq ExchangeRequest) error {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	rn.init()
 	if rq.Epoch < rn.epoch {
 		return errors.Wrapf(ErrOldEpoch, "epoch %d, not %d", rn.epoch, rq.Epoch)
 	}
-	if !rn.awaited() {
-		rn.hurry()
+	if !rn.schedulerActive() {
+		rn.wakeUp()
 	}
 	rn.lastCall = time.Now()
 	if rq.Epoch > rn.epoch {
-		rn.welcome(rq.Epoch)
+		rn.startEpoch(rq.Epoch)
 	}
 	if rq.Number <= rn.numbers[rq.Endpoint] {
 		rn.Log.WithFields(logrus.Fields{
 			"endpoint": rq.Endpoint, "epoch": rq.Epoch, "launches": len(rq.Launches), "newest": rn.numbers[rq.Endpoint], "number": rq.Number,
-		}).Warn("overtaken request refused")
-		return errors.Wrapf(errOvertaken, "number %d, not %d", rq.Number, rn.numbers[rq.Endpoint])
+		}).Warn("out-of-order request refused")
+		return errors.Wrapf(errOutOfOrder, "number %d, not %d", rq.Number, rn.numbers[rq.Endpoint])
 	}
 	rn.numbers[rq.Endpoint] = rq.Number
 	for _, se := range rq.Seen {
 		if ru, ok := rn.runs[se.Key]; ok {
-			ru.seen = min(max(ru.seen, se.Events), len(ru.events))
-			ru.told = true
+			ru.ackedEvents = min(max(ru.ackedEvents, se.Events), len(ru.events))
+			ru.acked = true
 			if se.Ended {
-				ru.noted = ru.state
+				ru.ackedState = ru.state
 			}
 			if se.Score != "" && ru.state == Complete {
 				ru.score = se.Score
@@ -202,25 +198,25 @@
 		rn.launch(la)
 	}
 	if rq.Order != nil {
-		rn.want(*rq.Order)
+		rn.setOrder(*rq.Order)
 	}
 	return nil
 }
 
-// welcome takes a new scheduler on: it knows nothing and gets everything.
-func (rn *Runner) welcome(epoch uint64) {
+// startEpoch starts the epoch of a new scheduler, which has to receive all runs in full.
+func (rn *Runner) startEpoch(epoch uint64) {
 	rn.Log.WithFields(logrus.Fields{"epoch": epoch, "runs": len(rn.runs)}).Info("new scheduler")
 	rn.epoch = epoch
 	rn.numbers = map[string]uint64{}
-	rn.orders.want(Order{})
+	rn.orderTracker.setOrder(Order{})
 	for _, ru := range rn.runs {
-		ru.seen, ru.told, ru.noted = 0, false, Running
+		ru.ackedEvents, ru.acked, ru.ackedState = 0, false, Running
 	}
 }
 
-// news reports whether the scheduler lacks something of a run.
-func (ru *run) news() bool {
-	return !ru.told || ru.seen < len(ru.events) || ru.noted != ru.state
+// unacked reports whether the run has changes that the scheduler has not acknowledged.
+func (ru *run) unacked() bool {
+	return !ru.acked || ru.ackedEvents < len(ru.events) || ru.ackedState != ru.state
 }
 
 func (rn *Runner) stop(key Key) {
@@ -232,21 +228,21 @@
 	ru.cancel()
 }
 
-// launch starts a run unless a repeated message asks for it again.
+// launch starts a run. A repeated request for the same key has no effect.
 func (rn *Runner) launch(la RunRequest) {
 	if _, ok := rn.runs[la.Key]; ok {
 		return
 	}
 	rn.dropOldest()
-	ctx, cancel := rn.begin()
-	ru := &run{begun: time.Now(), cancel: cancel, endpoint: la.Endpoint, events: slices.Clone(la.Prior), key: la.Key, seen: len(la.Prior)}
+	ctx, cancel := rn.newRunContext()
+	ru := &run{begun: time.Now(), cancel: cancel, endpoint: la.Endpoint, events: slices.Clone(la.Prior), key: la.Key, ackedEvents: len(la.Prior)}
 	rn.runs[la.Key] = ru
 	go rn.execute(ctx, ru, la)
 }
 
-// dropOldest makes room by dropping the run that ended first.
+// dropOldest deletes the run that ended first if maxRuns is reached.
 func (rn *Runner) dropOldest() {
-	if len(rn.runs) < maxHeld {
+	if len(rn.runs) < maxRuns {
 		return
 	}
 	var oldest *run
@@ -260,7 +256,7 @@
 	}
 }
 
-// execute runs an item to its end.
+// execute runs an item until it ends.
 func (rn *Runner) execute(ctx context.Context, ru *run, la RunRequest) {
 	defer ru.cancel()
 	begun := time.Now()
@@ -293,13 +289,13 @@
 	}).Info("run ended")
 }
 
-// read takes a run's events until its end.
+// read reads a run's events until the stream ends, and returns the run's state and detail.
 func (rn *Runner) read(ru *run, st Stream) (State, string) {
 	var before time.Time
 	for {
 		ev, err := st.NextFunc()
 		if err != nil {
-			return ending(err)
+			return endState(err)
 		}
 		now := time.Now()
 		rn.mu.Lock()
@@ -322,8 +318,8 @@
 	}
 }
 
-// ending returns what the end of a stream means.
-func ending(err error) (State, string) {
+// endState returns the state and detail of a run whose stream ended with err.
+func endState(err error) (State, string) {
 	if errors.Is(err, io.EOF) {
 		return Complete, ""
 	}
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -14,14 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// A fakeEngine makes an event each 40 ms, and takes orders as engines do.
+// A fakeEngine generates an event every 40 ms and executes orders as engines do.
 type fakeEngine struct {
 	cut      int        // events after which a stream breaks; 0 never
 	length   int        // events of an item
-	lose     int        // orders that are carried out without an answer
+	lose     int        // orders that are executed but not answered
 	mu       sync.Mutex // guards report, lose and versions: a load ends while the runner asks
 	report   Report
-	skip     int64 // event that is left out
+	skip     int64 // ID of the event that is left out
 	starts   []RunRequest
 	state    State
 	versions []uint64 // ordered
@@ -101,7 +101,7 @@
 	return &Runner{Engine: fe.engine(), Log: logrus.NewEntry(logger), Metrics: metrics.NewSet()}
 }
 
-// exchange makes the next request of an epoch.
+// exchange sends the next request of an epoch.
 func exchange(t *testing.T, rn *Runner, rq ExchangeRequest) ExchangeResponse {
 	t.Helper()
 	rq.Number = rn.numbers[rq.Endpoint] + 1
@@ -119,13 +119,13 @@
 		state  State
 		events int
 	}{
-		{"whole", &fakeEngine{length: 5}, nil, Complete, 5},
-		{"goes on after what was made", &fakeEngine{length: 5}, prior, Complete, 5},
-		{"broken", &fakeEngine{length: 5, cut: 3}, nil, Broken, 3},
+		{"complete", &fakeEngine{length: 5}, nil, Complete, 5},
+		{"continues after prior events", &fakeEngine{length: 5}, prior, Complete, 5},
+		{"stream breaks off", &fakeEngine{length: 5, cut: 3}, nil, Broken, 3},
 		{"an event is missing", &fakeEngine{length: 5, skip: 3}, nil, Broken, 2},
 		{"not run", &fakeEngine{state: NotRun}, nil, NotRun, 0},
 		{"failed", &fakeEngine{state: Failed}, prior, Failed, 2},
-		{"can never be done", &fakeEngine{state: Impossible}, nil, Impossible, 0},
+		{"impossible", &fakeEngine{state: Impossible}, nil, Impossible, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -143,9 +143,8 @@
 }
 
 func TestRepeatedRequestLaunchesOnce(t *testing.T) {
-	// Symptom: an engine runs an item twice at once.
-	// Sequence: the answer to a launch is lost, and the scheduler repeats it.
-	// Cause: each message was taken for a run of its own.
+	// Guards against running an item twice after the response to a launch is lost and
+	// the scheduler retries.
 	synctest.Test(t, func(t *testing.T) {
 		fe := &fakeEngine{length: 5}
 		rn := newRunner(fe)
@@ -159,10 +158,9 @@
 	})
 }
 
-func TestNewSchedulerGetsAll(t *testing.T) {
-	// Symptom: after a change of scheduler, whole texts are made again.
-	// Sequence: a scheduler has seen a run's events and dies; the next one asks.
-	// Cause: the attendant told the next one only what the first had not seen.
+func TestNewSchedulerReceivesAllEvents(t *testing.T) {
+	// Guards against sending a new scheduler only the events that its predecessor had
+	// not acknowledged, which makes it generate whole texts again.
 	synctest.Test(t, func(t *testing.T) {
 		rn := newRunner(&fakeEngine{length: 5})
 		key := Key{Attempt: 1, Item: "i", Step: "s"}
@@ -194,15 +192,14 @@
 }
 
 func TestOrders(t *testing.T) {
-	// Symptom: an engine loads the same weights twice, or never.
-	// Sequence: an order goes unanswered, and may be carried out all the same.
-	// Cause: a repeat that does not say what came before it.
+	// Guards against an engine that loads the same weights twice, or never, after an
+	// order whose response is lost.
 	for _, tc := range []struct {
 		name string
 		lose int
 	}{
 		{"answered", 0},
-		{"carried out, answer lost", 1},
+		{"executed, response lost", 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -219,7 +216,7 @@
 				}
 				re := exchange(t, rn, ExchangeRequest{Epoch: 1, Order: or})
 				assert.DeepEqual(t, fe.ordered(), []uint64{2})
-				assert.Equal(t, re.Ordered, uint64(0), "the order has ended, though it is still asked for")
+				assert.Equal(t, re.Ordered, uint64(0), "the order has ended, though the scheduler still sends it")
 				assert.Equal(t, re.Report.Versions["m"], uint64(2))
 				cancel()
 				synctest.Wait()
@@ -241,13 +238,13 @@
 		took, count := pa.median(time.Now())
 		assert.Equal(t, took, 40*time.Millisecond)
 		assert.Equal(t, count, paceGaps)
-		time.Sleep(paceLife)
+		time.Sleep(paceWindow)
 		_, count = pa.median(time.Now())
 		assert.Equal(t, count, 0)
 	})
 }
 
-func TestWitness(t *testing.T) {
+func TestLastContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		rn := newRunner(&fakeEngine{})
@@ -263,12 +260,9 @@
 	})
 }
 
-func TestOvertakenRequest(t *testing.T) {
-	// Symptom: an item begins 5 s after its step's end, and an old version is
-	// ordered.
-	// Sequence: an attendant is cut off; a request with a launch and an order is on
-	// its way to it; the cut heals, later requests arrive, and then that one.
-	// Cause: requests of one epoch were all alike.
+func TestOutOfOrderRequest(t *testing.T) {
+	// Guards against a request that is delivered after later ones when a network
+	// partition ends: it would start an item after its step's end and order old weights.
 	synctest.Test(t, func(t *testing.T) {
 		fe := &fakeEngine{length: 5}
 		rn := newRunner(fe)
@@ -279,8 +273,8 @@
 		_, err := rn.Exchange(t.Context(), ExchangeRequest{Endpoint: "engine", Epoch: 1, Number: 8})
 		assert.NilError(t, err)
 		_, err = rn.Exchange(t.Context(), late)
-		assert.Assert(t, errors.Is(err, errOvertaken))
-		late.Epoch = 2 // a later scheduler counts anew
+		assert.Assert(t, errors.Is(err, errOutOfOrder))
+		late.Epoch = 2 // a new scheduler starts its own numbering
 		late.Endpoint = "other"
 		synctest.Wait()
 		assert.Equal(t, len(fe.starts), 0)
@@ -293,16 +287,15 @@
 	})
 }
 
-func TestResponsesHoldNews(t *testing.T) {
-	// Load pattern: a dozen runs at an attendant, and twice as many that have ended
-	// and wait to be listed, each in ten responses a second. Said once each is
-	// enough, until another scheduler asks.
+func TestResponseOmitsAcknowledgedRuns(t *testing.T) {
+	// Guards against repeating acknowledged runs in every response. A new scheduler
+	// receives them all.
 	synctest.Test(t, func(t *testing.T) {
 		rn := newRunner(&fakeEngine{length: 5})
 		key := Key{Item: "i", Step: "s"}
 		rq := ExchangeRequest{Epoch: 1, Launches: []RunRequest{{Key: key}}}
 		re := exchange(t, rn, rq)
-		assert.Equal(t, len(re.Runs), 1, "a run that is new")
+		assert.Equal(t, len(re.Runs), 1, "a new run")
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1, Seen: []Ack{{Key: key}}})
 		assert.Equal(t, len(re.Runs), 0)
 		assert.Equal(t, re.Running, 1)
@@ -310,22 +303,22 @@
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1})
 		assert.Equal(t, len(re.Runs[0].Events), 2)
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1})
-		assert.Equal(t, len(re.Runs[0].Events), 2, "the answer may have been lost")
+		assert.Equal(t, len(re.Runs[0].Events), 2, "the response may have been lost")
 		time.Sleep(time.Second)
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1, Seen: []Ack{{Events: 5, Key: key}}})
-		assert.Equal(t, re.Runs[0].State, Complete, "the end is not known yet")
+		assert.Equal(t, re.Runs[0].State, Complete, "the end is not acknowledged yet")
 		re = exchange(t, rn, ExchangeRequest{Epoch: 1, Seen: []Ack{{Ended: true, Events: 5, Key: key}}})
 		assert.Equal(t, len(re.Runs), 0)
 		exchange(t, rn, ExchangeRequest{Epoch: 1, Seen: []Ack{{Ended: true, Events: 5, Key: key, Score: "mark"}}})
 		re = exchange(t, rn, ExchangeRequest{Epoch: 2})
-		assert.Equal(t, len(re.Runs[0].Events), 5, "another scheduler knows nothing")
+		assert.Equal(t, len(re.Runs[0].Events), 5, "a new scheduler receives all events")
 		assert.Equal(t, re.Runs[0].Score, "mark")
 	})
 }
 
-func TestBrokenRunTellsWhetherItsEngineEnded(t *testing.T) {
-	// A scheduler that can't tell an engine that ended from a connection that broke
-	// places an item that ends its engines again at once.
+func TestBrokenRunReportsEngineEnded(t *testing.T) {
+	// Guards against a scheduler that can't distinguish a crashed engine from a broken
+	// connection and places an item that crashes its engines again at once.
 	for _, tc := range []struct {
 		name   string
 		engine *fakeEngine
@@ -333,7 +326,7 @@
 		ended  bool
 	}{
 		{"broken", &fakeEngine{length: 5, cut: 3}, false, true},
-		{"whole", &fakeEngine{length: 5}, false, false},
+		{"complete", &fakeEngine{length: 5}, false, false},
 		{"failed", &fakeEngine{state: Failed}, false, false},
 		{"stopped", &fakeEngine{length: 500}, true, false},
 	} {
--- a/runner/start_test.go
+++ b/runner/start_test.go
@@ -9,18 +9,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFirstCallOfASchedulerFindsTheEngine(t *testing.T) {
-	// Symptom: after a loss of all power the scheduler hears of all attendants at once, and
-	// for 0.15 s more no engine may have an item.
-	// Sequence: attendants start, the scheduler takes its lease 0.35 s later and calls them.
-	// Cause: an attendant asked its engine only once a scheduler had called, at its next
-	// tick, and had nothing to say of it until then.
+func TestFirstExchangeHasReport(t *testing.T) {
+	// Guards against an attendant that polls its engine only after a scheduler's first
+	// call, which delays the first items after a restart of all processes.
 	for _, tt := range []struct {
 		name   string
 		silent time.Duration // before the call
 	}{
-		{"started a short while before", 350 * time.Millisecond},
-		{"started while there was no scheduler", 3*schedulerGone + reportEvery/3},
+		{"attendant has just started", 350 * time.Millisecond},
+		{"attendant has stopped polling", 3*schedulerTimeout + reportInterval/3},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -30,12 +27,12 @@
 				time.Sleep(tt.silent)
 				synctest.Wait()
 				re := exchange(t, rn, ExchangeRequest{Epoch: 1})
-				if tt.silent > schedulerGone {
+				if tt.silent > schedulerTimeout {
 					synctest.Wait() // the engine's answer
 					re = exchange(t, rn, ExchangeRequest{Epoch: 1})
 				}
 				assert.Assert(t, re.Reachable)
-				assert.Assert(t, re.ReportAge <= reportEvery)
+				assert.Assert(t, re.ReportAge <= reportInterval)
 				cancel()
 				synctest.Wait()
 			})
@@ -43,8 +40,8 @@
 	}
 }
 
-func TestEngineIsNotAskedForNobody(t *testing.T) {
-	// Reports that no scheduler comes for cost their engine and the instance work.
+func TestEngineIsNotPolledWithoutScheduler(t *testing.T) {
+	// Guards against polling the engine for reports that no scheduler fetches.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		rn := newRunner(&fakeEngine{})
@@ -55,7 +52,7 @@
 			return ask(ctx)
 		}
 		go rn.Run(ctx)
-		time.Sleep(2 * schedulerGone)
+		time.Sleep(2 * schedulerTimeout)
 		synctest.Wait()
 		before := asked
 		time.Sleep(time.Minute)
