--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -26,32 +26,30 @@
 )
 
 const (
-	// sampleRoom is the load, as part of its limit, up to which an endpoint is
-	// given samples. Those beyond wait with their batch owner, which can still
-	// start others before them, on fresher weights or on another endpoint. At a
-	// full endpoint they would wait for minutes, then be refused and back off.
-	sampleRoom = 1
-	// attemptSilence is after how long without a line from the attendant an
-	// attempt is given up: attendants send one each two seconds.
-	attemptSilence = 8 * time.Second
-	// overloadWait is how long an attendant that was overloaded is passed
-	// over, if it doesn't say itself.
-	overloadWait = 250 * time.Millisecond
+	// maxSampleLoad is the load, as a fraction of its limit, up to which an endpoint
+	// accepts samples. The others stay with their batch owner, which can reorder them
+	// or choose another endpoint, instead of queueing at a full endpoint.
+	maxSampleLoad = 1
+	// silenceTimeout is the time without a line from the attendant after which an
+	// attempt fails. Attendants send one every two seconds.
+	silenceTimeout = 8 * time.Second
+	// overloadBackoff is the backoff for an overloaded attendant that names none.
+	overloadBackoff = 250 * time.Millisecond
 )
 
-// errSilent means that a connection brought nothing within its bound.
-var errSilent = errors.New("attendant went silent")
+// errSilence means that nothing was received on a connection within silenceTimeout.
+var errSilence = errors.New("attendant sent nothing within the silence timeout")
 
-// A dispatcher sends attempts to attendants and reports to the batch owner
-// what becomes of them.
+// A dispatcher sends attempts to attendants and reports their results to the batch
+// owner.
 type dispatcher struct {
-	client   *http.Client
-	goFunc   func(run func(context.Context)) // runs until the entry ends
-	log      *logrus.Entry
-	owner    *batch.Owner
-	places   func() []message.BlobLocation
-	profiles *profile.Replica
-	routes   *route.Table
+	client    *http.Client
+	goFunc    func(run func(context.Context)) // runs until the entry ends
+	log       *logrus.Entry
+	owner     *batch.Owner
+	locations func() []message.BlobLocation
+	profiles  *profile.Replica
+	routes    *route.Table
 
 	mu      sync.Mutex
 	cancels map[string]context.CancelFunc // by attempt
@@ -61,16 +59,16 @@
 func (di *dispatcher) start(at batch.Attempt) bool {
 	do := di.profiles.Current()
 	pr, ok := do.Profile(at.Profile)
-	places := di.places()
-	if !ok || !spread(places) {
+	locations := di.locations()
+	if !ok || !spansDomains(locations) {
 		return false
 	}
 	se, _ := do.Service(pr.Service())
 	need := route.Need{
-		FailureDomain: preferred(se),
+		FailureDomain: preferredDomain(se),
 		MinVersion:    at.MinVersion,
 		Prefix:        strconv.FormatUint(xxhash.Sum64String(at.Prompt), 36),
-		Room:          sampleRoom,
+		Room:          maxSampleLoad,
 		Service:       pr.Service(),
 	}
 	if at.Avoid != "" {
@@ -93,26 +91,26 @@
 		Revision:    do.Revision(),
 		Seed:        at.Seed,
 		Step:        at.Slot.Step,
-		StorePlaces: places,
+		StorePlaces: locations,
 		Trainer:     at.Slot.Trainer,
 	}
-	canceled := di.note(req.Attempt)
+	canceled := di.registerCancel(req.Attempt)
 	di.goFunc(func(ctx context.Context) { di.run(ctx, canceled, en, req) })
 	return true
 }
 
-// spread tells whether the places lie in enough failure domains to keep a
-// payload. Until the roster knows of them, an attempt would be made in vain.
-func spread(places []message.BlobLocation) bool {
+// spansDomains reports whether the places span enough failure domains to replicate a payload.
+// Without them, the payload of an attempt could not be stored.
+func spansDomains(locations []message.BlobLocation) bool {
 	domains := map[string]bool{}
-	for _, pl := range places {
+	for _, pl := range locations {
 		domains[pl.FailureDomain] = true
 	}
 	return len(domains) >= blob.ReplicaCount
 }
 
-// cancel implements batch.Owner's CancelFunc. The attendant sees the
-// connection close and cancels the request at the engine.
+// cancel implements batch.Owner's CancelFunc. It closes the connection, upon which the
+// attendant cancels the request at the engine.
 func (di *dispatcher) cancel(id string) {
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -121,7 +119,7 @@
 	}
 }
 
-// run sends one attempt to its endpoint and reports how it ended.
+// run sends one attempt to its endpoint and reports the result.
 func (di *dispatcher) run(
 	ctx context.Context, canceled context.Context, en route.Endpoint, req message.SampleRequest,
 ) {
@@ -133,22 +131,21 @@
 	di.owner.Started(req.Attempt, en.ID, en.Address)
 	res, err := di.exchange(ctx, en, req)
 	telemetry.End(sp, err)
-	di.settle(ctx, en, err)
+	di.updateRoute(ctx, en, err)
 	if err != nil {
 		di.log.WithError(err).WithFields(logrus.Fields{
 			"attempt":  req.Attempt,
 			"endpoint": en.ID,
-		}).Debug("attempt failed")
+		}).Debug("sample attempt failed")
 		di.owner.Failed(req.Attempt, err)
 		return
 	}
 	di.owner.Finished(req.Attempt, *res)
 }
 
-// note makes an attempt one that can be canceled, before it runs: a cancel that
-// came between the two would be lost, and the attempt run in vain. The context
-// that it returns ends with the cancel.
-func (di *dispatcher) note(id string) context.Context {
+// registerCancel registers an attempt for cancellation and returns a context that cancel ends. It
+// is called before the attempt runs, so that an early cancel is not lost.
+func (di *dispatcher) registerCancel(id string) context.Context {
 	canceled, cancel := context.WithCancel(context.Background())
 	di.mu.Lock()
 	defer di.mu.Unlock()
@@ -168,9 +165,9 @@
 	}
 }
 
-// settle tells the routes how the attempt went. One that was canceled here
-// says nothing against the endpoint.
-func (di *dispatcher) settle(ctx context.Context, en route.Endpoint, err error) {
+// updateRoute reports the result of an attempt to the routing table. One that was canceled by
+// this entry doesn't count as a failure of the endpoint.
+func (di *dispatcher) updateRoute(ctx context.Context, en route.Endpoint, err error) {
 	now := time.Now()
 	var re *outcome.Refusal
 	switch {
@@ -179,7 +176,7 @@
 	case errors.As(err, &re) && re.Outcome() == outcome.NotRun:
 		wait := re.RetryDelay()
 		if wait == 0 {
-			wait = overloadWait
+			wait = overloadBackoff
 		}
 		di.routes.Refused(now, en.ID, wait)
 	default:
@@ -187,7 +184,7 @@
 	}
 }
 
-// exchange sends the request and reads the lines of its answer to the last.
+// exchange sends the request and reads its response to the end.
 func (di *dispatcher) exchange(
 	ctx context.Context, en route.Endpoint, req message.SampleRequest,
 ) (*message.SampleResult, error) {
@@ -203,13 +200,13 @@
 		return nil, err
 	}
 	telemetry.Inject(ctx, out.Header)
-	// A connection can go silent for good while new ones work. Without this
-	// bound the slot would wait on it until the step's deadline.
-	silence := time.AfterFunc(attemptSilence, func() { cancel(errSilent) })
+	// A connection can stall forever while new ones work. Without this timer the slot
+	// would block until the step's deadline.
+	silence := time.AfterFunc(silenceTimeout, func() { cancel(errSilence) })
 	defer silence.Stop()
 	an, err := di.client.Do(out)
 	if err != nil {
-		return nil, di.abandon(cause(ctx, err))
+		return nil, di.closeStalled(cause(ctx, err))
 	}
 	defer an.Body.Close()
 	if an.StatusCode != http.StatusOK {
@@ -219,22 +216,21 @@
 	if err == nil {
 		roundtrip.Finish(an.Body, func() { cancel(nil) })
 	}
-	return res, di.abandon(err)
+	return res, di.closeStalled(err)
 }
 
-// abandon closes the idle connections if one has gone silent, and returns err.
+// closeStalled closes all idle connections if one has stalled, and returns err.
 //
-// What makes one connection go silent mostly takes all that were open then.
-// Each further attempt would wait on the next idle one for attemptSilence, and
-// one would notice it by slots that fail at one attendant over and over.
-func (di *dispatcher) abandon(err error) error {
-	if errors.Is(err, errSilent) {
+// The cause of a stall usually affects all open connections. Otherwise each further
+// attempt would block on the next idle one for silenceTimeout.
+func (di *dispatcher) closeStalled(err error) error {
+	if errors.Is(err, errSilence) {
 		di.client.CloseIdleConnections()
 	}
 	return err
 }
 
-// read reads the lines of an answer.
+// read reads the events of a response until its result or refusal.
 func (di *dispatcher) read(
 	ctx context.Context, body io.Reader, attempt string, silence *time.Timer,
 ) (*message.SampleResult, error) {
@@ -242,13 +238,13 @@
 	for {
 		var ev message.SampleEvent
 		if err := de.Decode(&ev); err != nil {
-			return nil, errors.Wrapf(cause(ctx, err), "attempt %s: answer broke off", attempt)
+			return nil, errors.Wrapf(cause(ctx, err), "attempt %s: read response", attempt)
 		}
-		silence.Reset(attemptSilence)
+		silence.Reset(silenceTimeout)
 		if ev.Attempt != attempt {
-			return nil, errors.Newf("attempt %s: answer of attempt %s", attempt, ev.Attempt)
+			return nil, errors.Newf("attempt %s: response belongs to attempt %s", attempt, ev.Attempt)
 		}
-		// Reported for a failed attempt too: the next one goes on from its tokens.
+		// Reported for a failed attempt too: the next one resumes from its tokens.
 		di.owner.Progress(attempt, ev.Progress, ev.Version)
 		switch {
 		case ev.Refusal != nil:
@@ -259,7 +255,7 @@
 	}
 }
 
-// cause returns why ctx was canceled here, if it was, and err otherwise.
+// cause returns the cancellation cause of ctx if it was canceled, and err otherwise.
 func cause(ctx context.Context, err error) error {
 	if why := context.Cause(ctx); why != nil {
 		return why
@@ -267,11 +263,11 @@
 	return err
 }
 
-// readRefusal reads the refusal in an answer.
+// readRefusal returns the refusal in a response, or an error with its status.
 func readRefusal(an *http.Response) error {
 	var re outcome.Refusal
 	if err := json.NewDecoder(io.LimitReader(an.Body, maxPullSize)).Decode(&re); err != nil || re.Code == "" {
-		return errors.Newf("attendant answered status %d", an.StatusCode)
+		return errors.Newf("attendant returned status %d without a refusal", an.StatusCode)
 	}
 	return &re
 }
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -19,8 +19,8 @@
 	"wisteriacroft/route"
 )
 
-// answerOnce reads the first request of a connection, answers it once arrived
-// returns, and takes no notice of the next.
+// answerOnce reads the first request of a connection, responds once arrived returns, and
+// ignores the next request.
 func answerOnce(co net.Conn, arrived func()) {
 	rd := bufio.NewReader(co)
 	rq, err := http.ReadRequest(rd)
@@ -34,16 +34,12 @@
 	_, _ = io.Copy(io.Discard, rd)
 }
 
-// TestIdleConnectionsGoSilent
-//
-// Symptom: a slot fails at one attendant over and over, 8 s each time.
-// Sequence: two connections to it are idle; both go silent for good; an
-// attempt is given up.
-// Cause: the next attempt takes the next of the old connections.
-func TestIdleConnectionsGoSilent(t *testing.T) {
+// TestIdleConnectionsStall guards against attempts that time out one after another on
+// idle connections that have all stalled.
+func TestIdleConnectionsStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// An attempt that still dials would take the other's connection as soon
-		// as that is idle, so neither is answered before both have arrived.
+		// Respond only after both requests have arrived. Otherwise the second attempt
+		// could reuse the first one's connection.
 		var requests atomic.Int64
 		two := make(chan struct{})
 		arrived := func() {
@@ -73,7 +69,7 @@
 			assert.Assert(t, errors.As(<-ends, &re))
 		}
 		synctest.Wait()
-		assert.ErrorIs(t, exchange(), errSilent)
+		assert.ErrorIs(t, exchange(), errSilence)
 		assert.Assert(t, errors.As(exchange(), &re), "a new connection answers")
 		di.client.CloseIdleConnections()
 	})
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,5 +1,4 @@
 // Package entry is the role that callers and trainers connect to. It routes live
-// calls, owns the batches of trainers and the weight rollouts of services, and
-// stores nothing itself: what must outlive it is in the key-value service and in
-// the data folders.
+// calls and owns the batches of trainers and the weight rollouts of services. It keeps
+// no persistent state itself: that is in the key-value service and the data folders.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,54 +28,54 @@
 	"wisteriacroft/tick"
 )
 
-// Bounds of the client to attendants and other entries.
+// Settings of the HTTP client for attendants and other entries.
 const (
 	dialTimeout  = time.Second
 	idleTimeout  = 2 * time.Minute
-	maxIdleConns = 64 // to one address
+	maxIdleConns = 64 // per address
 )
 
 // An Entry serves callers and trainers.
 type Entry struct {
-	applied    uint64 // revision that the batch owner was last given
-	batches    *batch.Owner
-	depot      *blob.Client
-	dispatcher *dispatcher
-	follower   *profile.Follower
-	http       *http.Server
-	left       chan struct{} // closed once the entry leaves
-	log        *logrus.Entry
-	members    members
-	options    Options
-	ownership  *ownership
-	poller     *membership.Poller
-	pool       *peer.Pool
-	profiles   *profile.Replica
-	quarantine *quarantine.Store // of calls under which endpoints ended
-	rollouts   *rollouts
-	roster     *membership.Table
-	routes     *route.Table
-	server     *peer.Server
-	spreader   *profile.Syncer
-	startedAt  time.Time
-	transport  *http.Transport
-	trainers   *trainers
+	applied         uint64 // revision last applied to the batch owner
+	batches         *batch.Owner
+	blobs           *blob.Client
+	dispatcher      *dispatcher
+	follower        *profile.Follower
+	http            *http.Server
+	shutdownStarted chan struct{} // closed when the shutdown starts
+	log             *logrus.Entry
+	members         members
+	options         Options
+	ownership       *ownership
+	poller          *membership.Poller
+	pool            *peer.Pool
+	profiles        *profile.Replica
+	quarantine      *quarantine.Store // of calls that crashed endpoints
+	rollouts        *rollouts
+	memberTable     *membership.Table
+	routes          *route.Table
+	server          *peer.Server
+	syncer          *profile.Syncer
+	startedAt       time.Time
+	transport       *http.Transport
+	trainers        *trainers
 
-	ctx  context.Context //nolint:containedctx // the entry's own life, which no caller's context covers
+	ctx  context.Context //nolint:containedctx // ends with the entry, not with a caller
 	stop context.CancelFunc
 	work sync.WaitGroup
 }
 
-// New returns an entry that is not started.
+// New returns an entry that has not been started.
 func New(op Options) *Entry {
 	op = op.withDefaults()
 	en := &Entry{
-		left:      make(chan struct{}),
-		log:       op.Log.WithField("instance", op.Instance),
-		options:   op,
-		profiles:  op.Profiles,
-		startedAt: time.Now(),
-		transport: newTransport(op.DialFunc),
+		shutdownStarted: make(chan struct{}),
+		log:             op.Log.WithField("instance", op.Instance),
+		options:         op,
+		profiles:        op.Profiles,
+		startedAt:       time.Now(),
+		transport:       newTransport(op.DialFunc),
 	}
 	en.ctx, en.stop = context.WithCancel(context.Background())
 	en.routes = route.NewTable(route.Options{FailureDomain: op.FailureDomain, Seed: op.Seed})
@@ -85,7 +85,7 @@
 		MaxMessageSize: attendant.MaxMessageSize,
 		ObserveFunc:    en.observe,
 	}
-	en.depot = attendant.NewBlobClient(en.pool)
+	en.blobs = attendant.NewBlobClient(en.pool)
 	en.quarantine = &quarantine.Store{
 		Client: op.KeyValue, Log: en.log, Rand: rand.New(rand.NewPCG(op.Seed, quarantineStream)), Table: &quarantine.Table{},
 	}
@@ -107,7 +107,7 @@
 		weights:   op.Weights,
 	}
 	en.addMembers()
-	membership.Connect(en.ctx, en.pool, en.roster)
+	membership.Connect(en.ctx, en.pool, en.memberTable)
 	en.addBatches()
 	en.addProfiles()
 	en.server = en.newServer()
@@ -116,7 +116,7 @@
 	return en
 }
 
-// newTransport returns the transport to attendants and other entries.
+// newTransport returns the HTTP transport to attendants and other entries.
 func newTransport(dial func(ctx context.Context, address string) (net.Conn, error)) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -131,12 +131,12 @@
 	}
 }
 
-// run runs a function until the entry ends.
+// run runs a function in a goroutine with a context that ends with the entry.
 func (en *Entry) run(fn func(context.Context)) {
 	en.work.Go(func() { fn(en.ctx) })
 }
 
-// addBatches wires the batch owner to the ledger, the data folders and the
+// addBatches connects the batch owner to the ledger, the data folders and the
 // attendants.
 func (en *Entry) addBatches() {
 	client := &http.Client{Transport: en.transport}
@@ -150,53 +150,53 @@
 		ReplicateFunc: en.replicate,
 	}
 	en.dispatcher = &dispatcher{
-		client:   client,
-		goFunc:   en.run,
-		log:      en.log,
-		owner:    en.batches,
-		places:   en.places,
-		profiles: en.profiles,
-		routes:   en.routes,
+		client:    client,
+		goFunc:    en.run,
+		log:       en.log,
+		owner:     en.batches,
+		locations: en.locations,
+		profiles:  en.profiles,
+		routes:    en.routes,
 	}
 	en.batches.StartFunc = en.dispatcher.start
 	en.batches.CancelFunc = en.dispatcher.cancel
 	en.trainers = &trainers{
-		forwarder: &forwarder{client: client},
-		left:      en.left,
-		log:       en.log,
-		owner:     en.batches,
-		ownership: en.ownership,
-		profiles:  en.profiles,
+		forwarder:       &forwarder{client: client},
+		shutdownStarted: en.shutdownStarted,
+		log:             en.log,
+		owner:           en.batches,
+		ownership:       en.ownership,
+		profiles:        en.profiles,
 	}
 }
 
-// trainerLease returns how the lease of a trainer's batches stands here.
+// trainerLease returns the epoch and the state of the lease of a trainer's batches.
 func (en *Entry) trainerLease(trainer string, now time.Time) (uint64, lease.State) {
-	return en.ownership.standing(trainerLeasePrefix+trainer, now)
+	return en.ownership.leaseState(trainerLeasePrefix+trainer, now)
 }
 
-// dropPayload deletes a payload from the data folders that can be reached.
-func (en *Entry) dropPayload(ctx context.Context, places []message.BlobLocation, digest string) {
-	for _, pl := range places {
-		if err := en.depot.DeleteFunc(ctx, pl, digest); err != nil {
+// dropPayload deletes a payload from all reachable data folders.
+func (en *Entry) dropPayload(ctx context.Context, locations []message.BlobLocation, digest string) {
+	for _, pl := range locations {
+		if err := en.blobs.DeleteFunc(ctx, pl, digest); err != nil {
 			en.log.WithError(err).WithFields(logrus.Fields{
 				"digest": digest,
 				"place":  pl.Instance,
-			}).Debug("payload is left until it is swept for its age")
+			}).Debug("payload deletion failed; payload will expire")
 		}
 	}
 }
 
-func (en *Entry) fetchPayload(ctx context.Context, places []message.BlobLocation, digest string) ([]byte, error) {
-	return blob.Fetch(ctx, en.depot, places, digest)
+func (en *Entry) fetchPayload(ctx context.Context, locations []message.BlobLocation, digest string) ([]byte, error) {
+	return blob.Fetch(ctx, en.blobs, locations, digest)
 }
 
 func (en *Entry) replicate(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
-	return blob.Replicate(ctx, en.depot, en.places(), data)
+	return blob.Replicate(ctx, en.blobs, en.locations(), data)
 }
 
-// addProfiles wires how the entry learns of the configuration: from the
-// key-value service, and from its peers while that is away.
+// addProfiles creates the sources of the configuration: the key-value service, and the
+// peers while that is unavailable.
 func (en *Entry) addProfiles() {
 	random := rand.New(rand.NewPCG(en.options.Seed, en.options.Incarnation))
 	en.follower = &profile.Follower{
@@ -205,14 +205,14 @@
 		Rand:   random,
 		Store:  &profile.Store{Client: en.options.KeyValue},
 	}
-	en.spreader = &profile.Syncer{
+	en.syncer = &profile.Syncer{
 		FetchFunc: configuration.Fetcher(en.pool, en.profiles),
 		Holder:    en.profiles,
-		Rand:      rand.New(rand.NewPCG(en.options.Seed, spreadStream)),
+		Rand:      rand.New(rand.NewPCG(en.options.Seed, syncStream)),
 	}
 }
 
-// newServer returns the server of net/rpc with its methods.
+// newServer returns the net/rpc server with its methods.
 func (en *Entry) newServer() *peer.Server {
 	sv := &peer.Server{
 		HeaderFunc:     en.header,
@@ -220,14 +220,14 @@
 		ObserveFunc:    en.observeCaller,
 	}
 	attendant.HandleLocate(sv, en.locate)
-	membership.Register(sv, en.roster)
+	membership.Register(sv, en.memberTable)
 	rollout.RegisterRollouts(sv, en.rollouts.all)
 	configuration.Handle(sv, en.profiles)
 	peer.Handle(sv, message.EntryStatusMethod, en.Status)
 	return sv
 }
 
-// newHTTPServer returns the server of the entry's one listener.
+// newHTTPServer returns the server of the entry's only listener.
 func (en *Entry) newHTTPServer() *http.Server {
 	ro := mux.NewRouter()
 	ro.Handle(message.RPCPath, en.server).Methods(http.MethodConnect)
@@ -254,43 +254,43 @@
 	}
 }
 
-// observe notes the revision in the header of an answer from a process at an address.
+// observe records the revision in the header of a response from address.
 func (en *Entry) observe(he message.Header, address string) {
-	en.spreader.Observe(address, he.Revision)
+	en.syncer.Observe(address, he.Revision)
 }
 
-// Systems returns what runs on each tick.
+// Systems returns the systems that run on each tick.
 func (en *Entry) Systems() []tick.System {
 	sys := []tick.System{
-		{Name: "spread", Run: en.spreader.Run},
+		{Name: "spread", Run: en.syncer.Run},
 		{Name: "trainers", Run: en.applyTrainers},
 		{Name: "ownership", Run: en.ownership.prune},
 	}
-	sys = append(sys, en.roster.Systems()...)
+	sys = append(sys, en.memberTable.Systems()...)
 	sys = append(sys, tick.System{Name: "rollouts", Run: en.rollouts.run})
 	return append(sys, en.batches.Systems()...)
 }
 
-// applyTrainers gives the batch owner the trainers that the profiles name, and
-// takes those from it that they name no more. It is a system.
+// applyTrainers is a system: it adds the trainers of a new configuration to the batch
+// owner and removes those that no profile lists.
 func (en *Entry) applyTrainers(time.Time) {
 	do := en.profiles.Current()
 	if do.Revision() == en.applied {
 		return
 	}
 	en.applied = do.Revision()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, pr := range do.Profiles() {
 		if pr.Kind() != profile.Samples {
 			continue
 		}
 		for _, trainer := range pr.Trainers() {
-			named[trainer] = true
+			listed[trainer] = true
 			en.batches.Add(trainer, batchPolicy(pr, trainer))
 		}
 	}
 	for _, st := range en.batches.Status() {
-		if !named[st.Trainer] {
+		if !listed[st.Trainer] {
 			en.batches.Remove(st.Trainer)
 		}
 	}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -13,18 +13,17 @@
 	"wisteriacroft/telemetry"
 )
 
-// forwardedHeader marks a request that an entry has passed on, so that two
-// entries that disagree about the owner don't pass it back and forth.
+// forwardedHeader marks a forwarded request, so that two entries that disagree about the
+// owner don't forward it back and forth.
 const forwardedHeader = "Wisteriacroft-Forwarded"
 
-// A forwarder passes a trainer's request on to the entry that owns its
-// batches. All of a trainer's requests are idempotent, so the trainer can send
-// a broken one again.
+// A forwarder forwards a trainer's request to the entry that owns its batches. All of a
+// trainer's requests are idempotent, so the trainer can retry one that fails.
 type forwarder struct {
 	client *http.Client
 }
 
-// forward has the entry at address answer.
+// forward sends the request to the entry at address and copies its response.
 func (fo *forwarder) forward(rw http.ResponseWriter, req trainerRequest, address string) error {
 	if req.http.Header.Get(forwardedHeader) != "" {
 		re := outcome.NewRefusal(outcome.Refused, "", "the owner of the trainer's batches is changing")
@@ -53,8 +52,8 @@
 	return fo.client.Do(out)
 }
 
-// copyAnswer passes an answer through. One that breaks off is broken off here
-// too, so that the trainer doesn't take a part for the whole.
+// copyAnswer copies a response. If reading it fails, the connection is aborted, so that
+// the trainer doesn't take a truncated response for a complete one.
 func copyAnswer(rw http.ResponseWriter, an *http.Response) error {
 	for _, name := range []string{"Content-Type", "Retry-After"} {
 		if value := an.Header.Get(name); value != "" {
@@ -68,8 +67,7 @@
 	return nil
 }
 
-// writeRefusal answers with the refusal that err wraps, or with one whose fate
-// is unknown.
+// writeRefusal writes the refusal that err wraps, or else one with an unknown outcome.
 func writeRefusal(rw http.ResponseWriter, err error) {
 	var re *outcome.Refusal
 	if !errors.As(err, &re) {
--- a/entry/members.go
+++ b/entry/members.go
@@ -16,27 +16,27 @@
 	"wisteriacroft/route"
 )
 
-// errUnknownEndpoint means that no attendant of an endpoint is known.
+// errUnknownEndpoint means that the membership table has no attendant of an endpoint.
 var errUnknownEndpoint = errors.New("endpoint is not known")
 
-// A members is what the entry derives from its roster.
+// A members holds the attendants and data folders derived from the membership table.
 type members struct {
-	mu     sync.Mutex
-	beside map[string]string               // attendants, by endpoint
-	gone   map[string]bool                 // endpoints whose instance was removed
-	places map[string]message.BlobLocation // data folders, by instance
-	seen   map[string]string               // addresses, by instance
+	mu         sync.Mutex
+	attendants map[string]string               // attendant by endpoint
+	removed    map[string]bool                 // endpoints whose instance was removed
+	locations  map[string]message.BlobLocation // data folder by instance
+	addresses  map[string]string               // address by instance
 }
 
-// addMembers wires the roster to the routes and the rollouts.
+// addMembers connects the membership table to the routes and the rollouts.
 func (en *Entry) addMembers() {
 	en.members = members{
-		beside: map[string]string{},
-		gone:   map[string]bool{},
-		places: map[string]message.BlobLocation{},
-		seen:   map[string]string{},
+		attendants: map[string]string{},
+		removed:    map[string]bool{},
+		locations:  map[string]message.BlobLocation{},
+		addresses:  map[string]string{},
 	}
-	en.roster = &membership.Table{
+	en.memberTable = &membership.Table{
 		Address:    en.options.Address,
 		Instance:   en.options.Instance,
 		RemoveFunc: en.removeEndpoint,
@@ -45,21 +45,21 @@
 	en.poller = &membership.Poller{
 		Client:      en.options.Instances,
 		Log:         en.log,
-		ObserveFunc: en.roster.ObserveList,
-		Rand:        rand.New(rand.NewPCG(en.options.Seed, rosterStream)),
+		ObserveFunc: en.memberTable.ObserveList,
+		Rand:        rand.New(rand.NewPCG(en.options.Seed, membershipStream)),
 	}
-	en.roster.ObserveList(en.seeds())
+	en.memberTable.ObserveList(en.seeds())
 }
 
-// Streams tell the random numbers of parts that share a seed from each other.
+// Stream numbers of the random generators that share a seed.
 const (
-	rosterStream     = 3
-	spreadStream     = 4
+	membershipStream = 3
+	syncStream       = 4
 	quarantineStream = 5
 )
 
-// seeds returns the settings' entries as instances, which stand in until the
-// platform's list has been read.
+// seeds returns the configured peers as instances, which are used until the platform's
+// instance list has been read.
 func (en *Entry) seeds() []instancelist.Instance {
 	var ins []instancelist.Instance
 	for _, address := range en.options.Peers {
@@ -73,9 +73,8 @@
 	return ins
 }
 
-// upsertEndpoint takes an endpoint that is new or changed.
 func (en *Entry) upsertEndpoint(ro membership.Endpoint) {
-	en.members.note(ro)
+	en.members.upsert(ro)
 	en.routes.Upsert(route.Endpoint{
 		Address:       ro.Address(),
 		FailureDomain: ro.FailureDomain(),
@@ -88,8 +87,8 @@
 	en.rollouts.upsert(ro)
 }
 
-// boundVersion returns the version that work bound to one may count on. An
-// engine that loads weights has none: its attendant would refuse such work.
+// boundVersion returns the version for requests that require one. It is 0 while an
+// engine loads weights, since its attendant refuses such requests meanwhile.
 func boundVersion(ro membership.Endpoint) engine.Version {
 	if ro.State() == membership.Loading {
 		return 0
@@ -97,8 +96,8 @@
 	return ro.Version()
 }
 
-// routeState returns what may be sent to an endpoint in a state. One that
-// loads weights goes on with what isn't bound to a version.
+// routeState returns the routing state of an endpoint. One that loads weights still
+// serves requests that require no version.
 func routeState(st membership.State) route.State {
 	switch st {
 	case membership.Leaving, membership.Unhealthy:
@@ -110,115 +109,114 @@
 	}
 }
 
-// removeEndpoint forgets an endpoint that is no more.
 func (en *Entry) removeEndpoint(ro membership.Endpoint) {
 	en.members.forget(ro)
 	en.routes.Remove(ro.ID())
 	en.rollouts.remove(ro)
 }
 
-// note takes an endpoint's attendant as of now.
-func (me *members) note(ro membership.Endpoint) {
+// upsert adds or updates the attendant of an endpoint.
+func (me *members) upsert(ro membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	delete(me.gone, ro.ID())
-	me.beside[ro.ID()] = ro.Attendant()
-	me.seen[ro.Attendant()] = ro.Address()
+	delete(me.removed, ro.ID())
+	me.attendants[ro.ID()] = ro.Attendant()
+	me.addresses[ro.Attendant()] = ro.Address()
 	if ro.DataFolder() && ro.State() != membership.Leaving {
-		me.places[ro.Attendant()] = message.BlobLocation{
+		me.locations[ro.Attendant()] = message.BlobLocation{
 			Address:       ro.Address(),
 			FailureDomain: ro.FailureDomain(),
 			Instance:      ro.Attendant(),
 		}
 		return
 	}
-	delete(me.places, ro.Attendant())
+	delete(me.locations, ro.Attendant())
 }
 
 // forget drops the attendant of an endpoint that was removed.
 func (me *members) forget(ro membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	me.gone[ro.ID()] = true
-	delete(me.beside, ro.ID())
-	for _, attendant := range me.beside {
+	me.removed[ro.ID()] = true
+	delete(me.attendants, ro.ID())
+	for _, attendant := range me.attendants {
 		if attendant == ro.Attendant() {
-			return // it serves others still, and its data folder with them
+			return // it still serves other endpoints and its data folder
 		}
 	}
-	delete(me.places, ro.Attendant())
-	delete(me.seen, ro.Attendant())
+	delete(me.locations, ro.Attendant())
+	delete(me.addresses, ro.Attendant())
 }
 
-// addressOf returns where an attendant is.
+// addressOf returns the address of an attendant.
 func (me *members) addressOf(instance string) (string, bool) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	address, ok := me.seen[instance]
+	address, ok := me.addresses[instance]
 	return address, ok
 }
 
-// maxPlaces is how many data folders a payload is offered to: blob.ReplicaCount take
-// it, and the others stand in for those that fail.
-const maxPlaces = 8
+// maxLocations bounds the candidate data folders of a payload: blob.ReplicaCount of them
+// store it, and the others are fallbacks.
+const maxLocations = 8
 
-// places returns some data folders that take payloads, in an order that spreads
-// the payloads over them.
+// locations returns at most maxLocations data folders for a payload, in random order to
+// balance the payloads.
 //
-// They go along with each attempt and are held while it runs. All folders of a
-// large deployment would take more than all else of the attempt.
-func (en *Entry) places() []message.BlobLocation {
+// They are part of each attempt's request, which all folders of a large deployment would
+// make far larger.
+func (en *Entry) locations() []message.BlobLocation {
 	en.members.mu.Lock()
 	var pls []message.BlobLocation
-	for _, pl := range en.members.places {
+	for _, pl := range en.members.locations {
 		pls = append(pls, pl)
 	}
 	en.members.mu.Unlock()
 	sort.Slice(pls, func(i, j int) bool { return pls[i].Instance < pls[j].Instance })
 	rand.Shuffle(len(pls), func(i, j int) { pls[i], pls[j] = pls[j], pls[i] })
-	return choosePlaces(pls)
+	return chooseLocations(pls)
 }
 
-// choosePlaces returns at most maxPlaces of pls: the first of each failure
-// domain before the second of any, since copies must lie in different ones.
-func choosePlaces(pls []message.BlobLocation) []message.BlobLocation {
+// chooseLocations returns at most maxLocations of pls, taking the first of each failure domain
+// before the second of any, since replicas must lie in different ones.
+func chooseLocations(pls []message.BlobLocation) []message.BlobLocation {
 	seen := map[string]int{}
-	turns := make([]int, len(pls))
+	ranks := make([]int, len(pls))
 	for i, pl := range pls {
-		turns[i] = seen[pl.FailureDomain]
+		ranks[i] = seen[pl.FailureDomain]
 		seen[pl.FailureDomain]++
 	}
-	var chosen []message.BlobLocation
-	for turn := 0; len(chosen) < min(maxPlaces, len(pls)); turn++ {
+	var selected []message.BlobLocation
+	for rank := 0; len(selected) < min(maxLocations, len(pls)); rank++ {
 		for i, pl := range pls {
-			if turns[i] == turn && len(chosen) < maxPlaces {
-				chosen = append(chosen, pl)
+			if ranks[i] == rank && len(selected) < maxLocations {
+				selected = append(selected, pl)
 			}
 		}
 	}
-	return chosen
+	return selected
 }
 
-// locate answers where an endpoint's attendant is.
+// locate returns the location of an endpoint's attendant.
 func (en *Entry) locate(endpoint string) (attendant.Location, error) {
 	if ro, ok := en.routes.Get(endpoint); ok {
 		return attendant.Location{Address: ro.Address}, nil
 	}
 	en.members.mu.Lock()
 	defer en.members.mu.Unlock()
-	if en.members.gone[endpoint] {
+	if en.members.removed[endpoint] {
 		return attendant.Location{Gone: true}, nil
 	}
 	return attendant.Location{}, errors.Wrapf(errUnknownEndpoint, "%s", endpoint)
 }
 
-// observeCaller notes the revision in the header of a call to this process. After a restart
-// in an outage, the attendants' reports are what tells of a higher revision.
+// observeCaller records the revision in the header of a call to this process. After a
+// restart during an outage, only the attendants' reports reveal a higher revision.
 func (en *Entry) observeCaller(he message.Header, _ string) {
 	if he.Revision <= en.profiles.Revision() {
 		return
 	}
 	if address, ok := en.members.addressOf(he.Sender); ok {
-		en.spreader.Observe(address, he.Revision)
+		en.syncer.Observe(address, he.Revision)
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,25 +8,23 @@
 	"wisteriacroft/rollout"
 )
 
-// metricPrefix starts the names of the entry's metrics.
 const metricPrefix = "wisteriacroft_entry_"
 
-// addMetrics adds the gauges that are read off the tables when they are asked
-// for.
+// addMetrics registers gauges that are computed when they are scraped.
 func (en *Entry) addMetrics() {
 	gauge := func(name string, read func() float64) {
 		en.options.Metrics.GetOrCreateGauge(metricPrefix+name, read)
 	}
 	gauge("configuration_revision", func() float64 { return float64(en.profiles.Revision()) })
-	gauge("configuration_cut_off_seconds", en.cutOffSeconds)
+	gauge("configuration_cut_off_seconds", en.keyValueCutOffSeconds)
 	gauge("control_bytes_read", func() float64 {
 		return float64(en.pool.Bytes().Read() + en.server.Bytes().Read())
 	})
 	gauge("control_bytes_written", func() float64 {
 		return float64(en.pool.Bytes().Written() + en.server.Bytes().Written())
 	})
-	gauge("roster_cut_off_seconds", en.rosterCutOffSeconds)
-	gauge("roster_stale_messages", func() float64 { return float64(en.roster.Stale()) })
+	gauge("roster_cut_off_seconds", en.membershipCutOffSeconds)
+	gauge("roster_stale_messages", func() float64 { return float64(en.memberTable.Stale()) })
 	progress := func(name string, read func(rollout.Progress) int) {
 		gauge(name, func() float64 { return float64(en.rollouts.sum(read)) })
 	}
@@ -60,19 +58,18 @@
 	return sum
 }
 
-// rosterCutOffSeconds returns for how long so many attendants have been silent
-// that the entry itself seems cut off, or 0.
-func (en *Entry) rosterCutOffSeconds() float64 {
-	since, ok := en.roster.CutOff()
+// membershipCutOffSeconds returns how long so many attendants have been silent that the
+// entry itself is probably partitioned from them, or 0.
+func (en *Entry) membershipCutOffSeconds() float64 {
+	since, ok := en.memberTable.CutOff()
 	if !ok {
 		return 0
 	}
 	return time.Since(since).Seconds()
 }
 
-// cutOffSeconds returns for how long the key-value service has been out of
-// reach, or 0.
-func (en *Entry) cutOffSeconds() float64 {
+// keyValueCutOffSeconds returns how long the key-value service has been unreachable, or 0.
+func (en *Entry) keyValueCutOffSeconds() float64 {
 	now := time.Now()
 	since := configuration.CutOffSince(en.profiles.Status(), configuration.EntryRole, en.startedAt, now)
 	if since.IsZero() {
--- a/entry/module.go
+++ b/entry/module.go
@@ -15,14 +15,14 @@
 	"wisteriacroft/weightstore"
 )
 
-// Module runs an entry for as long as the app runs. The app supplies
-// settings.Entry and includes telemetry.Module.
+// Module runs an entry during the app's life. The app supplies settings.Entry and
+// includes telemetry.Module.
 var Module = fx.Module("entry",
 	fx.Provide(NewOptions, New),
 	fx.Invoke(run),
 )
 
-// NewOptions returns the options that the settings say.
+// NewOptions returns the options for the given settings.
 func NewOptions(se settings.Entry, log *logrus.Logger, set *metrics.Set) Options {
 	now := time.Now()
 	op := Options{
@@ -46,7 +46,7 @@
 	return op
 }
 
-// run ties an entry to the life of the app.
+// run ties an entry to the app's life cycle.
 func run(li fx.Lifecycle, en *Entry, se settings.Entry, ad *telemetry.Admin, sd fx.Shutdowner) {
 	process.Run(li, sd, ad, se.Listen(), process.Role{
 		Log:          en.options.Log,
--- a/entry/options.go
+++ b/entry/options.go
@@ -15,7 +15,7 @@
 	"wisteriacroft/weightstore"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultGrace     = 30 * time.Second
 	DefaultLeaseTTL  = 10 * time.Second
@@ -23,30 +23,28 @@
 	DefaultTickEvery = 20 * time.Millisecond
 )
 
-// Options says where an Entry runs and how it reaches the platform. A zero
-// field takes its default.
+// Options configure an Entry. A zero field takes its default.
 type Options struct {
 	Address string // IP:port that other processes reach
-	// DialFunc opens a connection to another process; over TCP if nil.
+	// DialFunc opens a connection to another process; nil means TCP.
 	DialFunc      func(ctx context.Context, address string) (net.Conn, error)
 	FailureDomain string
-	Grace         time.Duration // how long a shutdown waits for what runs
-	Incarnation   uint64        // grows with each start
+	Grace         time.Duration // maximum duration of a shutdown
+	Incarnation   uint64        // increases with each start
 	Instance      string
 	Instances     *instancelist.Client
 	KeyValue      *keyvalue.Client
 	LeaseTTL      time.Duration
-	Linger        time.Duration // how long a shutdown goes on refusing before it stops listening
+	Linger        time.Duration // time between the start of a shutdown and closing the listener
 	Log           *logrus.Logger
 	Metrics       *metrics.Set
-	Peers         []string         // entries to ask while the instance list is away
-	Profiles      *profile.Replica // the configuration in force
+	Peers         []string         // entries used until the instance list has been read
+	Profiles      *profile.Replica // the current configuration
 	Seed          uint64           // of the jitter and of routing
 	TickEvery     time.Duration
 	Weights       *weightstore.Client
 }
 
-// withDefaults returns the options with each zero field at its default.
 func (op Options) withDefaults() Options {
 	process.SetDefault(&op.Grace, DefaultGrace)
 	process.SetDefault(&op.LeaseTTL, DefaultLeaseTTL)
--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -13,26 +13,25 @@
 	"wisteriacroft/lease"
 )
 
-// Names of leases in the key-value service.
+// Name prefixes of leases in the key-value service.
 const (
 	rolloutLeasePrefix = "rollouts/"
 	trainerLeasePrefix = "trainers/"
 )
 
 const (
-	// claimIdleTime is after how long without a request for it a claim that
-	// holds nothing is given up.
-	claimIdleTime = 30 * time.Second
-	// lookupAge is how long a looked-up owner is believed. A stale one costs
-	// one forwarded request, since the old owner refuses.
-	lookupAge = time.Second
+	// claimIdleTimeout is how long an unused claim is kept while its lease is not held.
+	claimIdleTimeout = 30 * time.Second
+	// lookupTTL is how long a looked-up owner is cached. A stale one costs one
+	// forwarded request, since the old owner refuses.
+	lookupTTL = time.Second
 )
 
-// errOwnerUnknown means that it can't be told now who owns a lease.
+// errOwnerUnknown means that the owner of a lease can't be determined.
 var errOwnerUnknown = errors.New("owner is not known")
 
-// An ownership acquires and renews leases, each only once it is asked for, so that
-// an entry that never serves a trainer costs the key-value service nothing.
+// An ownership acquires and renews leases on demand, so that an entry that serves no
+// trainer causes no load on the key-value service.
 type ownership struct {
 	address string // of this entry
 	client  *keyvalue.Client
@@ -42,19 +41,19 @@
 
 	mu       sync.Mutex
 	claims   map[string]*claim
-	known    map[string]lookup
-	released bool // for good: the entry leaves
+	cached   map[string]lookup
+	released bool // permanently, since the entry leaves
 }
 
-// A claim is a lease that this entry holds or tries to get.
+// A claim is a lease that this entry holds or tries to acquire.
 type claim struct {
-	asked  time.Time     // last request for it
-	done   chan struct{} // closed once holder runs no more
-	holder *lease.Holder
-	stop   context.CancelFunc
+	lastUsed time.Time     // last use
+	done     chan struct{} // closed once holder.Run has returned
+	holder   *lease.Holder
+	stop     context.CancelFunc
 }
 
-// A lookup is an owner that the key-value service named.
+// A lookup is a cached owner from the key-value service.
 type lookup struct {
 	address string
 	at      time.Time
@@ -62,13 +61,13 @@
 
 // A heldLease is a lease that this entry holds.
 type heldLease struct {
-	epoch    uint64
-	name     string
-	standing lease.State
+	epoch      uint64
+	name       string
+	leaseState lease.State
 }
 
-// standing returns how the lease of name stands here.
-func (ow *ownership) standing(name string, now time.Time) (uint64, lease.State) {
+// leaseState returns the epoch and the state of a lease in this entry.
+func (ow *ownership) leaseState(name string, now time.Time) (uint64, lease.State) {
 	ow.mu.Lock()
 	cl, ok := ow.claims[name]
 	ow.mu.Unlock()
@@ -78,81 +77,81 @@
 	return cl.holder.State(now)
 }
 
-// find returns the address of the process that owns name, after trying to
-// acquire its lease if no one holds it. The error wraps errOwnerUnknown.
+// find returns the address of the owner of a lease, after trying to acquire the lease if
+// it is free. The error is marked with errOwnerUnknown.
 func (ow *ownership) find(ctx context.Context, name string) (string, error) {
 	now := time.Now()
-	if _, st := ow.standing(name, now); st != lease.NotHeld {
+	if _, st := ow.leaseState(name, now); st != lease.NotHeld {
 		ow.claim(name, now)
 		return ow.address, nil
 	}
-	lo, known := ow.lookedUp(name)
-	if known && now.Sub(lo.at) < lookupAge {
+	lo, cached := ow.cachedOwner(name)
+	if cached && now.Sub(lo.at) < lookupTTL {
 		return lo.address, nil
 	}
-	address, err := ow.lookUp(ctx, name)
+	address, err := ow.fetchOwner(ctx, name)
 	if errors.Is(err, keyvalue.ErrNotFound) {
 		address, err = ow.acquire(ctx, name)
 	}
 	switch {
 	case err == nil:
 		return address, nil
-	case known:
-		// In an outage the last known owner goes on: no one else can take the
-		// lease.
+	case cached:
+		// During an outage the last known owner stays in charge: no other process can
+		// acquire the lease.
 		return lo.address, nil
 	default:
 		return "", errors.Mark(errors.Wrapf(err, "find the owner of %s", name), errOwnerUnknown)
 	}
 }
 
-// lookUp asks the key-value service who owns name.
-func (ow *ownership) lookUp(ctx context.Context, name string) (string, error) {
+// fetchOwner fetches the owner of a lease from the key-value service and caches it.
+func (ow *ownership) fetchOwner(ctx context.Context, name string) (string, error) {
 	rec, err := lease.Current(ctx, ow.client, name)
 	if err != nil {
 		return "", err
 	}
 	if rec.Owner == ow.address {
-		// The last process at this address has not released it.
+		// The previous process at this address did not release the lease.
 		return "", errors.New("the lease of a former process at this address has yet to expire")
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if ow.known == nil {
-		ow.known = map[string]lookup{}
+	if ow.cached == nil {
+		ow.cached = map[string]lookup{}
 	}
-	ow.known[name] = lookup{address: rec.Owner, at: time.Now()}
+	ow.cached[name] = lookup{address: rec.Owner, at: time.Now()}
 	return rec.Owner, nil
 }
 
-// lookedUp returns the owner that was looked up last, of any age.
-func (ow *ownership) lookedUp(name string) (lookup, bool) {
+// cachedOwner returns the cached owner, regardless of its age.
+func (ow *ownership) cachedOwner(name string) (lookup, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	lo, ok := ow.known[name]
+	lo, ok := ow.cached[name]
 	return lo, ok
 }
 
-// acquire tries once to take the lease of name and returns who owns it then.
+// acquire tries once to acquire a lease and returns its owner.
 func (ow *ownership) acquire(ctx context.Context, name string) (string, error) {
 	cl := ow.claim(name, time.Now())
 	if cl == nil {
-		return "", errLeft
+		return "", errLeaving
 	}
 	cl.holder.Step(ctx)
 	if _, held := cl.holder.Held(time.Now()); held {
 		return ow.address, nil
 	}
-	return ow.lookUp(ctx, name)
+	return ow.fetchOwner(ctx, name)
 }
 
-// claim returns the claim of name, starting it where there is none. It is nil
-// once the entry has released its leases.
+// claim returns the claim of a lease, starting one if needed. It returns nil once the
+// entry has released its leases.
 func (ow *ownership) claim(name string, now time.Time) *claim {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	if cl, ok := ow.claims[name]; ok {
-		cl.asked = now
+		cl.lastUsed = now
 		return cl
 	}
 	if ow.released {
@@ -162,8 +161,8 @@
 		ow.claims = map[string]*claim{}
 	}
 	cl := &claim{
-		asked: now,
-		done:  make(chan struct{}),
+		lastUsed: now,
+		done:     make(chan struct{}),
 		holder: &lease.Holder{
 			Client: ow.client,
 			Log:    ow.log,
@@ -177,7 +176,7 @@
 	return cl
 }
 
-// start renews a claim in the background. The caller holds mu.
+// start acquires and renews a claim's lease in the background. The caller holds mu.
 func (ow *ownership) start(cl *claim) {
 	stopped, stop := context.WithCancel(context.Background())
 	cl.stop = stop
@@ -190,35 +189,36 @@
 	})
 }
 
-// prune is a system: it gives up claims that hold nothing and that no one has
-// asked for lately.
+// prune is a system: it drops claims without a lease that have not been used for
+// claimIdleTimeout.
 func (ow *ownership) prune(now time.Time) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	for name, cl := range ow.claims {
 		_, st := cl.holder.State(now)
-		if st == lease.NotHeld && now.Sub(cl.asked) > claimIdleTime {
+		if st == lease.NotHeld && now.Sub(cl.lastUsed) > claimIdleTimeout {
 			cl.stop()
 			delete(ow.claims, name)
 		}
 	}
 }
 
-// held returns the leases that this entry holds, by name.
+// held returns the leases that this entry holds, sorted by name.
 func (ow *ownership) held(now time.Time) []heldLease {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	var hes []heldLease
 	for name, cl := range ow.claims {
 		if epoch, st := cl.holder.State(now); st != lease.NotHeld {
-			hes = append(hes, heldLease{epoch: epoch, name: name, standing: st})
+			hes = append(hes, heldLease{epoch: epoch, name: name, leaseState: st})
 		}
 	}
 	sort.Slice(hes, func(i, j int) bool { return hes[i].name < hes[j].name })
 	return hes
 }
 
-// release gives all leases up for good, so that others can take them at once.
+// release releases all leases permanently, so that other entries can acquire them
+// without waiting for their expiry.
 func (ow *ownership) release(ctx context.Context) {
 	ow.mu.Lock()
 	cls := ow.claims
@@ -229,7 +229,7 @@
 		cl.stop()
 		<-cl.done
 		if err := cl.holder.Release(ctx); err != nil {
-			ow.log.WithError(err).WithField("lease", name).Warn("lease is left to expire")
+			ow.log.WithError(err).WithField("lease", name).Warn("lease release failed; lease will expire")
 		}
 	}
 }
--- a/entry/policy.go
+++ b/entry/policy.go
@@ -16,9 +16,8 @@
 // defaultClass is the class of calls that name no profile.
 const defaultClass = "default"
 
-// callPolicy returns how the calls of a service are served under a document.
-// The name may be "" for the service's default class. Its error is a
-// *outcome.Refusal.
+// callPolicy returns the policy of a document for calls of a service. The name of the
+// profile may be "" for the service's default class. The error is an *outcome.Refusal.
 func callPolicy(do profile.Document, service, name string) (call.Policy, error) {
 	se, ok := do.Service(service)
 	if !ok {
@@ -32,7 +31,7 @@
 	return call.Policy{
 		AttemptTimeout: pr.AttemptTimeout(),
 		Deadline:       pr.Deadline(),
-		FailureDomain:  preferred(se),
+		FailureDomain:  preferredDomain(se),
 		Homes:          idempotency.EndpointSet{Endpoints: se.Endpoints(), Revision: do.Revision()},
 		Kind:           call.Kind(se.ServiceType()),
 		MaxAnswerHeld:  int(pr.MaxAnswerSize()),
@@ -48,17 +47,17 @@
 	}, nil
 }
 
-// preferred returns the failure domain that a service's requests prefer, as a
-// route.Need names it: "" is the entry's own.
-func preferred(se profile.Profile) string {
+// preferredDomain returns the failure domain preferred by a service's requests, as the value
+// of a route.Need: "" is the entry's own.
+func preferredDomain(se profile.Profile) string {
 	if se.Preference() == profile.None {
 		return route.AnyFailureDomain
 	}
 	return ""
 }
 
-// retryRatio returns a profile's retry budget as the retry package reads it,
-// where 0 stands for the default and a negative number for none.
+// retryRatio converts a profile's retry budget for the retry package, where 0 means the
+// default and a negative number means no retries.
 func retryRatio(budget float64) float64 {
 	if budget == 0 {
 		return -1
@@ -66,7 +65,7 @@
 	return budget
 }
 
-// findCalls returns the calls profile of a name, or of the default class.
+// findCalls returns the calls profile called name, or of the default class if name is "".
 func findCalls(do profile.Document, service, name string) (profile.Profile, bool) {
 	if name == "" {
 		return do.Class(service, profile.Calls, defaultClass)
@@ -79,7 +78,7 @@
 	return outcome.NewRefusal(outcome.UnknownProfile, "", text)
 }
 
-// batchPolicy returns how a trainer's samples are made under a profile.
+// batchPolicy returns a profile's policy for a trainer's batches.
 func batchPolicy(pr profile.Profile, trainer string) batch.Policy {
 	return batch.Policy{
 		Deadline:        pr.Deadline(),
@@ -89,13 +88,13 @@
 		StalenessBound:  engine.Version(pr.StalenessBound()),
 		StragglerAfter:  pr.StragglerAfter(),
 		StragglerRate:   pr.StragglerRate(),
-		Straggling:      straggling(pr.StragglerRule()),
+		Straggling:      stragglerRule(pr.StragglerRule()),
 		WholeSteps:      pr.Delivery() == profile.WholeSteps,
 	}
 }
 
-// straggling returns the batch package's value of a profile's rule.
-func straggling(ru profile.StragglerRule) batch.StragglerRule {
+// stragglerRule converts a profile's straggler rule for the batch package.
+func stragglerRule(ru profile.StragglerRule) batch.StragglerRule {
 	switch ru {
 	case profile.Race:
 		return batch.RestartStragglers
--- a/entry/request.go
+++ b/entry/request.go
@@ -14,7 +14,7 @@
 	"wisteriacroft/outcome"
 )
 
-// Bounds of what a trainer may send.
+// Limits of trainers' requests.
 const (
 	maxMembers     = maxSamples // of one group
 	maxPullSize    = 64 << 10   // bytes
@@ -24,8 +24,8 @@
 	maxTokensBound = 1 << 20          // of one sample
 )
 
-// decodeStep reads a trainer's request for a step and checks it. Errors name
-// the place: the byte offset or the field.
+// decodeStep decodes and validates a trainer's request for a step. Errors name the byte
+// offset or the field.
 func decodeStep(data []byte) (message.StepRequest, error) {
 	var req message.StepRequest
 	if err := decodeStrict(data, &req); err != nil {
@@ -34,7 +34,7 @@
 	return req, checkStep(req)
 }
 
-// checkStep checks what the JSON form can't.
+// checkStep checks the values of a decoded request.
 func checkStep(req message.StepRequest) error {
 	if req.Profile == "" {
 		return errors.New("profile: is missing")
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// decodePull reads a trainer's pull and checks it.
+// decodePull decodes and validates a trainer's pull.
 func decodePull(data []byte) (message.PullRequest, error) {
 	var req message.PullRequest
 	if err := decodeStrict(data, &req); err != nil {
@@ -93,12 +93,12 @@
 	return req, nil
 }
 
-// decodeStrict reads one JSON value with no unknown keys and nothing after it.
+// decodeStrict decodes one JSON value. It rejects unknown keys and trailing data.
 func decodeStrict(data []byte, value any) error {
 	de := json.NewDecoder(bytes.NewReader(data))
 	de.DisallowUnknownFields()
 	if err := de.Decode(value); err != nil {
-		return errors.Wrapf(explained(err), "byte %d", offset(err, de, len(data)))
+		return errors.Wrapf(plainError(err), "byte %d", offset(err, de, len(data)))
 	}
 	if _, err := de.Token(); !errors.Is(err, io.EOF) {
 		return errors.Newf("byte %d: something follows the request", de.InputOffset())
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// offset returns where the decoder failed; a body that is cut short fails at
-// its end.
+// offset returns the byte offset of a decoding error; that of a truncated body is its
+// end.
 func offset(err error, de *json.Decoder, size int) int64 {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return int64(size)
@@ -115,16 +115,15 @@
 	return de.InputOffset()
 }
 
-// explained returns err, or a plainer error if the body ended early.
-func explained(err error) error {
+// plainError returns err, or a plainer error if the body is truncated.
+func plainError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return errors.New("the body is cut short")
 	}
 	return err
 }
 
-// readBody reads a whole body of at most limit bytes. The refusal says what
-// is wrong with it.
+// readBody reads a body of at most limit bytes.
 func readBody(rw http.ResponseWriter, rq *http.Request, limit int64) ([]byte, *outcome.Refusal) {
 	data, err := io.ReadAll(http.MaxBytesReader(rw, rq.Body, limit))
 	if err == nil {
@@ -134,7 +133,7 @@
 	if errors.As(err, &tooLarge) {
 		return nil, badRequest(errors.Newf("body: larger than %d bytes", tooLarge.Limit))
 	}
-	return nil, badRequest(errors.Wrap(explained(err), "body"))
+	return nil, badRequest(errors.Wrap(plainError(err), "body"))
 }
 
 func badRequest(err error) *outcome.Refusal {
--- a/entry/request_test.go
+++ b/entry/request_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// FuzzDecodeStep checks that no body makes the decoder panic or accept what
-// breaks its own bounds.
+// FuzzDecodeStep checks that the decoder neither panics nor accepts a request beyond its
+// limits.
 func FuzzDecodeStep(f *testing.F) {
 	f.Add([]byte(`{"profile":"marking","groups":[{"prompt":"a","members":2,"max-tokens":8}]}`))
 	f.Add([]byte(`{"profile":"marking","groups":[{"prompt":"a","members":-1,"max-tokens":8}]}`))
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// weightsInterval is how often the owner of a rollout asks the weight
-	// store for the newest version.
+	// weightsInterval is how often the owner of a rollout polls the weight store for
+	// the newest version.
 	weightsInterval = time.Second
-	// weightsTimeout bounds one question to the weight store.
+	// weightsTimeout bounds the requests of one poll.
 	weightsTimeout = 5 * time.Second
 )
 
-// A rollouts holds the weight rollouts of the services that have engines. Each
-// entry knows the engines of all; whichever holds a service's lease acts.
+// A rollouts holds the weight rollouts of all services that have engines. Every entry
+// tracks all engines; only the holder of a service's lease runs its rollout.
 type rollouts struct {
 	address   string
-	connect   func(ol *rollout.Rollout) // makes it send through the pool
+	connect   func(ol *rollout.Rollout) // connects the rollout to the pool
 	goFunc    func(run func(context.Context))
 	log       *logrus.Entry
 	ownership *ownership
@@ -36,50 +36,49 @@
 	seed      uint64
 	weights   *weightstore.Client
 
-	mu      sync.Mutex
-	askedAt time.Time
-	rows    map[string]*rollout.Rollout
+	mu        sync.Mutex
+	polledAt  time.Time
+	byService map[string]*rollout.Rollout
 }
 
-// upsert takes an endpoint that is new or changed.
+// upsert adds or updates an endpoint.
 func (ro *rollouts) upsert(en membership.Endpoint) {
-	ro.row(en.Service()).Observe(en)
+	ro.get(en.Service()).Observe(en)
 }
 
-// remove forgets an endpoint.
 func (ro *rollouts) remove(en membership.Endpoint) {
-	ro.row(en.Service()).Remove(en.ID())
+	ro.get(en.Service()).Remove(en.ID())
 }
 
-// row returns the rollout of a service, which does nothing unless the profiles
-// say that the service has engines.
-func (ro *rollouts) row(service string) *rollout.Rollout {
+// get returns the rollout of a service, creating it if needed. It is idle unless a
+// profile declares the service with engines.
+func (ro *rollouts) get(service string) *rollout.Rollout {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	if ol, ok := ro.rows[service]; ok {
+	if ol, ok := ro.byService[service]; ok {
 		return ol
 	}
-	if ro.rows == nil {
-		ro.rows = map[string]*rollout.Rollout{}
+	if ro.byService == nil {
+		ro.byService = map[string]*rollout.Rollout{}
 	}
 	ol := ro.newRollout(service)
-	ro.rows[service] = ol
+	ro.byService[service] = ol
 	return ol
 }
 
-// newRollout returns the rollout of a service. The caller holds mu.
+// newRollout returns a new rollout of a service. The caller holds mu.
 func (ro *rollouts) newRollout(service string) *rollout.Rollout {
 	ol := &rollout.Rollout{
 		Address:   ro.address,
 		FloorFunc: func(endpoints int) int { return ro.floor(service, endpoints) },
 		HeldFunc:  func(now time.Time) (uint64, bool) { return ro.held(service, now) },
-		Rand:      rand.New(rand.NewPCG(ro.seed, uint64(len(ro.rows)))),
+		Rand:      rand.New(rand.NewPCG(ro.seed, uint64(len(ro.byService)))),
 	}
 	ro.connect(ol)
 	return ol
 }
 
-// floor returns how many of a service's endpoints must go on serving.
+// floor returns the minimum number of a service's endpoints that must keep serving.
 func (ro *rollouts) floor(service string, endpoints int) int {
 	pr, ok := ro.profiles.Current().Service(service)
 	if !ok {
@@ -88,34 +87,34 @@
 	return min(pr.ServingFloor(), endpoints)
 }
 
-// held returns the epoch of a service's rollout if this entry owns it.
+// held returns the lease epoch of a service's rollout, and whether this entry owns it.
 func (ro *rollouts) held(service string, now time.Time) (uint64, bool) {
-	epoch, st := ro.ownership.standing(rolloutLeasePrefix+service, now)
+	epoch, st := ro.ownership.leaseState(rolloutLeasePrefix+service, now)
 	return epoch, st == lease.Held
 }
 
-// run is a system: it claims the rollouts, runs those that are held here and
-// asks the weight store now and then.
+// run is a system: it claims the rollouts, runs those that this entry owns and polls the
+// weight store every weightsInterval.
 func (ro *rollouts) run(now time.Time) {
 	services := ro.engineServices()
 	for _, service := range services {
 		ro.ownership.claim(rolloutLeasePrefix+service, now)
-		for _, sy := range ro.row(service).Systems() {
+		for _, sy := range ro.get(service).Systems() {
 			sy.Run(now)
 		}
 	}
-	if now.Sub(ro.askedAt) < weightsInterval {
+	if now.Sub(ro.polledAt) < weightsInterval {
 		return
 	}
-	ro.askedAt = now
+	ro.polledAt = now
 	for _, service := range services {
 		if _, ok := ro.held(service, now); ok {
-			ro.goFunc(func(ctx context.Context) { ro.ask(ctx, service, services) })
+			ro.goFunc(func(ctx context.Context) { ro.poll(ctx, service, services) })
 		}
 	}
 }
 
-// engineServices returns the services that have engines, by name.
+// engineServices returns the names of the services that have engines, sorted.
 func (ro *rollouts) engineServices() []string {
 	var names []string
 	for _, pr := range ro.profiles.Current().Services() {
@@ -127,47 +126,47 @@
 	return names
 }
 
-// ask gives a rollout the newest version that the weight store has and the
-// rollout's share of the store's limit. The model has the service's name.
-func (ro *rollouts) ask(ctx context.Context, service string, services []string) {
+// poll fetches the newest version from the weight store and sets it on a service's
+// rollout, with the rollout's share of the store's rate limit. The model has the
+// service's name.
+func (ro *rollouts) poll(ctx context.Context, service string, services []string) {
 	ctx, cancel := context.WithTimeout(ctx, weightsTimeout)
 	defer cancel()
 	limit, err := ro.weights.RateFunc(ctx)
 	if err != nil {
-		ro.log.WithError(err).WithField("service", service).Debug("weight store does not tell its limit")
+		ro.log.WithError(err).WithField("service", service).Debug("fetch of the weight store's rate limit failed")
 		return
 	}
 	ve, err := ro.weights.LatestFunc(ctx, service)
 	if err != nil {
-		ro.log.WithError(err).WithField("service", service).Debug("no version is known")
+		ro.log.WithError(err).WithField("service", service).Debug("fetch of the newest weights version failed")
 		return
 	}
 	counts := make([]int, len(services))
 	for i, name := range services {
-		counts[i] = ro.row(name).Progress().Engines
+		counts[i] = ro.get(name).Progress().Engines
 	}
-	ol := ro.row(service)
+	ol := ro.get(service)
 	ol.SetLimit(rollout.Share(limit, counts, slices.Index(services, service)))
 	ol.SetWanted(ve)
 }
 
-// all returns the rollouts.
 func (ro *rollouts) all() []*rollout.Rollout {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	var ols []*rollout.Rollout
-	for _, ol := range ro.rows {
+	for _, ol := range ro.byService {
 		ols = append(ols, ol)
 	}
 	return ols
 }
 
-// sum returns a count over the rollouts that this entry owns.
+// sum returns the sum of read over the rollouts that this entry owns.
 func (ro *rollouts) sum(read func(rollout.Progress) int) int {
 	now, sum := time.Now(), 0
 	for _, service := range ro.engineServices() {
 		if _, ok := ro.held(service, now); ok {
-			sum += read(ro.row(service).Progress())
+			sum += read(ro.get(service).Progress())
 		}
 	}
 	return sum
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -11,8 +11,8 @@
 	"wisteriacroft/tick"
 )
 
-// errLeft is why an entry that leaves is not ready.
-var errLeft = errors.New("leaving")
+// errLeaving is the readiness error of an entry that leaves.
+var errLeaving = errors.New("leaving")
 
 // Start runs the entry's systems until Shutdown.
 func (en *Entry) Start() {
@@ -26,27 +26,26 @@
 	}
 }
 
-// Serve answers the requests that come over li until Shutdown.
+// Serve serves requests on li until Shutdown.
 func (en *Entry) Serve(li net.Listener) error { return process.Serve(en.http, li) }
 
-// Shutdown refuses new work, waits for what runs, hands the leases over and
-// ends. It is called once. Its error says that the grace was over first.
+// Shutdown refuses new requests, waits for running ones, releases the leases and stops
+// the entry. It must be called once. It fails if the grace period ends first.
 //
-// The balancer goes on sending work until it has seen that this process is
-// not ready. A listener closed before would turn that work into broken
-// connections, so it stays open for Linger.
+// The listener stays open for Linger: the load balancer sends requests until it has seen
+// that this process is not ready, and they must not meet a closed port.
 func (en *Entry) Shutdown(ctx context.Context) error {
-	en.log.WithField("grace", en.options.Grace.String()).Info("leaving")
+	en.log.WithField("grace", en.options.Grace.String()).Info("shutdown started")
 	ctx, cancel := context.WithTimeout(ctx, en.options.Grace)
 	defer cancel()
-	close(en.left)
-	en.roster.Leave()
+	close(en.shutdownStarted)
+	en.memberTable.Leave()
 	select {
 	case <-time.After(en.options.Linger):
 	case <-ctx.Done():
 	}
-	// Released before the listener closes: a trainer's next request goes to
-	// another entry, which would pass it on here as long as the lease is held.
+	// Release the leases before the listener closes: other entries forward trainers'
+	// requests here as long as the leases are held.
 	en.ownership.release(ctx)
 	err := en.http.Shutdown(ctx)
 	err = errors.CombineErrors(err, en.server.Shutdown(ctx))
@@ -57,10 +56,10 @@
 	return errors.Wrap(err, "shutdown")
 }
 
-// Abort ends the entry at once, as a kill would: what runs is cut off and no
-// lease is handed over. It is for trials, which run many processes in one.
+// Abort stops the entry immediately, as a kill would: running requests are aborted and no
+// lease is released. It is for simulations that run many processes in one.
 func (en *Entry) Abort() {
-	close(en.left)
+	close(en.shutdownStarted)
 	en.stop()
 	_ = en.http.Close()
 	over, cancel := context.WithCancel(context.Background())
@@ -71,18 +70,18 @@
 	en.transport.CloseIdleConnections()
 }
 
-// Ready returns nil while the entry takes work.
+// Ready returns nil while the entry accepts requests.
 func (en *Entry) Ready() error {
 	if en.leaving() {
-		return errLeft
+		return errLeaving
 	}
 	return nil
 }
 
-// leaving tells whether the entry leaves.
+// leaving reports whether the shutdown has started.
 func (en *Entry) leaving() bool {
 	select {
-	case <-en.left:
+	case <-en.shutdownStarted:
 		return true
 	default:
 		return false
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -16,7 +16,7 @@
 	"wisteriacroft/profile"
 )
 
-// newTestEntry returns an entry that serves one trainer, and its service.
+// newTestEntry returns an entry whose configuration has one trainer.
 func newTestEntry(t *testing.T, address string, me *keyvalue.Memory) *Entry {
 	t.Helper()
 	pr, fis := profile.Parse("marking", "marking.toml",
@@ -32,7 +32,7 @@
 	})
 }
 
-// pull asks an entry for a batch and waits for a minute at most.
+// pull requests a batch from an entry and waits at most a minute.
 func pull(en *Entry) *httptest.ResponseRecorder {
 	path := strings.Replace(message.PullPath, "{trainer}", "marking-trainer", 1)
 	rq := httptest.NewRequest(http.MethodPost, path, strings.NewReader(`{"cursor":{"step":-1},"wait":"60s"}`))
@@ -42,10 +42,8 @@
 }
 
 func TestShutdownAnswersPulls(t *testing.T) {
-	// Symptom: a shutdown takes its whole grace and then cuts a trainer off.
-	// Sequence: a trainer waits for a batch; the entry is told to leave.
-	// Cause: the pull waits on, and a lease that is held, or taken again, keeps
-	// the trainer's requests coming here.
+	// Guards against a shutdown that waits for a pull until its grace period ends, and
+	// against a lease that is still held, or acquired again, after a shutdown.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		en := newTestEntry(t, "10.0.0.1:1", &me)
@@ -58,19 +56,19 @@
 		assert.Equal(t, st, lease.Held)
 
 		start := time.Now()
-		left := make(chan error, 1)
-		go func() { left <- en.Shutdown(t.Context()) }()
+		shutdownErr := make(chan error, 1)
+		go func() { shutdownErr <- en.Shutdown(t.Context()) }()
 		rw := <-answer
 		assert.Equal(t, time.Since(start), time.Duration(0), "at once")
 		assert.Equal(t, rw.Code, http.StatusOK, rw.Body)
 		assert.Assert(t, strings.Contains(rw.Body.String(), `"retry-after":"1s"`), rw.Body)
-		assert.NilError(t, <-left)
+		assert.NilError(t, <-shutdownErr)
 		assert.Equal(t, time.Since(start), DefaultLinger)
 
 		_, err := lease.Current(t.Context(), me.Client(), trainerLeasePrefix+"marking-trainer")
 		assert.ErrorIs(t, err, keyvalue.ErrNotFound)
 		rw = pull(en)
-		assert.Equal(t, rw.Header().Get("Connection"), "close", "no idle connection is left to cut")
-		assert.Equal(t, rw.Code, http.StatusServiceUnavailable, "takes no lease again: %s", rw.Body)
+		assert.Equal(t, rw.Header().Get("Connection"), "close", "no idle connection is kept")
+		assert.Equal(t, rw.Code, http.StatusServiceUnavailable, "lease must not be acquired again: %s", rw.Body)
 	})
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -11,7 +11,7 @@
 	"wisteriacroft/route"
 )
 
-// Status returns what the entry holds.
+// Status returns the entry's status report.
 func (en *Entry) Status(context.Context, message.Header, message.StatusRequest) (message.Status, error) {
 	now := time.Now()
 	st := message.Status{
@@ -39,7 +39,7 @@
 	return st, nil
 }
 
-// endpointStatus returns the row of an endpoint as the entry sees it.
+// endpointStatus returns the status of an endpoint as routed by this entry.
 func endpointStatus(ro route.Endpoint) message.EndpointStatus {
 	return message.EndpointStatus{
 		Leaving: ro.State == route.Leaving,
@@ -50,7 +50,7 @@
 	}
 }
 
-// addTrainer adds the rows of a trainer that the entry owns.
+// addTrainer adds the status of a trainer that the entry owns, and of its batches.
 func addTrainer(st *message.Status, bs batch.Status) {
 	for _, ro := range bs.Batches {
 		st.Batches = append(st.Batches, batchStatus(bs.Trainer, ro))
@@ -65,7 +65,6 @@
 	})
 }
 
-// batchStatus returns the row of a batch.
 func batchStatus(trainer string, ro batch.Row) message.BatchStatus {
 	state := message.BatchOpen
 	if ro.Sealed {
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -18,29 +18,28 @@
 	"wisteriacroft/telemetry"
 )
 
-// ownerRetryAfter is when a trainer should come back while the owner of its
-// batches is not known.
+// ownerRetryAfter is the retry delay for a trainer while the owner of its batches is
+// unknown.
 const ownerRetryAfter = time.Second
 
-// A trainers answers the trainers' requests, or has them answered by the entry
-// that owns the trainer's batches.
+// A trainers serves the trainers' requests, or forwards them to the entry that owns the
+// trainer's batches.
 type trainers struct {
-	forwarder *forwarder
-	left      <-chan struct{} // closed once the entry leaves
-	log       *logrus.Entry
-	owner     *batch.Owner
-	ownership *ownership
-	profiles  *profile.Replica
+	forwarder       *forwarder
+	shutdownStarted <-chan struct{} // closed once the entry leaves
+	log             *logrus.Entry
+	owner           *batch.Owner
+	ownership       *ownership
+	profiles        *profile.Replica
 }
 
-// register adds the trainers' paths to a router.
 func (tr *trainers) register(ro *mux.Router) {
 	ro.HandleFunc(message.StepPath, tr.serve("trainer-step", maxStepSize, tr.step)).Methods(http.MethodPut)
 	ro.HandleFunc(message.PullPath, tr.serve("trainer-pull", maxPullSize, tr.pull)).Methods(http.MethodPost)
 	ro.HandleFunc(message.BatchPath, tr.serve("trainer-batch", maxPullSize, tr.batch)).Methods(http.MethodGet)
 }
 
-// A trainerRequest is a request of a trainer with its body read whole.
+// A trainerRequest is a request of a trainer whose body has been read.
 type trainerRequest struct {
 	body    []byte
 	http    *http.Request
@@ -48,26 +47,26 @@
 	vars    map[string]string
 }
 
-// An ownerHandler answers a request at the owner. An *outcome.Refusal becomes the
-// answer; so does any other error, as one whose fate is unknown.
+// An ownerHandler handles a request at the owner. An *outcome.Refusal is sent as the
+// response; any other error is sent as a refusal with an unknown outcome.
 type ownerHandler func(rw http.ResponseWriter, req trainerRequest) error
 
-// serve reads the body, finds the owner of the trainer's batches and answers
-// here or has that owner answer.
+// serve returns the HTTP handler that answers a request, or writes its refusal, within a
+// span.
 func (tr *trainers) serve(span string, limit int64, handle ownerHandler) http.HandlerFunc {
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		ctx, sp := telemetry.Start(telemetry.Extract(rq.Context(), rq.Header), span)
 		rq = rq.WithContext(ctx)
 		err := tr.answer(rw, rq, limit, handle)
 		if err != nil {
-			tr.log.WithError(err).WithField("path", rq.URL.Path).Debug("trainer is refused")
+			tr.log.WithError(err).WithField("path", rq.URL.Path).Debug("trainer request refused")
 			writeRefusal(rw, err)
 		}
 		telemetry.End(sp, err)
 	}
 }
 
-// answer answers a request here or by way of its owner, or returns a refusal.
+// answer handles a request here or forwards it to the owner of the trainer's batches.
 func (tr *trainers) answer(rw http.ResponseWriter, rq *http.Request, limit int64, handle ownerHandler) error {
 	body, refusal := readBody(rw, rq, limit)
 	if refusal != nil {
@@ -75,7 +74,7 @@
 	}
 	vars := mux.Vars(rq)
 	req := trainerRequest{body: body, http: rq, trainer: vars["trainer"], vars: vars}
-	if !tr.named(req.trainer, "") {
+	if !tr.listed(req.trainer, "") {
 		return outcome.NewRefusal(outcome.UnknownProfile, "", "no profile in force names trainer "+strconv.Quote(req.trainer))
 	}
 	address, err := tr.ownership.find(rq.Context(), trainerLeasePrefix+req.trainer)
@@ -90,9 +89,9 @@
 	return handle(rw, req)
 }
 
-// named tells whether the samples profile of a name, or any if name is "",
-// names the trainer.
-func (tr *trainers) named(trainer, name string) bool {
+// listed reports whether the samples profile called name, or any if name is "", lists the
+// trainer.
+func (tr *trainers) listed(trainer, name string) bool {
 	for _, pr := range tr.profiles.Current().Trainer(trainer) {
 		if name == "" || pr.Name() == name {
 			return true
@@ -111,7 +110,7 @@
 	if err != nil {
 		return badRequest(err)
 	}
-	if !tr.named(req.trainer, sr.Profile) {
+	if !tr.listed(req.trainer, sr.Profile) {
 		return outcome.NewRefusal(outcome.UnknownProfile, "",
 			"profile: no samples profile "+strconv.Quote(sr.Profile)+" in force names trainer "+strconv.Quote(req.trainer))
 	}
@@ -122,32 +121,31 @@
 	return writeJSON(rw, http.StatusOK, an)
 }
 
-// pull is the ownerHandler that hands the next batch over.
+// pull is the ownerHandler that returns the next batch.
 func (tr *trainers) pull(rw http.ResponseWriter, req trainerRequest) error {
 	pr, err := decodePull(req.body)
 	if err != nil {
 		return badRequest(err)
 	}
-	an, err := tr.waitPull(req, pr)
+	an, err := tr.pullUntilShutdown(req, pr)
 	if err != nil {
 		return err
 	}
 	return writeJSON(rw, http.StatusOK, an)
 }
 
-// waitPull pulls, but waits no longer than until the entry leaves.
+// pullUntilShutdown pulls, and ends the wait with a retry delay as soon as the entry leaves.
 //
-// A pull may wait for a minute. A shutdown would wait for it too, past its
-// grace, and then cut it off; the trainer would learn only then that it has to
-// go elsewhere. So it is told at once, with a time to come back.
-func (tr *trainers) waitPull(req trainerRequest, pr message.PullRequest) (message.PullResponse, error) {
+// Otherwise a pull, which may wait for a minute, would delay the shutdown past its grace
+// period and then be aborted.
+func (tr *trainers) pullUntilShutdown(req trainerRequest, pr message.PullRequest) (message.PullResponse, error) {
 	ctx, cancel := context.WithCancel(req.http.Context())
 	defer cancel()
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		select {
-		case <-tr.left:
+		case <-tr.shutdownStarted:
 			cancel()
 		case <-done:
 		}
@@ -165,15 +163,14 @@
 	wr := &countingWriter{ResponseWriter: rw}
 	err := tr.owner.Payload(req.http.Context(), req.trainer, req.vars["batch"], wr)
 	if err != nil && wr.written > 0 {
-		// The head is out, so no refusal can follow: end the connection before
-		// the last chunk, which the trainer sees as a body cut short. A normal
-		// end would pass for a whole batch.
+		// The header is already sent, so abort the connection: the trainer sees a
+		// truncated body. A normal end would look like a complete batch.
 		panic(http.ErrAbortHandler)
 	}
 	return err
 }
 
-// A countingWriter counts the bytes of the answer that were written.
+// A countingWriter counts the bytes written to the response body.
 type countingWriter struct {
 	http.ResponseWriter
 	written int64
@@ -186,7 +183,7 @@
 	return n, err
 }
 
-// writeJSON answers with a JSON value.
+// writeJSON writes value as a JSON response.
 func writeJSON(rw http.ResponseWriter, status int, value any) error {
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
