--- a/peer/code.go
+++ b/peer/code.go
@@ -10,14 +10,14 @@
 	"wisteriacroft/outcome"
 )
 
-// A Code names a sentinel error on the wire, so that errors.Is matches it on
-// the other side too.
+// A Code is the wire name of a sentinel error, so that errors.Is matches it at the
+// caller too.
 type Code struct {
 	Err  error
 	Name string
 }
 
-// commonCodes returns the codes that every process knows.
+// commonCodes returns the codes that all processes share.
 func commonCodes() []Code {
 	return []Code{
 		{Err: context.Canceled, Name: "canceled"},
@@ -37,8 +37,8 @@
 	}
 }
 
-// A RemoteError is an error that the other side returned. It wraps the
-// sentinel of its code, if it has one.
+// A RemoteError is an error returned by the remote process. It wraps the sentinel error
+// of its code, if it has one.
 type RemoteError struct {
 	code    string
 	message string
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -14,54 +14,53 @@
 
 // A wire reads and writes CBOR messages on a connection.
 type wire struct {
-	bytes     *Bytes
-	conn      net.Conn
-	decoder   *cbor.Decoder
-	heard     atomic.Int64 // when the last byte was read, in Unix nanoseconds
-	limit     int          // bytes of one message
-	readLeft  int          // bytes that the message being read may still take
-	readLimit time.Duration
+	bytes         *Bytes
+	conn          net.Conn
+	decoder       *cbor.Decoder
+	lastRead      atomic.Int64 // time of the last successful read, in Unix nanoseconds
+	limit         int          // maximum size of a message, in bytes
+	readRemaining int          // remaining bytes of the limit for the message being read
+	readTimeout   time.Duration
 }
 
-// newWire returns a wire on conn. A read that waits for longer than idle
-// fails.
+// newWire returns a wire on conn. A read times out after idle.
 func newWire(conn net.Conn, by *Bytes, limit int, idle time.Duration) *wire {
-	wi := &wire{bytes: by, conn: conn, limit: limit, readLimit: idle}
+	wi := &wire{bytes: by, conn: conn, limit: limit, readTimeout: idle}
 	wi.decoder = cbor.NewDecoder(wi)
 	return wi
 }
 
 // Read implements io.Reader for the decoder.
 //
-// Without the limit, a sender gone wrong could make this process hold a
-// message of any size; the connection ends instead.
+// The size limit prevents a faulty sender from exhausting this process's memory; the
+// connection fails instead.
 func (wi *wire) Read(buf []byte) (int, error) {
-	if wi.readLeft <= 0 {
+	if wi.readRemaining <= 0 {
 		return 0, errors.Wrapf(ErrTooLarge, "read from %s", wi.conn.RemoteAddr())
 	}
-	if len(buf) > wi.readLeft {
-		buf = buf[:wi.readLeft]
+	if len(buf) > wi.readRemaining {
+		buf = buf[:wi.readRemaining]
 	}
-	if err := wi.conn.SetReadDeadline(time.Now().Add(wi.readLimit)); err != nil {
+	if err := wi.conn.SetReadDeadline(time.Now().Add(wi.readTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := wi.conn.Read(buf)
-	wi.readLeft -= n
+	wi.readRemaining -= n
 	if n > 0 {
-		wi.heard.Store(time.Now().UnixNano())
+		wi.lastRead.Store(time.Now().UnixNano())
 		wi.bytes.read.Add(int64(n))
 	}
 	return n, err
 }
 
-// decode reads the next message.
+// decode reads the next message into value.
 func (wi *wire) decode(value any) error {
-	wi.readLeft = wi.limit
+	wi.readRemaining = wi.limit
 	return wi.decoder.Decode(value)
 }
 
-// encode writes a message whole, or fails within DefaultSilenceTimeout: a
-// receiver that no longer reads must not hold up whoever writes next.
+// encode writes a message. It fails after DefaultSilenceTimeout, so that a receiver that
+// stops reading doesn't block later writers.
 func (wi *wire) encode(value any) error {
 	data, err := Encode(value)
 	if err != nil {
@@ -76,42 +75,41 @@
 	wi.bytes.written.Add(int64(len(data)))
 	_, err = wi.conn.Write(data)
 	if err != nil {
-		discard(wi.conn) // half a message may be out: nothing after it could be read
+		discard(wi.conn) // a partly written message makes the stream unreadable
 	}
 	return err
 }
 
 // A serverCodec is a net/rpc codec whose messages are Requests and Responses.
 type serverCodec struct {
-	base    func(left time.Duration) (context.Context, context.CancelFunc)
-	cancel  context.CancelFunc
-	close   sync.Once
-	request *Request
-	wire    *wire
+	newContext func(left time.Duration) (context.Context, context.CancelFunc)
+	cancel     context.CancelFunc
+	close      sync.Once
+	request    *Request
+	wire       *wire
 }
 
-// newServerCodec returns a codec on conn. Handlers' contexts end with it.
+// newServerCodec returns a codec on conn. Closing it cancels the handlers' contexts.
 func newServerCodec(ctx context.Context, conn net.Conn, by *Bytes, limit int) *serverCodec {
-	// Clients close connections that are idle for DefaultIdleTimeout and ping
-	// while calls run, so twice that long without a byte means that the
-	// client is gone and that the connection would otherwise stay for good.
+	// Clients close connections that are idle for DefaultIdleTimeout and ping while
+	// calls run. Twice that time without a byte means that the client is gone.
 	co := &serverCodec{wire: newWire(conn, by, limit, 2*DefaultIdleTimeout)}
 	ctx, cancel := context.WithCancel(ctx)
 	co.cancel = cancel
-	co.base = func(left time.Duration) (context.Context, context.CancelFunc) {
+	co.newContext = func(left time.Duration) (context.Context, context.CancelFunc) {
 		return context.WithTimeout(ctx, left)
 	}
 	return co
 }
 
-// ReadRequestHeader implements rpc.ServerCodec. It reads the whole message.
+// ReadRequestHeader implements rpc.ServerCodec. It reads the header and the body.
 func (co *serverCodec) ReadRequestHeader(he *rpc.Request) error {
 	req := &Request{}
 	if err := co.wire.decode(req); err != nil {
 		return err
 	}
-	req.from = co.wire.conn.RemoteAddr().String()
-	req.bound = co.base
+	req.remoteAddress = co.wire.conn.RemoteAddr().String()
+	req.newContext = co.newContext
 	co.request = req
 	he.Seq = req.Seq
 	he.ServiceMethod = serviceMethod
@@ -152,9 +150,9 @@
 
 // A clientCodec is the caller's side of a serverCodec.
 type clientCodec struct {
-	ended    func(err error) // told when nothing more can be read
-	response Response
-	wire     *wire
+	onReadError func(err error) // called when a read fails
+	response    Response
+	wire        *wire
 }
 
 // WriteRequest implements rpc.ClientCodec.
@@ -167,19 +165,19 @@
 	return co.wire.encode(req)
 }
 
-// ReadResponseHeader implements rpc.ClientCodec. It reads the whole message.
+// ReadResponseHeader implements rpc.ClientCodec. It reads the header and the body.
 func (co *clientCodec) ReadResponseHeader(he *rpc.Response) error {
 	co.response = Response{}
 	if err := co.wire.decode(&co.response); err != nil {
-		co.ended(err)
+		co.onReadError(err)
 		return err
 	}
 	he.Seq = co.response.Seq
 	return nil
 }
 
-// ReadResponseBody implements rpc.ClientCodec. Body is nil when no call waits
-// for the answer.
+// ReadResponseBody implements rpc.ClientCodec. Body is nil when no call waits for the
+// response.
 func (co *clientCodec) ReadResponseBody(body any) error {
 	if resp, ok := body.(*Response); ok {
 		*resp = co.response
--- a/peer/connection.go
+++ b/peer/connection.go
@@ -12,23 +12,23 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// A connection carries the calls to one address.
+// A connection multiplexes the calls to one address.
 type connection struct {
-	address string
-	client  *rpc.Client   // set once ready is closed
-	dead    chan struct{} // closed when it failed
-	pool    *Pool
-	ready   chan struct{} // closed when the connection can be used
-	turn    chan struct{} // held by whoever writes
-	wire    *wire         // set once ready is closed
+	address   string
+	client    *rpc.Client   // set once ready is closed
+	dead      chan struct{} // closed when the connection has failed
+	pool      *Pool
+	ready     chan struct{} // closed when the connection can be used
+	writeLock chan struct{} // mutex for writing, of capacity 1
+	wire      *wire         // set once ready is closed
 
 	mu      sync.Mutex
-	cause   error     // why it ended; set before dead is closed
-	running int       // calls that wait for an answer
-	since   time.Time // when running last became zero or ceased to be
+	cause   error     // why the connection failed; set before dead is closed
+	running int       // calls that wait for a response
+	since   time.Time // when running last changed from or to zero
 }
 
-// call runs one call, on a new connection if there is none.
+// call runs one call within a span and a timeout.
 func (po *Pool) call(ctx context.Context, address, method string, payload []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(po.CallTimeout, DefaultCallTimeout))
 	defer cancel()
@@ -36,20 +36,20 @@
 	defer sp.End()
 	answer, err := po.exchange(ctx, address, method, payload)
 	if err != nil {
-		fail(sp, err)
+		recordError(sp, err)
 		return nil, errors.Wrapf(err, "call %s at %s", method, address)
 	}
 	return answer, nil
 }
 
-// exchange sends a request over the pool's connection to address and returns
-// the payload of its answer.
+// exchange sends a request over the pool's connection to address and returns the payload
+// of the response.
 func (po *Pool) exchange(ctx context.Context, address, method string, payload []byte) ([]byte, error) {
 	cn, err := po.connection(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	if err := cn.wait(ctx); err != nil {
+	if err := cn.waitReady(ctx); err != nil {
 		return nil, err
 	}
 	resp, err := cn.exchange(ctx, method, payload)
@@ -76,12 +76,12 @@
 		return cn, nil
 	}
 	cn := &connection{
-		address: address,
-		dead:    make(chan struct{}),
-		pool:    po,
-		ready:   make(chan struct{}),
-		since:   time.Now(),
-		turn:    make(chan struct{}, 1),
+		address:   address,
+		dead:      make(chan struct{}),
+		pool:      po,
+		ready:     make(chan struct{}),
+		since:     time.Now(),
+		writeLock: make(chan struct{}, 1),
 	}
 	if po.conns == nil {
 		po.conns = map[string]*connection{}
@@ -91,7 +91,7 @@
 	return cn, nil
 }
 
-// drop forgets a connection that failed, so that the next call dials anew.
+// drop removes a failed connection, so that the next call opens a new one.
 func (po *Pool) drop(cn *connection) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -100,8 +100,8 @@
 	}
 }
 
-// wait returns once the connection can be used.
-func (cn *connection) wait(ctx context.Context) error {
+// waitReady waits until the connection can be used.
+func (cn *connection) waitReady(ctx context.Context) error {
 	select {
 	case <-cn.ready:
 		return nil
@@ -112,16 +112,15 @@
 	}
 }
 
-// exchange sends a request and waits for its answer. An answer that comes
-// after ctx ended is written to a Response that nobody holds any more: it
-// can't reach another call.
+// exchange sends a request and waits for its response. Each call has its own Response,
+// so that a response that arrives after ctx ended can't reach another call.
 func (cn *connection) exchange(ctx context.Context, method string, payload []byte) (*Response, error) {
-	if !cn.enter() {
+	if !cn.startCall() {
 		return nil, mark(cn.cause, ErrNotSent)
 	}
-	defer cn.leave()
+	defer cn.endCall()
 	select {
-	case cn.turn <- struct{}{}:
+	case cn.writeLock <- struct{}{}:
 	case <-cn.dead:
 		return nil, mark(cn.cause, ErrNotSent)
 	case <-ctx.Done():
@@ -139,21 +138,20 @@
 	}
 }
 
-// send writes a request and tells the channel when it is answered. The sender
-// must hold the connection's turn. Writing blocks while the other side doesn't
-// read, which must not hold the caller beyond its own deadline, so it has its
-// own goroutine.
+// send writes a request in its own goroutine, so that a blocked write doesn't delay the
+// caller beyond its deadline. The channel receives the call when it is done. The caller
+// must hold cn.writeLock, which the goroutine releases.
 func (cn *connection) send(req *Request, resp *Response) <-chan *rpc.Call {
 	done := make(chan *rpc.Call, 1)
 	go func() {
 		cn.client.Go(serviceMethod, req, resp, done)
-		<-cn.turn
+		<-cn.writeLock
 	}()
 	return done
 }
 
-// request returns the wire form of a call, with this process's header and
-// the trace context and time left of ctx.
+// request returns the wire form of a call, with this process's header and ctx's trace
+// context and remaining time.
 func (cn *connection) request(ctx context.Context, method string, payload []byte) *Request {
 	he := cn.pool.header()
 	deadline, _ := ctx.Deadline()
@@ -170,7 +168,7 @@
 	}
 }
 
-// outcome returns the error of a call that net/rpc ended.
+// outcome returns the error of a call that net/rpc ended with err.
 func (cn *connection) outcome(err error) error {
 	switch {
 	case err == nil:
@@ -182,13 +180,13 @@
 	return cn.cause
 }
 
-// end fails the connection for an error of reading or writing.
+// end fails the connection after a read or write error.
 func (cn *connection) end(err error) {
 	cn.fail(mark(err, ErrBroken))
 }
 
-// fail ends the connection for a cause; only the first cause counts. When it
-// returns, no new call takes the connection.
+// fail ends the connection and records the first cause. When it returns, no new call can
+// use the connection.
 func (cn *connection) fail(cause error) {
 	cn.pool.drop(cn)
 	cn.mu.Lock()
@@ -199,13 +197,13 @@
 	cn.cause = cause
 	close(cn.dead)
 	if cn.wire != nil {
-		// Not the client's Close: it waits for whoever writes now.
+		// Not the client's Close, which would wait for a write in progress.
 		abort(cn.wire.conn)
 	}
 }
 
-// enter counts a call that starts. It returns false if the connection ended.
-func (cn *connection) enter() bool {
+// startCall counts a started call. It returns false if the connection has failed.
+func (cn *connection) startCall() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	if cn.cause != nil {
@@ -218,8 +216,8 @@
 	return true
 }
 
-// leave counts a call that ended.
-func (cn *connection) leave() {
+// endCall counts a finished call.
+func (cn *connection) endCall() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.running--
@@ -228,13 +226,11 @@
 	}
 }
 
-// watch pings while calls run, and ends the connection when it goes silent
-// or stays idle.
+// watch pings while calls run, and closes the connection when nothing is received or no
+// call is made for too long.
 //
-// Something between the two ends may lose track of a connection: then both
-// sides wait for good, and calls time out one after another. A pong shows
-// that a slow call's connection still lives, so that only a dead one is
-// abandoned.
+// A device on the path may drop a connection silently, so that its calls time out one
+// after another. Pings distinguish such a connection from one with a slow call.
 func (cn *connection) watch() {
 	ti := time.NewTicker(cmp.Or(cn.pool.PingInterval, DefaultPingInterval))
 	defer ti.Stop()
@@ -251,7 +247,8 @@
 	}
 }
 
-// check returns why the connection should end, or nil. It pings if calls run.
+// check returns an error if the connection is idle or silent for too long. It pings if
+// calls run.
 func (cn *connection) check(now time.Time) error {
 	cn.mu.Lock()
 	running, since := cn.running, cn.since
@@ -262,17 +259,17 @@
 		}
 		return errors.Wrapf(ErrBroken, "no call for %v", now.Sub(since))
 	}
-	heard := time.Unix(0, cn.wire.heard.Load())
-	if heard.Before(since) {
-		heard = since
+	lastRead := time.Unix(0, cn.wire.lastRead.Load())
+	if lastRead.Before(since) {
+		lastRead = since
 	}
-	if now.Sub(heard) >= cmp.Or(cn.pool.SilenceTimeout, DefaultSilenceTimeout) {
-		return errors.Wrapf(ErrSilent, "nothing heard for %v", now.Sub(heard))
+	if now.Sub(lastRead) >= cmp.Or(cn.pool.SilenceTimeout, DefaultSilenceTimeout) {
+		return errors.Wrapf(ErrSilent, "nothing heard for %v", now.Sub(lastRead))
 	}
 	select {
-	case cn.turn <- struct{}{}:
+	case cn.writeLock <- struct{}{}:
 		cn.send(&Request{Method: pingMethod, Sender: cn.pool.header().Sender}, &Response{})
-	default: // a request is being written: its answer does what a pong would
+	default: // a request is being written; its response serves as a pong
 	}
 	return nil
 }
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -15,8 +15,8 @@
 	"wisteriacroft/message"
 )
 
-// dial opens the connection. It serves all calls that wait for it, so it
-// doesn't end with any one caller's context.
+// dial opens the connection and watches it until it ends. All calls to the address share
+// it, so ctx must not be a caller's context.
 func (cn *connection) dial(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(cn.pool.DialTimeout, DefaultDialTimeout))
 	defer cancel()
@@ -26,25 +26,24 @@
 		return
 	}
 	po := cn.pool
-	if !cn.open(newWire(co, &po.bytes, cmp.Or(po.MaxMessageSize, DefaultMaxMessageSize), 2*cmp.Or(po.IdleTimeout, DefaultIdleTimeout))) {
+	if !cn.setWire(newWire(co, &po.bytes, cmp.Or(po.MaxMessageSize, DefaultMaxMessageSize), 2*cmp.Or(po.IdleTimeout, DefaultIdleTimeout))) {
 		discard(co)
 		return
 	}
-	cn.client = rpc.NewClientWithCodec(&clientCodec{ended: cn.end, wire: cn.wire})
+	cn.client = rpc.NewClientWithCodec(&clientCodec{onReadError: cn.end, wire: cn.wire})
 	close(cn.ready)
 	cn.watch()
 }
 
-// open takes the wire into use. It returns false if the connection ended while
-// it was dialed.
-func (cn *connection) open(wi *wire) bool {
+// setWire sets the wire. It returns false if the connection failed during the dial.
+func (cn *connection) setWire(wi *wire) bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	cn.wire = wi
 	return cn.cause == nil
 }
 
-// connect dials and asks the other side's HTTP server for net/rpc.
+// connect opens a connection to the address and switches it to net/rpc.
 func (cn *connection) connect(ctx context.Context) (net.Conn, error) {
 	dial := cn.pool.DialFunc
 	if dial == nil {
@@ -63,8 +62,7 @@
 	return co, nil
 }
 
-// handshake asks for net/rpc by CONNECT and leaves the connection without a
-// deadline.
+// handshake requests net/rpc by an HTTP CONNECT and clears the connection's deadline.
 func handshake(ctx context.Context, co net.Conn) error {
 	deadline, _ := ctx.Deadline()
 	if err := co.SetDeadline(deadline); err != nil {
--- a/peer/message.go
+++ b/peer/message.go
@@ -10,8 +10,8 @@
 	"wisteriacroft/outcome"
 )
 
-// A Request is a call on the wire. It is exported because net/rpc asks for
-// exported argument types.
+// A Request is a call on the wire. It is exported because net/rpc requires exported
+// argument types.
 type Request struct {
 	_           struct{} `cbor:",toarray"`
 	Seq         uint64
@@ -19,21 +19,21 @@
 	Sender      string
 	Incarnation uint64
 	Revision    uint64
-	TimeLeft    int64  // milliseconds until the caller gives up
+	TimeLeft    int64  // milliseconds until the caller's deadline
 	TraceParent string // W3C trace context, or ""
 	Payload     cbor.RawMessage
 
-	from  string
-	bound func(left time.Duration) (context.Context, context.CancelFunc)
+	remoteAddress string
+	newContext    func(left time.Duration) (context.Context, context.CancelFunc)
 }
 
-// Header returns the sender's part of the request.
+// Header returns the sender's header.
 func (re *Request) Header() message.Header {
 	return message.Header{Incarnation: re.Incarnation, Revision: re.Revision, Sender: re.Sender}
 }
 
-// A Response is the answer to a Request on the wire. It is exported because
-// net/rpc asks for exported reply types.
+// A Response is the response to a Request on the wire. It is exported because net/rpc
+// requires exported reply types.
 type Response struct {
 	_           struct{} `cbor:",toarray"`
 	Seq         uint64
@@ -44,7 +44,7 @@
 	Payload     cbor.RawMessage
 }
 
-// Header returns the sender's part of the response.
+// Header returns the sender's header.
 func (re *Response) Header() message.Header {
 	return message.Header{Incarnation: re.Incarnation, Revision: re.Revision, Sender: re.Sender}
 }
@@ -57,10 +57,9 @@
 	Refusal *outcome.Refusal
 }
 
-// encoding keeps times to the nanosecond: the default keeps whole seconds.
+// encoding encodes times with nanoseconds; the default is whole seconds.
 var encoding = newEncoding()
 
-// newEncoding returns the mode of encoding.
 func newEncoding() cbor.EncMode {
 	em, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
@@ -69,8 +68,8 @@
 	return em
 }
 
-// Encode returns the form of a value on the wire.
+// Encode returns the CBOR encoding of a value.
 func Encode(value any) ([]byte, error) { return encoding.Marshal(value) }
 
-// Decode reads a value from its form on the wire.
+// Decode decodes the CBOR encoding of a value.
 func Decode(data []byte, value any) error { return cbor.Unmarshal(data, value) }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer carries calls between the system's own processes over
-// net/rpc. A call has a deadline, a span and typed errors; a connection that
-// has gone silent is found by pings and abandoned.
+// Package peer implements calls between the system's processes over net/rpc. A call has
+// a deadline, a span and typed errors. Pings detect connections that no longer carry data.
 package peer
 
 import (
@@ -25,37 +24,37 @@
 	DefaultSilenceTimeout = 2 * time.Second
 )
 
-// pingMethod is answered by every Server itself.
+// pingMethod is handled by every Server without registration.
 const pingMethod = "peer.ping"
 
-// Errors that Call returns, to be matched with errors.Is. After any of them
-// but ErrNotSent the call may or may not have run.
+// Errors of Call, for errors.Is. Except with ErrNotSent, the call may or may not have
+// run.
 var (
-	// ErrBroken means that the connection broke before the answer came.
+	// ErrBroken means that the connection failed before the response arrived.
 	ErrBroken = errors.New("connection broke before the answer")
 	// ErrClosed means that the pool is closed.
 	ErrClosed = errors.New("pool is closed")
 	// ErrNotSent means that no byte of the call was written: it did not run.
 	ErrNotSent = errors.New("call was not sent")
-	// ErrSilent means that the connection brought neither the answer nor a
-	// pong within its bound, and was abandoned.
+	// ErrSilent means that the connection was closed because neither a response nor a
+	// pong arrived within SilenceTimeout.
 	ErrSilent = errors.New("connection went silent")
 	// ErrTooLarge means that a message exceeds the size limit.
 	ErrTooLarge = errors.New("message is too large")
-	// ErrUnknownMethod means that the other side has no handler of that name.
+	// ErrUnknownMethod means that the server has no handler of that name.
 	ErrUnknownMethod = errors.New("unknown method")
 )
 
 // tracer returns the tracer of the package's spans.
 func tracer() trace.Tracer { return otel.Tracer("wisteriacroft/peer") }
 
-// fail marks a span as that of a call that failed.
-func fail(sp trace.Span, err error) {
+// recordError records a call's error in its span.
+func recordError(sp trace.Span, err error) {
 	sp.RecordError(err)
 	sp.SetStatus(codes.Error, err.Error())
 }
 
-// mark returns err as one that errors.Is matches with sentinel too.
+// mark wraps err so that errors.Is matches sentinel too.
 func mark(err, sentinel error) error {
 	if errors.Is(err, sentinel) {
 		return err
@@ -63,12 +62,11 @@
 	return fmt.Errorf("%w: %w", sentinel, err)
 }
 
-// discard closes what is of no more use: its error would change nothing.
+// discard closes cl and ignores the error.
 func discard(cl io.Closer) { _ = cl.Close() }
 
-// abort closes a connection that failed, and drops what was written and not
-// delivered. Closed in the usual way, the kernel goes on sending it: a call that
-// its caller had given up arrived 5 s after the cut that had held it up.
+// abort closes a failed connection and discards its unsent data. Otherwise the kernel
+// keeps sending it, and a call could arrive long after its caller's deadline.
 func abort(co net.Conn) {
 	if tc, ok := co.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0) // the connection has failed already
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -24,8 +24,8 @@
 	"wisteriacroft/peer"
 )
 
-// A network is a set of pipes to one server, each of which can be muted:
-// bytes then go nowhere, in both directions, and no end learns of it.
+// A network is a set of pipes to one server. Each can be muted: both directions then
+// discard all bytes without an error.
 type network struct {
 	mu    sync.Mutex
 	muted []chan struct{}
@@ -56,16 +56,16 @@
 	defer ne.mu.Unlock()
 	muted := make(chan struct{})
 	ne.muted = append(ne.muted, muted)
-	ne.ends <- &line{Conn: far, muted: muted}
-	return &line{Conn: near, muted: muted}, nil
+	ne.ends <- &mutableConn{Conn: far, muted: muted}
+	return &mutableConn{Conn: near, muted: muted}, nil
 }
 
-type line struct {
+type mutableConn struct {
 	net.Conn
 	muted chan struct{}
 }
 
-func (li *line) Write(buf []byte) (int, error) {
+func (li *mutableConn) Write(buf []byte) (int, error) {
 	select {
 	case <-li.muted:
 		return len(buf), nil
@@ -74,12 +74,12 @@
 	}
 }
 
-// session runs fn in a bubble with a server that echoes after a delay.
-func session(t *testing.T, po *peer.Pool, sv *peer.Server, fn func(t *testing.T, ne *network)) {
+// runWithServer runs fn in a synctest bubble with a server that echoes after a delay.
+func runWithServer(t *testing.T, po *peer.Pool, sv *peer.Server, fn func(t *testing.T, ne *network)) {
 	synctest.Test(t, func(t *testing.T) {
-		peer.Handle(sv, "echo", func(_ context.Context, _ message.Header, wait time.Duration) (time.Duration, error) {
-			time.Sleep(wait)
-			return wait, nil
+		peer.Handle(sv, "echo", func(_ context.Context, _ message.Header, delay time.Duration) (time.Duration, error) {
+			time.Sleep(delay)
+			return delay, nil
 		})
 		ne := newNetwork(t, sv)
 		po.DialFunc = ne.dial
@@ -89,18 +89,17 @@
 	})
 }
 
-func echo(t *testing.T, po *peer.Pool, wait, timeout time.Duration) (time.Duration, error) {
+func echo(t *testing.T, po *peer.Pool, delay, timeout time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	return peer.Call[time.Duration, time.Duration](ctx, po, "coventry-hall:1", "echo", wait)
+	return peer.Call[time.Duration, time.Duration](ctx, po, "coventry-hall:1", "echo", delay)
 }
 
-// Symptom: calls to one process hang until their deadlines though it is well.
-// Sequence: a slow call runs; the connection stops carrying bytes, unnoticed.
-// Cause: only an answer was waited for; nothing asked whether the line lives.
+// TestSilentConnection guards against calls that hang until their deadlines on a
+// connection that silently stopped carrying data.
 func TestSilentConnection(t *testing.T) {
 	po := &peer.Pool{CallTimeout: time.Hour}
-	session(t, po, &peer.Server{}, func(t *testing.T, ne *network) {
+	runWithServer(t, po, &peer.Server{}, func(t *testing.T, ne *network) {
 		start := time.Now()
 		_, err := echo(t, po, 10*time.Minute, time.Hour)
 		assert.NilError(t, err, "a slow call on a live connection")
@@ -111,34 +110,32 @@
 		_, err = echo(t, po, 10*time.Minute, time.Hour)
 		assert.ErrorIs(t, err, peer.ErrSilent)
 		assert.Assert(t, !errors.Is(err, peer.ErrNotSent), "it ran")
-		bound := peer.DefaultSilenceTimeout + 2*peer.DefaultPingInterval
-		assert.Assert(t, time.Since(start) <= time.Minute+bound, "found after %v", time.Since(start))
+		limit := peer.DefaultSilenceTimeout + 2*peer.DefaultPingInterval
+		assert.Assert(t, time.Since(start) <= time.Minute+limit, "found after %v", time.Since(start))
 
 		_, err = echo(t, po, time.Second, time.Hour)
-		assert.NilError(t, err, "a new call dials anew")
+		assert.NilError(t, err, "a new call opens a new connection")
 		assert.Equal(t, len(ne.muted), 2)
 		time.Sleep(10 * time.Minute) // the muted call's handler ends
 	})
 }
 
-// Symptom: a call gets the answer of another call.
-// Sequence: a call is given up; its answer comes while the next call waits.
-// Cause: the answer was matched by order and not by its own call.
-func TestLateAnswer(t *testing.T) {
+// TestLateResponse guards against delivering the late response of a timed-out call to the
+// next call.
+func TestLateResponse(t *testing.T) {
 	po := &peer.Pool{}
-	session(t, po, &peer.Server{}, func(t *testing.T, ne *network) {
+	runWithServer(t, po, &peer.Server{}, func(t *testing.T, ne *network) {
 		_, err := echo(t, po, 4*time.Second, 3*time.Second)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-		wait, err := echo(t, po, 2*time.Second, 3*time.Second)
+		delay, err := echo(t, po, 2*time.Second, 3*time.Second)
 		assert.NilError(t, err)
-		assert.Equal(t, wait, 2*time.Second)
+		assert.Equal(t, delay, 2*time.Second)
 		assert.Equal(t, len(ne.muted), 1, "the connection was kept")
 	})
 }
 
-// Symptom: callers hang far beyond their deadlines.
-// Sequence: the other side stops reading; a call's write blocks.
-// Cause: a write without a deadline, in the caller's own goroutine.
+// TestBlockedWrite guards against a caller that is blocked beyond its deadline because
+// the server stops reading.
 func TestBlockedWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		po := &peer.Pool{}
@@ -156,11 +153,11 @@
 		assert.Equal(t, time.Since(start), time.Second)
 		time.Sleep(2 * peer.DefaultSilenceTimeout)
 		_, err = far.Write([]byte{0})
-		assert.ErrorIs(t, err, io.ErrClosedPipe, "the connection was abandoned")
+		assert.ErrorIs(t, err, io.ErrClosedPipe, "the connection was closed")
 	})
 }
 
-func TestErrorsSurvive(t *testing.T) {
+func TestErrorTypesArePreserved(t *testing.T) {
 	refusal := outcome.NewRefusal(outcome.Overloaded, "r1", "queue is full")
 	refusal.RetryAfter = "250ms"
 	own := errors.New("own sentinel")
@@ -184,7 +181,7 @@
 	peer.Handle(sv, "big", func(context.Context, message.Header, int) (string, error) {
 		return strings.Repeat("x", peer.DefaultMaxMessageSize), nil
 	})
-	session(t, po, sv, func(t *testing.T, _ *network) {
+	runWithServer(t, po, sv, func(t *testing.T, _ *network) {
 		for name, tc := range cases {
 			_, err := peer.Call[int, int](t.Context(), po, "a", name, 1)
 			var re *peer.RemoteError
@@ -233,7 +230,7 @@
 		far = trace.SpanContextFromContext(ctx).TraceID()
 		return 0, nil
 	})
-	session(t, po, sv, func(t *testing.T, _ *network) {
+	runWithServer(t, po, sv, func(t *testing.T, _ *network) {
 		ctx, sp := otel.Tracer("test").Start(t.Context(), "call")
 		_, err := peer.Call[int, int](ctx, po, "a", "trace", 1)
 		assert.NilError(t, err)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -11,29 +11,30 @@
 	"wisteriacroft/message"
 )
 
-// A Pool holds a connection to each address that it calls. The zero Pool is
-// ready to use.
+// A Pool keeps one connection to each address that it calls. The zero Pool is ready to
+// use. Its methods are safe for concurrent use.
 type Pool struct {
 	// CallTimeout bounds a call whose context has no earlier deadline.
 	CallTimeout time.Duration
-	// Codes are sentinel errors besides those that every process knows.
+	// Codes are sentinel errors in addition to the common ones.
 	Codes []Code
-	// DialFunc opens a connection; a TCP connection if nil.
+	// DialFunc opens a connection; nil means TCP.
 	DialFunc func(ctx context.Context, address string) (net.Conn, error)
 	// DialTimeout bounds dialing.
 	DialTimeout time.Duration
 	// HeaderFunc returns the header of this process.
 	HeaderFunc func() message.Header
-	// IdleTimeout is after how long without a call a connection is closed.
+	// IdleTimeout is the time without a call after which a connection is closed.
 	IdleTimeout time.Duration
 	// MaxMessageSize limits a message, in bytes.
 	MaxMessageSize int
-	// ObserveFunc is told the header of each answer and the address called.
+	// ObserveFunc, if not nil, is called with the header of each response and the address
+	// called.
 	ObserveFunc func(he message.Header, address string)
 	// PingInterval is how often a connection is pinged while calls run on it.
 	PingInterval time.Duration
-	// SilenceTimeout is after how long without a byte read, while calls run,
-	// a connection is abandoned.
+	// SilenceTimeout is the time without a byte read, while calls run, after which a
+	// connection is closed.
 	SilenceTimeout time.Duration
 
 	bytes  Bytes
@@ -42,12 +43,12 @@
 	mu     sync.Mutex
 }
 
-// Bytes returns the counts of bytes that the pool has read and written.
+// Bytes returns the byte counters of the pool's connections.
 func (po *Pool) Bytes() *Bytes { return &po.bytes }
 
-// Call calls a method of the process at address and waits for its answer.
-// The error is an *outcome.Refusal or a RemoteError as the other side returned
-// it, the context's error, or one of this package's.
+// Call calls a method of the process at address and waits for its response. The error is
+// an *outcome.Refusal or a *RemoteError returned by the server, the context's error, or
+// one of this package's.
 func Call[Req, Resp any](ctx context.Context, po *Pool, address, method string, req Req) (Resp, error) {
 	var resp Resp
 	payload, err := encodePayload(req)
@@ -61,9 +62,8 @@
 	return resp, decodePayload(answer, &resp)
 }
 
-// Sender returns a function that calls a method without waiting: it returns at
-// once and calls done later, exactly once, from another goroutine. Calls end
-// with ctx.
+// Sender returns a function that calls a method asynchronously. It calls done exactly
+// once, from another goroutine. Calls end with ctx.
 func Sender[Req, Resp any](
 	ctx context.Context, po *Pool, method string, timeout time.Duration,
 ) func(address string, req Req, done func(Resp, error)) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Close closes all connections; calls that run fail.
+// Close closes all connections; running calls fail with ErrClosed.
 func (po *Pool) Close() {
 	po.mu.Lock()
 	po.closed = true
@@ -87,7 +87,6 @@
 	}
 }
 
-// header returns the header of this process, empty without HeaderFunc.
 func (po *Pool) header() message.Header {
 	if po.HeaderFunc == nil {
 		return message.Header{}
--- a/peer/server.go
+++ b/peer/server.go
@@ -17,27 +17,28 @@
 	"wisteriacroft/message"
 )
 
-// receiverName is the one name under which net/rpc knows the receiver, and
-// serviceMethod its one method; handlers are told apart by Request.Method.
+// All calls use the same net/rpc receiver and method; Request.Method selects the
+// handler.
 const (
 	receiverName  = "peer"
 	serviceMethod = receiverName + ".Dispatch"
 )
 
-// A handler serves one method, its payload still encoded.
+// A handler serves one method, with an encoded payload and response.
 type handler func(ctx context.Context, he message.Header, payload []byte) ([]byte, error)
 
-// A Server answers calls of other processes. It is an http.Handler for
-// CONNECT on message.RPCPath. The zero Server is ready to use; set its fields
-// and register all methods before it serves.
+// A Server serves calls from other processes. It is an http.Handler for CONNECT on
+// message.RPCPath. The zero Server is ready to use; set its fields and register all
+// methods before it serves.
 type Server struct {
-	// Codes are sentinel errors besides those that every process knows.
+	// Codes are sentinel errors in addition to the common ones.
 	Codes []Code
 	// HeaderFunc returns the header of this process.
 	HeaderFunc func() message.Header
 	// MaxMessageSize limits a message, in bytes.
 	MaxMessageSize int
-	// ObserveFunc is told the header of each request and where it came from.
+	// ObserveFunc, if not nil, is called with the header of each request and the client's
+	// address.
 	ObserveFunc func(he message.Header, address string)
 
 	bytes    Bytes
@@ -45,14 +46,14 @@
 	closed   bool
 	handlers map[string]handler
 	mu       sync.Mutex
-	idle     []chan struct{} // closed when no call runs
+	idle     []chan struct{} // closed when running becomes zero
 	running  int
 	server   *rpc.Server
 	start    sync.Once
 }
 
-// Handle registers the handler of a method. The context that fn gets ends
-// when the caller gives up or the connection closes.
+// Handle registers the handler of a method. Its context ends with the caller's deadline
+// or the connection.
 func Handle[Req, Resp any](
 	sv *Server, method string, fn func(ctx context.Context, he message.Header, req Req) (Resp, error),
 ) {
@@ -72,10 +73,10 @@
 	}
 }
 
-// Bytes returns the counts of bytes that the server has read and written.
+// Bytes returns the byte counters of the server's connections.
 func (sv *Server) Bytes() *Bytes { return &sv.bytes }
 
-// ServeHTTP turns a CONNECT request into a net/rpc connection.
+// ServeHTTP switches the connection of a CONNECT request to net/rpc.
 func (sv *Server) ServeHTTP(rw http.ResponseWriter, rq *http.Request) {
 	if rq.Method != http.MethodConnect {
 		http.Error(rw, "must CONNECT", http.StatusMethodNotAllowed)
@@ -93,8 +94,8 @@
 	sv.ServeConn(rq.Context(), co)
 }
 
-// ServeConn answers the calls that come over co until it ends. Handlers get
-// contexts of ctx.
+// ServeConn serves the calls on co until it closes. The handlers' contexts derive from
+// ctx.
 func (sv *Server) ServeConn(ctx context.Context, co net.Conn) {
 	sv.start.Do(func() {
 		sv.server = rpc.NewServer()
@@ -110,9 +111,8 @@
 	sv.server.ServeCodec(newServerCodec(ctx, co, &sv.bytes, cmp.Or(sv.MaxMessageSize, DefaultMaxMessageSize)))
 }
 
-// Shutdown waits until the calls that run have been answered, or ctx ends,
-// and closes all connections. Calls that come meanwhile are still served:
-// the process's own handlers say that it is leaving.
+// Shutdown waits until no call runs or ctx ends, then closes all connections. It still
+// serves new calls meanwhile: the handlers decide whether to refuse them.
 func (sv *Server) Shutdown(ctx context.Context) error {
 	var err error
 	select {
@@ -142,15 +142,15 @@
 	return idle
 }
 
-// enter counts a call that starts.
-func (sv *Server) enter() {
+// startCall counts a started call.
+func (sv *Server) startCall() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.running++
 }
 
-// leave counts a call that ended, and tells those that wait for the last.
-func (sv *Server) leave() {
+// endCall counts a finished call and wakes the waiters for an idle server.
+func (sv *Server) endCall() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.running--
@@ -163,8 +163,8 @@
 	sv.idle = nil
 }
 
-// track notes a connection, so that Shutdown can close it. It returns false
-// after Shutdown.
+// track registers a connection to be closed by Shutdown. It returns false after
+// Shutdown.
 func (sv *Server) track(co net.Conn) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -178,14 +178,12 @@
 	return true
 }
 
-// untrack forgets a connection that ended.
 func (sv *Server) untrack(co net.Conn) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	delete(sv.conns, co)
 }
 
-// header returns the header of this process, empty without HeaderFunc.
 func (sv *Server) header() message.Header {
 	if sv.HeaderFunc == nil {
 		return message.Header{}
@@ -193,19 +191,19 @@
 	return sv.HeaderFunc()
 }
 
-// A dispatcher is the receiver that net/rpc calls.
+// A dispatcher is the net/rpc receiver.
 type dispatcher struct {
 	server *Server
 }
 
-// Dispatch serves one call. It always returns nil: errors travel in the
-// response, so that their types survive.
+// Dispatch serves one call. It always returns nil: errors are sent in the response,
+// which preserves their types.
 func (di *dispatcher) Dispatch(req *Request, resp *Response) error {
 	sv := di.server
-	sv.enter()
-	defer sv.leave()
+	sv.startCall()
+	defer sv.endCall()
 	if sv.ObserveFunc != nil {
-		sv.ObserveFunc(req.Header(), req.from)
+		sv.ObserveFunc(req.Header(), req.remoteAddress)
 	}
 	payload, err := sv.serve(req)
 	he := sv.header()
@@ -218,8 +216,8 @@
 	return nil
 }
 
-// serve runs the handler of a request's method under the caller's deadline and
-// trace, and returns the encoded answer.
+// serve runs the handler of a request's method with the caller's deadline and trace
+// context, and returns the encoded response.
 func (sv *Server) serve(req *Request) ([]byte, error) {
 	if req.Method == pingMethod {
 		return nil, nil
@@ -228,14 +226,14 @@
 	if !ok {
 		return nil, errors.Wrapf(ErrUnknownMethod, "%s", req.Method)
 	}
-	ctx, cancel := req.bound(time.Duration(req.TimeLeft) * time.Millisecond)
+	ctx, cancel := req.newContext(time.Duration(req.TimeLeft) * time.Millisecond)
 	defer cancel()
 	ctx = propagation.TraceContext{}.Extract(ctx, propagation.MapCarrier{"traceparent": req.TraceParent})
 	ctx, sp := tracer().Start(ctx, req.Method, trace.WithSpanKind(trace.SpanKindServer))
 	defer sp.End()
 	payload, err := ha(ctx, req.Header(), req.Payload)
 	if err != nil {
-		fail(sp, err)
+		recordError(sp, err)
 	}
 	return payload, err
 }
