--- a/keyvalue/client.go
+++ b/keyvalue/client.go
@@ -1,5 +1,5 @@
-// Package keyvalue is the adapter to the platform's key-value service: the
-// one place that knows how that service is reached.
+// Package keyvalue is the client of the platform's key-value service, with an HTTP and an
+// in-memory implementation.
 package keyvalue
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxValueSize is the largest value that the service takes, in bytes.
+// MaxValueSize is the maximum size of a value, in bytes.
 const MaxValueSize = 1 << 20
 
-// Errors that a Client returns, to be matched with errors.Is.
+// Errors of a Client, for errors.Is.
 var (
 	// ErrConflict means that the key is not at the expected version; nothing
 	// was written.
 	ErrConflict = errors.New("key is at another version")
-	// ErrLeaseExpired means that the lease is not, or no longer, held.
+	// ErrLeaseExpired means that the lease does not exist or has expired.
 	ErrLeaseExpired = errors.New("lease has expired")
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("key not found")
@@ -31,7 +31,7 @@
 	ErrUnavailable = errors.New("key-value service is unavailable")
 )
 
-// A LeaseID names a lease. The zero LeaseID means no lease.
+// A LeaseID identifies a lease. The zero LeaseID means no lease.
 type LeaseID int64
 
 // An Item is the value of a key at a version.
@@ -39,11 +39,10 @@
 	Key     string
 	Lease   LeaseID
 	Value   []byte
-	Version int64 // counts the writes to the whole service, so it only grows
+	Version int64 // of the whole service; increases with each write
 }
 
-// A Client reaches the service. Each field is a seam that a test or another
-// protocol for the same service may replace.
+// A Client calls the service. Tests and other protocols can replace its functions.
 type Client struct {
 	// DeleteFunc removes key if it is at version expected.
 	DeleteFunc func(ctx context.Context, key string, expected int64) error
@@ -51,29 +50,28 @@
 	FollowFunc func(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 	// GetFunc returns the item of key, or ErrNotFound.
 	GetFunc func(ctx context.Context, key string) (Item, error)
-	// GetStaleFunc is GetFunc for a reader that can do with an item that is seconds
-	// old, where the service has a cheaper way for it. Nil stands for GetFunc.
+	// GetStaleFunc is a cheaper GetFunc whose item may be seconds old. Nil means GetFunc.
 	GetStaleFunc func(ctx context.Context, key string) (Item, error)
-	// GrantFunc starts a lease that expires unless kept alive.
+	// GrantFunc creates a lease that expires after ttl unless renewed.
 	GrantFunc func(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAliveFunc renews a lease for its whole time to live.
 	KeepAliveFunc func(ctx context.Context, id LeaseID) error
-	// ListFunc returns the items whose keys start with prefix, by key.
+	// ListFunc returns the items whose keys start with prefix, sorted by key.
 	ListFunc func(ctx context.Context, prefix string) ([]Item, error)
-	// PutFunc writes value if key is at version expected (0: does not exist)
-	// and returns the new version. With a lease, the key vanishes with it.
+	// PutFunc writes value if key is at version expected (0: does not exist) and returns
+	// the new version. With a lease, the key is deleted when the lease ends.
 	PutFunc func(ctx context.Context, key string, value []byte, expected int64, lease LeaseID) (int64, error)
 	// RevokeFunc ends a lease and removes its keys.
 	RevokeFunc func(ctx context.Context, id LeaseID) error
 	// ScanFunc lists a prefix together with the version to follow from.
 	ScanFunc func(ctx context.Context, prefix string) (Changes, error)
-	// ScanStaleFunc is ScanFunc as GetStaleFunc is GetFunc. Nil stands for ScanFunc.
+	// ScanStaleFunc is a cheaper ScanFunc whose items may be seconds old. Nil means
+	// ScanFunc.
 	ScanStaleFunc func(ctx context.Context, prefix string) (Changes, error)
 	// TransactFunc applies a transaction; see Transact.
 	TransactFunc func(ctx context.Context, tx Transaction) (int64, error)
-	// WatchFunc waits until key is at a version above after and returns its
-	// item, which has a nil Value if the key was deleted. It returns the
-	// context's error when that ends first.
+	// WatchFunc waits until key is at a version above after and returns its item, which
+	// has a nil Value if the key was deleted. It returns ctx.Err() if ctx ends first.
 	WatchFunc func(ctx context.Context, key string, after int64) (Item, error)
 }
 
@@ -88,7 +86,7 @@
 	return it, errors.Wrapf(err, "get %s", key)
 }
 
-// GetStale calls GetStaleFunc, or GetFunc where there is none.
+// GetStale calls GetStaleFunc, or GetFunc if that is nil.
 func (cl *Client) GetStale(ctx context.Context, key string) (Item, error) {
 	if cl.GetStaleFunc == nil {
 		return cl.Get(ctx, key)
@@ -114,7 +112,7 @@
 	return its, errors.Wrapf(err, "list %s", prefix)
 }
 
-// Put calls PutFunc, after refusing a value that is too large.
+// Put calls PutFunc. It returns ErrTooLarge for a value larger than MaxValueSize.
 func (cl *Client) Put(
 	ctx context.Context, key string, value []byte, expected int64, lease LeaseID,
 ) (int64, error) {
--- a/keyvalue/http.go
+++ b/keyvalue/http.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/roundtrip"
 )
 
-// A Call is the body of a call over HTTP. Each call uses some of the fields.
+// A Call is the request body of a call over HTTP. Each call uses a subset of the fields.
 type Call struct {
 	Expected int64         `json:"expected,omitempty"`
 	Key      string        `json:"key,omitempty"`
@@ -21,13 +21,13 @@
 	Value    []byte        `json:"value,omitempty"`
 }
 
-// A Result is the answer to a Call.
+// A Result is the response to a Call.
 type Result struct {
 	Lease   LeaseID `json:"lease,omitempty"`
 	Version int64   `json:"version,omitempty"`
 }
 
-// statuses are the HTTP statuses that stand for errors of the service.
+// statuses maps HTTP statuses to errors of the service.
 var statuses = map[int]error{
 	http.StatusConflict:              ErrConflict,
 	http.StatusGone:                  ErrLeaseExpired,
@@ -36,8 +36,7 @@
 	http.StatusServiceUnavailable:    ErrUnavailable,
 }
 
-// Status returns the HTTP status that stands for err; 500 stands for any other
-// error.
+// Status returns the HTTP status for err, or 500 for any other error.
 func Status(err error) int {
 	for status, known := range statuses {
 		if errors.Is(err, known) {
@@ -47,15 +46,15 @@
 	return http.StatusInternalServerError
 }
 
-// An httpClient reaches the service over HTTP. A write whose answer is lost
-// may have taken effect; one that was not sent has not.
+// An httpClient calls the service over HTTP. A write without a response fails with
+// ErrOutcomeUnknown, and one that was not sent with ErrUnavailable.
 type httpClient struct {
 	reads  roundtrip.Client
 	writes roundtrip.Client
 }
 
-// NewHTTP returns a Client that speaks HTTP with the server at baseURL. A nil
-// hc means a client of its own.
+// NewHTTP returns a Client of the HTTP server at baseURL. If hc is nil, it creates an
+// http.Client.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	ht := httpClient{reads: roundtrip.New(baseURL, hc, ErrUnavailable)}
 	ht.writes = ht.reads
@@ -73,20 +72,19 @@
 	}
 }
 
-// write makes a call that changes something.
+// write sends a call that modifies the service.
 func (ht httpClient) write(ctx context.Context, name string, ca Call) (Result, error) {
 	re, status, err := roundtrip.Call[Result](ctx, ht.writes, http.MethodPost, "/key-value/"+name, ca)
 	return re, outcome(status, err, ErrOutcomeUnknown)
 }
 
-// read makes a call that changes nothing.
+// read sends a read-only call.
 func read[Answer any](ctx context.Context, ht httpClient, path string) (Answer, error) {
 	an, status, err := roundtrip.Call[Answer](ctx, ht.reads, http.MethodGet, "/key-value/"+path, nil)
 	return an, outcome(status, err, ErrUnavailable)
 }
 
-// outcome returns the error of a call, which is other for a status that stands
-// for none.
+// outcome returns the error of a call; an unknown status yields other.
 func outcome(status int, err, other error) error {
 	if err != nil || status == http.StatusOK {
 		return err
--- a/keyvalue/memory.go
+++ b/keyvalue/memory.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A Calls counts the calls that a Memory has taken, by kind.
+// A Calls counts the calls to a Memory by kind.
 type Calls struct {
 	Leases  int64
 	Reads   int64
@@ -17,13 +17,13 @@
 	Writes  int64
 }
 
-// A Faults says how a Memory misbehaves. The zero Faults is none.
+// A Faults configures the faults that a Memory injects. The zero Faults injects none.
 type Faults struct {
 	// Delay is added to each call.
 	Delay time.Duration
-	// LoseAnswers makes each write take effect and answer ErrOutcomeUnknown.
+	// LoseAnswers makes each write take effect and return ErrOutcomeUnknown.
 	LoseAnswers bool
-	// Outage makes each call answer ErrUnavailable. Leases go on expiring.
+	// Outage makes each call return ErrUnavailable. Leases continue to expire.
 	Outage bool
 }
 
@@ -32,8 +32,8 @@
 	ttl     time.Duration
 }
 
-// A Memory is a key-value service inside one process, for stand-ins and
-// tests. The zero Memory is empty and ready to use.
+// A Memory is an in-memory key-value service for stand-ins and tests. The zero Memory is
+// empty and ready to use. It is safe for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	calls   Calls
@@ -42,11 +42,11 @@
 	items   map[string]Item
 	deleted map[string]int64
 
-	forgotten int64 // no history is held before this version
-	history   []Item
-	lastID    LeaseID
-	leases    map[LeaseID]memoryLease
-	version   int64
+	droppedVersion int64 // version up to which the history was dropped
+	history        []Item
+	lastID         LeaseID
+	leases         map[LeaseID]memoryLease
+	version        int64
 }
 
 // Client returns a Client of the service.
@@ -66,14 +66,14 @@
 	}
 }
 
-// Calls returns how many calls of each kind were taken.
+// Calls returns the number of calls of each kind so far.
 func (me *Memory) Calls() Calls {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	return me.calls
 }
 
-// SetFaults changes how the service misbehaves from now on.
+// SetFaults replaces the injected faults.
 func (me *Memory) SetFaults(fa Faults) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
@@ -81,7 +81,7 @@
 	me.wake()
 }
 
-// wake tells the watches to look again. The caller holds mu.
+// wake wakes the waiting watches. The caller holds mu.
 func (me *Memory) wake() {
 	if me.changed != nil {
 		close(me.changed)
@@ -89,9 +89,9 @@
 	me.changed = make(chan struct{})
 }
 
-// enter starts a call: it waits out the delay, counts the call, reports an
-// outage and drops what has expired. On nil, the caller holds mu.
-func (me *Memory) enter(ctx context.Context, count func(*Calls)) error {
+// beginCall starts a call: it counts the call, waits for the delay and expires leases. It
+// returns ErrUnavailable in an outage. If it returns nil, the caller holds mu.
+func (me *Memory) beginCall(ctx context.Context, count func(*Calls)) error {
 	me.mu.Lock()
 	delay := me.faults.Delay
 	count(&me.calls)
@@ -118,27 +118,27 @@
 	return nil
 }
 
-// A Copy is what a Memory held at a moment.
+// A Copy is a snapshot of a Memory.
 type Copy struct {
 	items   map[string]Item
 	version int64
 }
 
-// Copy returns what the service holds.
+// Copy returns a snapshot.
 func (me *Memory) Copy() Copy {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	return Copy{items: maps.Clone(me.items), version: me.version}
 }
 
-// Restore brings back what the service held, with the version that it had then and
-// without history, as operators do after a loss. Leases are gone.
+// Restore replaces the items and the version by those of a snapshot, as a restore from a
+// backup does. The history and all leases are lost.
 func (me *Memory) Restore(co Copy) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.items, me.version = maps.Clone(co.items), co.version
 	me.deleted, me.leases = map[string]int64{}, map[LeaseID]memoryLease{}
-	me.history, me.forgotten = nil, co.version
+	me.history, me.droppedVersion = nil, co.version
 	me.wake()
 }
 
@@ -167,7 +167,7 @@
 	me.wake()
 }
 
-// outcome is what a write that took effect answers. The caller holds mu.
+// outcome returns the error of a write that took effect. The caller holds mu.
 func (me *Memory) outcome() error {
 	if me.faults.LoseAnswers {
 		return ErrOutcomeUnknown
@@ -181,7 +181,7 @@
 func countWrite(ca *Calls) { ca.Writes++ }
 
 func (me *Memory) get(ctx context.Context, key string) (Item, error) {
-	if err := me.enter(ctx, countRead); err != nil {
+	if err := me.beginCall(ctx, countRead); err != nil {
 		return Item{}, err
 	}
 	defer me.mu.Unlock()
@@ -193,7 +193,7 @@
 }
 
 func (me *Memory) list(ctx context.Context, prefix string) ([]Item, error) {
-	if err := me.enter(ctx, countRead); err != nil {
+	if err := me.beginCall(ctx, countRead); err != nil {
 		return nil, err
 	}
 	defer me.mu.Unlock()
@@ -210,7 +210,7 @@
 func (me *Memory) put(
 	ctx context.Context, key string, value []byte, expected int64, lease LeaseID,
 ) (int64, error) {
-	if err := me.enter(ctx, countWrite); err != nil {
+	if err := me.beginCall(ctx, countWrite); err != nil {
 		return 0, err
 	}
 	defer me.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 func (me *Memory) delete(ctx context.Context, key string, expected int64) error {
-	if err := me.enter(ctx, countWrite); err != nil {
+	if err := me.beginCall(ctx, countWrite); err != nil {
 		return err
 	}
 	defer me.mu.Unlock()
@@ -249,7 +249,7 @@
 }
 
 func (me *Memory) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	if err := me.enter(ctx, countLease); err != nil {
+	if err := me.beginCall(ctx, countLease); err != nil {
 		return 0, err
 	}
 	defer me.mu.Unlock()
@@ -259,7 +259,7 @@
 }
 
 func (me *Memory) keepAlive(ctx context.Context, id LeaseID) error {
-	if err := me.enter(ctx, countLease); err != nil {
+	if err := me.beginCall(ctx, countLease); err != nil {
 		return err
 	}
 	defer me.mu.Unlock()
@@ -273,7 +273,7 @@
 }
 
 func (me *Memory) revoke(ctx context.Context, id LeaseID) error {
-	if err := me.enter(ctx, countLease); err != nil {
+	if err := me.beginCall(ctx, countLease); err != nil {
 		return err
 	}
 	defer me.mu.Unlock()
@@ -285,7 +285,7 @@
 }
 
 func (me *Memory) watch(ctx context.Context, key string, after int64) (Item, error) {
-	if err := me.enter(ctx, countWatch); err != nil {
+	if err := me.beginCall(ctx, countWatch); err != nil {
 		return Item{}, err
 	}
 	for {
--- a/keyvalue/memory_test.go
+++ b/keyvalue/memory_test.go
@@ -9,10 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMemoryLostAnswer(t *testing.T) {
-	// Symptom: a writer is told that the outcome is unknown.
-	// Sequence: the write takes effect, its answer is lost.
-	// Cause: the service's faults; a read must show the write.
+func TestMemoryLostResponse(t *testing.T) {
+	// A write whose response is lost must be visible to a read.
 	var me Memory
 	cl := me.Client()
 	me.SetFaults(Faults{LoseAnswers: true})
@@ -35,7 +33,7 @@
 		assert.NilError(t, cl.KeepAlive(t.Context(), id))
 		it, err := cl.Watch(t.Context(), "a", ve)
 		assert.NilError(t, err)
-		assert.Assert(t, it.Value == nil, "the key vanishes with its lease")
+		assert.Assert(t, it.Value == nil, "the key is deleted with its lease")
 		assert.Assert(t, errors.Is(cl.KeepAlive(t.Context(), id), ErrLeaseExpired))
 	})
 }
--- a/keyvalue/memorytransaction.go
+++ b/keyvalue/memorytransaction.go
@@ -7,7 +7,7 @@
 )
 
 func (me *Memory) transact(ctx context.Context, tx Transaction) (int64, error) {
-	if err := me.enter(ctx, countWrite); err != nil {
+	if err := me.beginCall(ctx, countWrite); err != nil {
 		return 0, err
 	}
 	defer me.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 func (me *Memory) follow(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error) {
-	if err := me.enter(ctx, countWatch); err != nil {
+	if err := me.beginCall(ctx, countWatch); err != nil {
 		return Changes{}, err
 	}
 	defer me.mu.Unlock()
@@ -57,7 +57,7 @@
 		if me.faults.Outage {
 			return Changes{}, ErrUnavailable
 		}
-		if after < me.forgotten {
+		if after < me.droppedVersion {
 			return Changes{}, ErrHistoryGone
 		}
 		ch := Changes{Items: me.changesAfter(prefix, after), Version: me.version}
@@ -67,7 +67,7 @@
 		}
 		changed := me.changed
 		me.mu.Unlock()
-		err := awaitChange(ctx, changed, min(left, time.Second)) // leases expire without a write
+		err := waitForChange(ctx, changed, min(left, time.Second)) // leases expire without a write
 		me.mu.Lock()
 		if err != nil {
 			return Changes{}, err
@@ -75,7 +75,7 @@
 	}
 }
 
-func awaitChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) error {
+func waitForChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// changesAfter returns each change under a prefix after a version, in order.
-// The caller holds mu.
+// changesAfter returns the changes under a prefix after a version, in order. The caller
+// holds mu.
 func (me *Memory) changesAfter(prefix string, after int64) []Item {
 	var its []Item
 	for _, it := range me.history {
@@ -97,25 +97,24 @@
 	return its
 }
 
-// record adds a change to the history, of which the newest are held. The
+// record appends a change to the history, which keeps the newest maxHistory changes. The
 // caller holds mu.
 func (me *Memory) record(it Item) {
 	me.history = append(me.history, it)
 	if drop := len(me.history) - maxHistory; drop > 0 {
-		me.forgotten = me.history[drop-1].Version
+		me.droppedVersion = me.history[drop-1].Version
 		me.history = append([]Item(nil), me.history[drop:]...)
 	}
 }
 
-// maxHistory is how many changes are held for those who follow.
+// maxHistory is the number of changes that are kept for Follow.
 const maxHistory = 4096
 
-// Forget drops the history, so that whoever follows from an older version has
-// to scan again.
+// Forget drops the history, so that Follow from an older version returns ErrHistoryGone.
 func (me *Memory) Forget() {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	me.forgotten = me.version + 1
+	me.droppedVersion = me.version + 1
 	me.version++
 	me.wake()
 }
