--- a/blob/blob_test.go
+++ b/blob/blob_test.go
@@ -12,8 +12,8 @@
 	"wisteriacroft/message"
 )
 
-// A rack is the data folders of several instances, reached without a network.
-type rack struct {
+// A testStores holds the stores of several instances, some of which may be unreachable.
+type testStores struct {
 	down   map[string]bool
 	stores map[string]*Store
 }
@@ -25,28 +25,28 @@
 	{FailureDomain: "alm-turksib", Instance: "store-4"},
 }
 
-func newRack(t *testing.T) (*rack, *Client) {
+func newTestStores(t *testing.T) (*testStores, *Client) {
 	t.Helper()
-	ra := &rack{down: map[string]bool{}, stores: map[string]*Store{}}
+	ts := &testStores{down: map[string]bool{}, stores: map[string]*Store{}}
 	for _, pl := range places {
-		ra.stores[pl.Instance] = &Store{Folder: t.TempDir()}
+		ts.stores[pl.Instance] = &Store{Folder: t.TempDir()}
 	}
 	errDown := errors.New("no route")
-	return ra, &Client{
+	return ts, &Client{
 		DeleteFunc: func(_ context.Context, pl message.BlobLocation, digest string) error {
-			return ra.stores[pl.Instance].Delete(digest)
+			return ts.stores[pl.Instance].Delete(digest)
 		},
 		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
-			if ra.down[pl.Instance] {
+			if ts.down[pl.Instance] {
 				return nil, errDown
 			}
-			return ra.stores[pl.Instance].Get(digest)
+			return ts.stores[pl.Instance].Get(digest)
 		},
 		PutFunc: func(_ context.Context, pl message.BlobLocation, digest string, data []byte) error {
-			if ra.down[pl.Instance] {
+			if ts.down[pl.Instance] {
 				return errDown
 			}
-			return ra.stores[pl.Instance].Put(digest, data)
+			return ts.stores[pl.Instance].Put(digest, data)
 		},
 	}
 }
@@ -69,13 +69,13 @@
 		"next place of the domain":  {down: []string{"store-1"}, want: []string{"store-2", "store-3"}},
 		"next domain":               {down: []string{"store-3"}, want: []string{"store-1", "store-4"}},
 		"one domain is not enough":  {down: []string{"store-3", "store-4"}, want: []string{"store-1"}, err: ErrTooFewCopies},
-		"no place can be reached":   {down: []string{"store-1", "store-2", "store-3", "store-4"}, err: ErrTooFewCopies},
+		"all places unreachable":    {down: []string{"store-1", "store-2", "store-3", "store-4"}, err: ErrTooFewCopies},
 		"both places of one domain": {down: []string{"store-1", "store-2"}, want: []string{"store-3", "store-4"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ra, cl := newRack(t)
+			ts, cl := newTestStores(t)
 			for _, in := range tc.down {
-				ra.down[in] = true
+				ts.down[in] = true
 			}
 			got, err := Replicate(t.Context(), cl, places, []byte("payload"))
 			assert.Equal(t, errors.Is(err, ErrTooFewCopies), tc.err != nil)
@@ -84,50 +84,48 @@
 	}
 }
 
-func TestLostCopies(t *testing.T) {
-	// Symptom: a trainer gets a sample that nobody made, or none.
-	// Sequence: a payload is put on two folders; one or both copies go bad, are lost or out of reach.
-	// Cause: a copy taken as whole without a look, or one loss taken for both.
+func TestFetchAfterLoss(t *testing.T) {
+	// Guards against returning a corrupt copy, and against reporting a payload as missing
+	// while one of its copies may still exist.
 	data := []byte("payload")
 	digest := Digest(data)
-	tear := func(ra *rack, in string) {
-		assert.NilError(t, os.WriteFile(ra.stores[in].path(digest), data[:3], 0o600))
+	truncate := func(ts *testStores, in string) {
+		assert.NilError(t, os.WriteFile(ts.stores[in].path(digest), data[:3], 0o600))
 	}
 	for name, tc := range map[string]struct {
-		fault   func(ra *rack)
-		missing bool // both are known to be lost
-		whole   bool
+		fault   func(ts *testStores)
+		missing bool // both copies are known to be lost
+		ok      bool
 	}{
-		"torn":                 {fault: func(ra *rack) { tear(ra, "store-1") }, whole: true},
-		"folder lost":          {fault: func(ra *rack) { os.RemoveAll(ra.stores["store-1"].Folder) }, whole: true},
-		"out of reach":         {fault: func(ra *rack) { ra.down["store-1"] = true }, whole: true},
-		"both torn":            {fault: func(ra *rack) { tear(ra, "store-1"); tear(ra, "store-3") }, missing: true},
-		"torn, other unknown":  {fault: func(ra *rack) { tear(ra, "store-1"); ra.down["store-3"] = true }},
-		"both out of reach":    {fault: func(ra *rack) { ra.down["store-1"], ra.down["store-3"] = true, true }},
-		"nothing went missing": {fault: func(*rack) {}, whole: true},
+		"truncated":                    {fault: func(ts *testStores) { truncate(ts, "store-1") }, ok: true},
+		"folder lost":                  {fault: func(ts *testStores) { os.RemoveAll(ts.stores["store-1"].Folder) }, ok: true},
+		"unreachable":                  {fault: func(ts *testStores) { ts.down["store-1"] = true }, ok: true},
+		"both truncated":               {fault: func(ts *testStores) { truncate(ts, "store-1"); truncate(ts, "store-3") }, missing: true},
+		"truncated, other unreachable": {fault: func(ts *testStores) { truncate(ts, "store-1"); ts.down["store-3"] = true }},
+		"both unreachable":             {fault: func(ts *testStores) { ts.down["store-1"], ts.down["store-3"] = true, true }},
+		"both intact":                  {fault: func(*testStores) {}, ok: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ra, cl := newRack(t)
+			ts, cl := newTestStores(t)
 			pls, err := Replicate(t.Context(), cl, places, data)
 			assert.NilError(t, err)
-			tc.fault(ra)
+			tc.fault(ts)
 			got, err := Fetch(t.Context(), cl, pls, digest)
-			assert.Equal(t, err == nil, tc.whole)
+			assert.Equal(t, err == nil, tc.ok)
 			assert.Equal(t, errors.Is(err, ErrMissing), tc.missing)
-			if !tc.whole || ra.down["store-1"] {
+			if !tc.ok || ts.down["store-1"] {
 				return
 			}
 			assert.Equal(t, string(got), string(data))
-			_, err = ra.stores["store-1"].Get(digest)
-			assert.NilError(t, err, "the lost copy is put back")
+			_, err = ts.stores["store-1"].Get(digest)
+			assert.NilError(t, err, "the lost copy is restored")
 		})
 	}
 }
 
-func TestTornFile(t *testing.T) {
-	// Symptom: a reader of one folder gets part of a payload.
-	// Sequence: a payload is kept; its file loses its end; it is read, and kept again.
-	// Cause: a file taken as whole because it is there.
+func TestTruncatedFile(t *testing.T) {
+	// Guards against returning a truncated file, and against keeping it on the next Put of
+	// the same payload.
 	st := &Store{Folder: t.TempDir()}
 	data := []byte("payload")
 	digest := Digest(data)
@@ -141,12 +139,12 @@
 	assert.Equal(t, string(got), string(data))
 }
 
-func TestStoreBounds(t *testing.T) {
+func TestStoreMaxSize(t *testing.T) {
 	st := &Store{Folder: t.TempDir(), MaxSize: 10}
 	first, second := []byte("123456"), []byte("abcdef")
 	assert.NilError(t, st.Put(Digest(first), first))
 	assert.Assert(t, errors.Is(st.Put(Digest(second), second), ErrFull))
-	assert.NilError(t, st.Put(Digest(first), first), "the same payload again takes no room")
+	assert.NilError(t, st.Put(Digest(first), first), "a repeated payload needs no space")
 	assert.Assert(t, errors.Is(st.Put(Digest(second), first), ErrBadDigest))
 	again := &Store{Folder: st.Folder, MaxSize: 10} // after a restart
 	assert.Assert(t, errors.Is(again.Put(Digest(second), second), ErrFull))
@@ -160,10 +158,8 @@
 	assert.Equal(t, len(ens), 0)
 }
 
-func TestPutAgainRenewsThePayload(t *testing.T) {
-	// Symptom: a batch names a payload that its data folder no longer has.
-	// Sequence: a payload is kept, ages, is put again, and the folder is swept.
-	// Cause: the second put found it there and left its age as it was.
+func TestPutResetsAge(t *testing.T) {
+	// Guards against a sweep that removes an old payload right after it was put again.
 	st := &Store{Folder: t.TempDir(), MaxAge: time.Hour}
 	data := []byte("tokens")
 	digest := Digest(data)
--- a/blob/client.go
+++ b/blob/client.go
@@ -8,10 +8,10 @@
 	"wisteriacroft/message"
 )
 
-// ReplicaCount is how many failure domains keep a payload.
+// ReplicaCount is the number of failure domains that store a payload.
 const ReplicaCount = 2
 
-// A Client reaches the data folders of other processes. Each field is a seam.
+// A Client accesses the data folders of other processes. Tests can replace its functions.
 type Client struct {
 	DeleteFunc func(ctx context.Context, pl message.BlobLocation, digest string) error
 	// GetFunc returns the payload, or ErrMissing.
@@ -19,38 +19,38 @@
 	PutFunc func(ctx context.Context, pl message.BlobLocation, digest string, data []byte) error
 }
 
-// Replicate puts data into ReplicaCount of the places, in different failure domains,
-// trying them in order and passing over those that fail. It returns the places
-// that took it; with fewer than ReplicaCount of them, ErrTooFewCopies too.
+// Replicate stores data at ReplicaCount of the places, in different failure domains. It
+// tries them in order and skips those that fail. It returns the places that stored it;
+// the error wraps ErrTooFewCopies if they are fewer than ReplicaCount.
 func Replicate(
 	ctx context.Context, cl *Client, places []message.BlobLocation, data []byte,
 ) ([]message.BlobLocation, error) {
-	var taken []message.BlobLocation
-	var failed error
+	var stored []message.BlobLocation
+	var errs error
 	digest := Digest(data)
 	for _, pl := range places {
-		if len(taken) == ReplicaCount {
+		if len(stored) == ReplicaCount {
 			break
 		}
-		if sharesDomain(taken, pl) {
+		if sharesDomain(stored, pl) {
 			continue
 		}
 		if err := cl.PutFunc(ctx, pl, digest, data); err != nil {
-			failed = errors.CombineErrors(failed, errors.Wrapf(err, "put to %s", pl.Instance))
+			errs = errors.CombineErrors(errs, errors.Wrapf(err, "put to %s", pl.Instance))
 			continue
 		}
-		taken = append(taken, pl)
+		stored = append(stored, pl)
 	}
-	if len(taken) < ReplicaCount {
-		return taken, errors.CombineErrors(
-			errors.Wrapf(ErrTooFewCopies, "%d of %d", len(taken), ReplicaCount), failed)
+	if len(stored) < ReplicaCount {
+		return stored, errors.CombineErrors(
+			errors.Wrapf(ErrTooFewCopies, "%d of %d", len(stored), ReplicaCount), errs)
 	}
-	return taken, nil
+	return stored, nil
 }
 
-// sharesDomain reports whether a place lies in the failure domain of one taken.
-func sharesDomain(taken []message.BlobLocation, pl message.BlobLocation) bool {
-	for _, ta := range taken {
+// sharesDomain reports whether a place is in the failure domain of one in taken.
+func sharesDomain(stored []message.BlobLocation, pl message.BlobLocation) bool {
+	for _, ta := range stored {
 		if ta.FailureDomain == pl.FailureDomain {
 			return true
 		}
@@ -58,14 +58,14 @@
 	return false
 }
 
-// Fetch returns the first whole copy, and puts it back into the places before
-// it that lost theirs. It returns ErrMissing only if every place says so: one
-// that cannot be reached may still have its copy.
+// Fetch returns the first valid copy and restores the missing copies of the places before
+// it. It returns ErrMissing only if all places report it: an unreachable one may still
+// have its copy.
 func Fetch(
 	ctx context.Context, cl *Client, places []message.BlobLocation, digest string,
 ) ([]byte, error) {
 	var lost []message.BlobLocation
-	var failed error
+	var errs error
 	for _, pl := range places {
 		data, err := cl.GetFunc(ctx, pl, digest)
 		if err == nil && Digest(data) != digest {
@@ -73,7 +73,7 @@
 		}
 		if err == nil {
 			for _, lo := range lost {
-				_ = cl.PutFunc(ctx, lo, digest, data) // the copy at hand is enough to go on
+				_ = cl.PutFunc(ctx, lo, digest, data) // best effort
 			}
 			return data, nil
 		}
@@ -81,10 +81,10 @@
 			lost = append(lost, pl)
 			continue
 		}
-		failed = errors.CombineErrors(failed, errors.Wrapf(err, "get from %s", pl.Instance))
+		errs = errors.CombineErrors(errs, errors.Wrapf(err, "get from %s", pl.Instance))
 	}
-	if failed != nil {
-		return nil, errors.Wrapf(failed, "fetch %s", digest)
+	if errs != nil {
+		return nil, errors.Wrapf(errs, "fetch %s", digest)
 	}
 	return nil, errors.Wrapf(ErrMissing, "fetch %s from %d places", digest, len(places))
 }
--- a/blob/store.go
+++ b/blob/store.go
@@ -12,42 +12,43 @@
 	"github.com/google/renameio/v2"
 )
 
-// Bounds of a Store that names none.
+// Default limits of a Store.
 const (
 	defaultMaxAge  = 24 * time.Hour
 	defaultMaxSize = 16 << 30
 )
 
-// A Store is one data folder. Fill the exported fields before its first use.
+// A Store is one data folder. Set the exported fields before its first use. It is safe
+// for concurrent use.
 type Store struct {
 	Folder  string
-	MaxAge  time.Duration // of a payload that nobody deleted; 0 means a day
-	MaxSize int64         // of all payloads, in bytes; 0 means 16 GB
+	MaxAge  time.Duration // age at which Sweep removes a payload; 0 means a day
+	MaxSize int64         // total size of all payloads, in bytes; 0 means 16 GB
 
 	mu     sync.Mutex
-	loaded bool  // used has been counted
-	used   int64 // bytes of all files
+	loaded bool  // used is valid
+	used   int64 // total size of all files, in bytes
 }
 
-// An Entry is a payload in a folder.
+// An Entry describes a stored payload.
 type Entry struct {
 	Digest string
 	Size   int64 // in bytes
 	Stored time.Time
 }
 
-// Put keeps data under its digest, which it checks. It returns after the data
-// is on the disk, so that a kept payload survives a power failure.
+// Put stores data under its digest, which it verifies. It returns after the data is synced
+// to the disk, so that the payload survives a power failure.
 func (st *Store) Put(digest string, data []byte) error {
 	if Digest(data) != digest {
 		return errors.Wrapf(ErrBadDigest, "put %s: %d bytes", digest, len(data))
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.holds(digest) {
+	if st.has(digest) {
 		return st.renew(digest)
 	}
-	if err := st.load(); err != nil {
+	if err := st.loadUsed(); err != nil {
 		return err
 	}
 	if st.used+int64(len(data)) > st.maxSize() {
@@ -64,25 +65,23 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// holds reports whether a whole copy of a payload is there.
-func (st *Store) holds(digest string) bool {
+// has reports whether the folder has a valid copy of a payload.
+func (st *Store) has(digest string) bool {
 	data, err := os.ReadFile(st.path(digest))
 	return err == nil && Digest(data) == digest
 }
 
-// renew makes a payload that is kept as young as a new one. Were its age to
-// stay, a sweep could remove it right after its writer was told that it is
-// kept.
+// renew resets a payload's age. Otherwise a sweep could remove it right after a Put of
+// the same payload.
 func (st *Store) renew(digest string) error {
 	now := time.Now()
 	return os.Chtimes(st.path(digest), now, now)
 }
 
-// Get returns the payload, or ErrMissing if there is no whole copy of it.
+// Get returns the payload, or ErrMissing if there is no valid copy of it.
 //
-// A file can be torn by a crash or go bad on the disk. It would reach the
-// trainer as a sample that nobody made. The digest tells it from a whole one;
-// it is removed, so that the other copy can take its place.
+// It removes a file whose content doesn't match the digest, after a crash or a disk error,
+// so that a trainer never receives it and Fetch can restore it from another copy.
 func (st *Store) Get(digest string) ([]byte, error) {
 	if !ValidDigest(digest) {
 		return nil, errors.Wrapf(ErrBadDigest, "get %q", digest)
@@ -92,7 +91,7 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return nil, errors.Mark(err, ErrMissing)
 	case err != nil:
-		return nil, err // it may well be there: no reason to make it again
+		return nil, err // not ErrMissing, as the file may exist
 	}
 	if Digest(data) != digest {
 		if err := st.Delete(digest); err != nil {
@@ -103,7 +102,7 @@
 	return data, nil
 }
 
-// Delete removes a payload. One that is not there is no error.
+// Delete removes a payload. It returns nil if there is none.
 func (st *Store) Delete(digest string) error {
 	if !ValidDigest(digest) {
 		return errors.Wrapf(ErrBadDigest, "delete %q", digest)
@@ -113,7 +112,7 @@
 	return st.remove(st.path(digest))
 }
 
-// List returns the payloads by digest.
+// List returns the payloads, sorted by digest.
 func (st *Store) List() ([]Entry, error) {
 	var ens []Entry
 	err := st.walk(func(path string, fi fs.FileInfo) error {
@@ -126,9 +125,9 @@
 	return ens, err
 }
 
-// Sweep removes the files that are older than MaxAge as of now, and returns how
-// many. An owner deletes the payloads that were acknowledged
-// long before: Sweep is for those of dropped attempts and of owners that died.
+// Sweep removes the files that are older than MaxAge as of now, and returns their number.
+// They belong to dropped attempts and crashed owners, since owners delete acknowledged
+// payloads much earlier.
 func (st *Store) Sweep(now time.Time) (int, error) {
 	maxAge := st.MaxAge
 	if maxAge == 0 {
@@ -158,8 +157,8 @@
 	return filepath.Join(st.Folder, digest[:2], digest)
 }
 
-// load counts what is used, once. The caller holds mu.
-func (st *Store) load() error {
+// loadUsed computes used on the first call. The caller holds mu.
+func (st *Store) loadUsed() error {
 	if st.loaded {
 		return nil
 	}
@@ -172,9 +171,9 @@
 	return err
 }
 
-// remove deletes a file if it is there. The caller holds mu.
+// remove deletes a file if it exists. The caller holds mu.
 func (st *Store) remove(path string) error {
-	if err := st.load(); err != nil {
+	if err := st.loadUsed(); err != nil {
 		return err
 	}
 	fi, err := os.Stat(path)
@@ -191,11 +190,11 @@
 	return nil
 }
 
-// walk calls visit for each file under the folder, which need not exist.
+// walk calls visit for each file in the folder, which need not exist.
 func (st *Store) walk(visit func(path string, fi fs.FileInfo) error) error {
 	err := filepath.Walk(st.Folder, func(path string, fi fs.FileInfo, err error) error {
 		if errors.Is(err, fs.ErrNotExist) {
-			return nil // removed meanwhile
+			return nil // removed concurrently
 		}
 		if err != nil || fi.IsDir() {
 			return err
@@ -205,7 +204,7 @@
 	return errors.Wrapf(err, "read %s", st.Folder)
 }
 
-// syncFolder flushes a folder's list of names to the disk.
+// syncFolder syncs a directory to the disk.
 func syncFolder(path string) error {
 	fo, err := os.Open(path)
 	if err != nil {
