--- a/blob/client.go
+++ b/blob/client.go
@@ -48,10 +48,10 @@
 	return stored, nil
 }
 
-// sharesDomain reports whether a place is in the failure domain of one in taken.
+// sharesDomain reports whether a place is in the failure domain of one in stored.
 func sharesDomain(stored []message.BlobLocation, pl message.BlobLocation) bool {
-	for _, ta := range stored {
-		if ta.FailureDomain == pl.FailureDomain {
+	for _, other := range stored {
+		if other.FailureDomain == pl.FailureDomain {
 			return true
 		}
 	}
