--- a/process/guard.go
+++ b/process/guard.go
@@ -8,46 +8,45 @@
 	"time"
 )
 
-// Limits bound what clients of a server may send, and how long they may take.
-// A zero field means the server's usual bound.
+// Limits bound the headers and timeouts of a server's connections. A zero field means the
+// server's default.
 type Limits struct {
-	HeaderSize    int           // of a request's head, in bytes
-	HeaderTimeout time.Duration // until a head is whole
+	HeaderSize    int           // maximum size of a request's header, in bytes
+	HeaderTimeout time.Duration // until a header is received completely
 	IdleTimeout   time.Duration // of a connection between two requests
 }
 
-// maxGuardedHeader is the largest head that a guarded server reads, in bytes,
-// whatever its limits say: the heads of a few hundred connections fit into the
-// least memory of an instance.
+// maxGuardedHeader is the maximum header size of a guarded server regardless of its
+// limits, in bytes. It bounds the memory of a few hundred connections.
 const maxGuardedHeader = 256 << 10
 
-// A Guard holds the connections of a server to limits that change while it
-// serves. Fill the exported fields, then call Protect before the server serves.
+// A Guard enforces limits on a server's connections that can change while it serves. Set
+// the exported fields, then call Protect before the server starts.
 //
-// The bounds of net/http are fixed once a server serves. Operators change theirs
-// at any time, and a client that keeps to a longer one would lose the request
-// that it sends over a connection that the server has just closed.
+// The limits of net/http are fixed once a server has started. If operators raise the idle
+// timeout, clients that rely on it would send requests on connections that the server has
+// just closed.
 type Guard struct {
-	// LimitsFunc returns the limits in force.
+	// LimitsFunc returns the current limits.
 	LimitsFunc func() Limits
-	// RejectedFunc is told of each request whose head is too large.
+	// RejectedFunc, if not nil, is called for each request whose header is too large, with
+	// the header's size in bytes.
 	RejectedFunc func(rq *http.Request, size int)
 
 	mu     sync.Mutex
-	timers map[net.Conn]*time.Timer // of connections that wait for a head
+	timers map[net.Conn]*time.Timer // of connections that wait for a header
 }
 
-// Protect puts the guard in the place of a server's own bounds.
+// Protect replaces the limits of a server by the guard.
 func (gu *Guard) Protect(sv *http.Server) {
-	sv.ConnState = gu.follow
-	sv.Handler = gu.checkHead(sv.Handler)
-	sv.IdleTimeout = -1 // none
+	sv.ConnState = gu.onConnState
+	sv.Handler = gu.limitHeader(sv.Handler)
+	sv.IdleTimeout = -1 // no timeout
 	sv.MaxHeaderBytes = maxGuardedHeader
-	sv.ReadHeaderTimeout = 0 // none
+	sv.ReadHeaderTimeout = 0 // no timeout
 }
 
-// limits returns the limits in force, with usual bounds for those that are not
-// set.
+// limits returns the current limits, with defaults for those that are zero.
 func (gu *Guard) limits() Limits {
 	li := gu.LimitsFunc()
 	return Limits{
@@ -57,10 +56,10 @@
 	}
 }
 
-// follow closes a connection that brings no whole head for as long as it may be
-// idle and a head may take. The server tells when a head is whole, not when it
-// begins.
-func (gu *Guard) follow(co net.Conn, st http.ConnState) {
+// onConnState tracks a connection's state and closes the connection if no complete header
+// arrives within the idle and header timeouts together. net/http reports when a header is
+// complete, not when it starts.
+func (gu *Guard) onConnState(co net.Conn, st http.ConnState) {
 	gu.mu.Lock()
 	defer gu.mu.Unlock()
 	if ti := gu.timers[co]; ti != nil {
@@ -77,10 +76,10 @@
 	gu.timers[co] = time.AfterFunc(li.IdleTimeout+li.HeaderTimeout, func() { _ = co.Close() })
 }
 
-// checkHead refuses requests whose head is too large.
-func (gu *Guard) checkHead(ha http.Handler) http.Handler {
+// limitHeader rejects requests whose header is too large.
+func (gu *Guard) limitHeader(ha http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
-		size := headSize(rq)
+		size := headerSize(rq)
 		if size <= gu.limits().HeaderSize {
 			ha.ServeHTTP(rw, rq)
 			return
@@ -92,9 +91,9 @@
 	})
 }
 
-// headSize returns the size of a request's head, in bytes, without its Host
-// line: never more than the client sent.
-func headSize(rq *http.Request) int {
+// headerSize returns the size of a request line and header without the Host line, in bytes.
+// It never exceeds what the client sent.
+func headerSize(rq *http.Request) int {
 	size := len(rq.Method) + len(rq.RequestURI) + len("  HTTP/1.1\r\n")
 	for name, values := range rq.Header {
 		for _, value := range values {
--- a/process/guard_test.go
+++ b/process/guard_test.go
@@ -21,33 +21,31 @@
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func TestGuardFollowsChangedLimits(t *testing.T) {
-	// Symptom: a client's request gets no answer.
-	// Sequence: operators allow longer idle times; a client keeps to them and
-	// reuses a connection that the server has just closed.
-	// Cause: the bound was fixed when the server started.
+func TestGuardAppliesChangedLimits(t *testing.T) {
+	// Guards against an idle timeout that stays at its initial value, so that the server
+	// closes connections that clients still use after operators raised it.
 	synctest.Test(t, func(t *testing.T) {
 		li := Limits{HeaderTimeout: time.Second, IdleTimeout: 10 * time.Second}
 		gu := &Guard{LimitsFunc: func() Limits { return li }}
 		far, near := net.Pipe()
-		gu.follow(near, http.StateNew)
+		gu.onConnState(near, http.StateNew)
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, !closed(far), "it may be idle and then send a head")
-		gu.follow(near, http.StateActive)
+		assert.Assert(t, !closed(far), "a header may still arrive after the idle timeout")
+		gu.onConnState(near, http.StateActive)
 		time.Sleep(time.Hour)
-		assert.Assert(t, !closed(far), "a request may take any time")
+		assert.Assert(t, !closed(far), "a request has no time limit")
 		li.IdleTimeout = 10 * time.Minute
-		gu.follow(near, http.StateIdle)
+		gu.onConnState(near, http.StateIdle)
 		time.Sleep(10 * time.Minute)
 		assert.Assert(t, !closed(far))
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, closed(far))
-		gu.follow(near, http.StateClosed)
+		gu.onConnState(near, http.StateClosed)
 		assert.Equal(t, len(gu.timers), 0)
 	})
 }
 
-func TestGuardedHeads(t *testing.T) {
+func TestGuardHeaderSize(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		limit  int
@@ -55,10 +53,10 @@
 		status int
 	}{
 		{"small", 1000, 10, http.StatusOK},
-		{"just within", 1000, 1000 - len("GET / HTTP/1.1\r\nX-Long: \r\n"), http.StatusOK},
-		{"just beyond", 1000, 1001 - len("GET / HTTP/1.1\r\nX-Long: \r\n"), http.StatusRequestHeaderFieldsTooLarge},
-		{"the usual bound", 0, maxHeaderSize, http.StatusRequestHeaderFieldsTooLarge},
-		{"more than the usual bound is allowed", 2 * maxHeaderSize, maxHeaderSize, http.StatusOK},
+		{"at the limit", 1000, 1000 - len("GET / HTTP/1.1\r\nX-Long: \r\n"), http.StatusOK},
+		{"above the limit", 1000, 1001 - len("GET / HTTP/1.1\r\nX-Long: \r\n"), http.StatusRequestHeaderFieldsTooLarge},
+		{"above the default", 0, maxHeaderSize, http.StatusRequestHeaderFieldsTooLarge},
+		{"limit above the default", 2 * maxHeaderSize, maxHeaderSize, http.StatusOK},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			rejected := 0
--- a/process/newconns.go
+++ b/process/newconns.go
@@ -6,36 +6,32 @@
 	"sync"
 )
 
-// newConns are the connections of a server over which no request has come yet. They are
-// closed when the server is shut down.
+// A newConns tracks a server's connections that have not carried a request yet, and closes
+// them when the server is shut down.
 //
-// Symptom without it: a client that dials for a request may send it over another connection
-// that became free meanwhile, and keep the new one. On shutdown net/http waits for the first
-// request of such a connection, longer than the instance may take to leave, which then seems
-// to have cut off requests. Nothing is lost by closing it: net/http would drop a request that
-// came over it by then.
+// Clients may open a connection and not use it. A shutdown by net/http waits several
+// seconds for the first request of such a connection, which would exceed the grace period.
 type newConns struct {
-	closed bool // so is what is accepted from now on
+	closed bool // new connections are closed at once
 	conns  map[net.Conn]struct{}
 	mu     sync.Mutex
 }
 
-// protect keeps the connections of a server from holding its shutdown up. It is called before
-// the server serves.
-func (nc *newConns) protect(sv *http.Server) {
-	sv.ConnState = nc.follow
+// register registers the hooks with a server that has not been started.
+func (nc *newConns) register(sv *http.Server) {
+	sv.ConnState = nc.onConnState
 	sv.RegisterOnShutdown(nc.close)
 }
 
-// follow takes in the state of a connection.
-func (nc *newConns) follow(co net.Conn, st http.ConnState) {
+// onConnState tracks a connection's state.
+func (nc *newConns) onConnState(co net.Conn, st http.ConnState) {
 	nc.mu.Lock()
 	defer nc.mu.Unlock()
 	switch {
 	case st != http.StateNew:
 		delete(nc.conns, co)
 	case nc.closed:
-		_ = co.Close() // accepted in the moment of the shutdown
+		_ = co.Close() // accepted during the shutdown
 	default:
 		if nc.conns == nil {
 			nc.conns = map[net.Conn]struct{}{}
@@ -44,7 +40,7 @@
 	}
 }
 
-// close closes those that there are.
+// close closes all tracked connections and those accepted later.
 func (nc *newConns) close() {
 	nc.mu.Lock()
 	defer nc.mu.Unlock()
--- a/process/newconns_test.go
+++ b/process/newconns_test.go
@@ -10,11 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: an instance that leaves says that it cut off requests, seconds after its last
-// one was answered. Events: another process opens a connection for a request that then goes
-// over one that became free, and keeps the new one. Cause: a server that is shut down waits
-// five seconds for the first request of a connection, longer than it is given.
-func TestUnusedConnectionsKeepNoServerFromEnding(t *testing.T) {
+// TestShutdownClosesUnusedConnections guards against a shutdown that waits for the first
+// request of a connection that a client opened and never used.
+func TestShutdownClosesUnusedConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	begun, answer := make(chan struct{}), make(chan struct{})
@@ -39,7 +37,7 @@
 		}
 		got <- err
 	}()
-	<-begun // the unused connection was accepted before
+	<-begun // the unused connection was accepted earlier
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	ended := make(chan error)
@@ -47,7 +45,7 @@
 	_, err = unused.Read(make([]byte, 1))
 	assert.Assert(t, err != nil, "the unused connection is closed")
 	close(answer)
-	assert.NilError(t, <-got, "what runs is answered")
+	assert.NilError(t, <-got, "the running request is answered")
 	assert.NilError(t, <-ended)
 	assert.NilError(t, <-served)
 }
--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what the two long-running roles share as processes:
-// one listener tied to the life of an fx app, and the bounds of its server.
+// Package process runs a long-running role as a process: it ties the role's listener to
+// the life cycle of an fx app and limits its HTTP server.
 package process
 
 import (
@@ -17,31 +17,31 @@
 	"wisteriacroft/telemetry"
 )
 
-// GracePart is the part of a process's grace that its role's own shutdown may
-// take. The rest is for closing its servers and flushing spans.
+// GracePart is the fraction of a process's grace period for the shutdown of its role. The
+// rest is for closing the servers and flushing spans.
 const GracePart = 0.9
 
-// Bounds of the HTTP server of a role.
+// Limits of a role's HTTP server.
 const (
 	idleTimeout       = 2 * time.Minute
 	maxHeaderSize     = 64 << 10 // bytes
 	readHeaderTimeout = 10 * time.Second
 )
 
-// A Role is what a process runs.
+// A Role holds the callbacks of a process's role.
 type Role struct {
 	Log *logrus.Logger
-	// ReadyFunc returns nil while the role takes work.
+	// ReadyFunc returns nil while the role accepts requests.
 	ReadyFunc func() error
-	// ServeFunc answers what comes over a listener until ShutdownFunc.
+	// ServeFunc serves requests on a listener until ShutdownFunc.
 	ServeFunc func(li net.Listener) error
-	// ShutdownFunc finishes what runs and ends the role.
+	// ShutdownFunc waits for running requests and stops the role.
 	ShutdownFunc func(ctx context.Context) error
-	// StartFunc starts what the role does without being asked.
+	// StartFunc starts the role's background work.
 	StartFunc func()
 }
 
-// Run ties a role that listens at an address to the life of an app.
+// Run starts and stops a role that listens at an address with the app.
 func Run(lc fx.Lifecycle, sd fx.Shutdowner, ad *telemetry.Admin, address netip.AddrPort, ro Role) {
 	ad.ReadyFunc = ro.ReadyFunc
 	lc.Append(fx.Hook{
@@ -59,20 +59,20 @@
 	})
 }
 
-// serve serves a listener. Should it fail, the process ends, so that the
-// platform replaces it.
+// serve serves a listener. If that fails, it stops the app, so that the platform restarts
+// the process.
 func (ro *Role) serve(li net.Listener, sd fx.Shutdowner) {
 	err := ro.ServeFunc(li)
 	if err == nil {
 		return
 	}
-	ro.Log.WithError(err).Error("server ended")
+	ro.Log.WithError(err).Error("server failed")
 	if err := sd.Shutdown(fx.ExitCode(1)); err != nil {
-		ro.Log.WithError(err).Error("process can't be ended")
+		ro.Log.WithError(err).Error("app shutdown failed")
 	}
 }
 
-// NewHTTPServer returns the server of a role's one listener.
+// NewHTTPServer returns the server of a role's listener.
 func NewHTTPServer(ha http.Handler) *http.Server {
 	sv := &http.Server{
 		Handler:           ha,
@@ -80,15 +80,15 @@
 		MaxHeaderBytes:    maxHeaderSize,
 		ReadHeaderTimeout: readHeaderTimeout,
 	}
-	(&newConns{}).protect(sv)
+	(&newConns{}).register(sv)
 	return sv
 }
 
-// CloseConnectionsWhile ends each connection with its next answer while leaving is true.
+// CloseConnectionsWhile closes each connection after its next response while leaving
+// returns true.
 //
-// A shutdown closes idle connections, and a request that is on its way over one
-// then gets no answer at all. Its caller can't tell whether it ran. Closed with
-// an answer instead, while the process lingers, no connection is left idle.
+// Otherwise the shutdown closes idle connections, and a request that is just being sent on
+// one fails with an unknown outcome.
 func CloseConnectionsWhile(leaving func() bool, ha http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		if leaving() {
@@ -98,7 +98,7 @@
 	})
 }
 
-// Serve answers what comes over a listener until the server is shut down.
+// Serve serves requests on a listener. It returns nil when the server is shut down.
 func Serve(sv *http.Server, li net.Listener) error {
 	err := sv.Serve(li)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// SilentLogger returns a logger that writes nothing.
+// SilentLogger returns a logger that discards all entries.
 func SilentLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
