--- a/message/header.go
+++ b/message/header.go
@@ -1,30 +1,28 @@
-// Package message holds what the system's own processes say to each other:
-// HTTP headers and bodies on the data path, net/rpc messages for control.
-// Fields are exported because codecs fill them.
+// Package message defines the messages between the system's processes: HTTP headers and
+// bodies on the data path, and net/rpc messages for control.
 package message
 
-// Headers of a live call, from the caller to the entry and from there to the
-// attendant. Durations are Go durations; a deadline is the time that is left,
-// so that the clocks of two instances need not agree.
+// Headers of a live call, from the caller to the entry and from there to the attendant.
+// Durations are in Go's format. A deadline is the remaining time, which doesn't depend on
+// synchronized clocks.
 const (
 	DeadlineHeader       = "Wisteriacroft-Deadline"
 	IdempotencyKeyHeader = "Idempotency-Key"
 	ProfileHeader        = "Wisteriacroft-Profile"
-	RepeatableHeader     = "Wisteriacroft-Repeatable" // "yes" or "no"; the profile's word is the default
+	RepeatableHeader     = "Wisteriacroft-Repeatable" // "yes" or "no"; the default is the profile's
 	RequestIDHeader      = "Wisteriacroft-Request-Id"
 )
 
-// Headers from the entry to the attendant only. The key doesn't travel as
-// IdempotencyKeyHeader: net/http takes a request that carries that header for
-// one that is safe to send again, and does so by itself when a connection
-// breaks.
+// Headers from the entry to the attendant only. The key is not sent as
+// IdempotencyKeyHeader, since net/http retries requests with that header by itself when a
+// connection breaks.
 const (
-	KeyQueryHeader     = "Wisteriacroft-Key-Ask" // "yes": don't run the request, only say what became of it
+	KeyQueryHeader     = "Wisteriacroft-Key-Ask" // "yes": return the request's outcome without running it
 	KeyHeader          = "Wisteriacroft-Key"
-	KeyGeneratedHeader = "Wisteriacroft-Key-Minted" // "yes": the caller gave no key and the entry minted this one
+	KeyGeneratedHeader = "Wisteriacroft-Key-Minted" // "yes": the entry generated the key
 )
 
-// Headers of an answer, from the attendant to the entry and on to the caller.
+// Headers of a response, from the attendant through the entry to the caller.
 const (
 	EndpointHeader = "Wisteriacroft-Endpoint"
 	FateHeader     = "Wisteriacroft-Fate"
@@ -40,10 +38,10 @@
 	StreamPath = "/endpoints/{endpoint}/stream"         // POST engine.GenerateRequest; lines of engine.Chunk
 )
 
-// A Header goes with every net/rpc message. The receiver fetches the
-// configuration when the sender holds a higher revision.
+// A Header is part of every net/rpc message. The receiver fetches the configuration if
+// the sender has a higher revision.
 type Header struct {
-	Incarnation uint64 // grows with each start of the sender
-	Revision    uint64 // configuration that the sender holds
-	Sender      string // instance id
+	Incarnation uint64 // increases with each start of the sender
+	Revision    uint64 // of the sender's configuration
+	Sender      string // instance ID
 }
--- a/message/hop.go
+++ b/message/hop.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// hopHeaders concern one connection.
+// hopHeaders are the hop-by-hop headers.
 var hopHeaders = []string{
 	"Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ForwardHeaders returns the headers that go on to the next hop: all but those that
-// concern one connection, and those that the caller names besides.
+// ForwardHeaders returns a copy of he without the hop-by-hop headers and the headers in
+// except.
 func ForwardHeaders(he http.Header, except ...string) http.Header {
 	out := he.Clone()
 	for _, value := range he.Values("Connection") {
--- a/message/refusal.go
+++ b/message/refusal.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/outcome"
 )
 
-// statuses holds the HTTP status of each refusal's code.
+// statuses maps the codes of refusals to HTTP statuses.
 var statuses = map[outcome.Code]int{
 	outcome.BadRequest:       http.StatusBadRequest,
 	outcome.DeadlineExceeded: http.StatusGatewayTimeout,
@@ -30,8 +30,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// WriteRefusal answers an HTTP request with a refusal, its fate and the time
-// to come back, in whole seconds rounded up.
+// WriteRefusal writes a refusal as an HTTP response, with headers for its fate and its
+// retry delay in seconds, rounded up.
 func WriteRefusal(rw http.ResponseWriter, re *outcome.Refusal) {
 	he := rw.Header()
 	he.Set("Content-Type", "application/json")
@@ -41,6 +41,6 @@
 		he.Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 	rw.WriteHeader(statusOf(re.Code))
-	// The caller may be gone; nothing is left to tell it then.
+	// An error means that the caller has disconnected.
 	_ = json.NewEncoder(rw).Encode(re)
 }
