--- a/telemetry/admin.go
+++ b/telemetry/admin.go
@@ -20,27 +20,27 @@
 	ReadyPath   = "/readyz"
 )
 
-// adminHeaderTimeout bounds how long a client may take over its header, so
-// that silent connections do not pile up.
+// adminHeaderTimeout bounds the time to receive a request's header, so that stalled
+// connections do not accumulate.
 const adminHeaderTimeout = 5 * time.Second
 
-// An Admin serves metrics and health pages. Its zero value is healthy, ready
-// and has the metrics of the process alone.
+// An Admin serves metrics and health pages. The zero Admin is always ready and serves the
+// global metrics only.
 type Admin struct {
-	// Logger takes the errors of the server. Nil logs nothing.
+	// Logger logs the errors of the server. Nil disables logging.
 	Logger *logrus.Logger
-	// ReadyFunc returns nil once the process takes work and otherwise the
-	// reason why not. Whoever builds the process sets it before the start.
+	// ReadyFunc returns nil if the process accepts requests, and otherwise the reason why
+	// not. Nil means always ready. It must be set before Start.
 	ReadyFunc func() error
-	// Set holds the metrics of the process's role. Metrics that were
-	// registered globally are shown in any case.
+	// Set holds the metrics of the process's role, which are served in addition to the
+	// global ones.
 	Set *metrics.Set
 
 	listener net.Listener
 	server   *http.Server
 }
 
-// Handler returns the admin pages.
+// Handler returns the handler of the admin pages.
 func (ad *Admin) Handler() http.Handler {
 	ro := mux.NewRouter()
 	ro.HandleFunc(HealthPath, ad.serveHealth).Methods(http.MethodGet)
@@ -49,7 +49,7 @@
 	return ro
 }
 
-// Start serves the pages at address until Stop.
+// Start listens at address and serves the pages until Stop.
 func (ad *Admin) Start(ctx context.Context, address string) error {
 	var lc net.ListenConfig
 	listener, err := lc.Listen(ctx, "tcp", address)
@@ -61,16 +61,16 @@
 	go func() {
 		err := ad.server.Serve(listener)
 		if !errors.Is(err, http.ErrServerClosed) && ad.Logger != nil {
-			ad.Logger.WithError(err).Error("admin server ended")
+			ad.Logger.WithError(err).Error("admin server failed")
 		}
 	}()
 	return nil
 }
 
-// Address returns the address at which the pages are served.
+// Address returns the listener's address. It must be called after Start.
 func (ad *Admin) Address() string { return ad.listener.Addr().String() }
 
-// Stop ends the server once the requests that run are answered.
+// Stop shuts the server down after running requests are answered.
 func (ad *Admin) Stop(ctx context.Context) error {
 	if ad.server == nil {
 		return nil
@@ -78,12 +78,12 @@
 	return errors.Wrap(ad.server.Shutdown(ctx), "stop the admin server")
 }
 
-// serveHealth says that the process answers at all.
+// serveHealth reports that the process responds.
 func (ad *Admin) serveHealth(rw http.ResponseWriter, _ *http.Request) {
 	_, _ = fmt.Fprintln(rw, "ok")
 }
 
-// serveMetrics writes all metrics in Prometheus's text format.
+// serveMetrics writes all metrics in the Prometheus text format.
 func (ad *Admin) serveMetrics(rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	if ad.Set != nil {
@@ -92,7 +92,7 @@
 	metrics.WritePrometheus(rw, true)
 }
 
-// serveReady says whether the process takes work.
+// serveReady reports whether the process accepts requests.
 func (ad *Admin) serveReady(rw http.ResponseWriter, _ *http.Request) {
 	if ad.ReadyFunc != nil {
 		if err := ad.ReadyFunc(); err != nil {
--- a/telemetry/bounded.go
+++ b/telemetry/bounded.go
@@ -6,40 +6,37 @@
 	"time"
 )
 
-// Bounds of a BoundedWriter.
+// Limits of a BoundedWriter.
 const (
-	// boundedLines is how many lines wait for the output. At some 300 bytes
-	// each they take 600 KB of an instance's 112 MB and more.
-	boundedLines = 2048
-	// boundedRate is how many lines a second are written over a longer time.
-	// A line costs about 10 us; so logs take 0.6% of a core at most.
-	boundedRate = 600
-	// boundedBurst is how many lines may come at once: a step's 200 items,
-	// placed and ended, and what goes with them.
-	boundedBurst = 3000
+	// maxQueuedLines is the size of the queue, in lines.
+	maxQueuedLines = 2048
+	// maxLinesPerSecond is the sustained rate, in lines per second.
+	maxLinesPerSecond = 600
+	// maxBurstLines is the burst size in lines, enough for the events of a whole step.
+	maxBurstLines = 3000
 )
 
-// A BoundedWriter passes log lines on without ever making its caller wait.
+// A BoundedWriter forwards log lines asynchronously, with a rate limit. It drops and counts
+// excess lines.
 //
-// An output that is not read, or a burst of lines, would otherwise hold up the
-// requests that log. Lines beyond the bounds are dropped and counted. Use
-// NewBoundedWriter.
+// It guards against requests that block on logging while nobody reads the output, and
+// against logs that take too much CPU time. Create one with NewBoundedWriter.
 type BoundedWriter struct {
-	allowance float64
-	dropped   atomic.Uint64
-	filledAt  time.Time
-	lines     chan []byte
-	written   atomic.Uint64
+	tokens     float64
+	dropped    atomic.Uint64
+	refilledAt time.Time
+	lines      chan []byte
+	written    atomic.Uint64
 }
 
-// NewBoundedWriter returns a writer that passes lines on to out, which it alone
-// writes to.
+// NewBoundedWriter returns a writer that forwards lines to out. Nothing else may write to
+// out.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
-	bw := &BoundedWriter{allowance: boundedBurst, filledAt: time.Now(), lines: make(chan []byte, boundedLines)}
+	bw := &BoundedWriter{tokens: maxBurstLines, refilledAt: time.Now(), lines: make(chan []byte, maxQueuedLines)}
 	go func() {
 		for line := range bw.lines {
 			if _, err := out.Write(line); err != nil {
-				bw.dropped.Add(1) // there is nowhere to say so but the count
+				bw.dropped.Add(1) // the error can't be logged
 				continue
 			}
 			bw.written.Add(1)
@@ -48,31 +45,31 @@
 	return bw
 }
 
-// Write implements io.Writer. It never fails; logrus calls it one line at a
-// time, under its own lock.
+// Write implements io.Writer for a single line. It never fails or blocks. It is not safe
+// for concurrent use; logrus calls it under a lock.
 func (bw *BoundedWriter) Write(line []byte) (int, error) {
 	now := time.Now()
-	bw.allowance = min(boundedBurst, bw.allowance+boundedRate*now.Sub(bw.filledAt).Seconds())
-	bw.filledAt = now
-	if bw.allowance < 1 {
+	bw.tokens = min(maxBurstLines, bw.tokens+maxLinesPerSecond*now.Sub(bw.refilledAt).Seconds())
+	bw.refilledAt = now
+	if bw.tokens < 1 {
 		bw.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
 	case bw.lines <- append([]byte(nil), line...):
-		bw.allowance--
+		bw.tokens--
 	default:
 		bw.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (bw *BoundedWriter) Dropped() uint64 { return bw.dropped.Load() }
 
-// Written returns how many lines were written.
+// Written returns the number of written lines.
 func (bw *BoundedWriter) Written() uint64 { return bw.written.Load() }
 
-// Close ends the writing once what waits is written. Nothing may be written
-// after it.
+// Close stops the writer after the queued lines are written, without waiting for them.
+// Write must not be called after Close.
 func (bw *BoundedWriter) Close() { close(bw.lines) }
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -9,23 +9,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// A stuckWriter takes nothing until it is released.
-type stuckWriter struct{ release chan struct{} }
+// A blockedWriter blocks all writes until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (sw stuckWriter) Write(line []byte) (int, error) {
+func (sw blockedWriter) Write(line []byte) (int, error) {
 	<-sw.release
 	return len(line), nil
 }
 
-func TestOutputThatIsNotRead(t *testing.T) {
-	// Symptom: requests wait for seconds, each in the same place.
-	// Sequence: whatever reads the process's output stops reading.
-	// Cause: a log line waited until the output took it.
+func TestBoundedWriterDoesNotBlock(t *testing.T) {
+	// Guards against requests that block on a log line while nobody reads the process's
+	// output.
 	synctest.Test(t, func(t *testing.T) {
-		sw := stuckWriter{release: make(chan struct{})}
+		sw := blockedWriter{release: make(chan struct{})}
 		bw := NewBoundedWriter(sw)
 		begun := time.Now()
-		const lines = boundedLines + 500
+		const lines = maxQueuedLines + 500
 		for range lines {
 			n, err := bw.Write([]byte("line\n"))
 			assert.NilError(t, err)
@@ -40,10 +39,8 @@
 	})
 }
 
-func TestBurstOfLines(t *testing.T) {
-	// Symptom: logs take a process's share of the processor under load.
-	// Sequence: each of a thousand requests a second writes some lines.
-	// Cause: the volume of logs was bounded by the load alone.
+func TestBoundedWriterRateLimit(t *testing.T) {
+	// Guards against log output that grows with the load and takes too much CPU time.
 	synctest.Test(t, func(t *testing.T) {
 		bw := NewBoundedWriter(io.Discard)
 		const seconds = 20
@@ -56,7 +53,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
-		limit := uint64(boundedBurst + seconds*boundedRate)
+		limit := uint64(maxBurstLines + seconds*maxLinesPerSecond)
 		assert.Assert(t, bw.Written() <= limit, "%d", bw.Written())
 		assert.Assert(t, bw.Written() >= limit*9/10, "%d", bw.Written())
 		assert.Equal(t, bw.Written()+bw.Dropped(), uint64(seconds*3000))
--- a/telemetry/carrier.go
+++ b/telemetry/carrier.go
@@ -8,27 +8,27 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// Header names of the W3C trace context, which are a Carrier's keys too.
+// Header names of the W3C trace context, also used as a Carrier's keys.
 const (
 	traceParentKey = "traceparent"
 	traceStateKey  = "tracestate"
 )
 
-// A Carrier carries the trace context in a net/rpc message, which has no
-// headers. The zero Carrier carries none.
+// A Carrier holds the trace context in a net/rpc message, which has no headers. The zero
+// Carrier holds none.
 type Carrier struct {
 	TraceParent string
 	TraceState  string
 }
 
-// NewCarrier returns a carrier of the trace context in ctx.
+// NewCarrier returns a carrier with the trace context of ctx.
 func NewCarrier(ctx context.Context) Carrier {
 	var ca Carrier
 	otel.GetTextMapPropagator().Inject(ctx, &ca)
 	return ca
 }
 
-// Context returns ctx with the trace context that the carrier carries.
+// Context returns ctx with the carrier's trace context.
 func (ca Carrier) Context(ctx context.Context) context.Context {
 	return otel.GetTextMapPropagator().Extract(ctx, &ca)
 }
--- a/telemetry/logger.go
+++ b/telemetry/logger.go
@@ -1,5 +1,4 @@
-// Package telemetry sets up what shows a process from outside: logs, metrics,
-// health pages and traces with a span for each hop.
+// Package telemetry sets up a process's logs, metrics, health pages and traces.
 package telemetry
 
 import (
@@ -11,7 +10,8 @@
 	"wisteriacroft/settings"
 )
 
-// NewLogger returns a logger that writes to out as the settings say.
+// NewLogger returns a logger that writes to out, with the level and format of the
+// settings.
 func NewLogger(lo settings.Log, out io.Writer) (*logrus.Logger, error) {
 	level, err := logrus.ParseLevel(lo.Level())
 	if err != nil {
--- a/telemetry/module.go
+++ b/telemetry/module.go
@@ -11,10 +11,9 @@
 	"wisteriacroft/settings"
 )
 
-// Module provides a *logrus.Logger, an *Admin, a *metrics.Set and a *Tracing
-// from the settings.Process that the app supplies. Log lines go to logOutput.
-// The pages are served, and spans flushed, for as long as the app runs: what
-// the app builds with them starts later and stops sooner.
+// Module provides a *logrus.Logger, an *Admin, a *metrics.Set and a *Tracing from the
+// settings.Process that the app supplies. Log lines are written to logOutput. The admin
+// server and the tracing start before the components that use them and stop after them.
 func Module(logOutput io.Writer) fx.Option {
 	return fx.Module("telemetry",
 		fx.Provide(
@@ -27,7 +26,7 @@
 	)
 }
 
-// provideAdmin returns the admin server, which runs with the app.
+// provideAdmin returns the admin server, which starts and stops with the app.
 func provideAdmin(li fx.Lifecycle, logger *logrus.Logger, pr settings.Process, se *metrics.Set) *Admin {
 	ad := &Admin{Logger: logger, Set: se}
 	li.Append(fx.Hook{
@@ -37,7 +36,7 @@
 	return ad
 }
 
-// provideTracing returns the tracing, which is flushed when the app stops.
+// provideTracing returns the tracing, whose spans are flushed when the app stops.
 func provideTracing(li fx.Lifecycle, logger *logrus.Logger, pr settings.Process) (*Tracing, error) {
 	tr, err := NewTracing(context.Background(), pr, logger)
 	if err != nil {
--- a/telemetry/span.go
+++ b/telemetry/span.go
@@ -9,10 +9,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// scope names the project's spans among those of libraries.
+// scope is the instrumentation scope of the project's spans, and its service name.
 const scope = "wisteriacroft"
 
-// Start starts the span of one hop. Its caller passes the span to End.
+// Start starts a span. The caller must pass it to End.
 func Start(ctx context.Context, name string, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
 	return otel.Tracer(scope).Start(ctx, name, trace.WithAttributes(attributes...))
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -43,7 +43,7 @@
 file = %q
 `
 
-// A span is what the test reads of a span in the file.
+// A span holds the fields of an exported span that the test checks.
 type span struct {
 	Name   string
 	Parent struct{ SpanID, TraceID string }
@@ -56,8 +56,8 @@
 	Status      struct{ Code, Description string }
 }
 
-// TestSession runs an app over one request that crosses HTTP and net/rpc, and
-// shows the spans that its shutdown flushed to the file.
+// TestSession checks the spans of a request across HTTP and net/rpc that an app's shutdown
+// flushes to a file.
 func TestSession(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.jsonl")
 	se, err := settings.ReadEntry("entry.toml", fmt.Appendf(nil, document, path))
@@ -73,14 +73,14 @@
 	callAcrossHops(t.Context())
 	assert.NilError(t, app.Stop(t.Context()))
 
-	golden.Assert(t, drawSpans(t, path), "session.golden")
+	golden.Assert(t, formatSpans(t, path), "session.golden")
 	var line struct{ Level, Msg string }
 	assert.NilError(t, json.Unmarshal(log.Bytes(), &line))
 	assert.Equal(t, line.Level+" "+line.Msg, "info configuration in force")
 }
 
-// callAcrossHops makes the spans of a call that passes an entry, an attendant
-// and a control call whose answer is an error.
+// callAcrossHops creates the spans of a call through an entry and an attendant, and of a
+// failed control call.
 func callAcrossHops(ctx context.Context) {
 	entryContext, entry := Start(ctx, "entry.call", attribute.String("service", "gate-api"))
 	he := http.Header{}
@@ -95,9 +95,8 @@
 	End(entry, nil)
 }
 
-// drawSpans returns the spans of a file, outer ones first and indented by
-// their depth.
-func drawSpans(t *testing.T, path string) string {
+// formatSpans returns the span tree of a file as indented text.
+func formatSpans(t *testing.T, path string) string {
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	var spans []span
@@ -108,7 +107,7 @@
 		spans = append(spans, sp)
 	}
 	var sb strings.Builder
-	draw(&sb, spans, "0000000000000000", "")
+	writeSpans(&sb, spans, "0000000000000000", "")
 	return sb.String()
 }
 
@@ -119,8 +118,8 @@
 	return traceID
 }
 
-// draw writes the spans below a parent.
-func draw(sb *strings.Builder, spans []span, parent, indent string) {
+// writeSpans writes the spans below a parent.
+func writeSpans(sb *strings.Builder, spans []span, parent, indent string) {
 	for _, sp := range spans {
 		if sp.Parent.SpanID != parent {
 			continue
@@ -129,11 +128,11 @@
 		for _, at := range append(sp.Resource, sp.Attributes...) {
 			fmt.Fprintf(sb, "%s  | %s = %v\n", indent, at.Key, at.Value.Value)
 		}
-		draw(sb, spans, sp.SpanContext.SpanID, indent+"  ")
+		writeSpans(sb, spans, sp.SpanContext.SpanID, indent+"  ")
 	}
 }
 
-// TestAdmin asks for each admin page.
+// TestAdmin requests each admin page.
 func TestAdmin(t *testing.T) {
 	se := metrics.NewSet()
 	se.NewCounter(`calls_total{service="gate-api"}`).Add(7)
@@ -143,7 +142,7 @@
 		ad     Admin
 		path   string
 		status int
-		holds  string
+		want   string
 	}{
 		{"healthy", Admin{ReadyFunc: waiting}, HealthPath, http.StatusOK, "ok"},
 		{"ready", Admin{}, ReadyPath, http.StatusOK, "ready"},
@@ -156,7 +155,7 @@
 			rw := httptest.NewRecorder()
 			tc.ad.Handler().ServeHTTP(rw, httptest.NewRequest(http.MethodGet, tc.path, nil))
 			assert.Equal(t, rw.Code, tc.status)
-			assert.Assert(t, strings.Contains(rw.Body.String(), tc.holds), rw.Body.String())
+			assert.Assert(t, strings.Contains(rw.Body.String(), tc.want), rw.Body.String())
 		})
 	}
 }
--- a/telemetry/tracing.go
+++ b/telemetry/tracing.go
@@ -18,8 +18,7 @@
 	"wisteriacroft/settings"
 )
 
-// Attributes of the resource that every span of a process bears. The first two
-// are OpenTelemetry's own.
+// Resource attributes of a process's spans. The first two are defined by OpenTelemetry.
 const (
 	serviceNameKey   = attribute.Key("service.name")
 	instanceKey      = attribute.Key("service.instance.id")
@@ -27,22 +26,22 @@
 	failureDomainKey = attribute.Key("wisteriacroft.failure-domain")
 )
 
-// otlpPath is where an OTLP/HTTP collector takes spans.
+// otlpPath is the path at which an OTLP/HTTP collector receives spans.
 const otlpPath = "/v1/traces"
 
-// spanFileMode lets the operators' group read the spans.
+// spanFileMode allows the operators' group to read the spans.
 const spanFileMode = 0o640
 
-// A Tracing sends the spans of a process to where its settings say. The zero
-// Tracing sends them nowhere.
+// A Tracing exports a process's spans to the destination in its settings. The zero Tracing
+// exports none.
 type Tracing struct {
 	file     io.Closer
 	provider *sdktrace.TracerProvider
 }
 
-// NewTracing sets the process's tracer provider and the W3C propagator. The
-// propagator is set without a destination for spans too, so that a process
-// that keeps none still passes on the trace of others.
+// NewTracing sets the global tracer provider and the W3C propagator. It sets the propagator
+// even without a destination for spans, so that the process still propagates trace
+// contexts.
 func NewTracing(ctx context.Context, pr settings.Process, logger *logrus.Logger) (*Tracing, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	tr := &Tracing{}
@@ -51,7 +50,7 @@
 		return tr, err
 	}
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
-		logger.WithError(err).Warning("spans were lost")
+		logger.WithError(err).Warning("span export failed")
 	}))
 	tr.provider = sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
@@ -62,7 +61,7 @@
 	return tr, nil
 }
 
-// Shutdown sends the spans that still wait and closes their destination.
+// Shutdown flushes pending spans and closes their destination.
 func (tr *Tracing) Shutdown(ctx context.Context) error {
 	if tr.provider == nil {
 		return nil
@@ -74,7 +73,7 @@
 	return errors.Wrap(err, "flush spans")
 }
 
-// exporter returns the destination of spans, or nil if there is none.
+// exporter returns the configured span exporter, or nil if there is none.
 func (tr *Tracing) exporter(ctx context.Context, se settings.Trace) (sdktrace.SpanExporter, error) {
 	switch {
 	case se.OTLPAddress() != "":
@@ -93,7 +92,7 @@
 	}
 }
 
-// newResource returns the resource that names the process.
+// newResource returns the resource that identifies the process.
 func newResource(pr settings.Process) *resource.Resource {
 	return resource.NewSchemaless(
 		serviceNameKey.String(scope),
