--- a/roundtrip/body.go
+++ b/roundtrip/body.go
@@ -30,17 +30,17 @@
 }
 
 // Read implements io.Reader.
-func (ab *responseBody) Read(buf []byte) (int, error) {
-	n, err := ab.ReadCloser.Read(buf)
-	ab.remaining -= int64(n)
+func (rb *responseBody) Read(buf []byte) (int, error) {
+	n, err := rb.ReadCloser.Read(buf)
+	rb.remaining -= int64(n)
 	switch {
-	case ab.remaining < 0:
-		return n, errors.Wrapf(ab.broken, "answer is larger than %d bytes", int64(MaxAnswerSize))
+	case rb.remaining < 0:
+		return n, errors.Wrapf(rb.broken, "answer is larger than %d bytes", int64(MaxAnswerSize))
 	case err == nil:
 		return n, nil
-	case errors.Is(err, io.EOF) && !ab.untilClose:
+	case errors.Is(err, io.EOF) && !rb.untilClose:
 		return n, io.EOF
 	default:
-		return n, errors.Wrapf(ab.broken, "read the answer: %v", err)
+		return n, errors.Wrapf(rb.broken, "read the answer: %v", err)
 	}
 }
