--- a/engine/http.go
+++ b/engine/http.go
@@ -12,21 +12,21 @@
 	"wisteriacroft/roundtrip"
 )
 
-// maxLine is the longest line of a stream, in bytes.
+// maxLine is the maximum length of a line in a stream, in bytes.
 const maxLine = 1 << 20
 
-// A CallID names a request in a call over HTTP.
+// A CallID is the request body of calls that concern another request.
 type CallID struct {
 	RequestID string `json:"request-id"`
 }
 
-// An httpClient reaches an engine over HTTP.
+// An httpClient calls an engine over HTTP.
 type httpClient struct {
 	roundtrip.Client
 }
 
-// NewHTTP returns a Client that speaks HTTP with the engine at baseURL. A nil
-// hc means a client of its own.
+// NewHTTP returns a Client of the engine with HTTP at baseURL. If hc is nil, it creates an
+// http.Client.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	ht := httpClient{roundtrip.New(baseURL, hc, ErrBroken)}
 	ht.Crossed = ErrMismatchedResponse
@@ -43,7 +43,7 @@
 	}
 }
 
-// call makes a call whose answer is one value.
+// call sends a request and decodes its JSON response.
 func call[Answer any](ctx context.Context, ht httpClient, method, path string, in any) (Answer, error) {
 	an, status, err := roundtrip.Call[Answer](ctx, ht.Client, method, path, in)
 	switch {
@@ -121,11 +121,8 @@
 
 // readStream emits a stream's chunks until one is Done.
 //
-// What goes wrong: a stream that is cut short passes for a whole answer, or an
-// answer of another request for this one's. One notices it by samples that
-// miss tokens or hold those of another prompt. Here a stream is whole only
-// with its last chunk, and each chunk must name the request and go on where
-// the one before ended.
+// To detect truncated or mismatched streams, it requires a last chunk that is Done, and
+// that each chunk has the request's ID and continues where the previous one ended.
 func readStream(sc *bufio.Scanner, req GenerateRequest, emit func(Chunk) error) error {
 	next := len(req.Resume)
 	for sc.Scan() {
--- a/engine/http_test.go
+++ b/engine/http_test.go
@@ -12,9 +12,8 @@
 )
 
 func TestGenerateStream(t *testing.T) {
-	// Symptom: a sample lacks tokens, or holds those of another request.
-	// Sequence: the engine's stream is cut, crossed or skips a chunk.
-	// Cause: an HTTP body may end well although the answer is not whole.
+	// Guards against accepting a stream that is truncated, lacks a chunk or belongs to
+	// another request.
 	first := `{"first":1,"request-id":"a","tokens":[{"id":1,"log-prob":-1}],"version":3}` + "\n"
 	last := `{"done":true,"first":2,"request-id":"a","tokens":[],"version":3}` + "\n"
 	for name, tc := range map[string]struct {
