--- a/plainservice/client.go
+++ b/plainservice/client.go
@@ -1,5 +1,4 @@
-// Package plainservice is the adapter to plain services: the one place that
-// knows how they are reached.
+// Package plainservice is the client of plain services, which have no model weights.
 package plainservice
 
 import (
@@ -10,21 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors that a Client returns, to be matched with errors.Is.
+// Errors of a Client, for errors.Is.
 var (
-	// ErrNotSent means that no byte of the request was written: it did not run.
+	// ErrNotSent means that no byte of the request was written, so that it did not run.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrBroken means that the request was at least partly written and that
-	// the answer is not whole: whether it ran is not known.
+	// ErrBroken means that the request was at least partly written and that the response
+	// is incomplete, so that it is unknown whether the request ran.
 	ErrBroken = errors.New("connection to the service broke")
-	// ErrMismatchedResponse means that an answer belongs to another request.
+	// ErrMismatchedResponse means that a response belongs to another request.
 	ErrMismatchedResponse = errors.New("answer belongs to another request")
 )
 
-// RequestIDHeader carries the request's id to the service, which echoes it.
+// RequestIDHeader is the header for the request's ID, which the service echoes.
 const RequestIDHeader = "X-Request-Id"
 
-// A Request is one call of a service.
+// A Request is a call to a service.
 type Request struct {
 	Body   []byte
 	Header http.Header
@@ -33,25 +32,25 @@
 	Path   string
 }
 
-// A Response is a service's answer. The reader of Body closes it.
+// A Response is a service's response. The caller must close Body.
 type Response struct {
 	Body   io.ReadCloser
 	Header http.Header
 	Status int
 }
 
-// A Report is the load that a service reports, with a lag.
+// A Report is the load that a service reports, which may be slightly outdated.
 type Report struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// A Client reaches one plain service. Each field is a seam.
+// A Client calls one plain service. Tests can replace its functions.
 type Client struct {
-	// CallFunc returns once the answer's head is there. A Body that ends
-	// early gives ErrBroken from Read.
+	// CallFunc returns when the response's header has been read. Reading a truncated Body
+	// fails with ErrBroken.
 	CallFunc func(ctx context.Context, req Request) (Response, error)
-	// EndedFunc reports whether the service's process has ended. Nil can't tell.
+	// EndedFunc reports whether the service's process has ended. Nil means unknown.
 	EndedFunc  func(ctx context.Context) bool
 	ReportFunc func(ctx context.Context) (Report, error)
 }
--- a/plainservice/http.go
+++ b/plainservice/http.go
@@ -9,10 +9,10 @@
 	"wisteriacroft/roundtrip"
 )
 
-// NewHTTP returns a Client that speaks HTTP with the service at baseURL. A nil
-// hc means a client of its own. An answer without the echo of its request's id
-// counts as crossed; one without a length, which a cut can't be told from, as
-// broken.
+// NewHTTP returns a Client of the service with HTTP at baseURL. If hc is nil, it creates an
+// http.Client. A response that doesn't echo the request's ID fails with
+// ErrMismatchedResponse. One without a length fails with ErrBroken, since truncation can't
+// be detected.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	cl := roundtrip.New(baseURL, hc, ErrBroken)
 	cl.Crossed = ErrMismatchedResponse
