--- a/events/events.go
+++ b/events/events.go
@@ -1,8 +1,7 @@
-// Package events reads a stream of server-sent events, one whole event at a
-// time.
+// Package events reads a stream of server-sent events.
 //
-// A library for them gives the data alone. Here the bytes are passed on as they
-// came, and engines add a field of their own, so that the lines must be seen.
+// Unlike common libraries, it also returns the raw bytes of each event, which are forwarded
+// unchanged, and non-standard fields, which engines add.
 package events
 
 import (
@@ -15,8 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent is the largest event that is read, in bytes. Engines send a few
-// hundred.
+// maxEvent is the maximum size of an event, in bytes.
 const maxEvent = 1 << 20
 
 // ErrCut means that the stream ended in the middle of an event.
@@ -24,27 +22,27 @@
 
 // An Event is one event of a stream.
 type Event struct {
-	Data   []byte            // the data's lines, joined
-	Fields map[string]string // all other fields but the ID, by name in lower case
+	Data   []byte            // data lines, joined by newlines
+	Fields map[string]string // all fields except data and id, by lower-case name
 	ID     int64             // 0 if it has none
-	Raw    []byte            // as it came, with the empty line that ends it
+	Raw    []byte            // unmodified, with the terminating empty line
 }
 
-// A Reader reads events. NewReader makes one.
+// A Reader reads events. Create one with NewReader.
 type Reader struct{ lines *bufio.Reader }
 
 // NewReader returns a Reader of a stream.
 func NewReader(stream io.Reader) *Reader { return &Reader{lines: bufio.NewReader(stream)} }
 
-// Next returns the next whole event, or io.EOF after the last. What a broken
-// stream began is dropped.
+// Next returns the next event, or io.EOF after the last. If the stream ends within an
+// event, it returns ErrCut and discards the event.
 func (re *Reader) Next() (Event, error) {
 	var ev Event
 	for {
 		line, err := re.lines.ReadSlice('\n')
 		ev.Raw = append(ev.Raw, line...)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			return Event{}, endOf(ev.Raw, err)
+			return Event{}, streamError(ev.Raw, err)
 		}
 		if len(ev.Raw) > maxEvent {
 			return Event{}, errors.Newf("event is larger than %d bytes", maxEvent)
@@ -59,8 +57,8 @@
 	}
 }
 
-func endOf(begun []byte, err error) error {
-	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(begun)) > 0 {
+func streamError(partial []byte, err error) error {
+	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(partial)) > 0 {
 		return ErrCut
 	}
 	return err
@@ -76,7 +74,7 @@
 		switch key := strings.ToLower(string(name)); key {
 		case "":
 		case "id":
-			ev.ID, _ = strconv.ParseInt(string(value), 10, 64) // an ID that is no number counts as none
+			ev.ID, _ = strconv.ParseInt(string(value), 10, 64) // a non-numeric ID is ignored
 		case "data":
 			if hasData {
 				ev.Data = append(ev.Data, '\n')
