--- a/instancelist/client.go
+++ b/instancelist/client.go
@@ -1,28 +1,28 @@
-// Package instancelist is the adapter to the platform's list of instances,
-// which lags behind the truth.
+// Package instancelist is the client of the platform's list of instances, which may be
+// outdated.
 package instancelist
 
 import "context"
 
-// A State says whether an instance stays.
+// A State is the state of an instance.
 type State string
 
-// The states of the list.
+// The states of instances.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// An Instance is one row of the list.
+// An Instance is an entry of the list.
 type Instance struct {
-	Address       string `json:"address"` // IP:port of its process of the system
+	Address       string `json:"address"` // IP:port of the system's process on it
 	FailureDomain string `json:"failure-domain"`
 	ID            string `json:"id"`
 	Role          string `json:"role"` // "entry" or "attendant"
 	State         State  `json:"state"`
 }
 
-// A Client reaches the list. The field is a seam.
+// A Client fetches the list. Tests can replace its function.
 type Client struct {
 	ListFunc func(ctx context.Context) ([]Instance, error)
 }
--- a/instancelist/http.go
+++ b/instancelist/http.go
@@ -9,11 +9,11 @@
 	"wisteriacroft/roundtrip"
 )
 
-// ErrUnavailable means that the list gave no whole answer.
+// ErrUnavailable means that there was no complete response.
 var ErrUnavailable = errors.New("instance list is unavailable")
 
-// NewHTTP returns a Client that speaks HTTP with the server at baseURL. A nil
-// hc means a client of its own.
+// NewHTTP returns a Client of the HTTP server at baseURL. If hc is nil, it creates an
+// http.Client.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	cl := roundtrip.New(baseURL, hc, ErrUnavailable)
 	return &Client{ListFunc: func(ctx context.Context) ([]Instance, error) {
