--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -1,5 +1,4 @@
-// Package weightstore is the adapter to the store of model weights: the one
-// place that knows how it is reached.
+// Package weightstore is the client of the store of model weights.
 package weightstore
 
 import (
@@ -8,10 +7,10 @@
 	"wisteriacroft/engine"
 )
 
-// A Client reaches the store. Each field is a seam.
+// A Client calls the store. Tests can replace its functions.
 type Client struct {
 	// LatestFunc returns the newest published version of a model, or 0.
 	LatestFunc func(ctx context.Context, model string) (engine.Version, error)
-	// RateFunc returns how many engines may fetch weights at one time.
+	// RateFunc returns the maximum number of engines that may fetch weights concurrently.
 	RateFunc func(ctx context.Context) (int, error)
 }
--- a/weightstore/http.go
+++ b/weightstore/http.go
@@ -11,22 +11,22 @@
 	"wisteriacroft/roundtrip"
 )
 
-// ErrUnavailable means that the store gave no whole answer.
+// ErrUnavailable means that there was no complete response.
 var ErrUnavailable = errors.New("weight store is unavailable")
 
-// A Weights is the newest version of a model in the HTTP store.
+// A Weights is the HTTP response with the newest version of a model.
 type Weights struct {
 	Model   string         `json:"model"`
 	Version engine.Version `json:"version"`
 }
 
-// A Rate is the limit of the HTTP store.
+// A Rate is the HTTP response with the store's limit.
 type Rate struct {
-	Fetches int `json:"fetches"` // that may run at one time
+	Fetches int `json:"fetches"` // maximum number of concurrent fetches
 }
 
-// NewHTTP returns a Client that speaks HTTP with the server at baseURL. A nil
-// hc means a client of its own.
+// NewHTTP returns a Client of the HTTP server at baseURL. If hc is nil, it creates an
+// http.Client.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	cl := roundtrip.New(baseURL, hc, ErrUnavailable)
 	return &Client{
