--- a/tick/tick.go
+++ b/tick/tick.go
@@ -1,5 +1,5 @@
-// Package tick runs systems over their tables at a fixed interval. All systems
-// of one Loop run in one goroutine, in order.
+// Package tick runs systems at a fixed interval. All systems of a Loop run in order in one
+// goroutine.
 package tick
 
 import (
@@ -7,27 +7,26 @@
 	"time"
 )
 
-// A System is one step of decision logic over tables.
+// A System is a function that a Loop runs on each tick.
 type System struct {
 	Name string
 	Run  func(now time.Time)
 }
 
-// A Loop runs its systems once each Every.
+// A Loop runs its systems at the interval Every.
 type Loop struct {
 	Every   time.Duration
 	Systems []System
 }
 
-// Step runs each system once, as of now.
+// Step runs each system once with the time now.
 func (lo *Loop) Step(now time.Time) {
 	for _, sy := range lo.Systems {
 		sy.Run(now)
 	}
 }
 
-// Run steps until ctx ends. A tick that comes late runs once, not once for
-// each interval that was missed.
+// Run steps at each interval until ctx ends. It skips missed intervals.
 func (lo *Loop) Run(ctx context.Context) {
 	ti := time.NewTicker(lo.Every)
 	defer ti.Stop()
