--- a/unit/duration.go
+++ b/unit/duration.go
@@ -1,4 +1,4 @@
-// Package unit parses and prints values that carry their unit, such as "250ms".
+// Package unit parses and formats values with a unit, such as "250ms".
 package unit
 
 import (
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A Duration is a time.Duration that is written with its unit.
+// A Duration is a time.Duration whose text form requires a unit, even for zero.
 type Duration time.Duration
 
-// Std returns the duration in the standard library's type.
+// Std returns the duration as a time.Duration.
 func (du Duration) Std() time.Duration { return time.Duration(du) }
 
-// String returns the duration in Go's form, such as "1m30s".
+// String returns the duration in Go's format, such as "1m30s".
 func (du Duration) String() string { return time.Duration(du).String() }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/unit/unit_test.go
+++ b/unit/unit_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUnmarshalText reads texts as values and prints these again.
+// TestUnmarshalText parses texts and formats the values again.
 func TestUnmarshalText(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -17,11 +17,11 @@
 			fmt.Stringer
 		}
 		text string
-		want string // "" if the text is refused
+		want string // "" if the text is invalid
 	}{
 		{"duration", new(Duration), "90s", "1m30s"},
-		{"duration of no unit", new(Duration), "30", ""},
-		{"zero of no unit", new(Duration), "0", ""},
+		{"duration without a unit", new(Duration), "30", ""},
+		{"zero without a unit", new(Duration), "0", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := tc.value.UnmarshalText([]byte(tc.text))
