--- a/runner/await_test.go
+++ b/runner/await_test.go
@@ -15,15 +15,15 @@
 		const await = 500 * time.Millisecond
 		rn := newRunner(&fakeEngine{length: 5})
 		key := Key{Attempt: 1, Item: "i", Step: "s"}
-		begun := time.Now()
+		startedAt := time.Now()
 		re := exchange(t, rn, ExchangeRequest{Await: await, Epoch: 1, Launches: []RunRequest{{Endpoint: "e", Key: key}}})
-		assert.Equal(t, time.Since(begun), 240*time.Millisecond, "six gaps of 40 ms")
+		assert.Equal(t, time.Since(startedAt), 240*time.Millisecond, "six gaps of 40 ms")
 		assert.Equal(t, re.Runs[0].State, Complete)
 		re = exchange(t, rn, ExchangeRequest{Await: await, Epoch: 1})
-		assert.Equal(t, time.Since(begun), 240*time.Millisecond, "the end is not known yet")
+		assert.Equal(t, time.Since(startedAt), 240*time.Millisecond, "the end is not known yet")
 		assert.Equal(t, len(re.Runs), 1)
 		re = exchange(t, rn, ExchangeRequest{Await: await, Epoch: 1, Seen: []Ack{{Ended: true, Events: 5, Key: key}}})
-		assert.Equal(t, time.Since(begun), 240*time.Millisecond+await, "nothing runs")
+		assert.Equal(t, time.Since(startedAt), 240*time.Millisecond+await, "nothing runs")
 		assert.Equal(t, len(re.Runs), 0)
 	})
 }
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -14,8 +14,8 @@
 
 // A gap is the time between two events of a run.
 type gap struct {
-	at   time.Time
-	took time.Duration
+	at       time.Time
+	duration time.Duration
 }
 
 // A pacer measures the gaps between an engine's events. The zero value is ready to use.
@@ -28,27 +28,27 @@
 }
 
 // observe adds a gap.
-func (pa *pacer) observe(took time.Duration, now time.Time) {
+func (pa *pacer) observe(duration time.Duration, now time.Time) {
 	if len(pa.gaps) < paceGaps {
-		pa.gaps = append(pa.gaps, gap{at: now, took: took})
+		pa.gaps = append(pa.gaps, gap{at: now, duration: duration})
 		return
 	}
-	pa.gaps[pa.next] = gap{at: now, took: took}
+	pa.gaps[pa.next] = gap{at: now, duration: duration}
 	pa.next = (pa.next + 1) % paceGaps
 }
 
 // median returns the median and the number of the gaps within paceWindow. The median
 // ignores the one long gap that a weight load causes in each run.
 func (pa *pacer) median(now time.Time) (time.Duration, int) {
-	var took []time.Duration
+	var durations []time.Duration
 	for _, ga := range pa.gaps {
 		if now.Sub(ga.at) < paceWindow {
-			took = append(took, ga.took)
+			durations = append(durations, ga.duration)
 		}
 	}
-	if len(took) == 0 {
+	if len(durations) == 0 {
 		return 0, 0
 	}
-	slices.Sort(took)
-	return took[len(took)/2], len(took)
+	slices.Sort(durations)
+	return durations[len(durations)/2], len(durations)
 }
--- a/runner/pace_test.go
+++ b/runner/pace_test.go
@@ -10,7 +10,7 @@
 func TestPaceDetectsSlowdown(t *testing.T) {
 	// Guards against a window so long that the earlier quick gaps hide the few slow ones
 	// of an engine that slows down, which delays moving its runs.
-	begun := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	startedAt := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const quick, slow = 50 * time.Millisecond, 180 * time.Millisecond
 	for _, tc := range []struct {
 		name string
@@ -23,7 +23,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var pa pacer
-			now := begun
+			now := startedAt
 			for range 60 {
 				now = now.Add(quick)
 				for range tc.runs {
@@ -31,7 +31,7 @@
 				}
 			}
 			turned := now
-			for took, _ := pa.median(now); took < slow; took, _ = pa.median(now) {
+			for duration, _ := pa.median(now); duration < slow; duration, _ = pa.median(now) {
 				now = now.Add(slow)
 				for range tc.runs {
 					pa.observe(slow, now)
--- a/runner/report.go
+++ b/runner/report.go
@@ -52,7 +52,7 @@
 func (rn *Runner) handleRestart(current incarnation.Number) {
 	canceled := 0
 	for _, ru := range rn.runs {
-		if ru.state == Running && ru.begun.Before(rn.reportAt) {
+		if ru.state == Running && ru.startedAt.Before(rn.reportAt) {
 			ru.cancel()
 			canceled++
 		}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -38,7 +38,7 @@
 
 // A run is one run of an item.
 type run struct {
-	begun       time.Time
+	startedAt   time.Time
 	cancel      context.CancelFunc
 	detail      string
 	ended       time.Time
@@ -60,7 +60,7 @@
 	Log     *logrus.Entry
 	Metrics *metrics.Set
 
-	begun         time.Time
+	startedAt     time.Time
 	boot          string
 	ended         chan struct{} // closed when a run ends
 	engine        string        // ID of the engine that answered last, if known
@@ -120,7 +120,7 @@
 // lastContact returns when the scheduler last called, or the start time if none has.
 func (rn *Runner) lastContact() time.Time {
 	if rn.lastCall.IsZero() {
-		return rn.begun
+		return rn.startedAt
 	}
 	return rn.lastCall
 }
@@ -132,7 +132,7 @@
 
 func (rn *Runner) init() {
 	if rn.runs == nil {
-		rn.begun = time.Now()
+		rn.startedAt = time.Now()
 		rn.boot = uuid.NewString()
 		rn.ended = make(chan struct{})
 		rn.wake = make(chan struct{}, 1)
@@ -235,7 +235,7 @@
 	}
 	rn.dropOldest()
 	ctx, cancel := rn.newRunContext()
-	ru := &run{begun: time.Now(), cancel: cancel, endpoint: la.Endpoint, events: slices.Clone(la.Prior), key: la.Key, ackedEvents: len(la.Prior)}
+	ru := &run{startedAt: time.Now(), cancel: cancel, endpoint: la.Endpoint, events: slices.Clone(la.Prior), key: la.Key, ackedEvents: len(la.Prior)}
 	rn.runs[la.Key] = ru
 	go rn.execute(ctx, ru, la)
 }
@@ -259,7 +259,7 @@
 // execute runs an item until it ends.
 func (rn *Runner) execute(ctx context.Context, ru *run, la RunRequest) {
 	defer ru.cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	st := rn.Engine.StartFunc(ctx, la)
 	if st.State == Running {
 		st.State, st.Detail = rn.read(ru, st.Stream)
@@ -281,17 +281,17 @@
 	ru.engineEnded = engineEnded && st.State == Broken
 	close(rn.ended)
 	rn.ended = make(chan struct{})
-	rn.Metrics.GetOrCreateHistogram(`wisteriacroft_run_seconds{state="` + st.State.String() + `"}`).UpdateDuration(begun)
+	rn.Metrics.GetOrCreateHistogram(`wisteriacroft_run_seconds{state="` + st.State.String() + `"}`).UpdateDuration(startedAt)
 	rn.Log.WithFields(logrus.Fields{
 		"after": len(la.Prior), "attempt": la.Key.Attempt, "detail": st.Detail, "endpoint": la.Endpoint,
-		"engine-ended": ru.engineEnded, "events": len(ru.events), "item": la.Key.Item, "ms": time.Since(begun).Milliseconds(),
+		"engine-ended": ru.engineEnded, "events": len(ru.events), "item": la.Key.Item, "ms": time.Since(startedAt).Milliseconds(),
 		"state": st.State.String(), "step": la.Key.Step, "version": la.Version,
 	}).Info("run ended")
 }
 
 // read reads a run's events until the stream ends, and returns the run's state and detail.
 func (rn *Runner) read(ru *run, st Stream) (State, string) {
-	var before time.Time
+	var previous time.Time
 	for {
 		ev, err := st.NextFunc()
 		if err != nil {
@@ -299,10 +299,10 @@
 		}
 		now := time.Now()
 		rn.mu.Lock()
-		if !before.IsZero() {
-			rn.pacer.observe(now.Sub(before), now)
+		if !previous.IsZero() {
+			rn.pacer.observe(now.Sub(previous), now)
 		}
-		before = now
+		previous = now
 		last := int64(0)
 		if len(ru.events) > 0 {
 			last = ru.events[len(ru.events)-1].ID
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -16,15 +16,15 @@
 
 // A fakeEngine generates an event every 40 ms and executes orders as engines do.
 type fakeEngine struct {
-	cut      int        // events after which a stream breaks; 0 never
-	length   int        // events of an item
-	lose     int        // orders that are executed but not answered
-	mu       sync.Mutex // guards report, lose and versions: a load ends while the runner asks
-	report   Report
-	skip     int64 // ID of the event that is left out
-	starts   []RunRequest
-	state    State
-	versions []uint64 // ordered
+	cut           int        // events after which a stream breaks; 0 never
+	length        int        // events of an item
+	lostResponses int        // orders that are executed but not answered
+	mu            sync.Mutex // guards report, lostResponses and versions, which a timer changes
+	report        Report
+	skip          int64 // ID of the event that is left out
+	starts        []RunRequest
+	state         State
+	versions      []uint64 // ordered
 }
 
 func (fe *fakeEngine) engine() Engine {
@@ -44,8 +44,8 @@
 				fe.report.Busy = false
 				fe.report.Versions = map[string]uint64{or.Model: or.Version}
 			})
-			if fe.lose > 0 {
-				fe.lose--
+			if fe.lostResponses > 0 {
+				fe.lostResponses--
 				return OrderBusy, errors.New("no answer")
 			}
 			return OrderTaken, nil
@@ -69,7 +69,7 @@
 func (fe *fakeEngine) start(ctx context.Context, la RunRequest) Start {
 	fe.starts = append(fe.starts, la)
 	if fe.state != Running {
-		return Start{Detail: "as told", State: fe.state}
+		return Start{Detail: "configured", State: fe.state}
 	}
 	id := int64(len(la.Prior))
 	return Start{Stream: Stream{
@@ -195,8 +195,8 @@
 	// Guards against an engine that loads the same weights twice, or never, after an
 	// order whose response is lost.
 	for _, tc := range []struct {
-		name string
-		lose int
+		name          string
+		lostResponses int
 	}{
 		{"answered", 0},
 		{"executed, response lost", 1},
@@ -204,7 +204,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				fe := &fakeEngine{lose: tc.lose, report: Report{Versions: map[string]uint64{"m": 1}}}
+				fe := &fakeEngine{lostResponses: tc.lostResponses, report: Report{Versions: map[string]uint64{"m": 1}}}
 				rn := newRunner(fe)
 				go rn.Run(ctx)
 				synctest.Wait()
@@ -229,14 +229,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var pa pacer
 		for i := range 2 * paceGaps {
-			took := 40 * time.Millisecond
+			duration := 40 * time.Millisecond
 			if i%5 == 0 {
-				took = time.Second // a load of weights
+				duration = time.Second // a load of weights
 			}
-			pa.observe(took, time.Now())
+			pa.observe(duration, time.Now())
 		}
-		took, count := pa.median(time.Now())
-		assert.Equal(t, took, 40*time.Millisecond)
+		duration, count := pa.median(time.Now())
+		assert.Equal(t, duration, 40*time.Millisecond)
 		assert.Equal(t, count, paceGaps)
 		time.Sleep(paceWindow)
 		_, count = pa.median(time.Now())
--- a/runner/start_test.go
+++ b/runner/start_test.go
@@ -45,19 +45,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		rn := newRunner(&fakeEngine{})
-		asked := 0
+		reports := 0
 		ask := rn.Engine.ReportFunc
 		rn.Engine.ReportFunc = func(ctx context.Context) (Report, error) {
-			asked++
+			reports++
 			return ask(ctx)
 		}
 		go rn.Run(ctx)
 		time.Sleep(2 * schedulerTimeout)
 		synctest.Wait()
-		before := asked
+		previous := reports
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		assert.Equal(t, asked, before)
+		assert.Equal(t, reports, previous)
 		cancel()
 		synctest.Wait()
 	})
