--- a/entry/ownership.go
+++ b/entry/ownership.go
@@ -41,13 +41,13 @@
 
 	mu       sync.Mutex
 	claims   map[string]*claim
-	cached   map[string]lookup
-	released bool // permanently, since the entry leaves
+	owners   map[string]lookup // by lease name
+	released bool              // permanently, since the entry leaves
 }
 
 // A claim is a lease that this entry holds or tries to acquire.
 type claim struct {
-	lastUsed time.Time     // last use
+	lastUsed time.Time
 	done     chan struct{} // closed once holder.Run has returned
 	holder   *lease.Holder
 	stop     context.CancelFunc
@@ -85,8 +85,8 @@
 		ow.claim(name, now)
 		return ow.address, nil
 	}
-	lo, cached := ow.cachedOwner(name)
-	if cached && now.Sub(lo.at) < lookupTTL {
+	lo, known := ow.cachedOwner(name)
+	if known && now.Sub(lo.at) < lookupTTL {
 		return lo.address, nil
 	}
 	address, err := ow.fetchOwner(ctx, name)
@@ -96,7 +96,7 @@
 	switch {
 	case err == nil:
 		return address, nil
-	case cached:
+	case known:
 		// During an outage the last known owner stays in charge: no other process can
 		// acquire the lease.
 		return lo.address, nil
@@ -117,10 +117,10 @@
 	}
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	if ow.cached == nil {
-		ow.cached = map[string]lookup{}
+	if ow.owners == nil {
+		ow.owners = map[string]lookup{}
 	}
-	ow.cached[name] = lookup{address: rec.Owner, at: time.Now()}
+	ow.owners[name] = lookup{address: rec.Owner, at: time.Now()}
 	return rec.Owner, nil
 }
 
@@ -128,7 +128,7 @@
 func (ow *ownership) cachedOwner(name string) (lookup, bool) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	lo, ok := ow.cached[name]
+	lo, ok := ow.owners[name]
 	return lo, ok
 }
 
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -26,7 +26,7 @@
 // trainer's batches.
 type trainers struct {
 	forwarder       *forwarder
-	shutdownStarted <-chan struct{} // closed once the entry leaves
+	shutdownStarted <-chan struct{} // closed when the shutdown starts
 	log             *logrus.Entry
 	owner           *batch.Owner
 	ownership       *ownership
