--- a/peer/compress.go
+++ b/peer/compress.go
@@ -17,9 +17,9 @@
 	maxDecompressedSize = DefaultMaxMessageSize
 )
 
-// compressor and unpacker compress and decompress one payload at a time; concurrent callers
-// wait. Entropy compression of all literals helps with texts without repetitions, and
-// costs less CPU time than flate.
+// compressor and decompressor process one payload at a time; concurrent callers wait.
+// Entropy compression of all literals helps with texts without repetitions, and costs less
+// CPU time than flate.
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		en, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
@@ -54,7 +54,7 @@
 	return encoding.Marshal(cbor.Tag{Content: compressed, Number: compressedTag})
 }
 
-// decompress reverses pack.
+// decompress reverses compress.
 func decompress(payload []byte) ([]byte, error) {
 	compressed, ok := compressedContent(payload)
 	if !ok {
