--- a/blob/blob_test.go
+++ b/blob/blob_test.go
@@ -97,13 +97,13 @@
 		missing bool // both copies are known to be lost
 		ok      bool
 	}{
-		"truncated":                    {fault: func(ts *testStores) { truncate(ts, "store-1") }, ok: true},
-		"folder lost":                  {fault: func(ts *testStores) { os.RemoveAll(ts.stores["store-1"].Folder) }, ok: true},
-		"unreachable":                  {fault: func(ts *testStores) { ts.down["store-1"] = true }, ok: true},
-		"both truncated":               {fault: func(ts *testStores) { truncate(ts, "store-1"); truncate(ts, "store-3") }, missing: true},
-		"truncated, other unreachable": {fault: func(ts *testStores) { truncate(ts, "store-1"); ts.down["store-3"] = true }},
-		"both unreachable":             {fault: func(ts *testStores) { ts.down["store-1"], ts.down["store-3"] = true, true }},
-		"both intact":                  {fault: func(*testStores) {}, ok: true},
+		"truncated":              {fault: func(ts *testStores) { truncate(ts, "store-1") }, ok: true},
+		"folder lost":            {fault: func(ts *testStores) { os.RemoveAll(ts.stores["store-1"].Folder) }, ok: true},
+		"unreachable":            {fault: func(ts *testStores) { ts.down["store-1"] = true }, ok: true},
+		"both truncated":         {fault: func(ts *testStores) { truncate(ts, "store-1"); truncate(ts, "store-3") }, missing: true},
+		"truncated, unreachable": {fault: func(ts *testStores) { truncate(ts, "store-1"); ts.down["store-3"] = true }},
+		"both unreachable":       {fault: func(ts *testStores) { ts.down["store-1"], ts.down["store-3"] = true, true }},
+		"both intact":            {fault: func(*testStores) {}, ok: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ts, cl := newTestStores(t)
--- a/message/status.go
+++ b/message/status.go
@@ -31,7 +31,7 @@
 // reporting process's clock.
 type Status struct {
 	Batches        []BatchStatus    `json:"batches"`
-	CutOffSince    time.Time        `json:"cut-off-since,omitzero"` // since when the key-value service is unreachable; zero if it is reachable
+	CutOffSince    time.Time        `json:"cut-off-since,omitzero"` // start of a key-value outage; zero without one
 	DataFolder     bool             `json:"data-folder"`            // stores payloads
 	Endpoints      []EndpointStatus `json:"endpoints"`
 	FailureDomain  string           `json:"failure-domain"`
