--- a/entry/serve.go
+++ b/entry/serve.go
@@ -35,7 +35,7 @@
 // The listener stays open for Linger: the load balancer sends requests until it has seen
 // that this process is not ready, and they must not meet a closed port.
 func (en *Entry) Shutdown(ctx context.Context) error {
-	en.log.WithField("grace", en.options.Grace.String()).Info("shutdown started")
+	en.log.WithField("grace", en.options.Grace.String()).Info("leaving")
 	ctx, cancel := context.WithTimeout(ctx, en.options.Grace)
 	defer cancel()
 	close(en.shutdownStarted)
