--- a/profile/base.go
+++ b/profile/base.go
@@ -11,16 +11,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// BaseFile is the file of a profile directory that remembers what the
-// directory and the service last agreed on.
+// BaseFile is the file of a profile directory that stores its Base.
 const BaseFile = ".wisteriacroft-base"
 
-// A Base is, for each profile, the state that a directory and the service last
-// agreed on: the common ancestor of a three-way merge. The zero Base is that
-// of a directory that has not been applied yet.
+// A Base holds the digest of each profile when the directory and the service
+// were last equal: the common ancestor of a three-way merge. The zero Base is
+// that of a directory that has not been applied yet.
 type Base struct {
 	digests  []baseDigest // by name
-	revision uint64       // highest that the directory's operator has seen
+	revision uint64       // highest revision seen in the service
 }
 
 // A baseDigest is one profile of a Base.
@@ -29,13 +28,13 @@
 	Name   string `toml:"name"`
 }
 
-// encodedBase is the form of the base file.
+// encodedBase is the format of the base file.
 type encodedBase struct {
 	Profiles []baseDigest `toml:"profiles"`
 	Revision uint64       `toml:"revision"`
 }
 
-// NewBase returns the base of one who agrees with the whole document.
+// NewBase returns the base of a directory that is equal to the document.
 func NewBase(do Document) Base {
 	ba := Base{revision: do.revision}
 	for _, pr := range do.profiles {
@@ -44,8 +43,8 @@
 	return ba
 }
 
-// BaseAt returns the base of one who agrees with an earlier revision, as far
-// back as the document's record of changes goes.
+// BaseAt returns the base of a directory that is equal to an earlier revision.
+// It fails if the recorded changes do not go back that far.
 func BaseAt(do Document, revision uint64) (Base, error) {
 	if revision > do.revision {
 		return Base{}, errors.Newf("base revision %d is above revision %d in the service", revision, do.revision)
@@ -57,10 +56,10 @@
 	}
 	reached := do.revision
 	for _, ch := range slices.Backward(do.changes) {
-		if ch.revision <= revision || len(ch.touched) == 0 {
+		if ch.revision <= revision || len(ch.changed) == 0 {
 			break
 		}
-		for _, to := range ch.touched {
+		for _, to := range ch.changed {
 			digests[to.Name] = to.Before
 		}
 		reached = ch.revision - 1
@@ -100,7 +99,7 @@
 
 func compareDigests(a, b baseDigest) int { return strings.Compare(a.Name, b.Name) }
 
-// Write writes the base file of a directory, whole or not at all.
+// Write writes the base file of a directory atomically.
 func (ba Base) Write(dir string) error {
 	data, err := toml.Marshal(encodedBase{Profiles: ba.digests, Revision: ba.revision})
 	if err != nil {
@@ -119,7 +118,8 @@
 	return ba.digests[i].Digest
 }
 
-// with returns the base with another digest for one profile.
+// with returns a copy of the base with another digest for one profile, or
+// without the profile if the digest is "".
 func (ba Base) with(name, digest string) Base {
 	next := Base{revision: ba.revision}
 	for _, bd := range ba.digests {
@@ -134,13 +134,10 @@
 	return next
 }
 
-// Advance returns the base after the directory's profiles were compared with
-// what is in force. Only a profile that is the same in both moves on.
-//
-// If the base of another operator's change moved on too, while this directory
-// still holds the profile's older text, the next apply would take that text
-// for a wish and revert the change. One would notice it by an accepted change
-// that vanishes. So the base stays, profile by profile, where both last agreed.
+// Advance returns the base after an apply. It updates only the digests of
+// profiles that are the same in the directory and in force. If it also updated a
+// profile that another operator changed, the next apply would treat the
+// directory's older text as a new change and revert the other operator's.
 func (ba Base) Advance(current Document, wanted []Profile) Base {
 	next := Base{revision: max(ba.revision, current.revision)}
 	for _, name := range namesOf(ba, current, wanted) {
@@ -155,7 +152,7 @@
 	return next
 }
 
-// namesOf returns the names of all profiles of the three sides, sorted.
+// namesOf returns the sorted names of the profiles of all three sides.
 func namesOf(ba Base, current Document, wanted []Profile) []string {
 	var names []string
 	for _, bd := range ba.digests {
@@ -171,7 +168,7 @@
 	return slices.Compact(names)
 }
 
-// digestIn returns the digest of a profile among others, or "".
+// digestIn returns the digest of the profile with a name, or "".
 func digestIn(profiles []Profile, name string) string {
 	pr, ok := find(profiles, name)
 	if !ok {
--- a/profile/change.go
+++ b/profile/change.go
@@ -9,18 +9,18 @@
 	id       string
 	message  string
 	revision uint64
-	touched  []ChangedProfile
+	changed  []ChangedProfile
 }
 
-// A ChangedProfile names a profile that a change made, altered or removed. A digest
-// of "" stands for no such profile.
+// A ChangedProfile is a profile that a change added, altered or removed. Before and
+// After are digests, "" where the profile does not exist.
 type ChangedProfile struct {
 	After  string
 	Before string
 	Name   string
 }
 
-// At returns when the operator asked for the change, by the operator's clock.
+// At returns the time of the change by the operator's clock.
 func (ch Change) At() time.Time { return ch.at }
 
 // By returns who made the change.
@@ -35,5 +35,5 @@
 // Revision returns the revision that the change made.
 func (ch Change) Revision() uint64 { return ch.revision }
 
-// ChangedProfiles returns the profiles that the change concerned, by name.
-func (ch Change) ChangedProfiles() []ChangedProfile { return ch.touched }
+// ChangedProfiles returns the changed profiles, sorted by name.
+func (ch Change) ChangedProfiles() []ChangedProfile { return ch.changed }
--- a/profile/check.go
+++ b/profile/check.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/keyvalue"
 )
 
-// checkAlone reports what is wrong within one declaration.
-func checkAlone(de declaration, li *finding.List) {
+// checkDeclaration reports contradictions within one declaration.
+func checkDeclaration(de declaration, li *finding.List) {
 	pr := de.profile
 	for _, sh := range pr.shares {
 		if !slices.Contains(pr.trainers, sh.Trainer) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkAcross reports what is wrong between declarations.
-func checkAcross(des []declaration, li *finding.List) {
+// checkDeclarations reports contradictions between declarations.
+func checkDeclarations(des []declaration, li *finding.List) {
 	checkClaims(des, li)
 	for _, de := range des {
 		if de.profile.kind == Calls || de.profile.kind == Samples {
@@ -40,14 +40,14 @@
 	checkSize(des, li)
 }
 
-// A claim is something that at most one declaration may have.
+// A claim is a name that at most one declaration may use in a scope.
 type claim struct {
 	key   string // the key that makes the claim
 	name  string
 	scope string
 }
 
-// claimsOf returns what a declaration claims for itself alone.
+// claimsOf returns the names that only this declaration may use.
 func claimsOf(pr Profile) []claim {
 	if pr.service == "" {
 		return nil
@@ -68,8 +68,7 @@
 	return claims
 }
 
-// checkClaims reports two declarations that claim the same: no one could say
-// which of them holds.
+// checkClaims reports declarations with the same claim.
 func checkClaims(des []declaration, li *finding.List) {
 	owners := map[claim]string{}
 	for _, de := range des {
@@ -84,7 +83,7 @@
 	}
 }
 
-// checkAgainstService reports what the profile's service can't give.
+// checkAgainstService reports values that the profile's service does not allow.
 func checkAgainstService(de declaration, des []declaration, li *finding.List) {
 	pr := de.profile
 	if pr.service == "" {
@@ -108,8 +107,9 @@
 	}
 }
 
-// checkStaleness reports a bound that samples can't keep: what runs or waits
-// for longer than the versions within the bound last is stale at hand-over.
+// checkStaleness reports a staleness bound that samples can't meet: an attempt or
+// step that may take longer than the versions within the bound last is stale at
+// delivery.
 func checkStaleness(de declaration, se Profile, li *finding.List) {
 	pr := de.profile
 	if se.serviceType == Plain {
@@ -137,8 +137,8 @@
 	return Profile{}, false
 }
 
-// checkSize reports declarations that together exceed what one value of the
-// key-value service holds.
+// checkSize reports declarations that together exceed the size of one value of
+// the key-value service.
 func checkSize(des []declaration, li *finding.List) {
 	size := 0
 	for _, de := range des {
--- a/profile/codec.go
+++ b/profile/codec.go
@@ -13,21 +13,19 @@
 	"wisteriacroft/keyvalue"
 )
 
-// maxChanges bounds the record of recent changes. An operator whose write has
-// an unknown outcome, and a process that was cut off, are told apart from a
-// restored copy by the change ids in it, so it must outlast both: at 710
-// changes a day it goes back four hours.
+// maxChanges bounds the recorded changes. Their ids distinguish a write of
+// unknown outcome, or a process that was cut off, from a restored backup, so the
+// record must cover several hours of changes.
 const maxChanges = 128
 
-// formatVersion is the form of the encoded document. A program refuses a form
-// that it doesn't know rather than misread it.
+// formatVersion is the version of the encoding. Decoding rejects other versions.
 const formatVersion = 2
 
-// maxExpandedSize bounds the document before it is compressed, in bytes. A few
-// bytes can expand to any size, which a process must not try to hold.
+// maxExpandedSize bounds the uncompressed document, in bytes. It guards against
+// a small compressed value that expands beyond the process's memory.
 const maxExpandedSize = 8 * keyvalue.MaxValueSize
 
-// The encoded forms. Their fields are exported because the codec fills them.
+// The encoded types. Their fields are exported for the CBOR codec.
 type (
 	encodedDocument struct {
 		Changes  []encodedChange  `cbor:"changes"`
@@ -50,9 +48,9 @@
 	}
 )
 
-// MarshalBinary encodes the document. Through it, gob and so net/rpc carry a
-// Document as well. It is compressed: each entry reads it every ten seconds, and
-// each change takes it to every process.
+// MarshalBinary encodes the document as compressed CBOR. gob, and so net/rpc,
+// use it too. It is compressed because each entry reads the document every few
+// seconds.
 func (do Document) MarshalBinary() ([]byte, error) {
 	en := encodedDocument{Format: formatVersion, Revision: do.revision, Sets: do.sets}
 	for _, pr := range do.profiles {
@@ -65,7 +63,7 @@
 			ID:       ch.id,
 			Message:  ch.message,
 			Revision: ch.revision,
-			Touched:  ch.touched,
+			Touched:  ch.changed,
 		})
 	}
 	data, err := cbor.Marshal(en)
@@ -86,7 +84,7 @@
 	return bu.Bytes(), errors.Wrap(err, "compress the profiles")
 }
 
-// expand returns what compress was given, within maxExpandedSize.
+// expand reverses compress. It fails if the result exceeds maxExpandedSize.
 func expand(data []byte) ([]byte, error) {
 	zr, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -99,8 +97,8 @@
 	return expanded, err
 }
 
-// UnmarshalBinary decodes what MarshalBinary made. It leaves the document
-// alone if it returns an error.
+// UnmarshalBinary decodes the output of MarshalBinary. On an error, it leaves
+// the document unchanged.
 func (do *Document) UnmarshalBinary(data []byte) error {
 	var en encodedDocument
 	if len(data) > keyvalue.MaxValueSize {
@@ -133,7 +131,7 @@
 			id:       ch.ID,
 			message:  ch.Message,
 			revision: ch.Revision,
-			touched:  ch.Touched,
+			changed:  ch.Touched,
 		})
 	}
 	*do = decoded
--- a/profile/conflict.go
+++ b/profile/conflict.go
@@ -9,16 +9,16 @@
 	"wisteriacroft/keyvalue"
 )
 
-// ErrChangeIDUsed means that the change id stands in the service for a change
-// to something else. Nothing was written.
+// ErrChangeIDUsed means that the change id belongs to another change in the
+// service. Nothing was written.
 var ErrChangeIDUsed = errors.New("change id was used for another change")
 
-// ErrInvalid means that the merged profiles do not hold together; nothing was
+// ErrInvalid means that the merged profiles contradict each other. Nothing was
 // written. The error also wraps the findings.
 var ErrInvalid = errors.New("the profiles after the merge are invalid")
 
-// A Conflict means that the operator and another one changed the same profiles
-// since the base. Nothing was written.
+// A Conflict means that the operator and another operator changed the same
+// profiles since the base. Nothing was written.
 type Conflict struct {
 	differences []Difference
 	last        Change
@@ -48,7 +48,7 @@
 // Revision returns the revision in the service.
 func (co *Conflict) Revision() uint64 { return co.revision }
 
-// newConflict returns a conflict with the latest change of the other side.
+// newConflict returns a conflict with the latest change to the profiles.
 func newConflict(current Document, differences []Difference) *Conflict {
 	co := &Conflict{differences: differences, revision: current.revision}
 	for _, di := range differences {
@@ -59,24 +59,24 @@
 	return co
 }
 
-// An OutcomeUnknownError means that a change was sent and that it could not be found out
-// whether it took effect. Applying the same profiles again settles it.
+// An OutcomeUnknownError means that a change was sent and may or may not have
+// taken effect. Applying the same profiles again resolves it.
 type OutcomeUnknownError struct {
 	cause error
 	id    string // of the change; the history shows it if the change took effect
 }
 
 // Error implements error.
-func (un *OutcomeUnknownError) Error() string {
-	return fmt.Sprintf("it is not known whether change %s took effect: %v", un.id, un.cause)
+func (oe *OutcomeUnknownError) Error() string {
+	return fmt.Sprintf("change %s may or may not have taken effect: %v", oe.id, oe.cause)
 }
 
 // Unwrap returns keyvalue.ErrOutcomeUnknown. The cause is left out: it is often
 // keyvalue.ErrUnavailable, which promises that nothing was written.
-func (un *OutcomeUnknownError) Unwrap() error { return keyvalue.ErrOutcomeUnknown }
+func (oe *OutcomeUnknownError) Unwrap() error { return keyvalue.ErrOutcomeUnknown }
 
-// A Reverted means that the service holds a lower revision than one seen
-// before: a restored copy or a lagging read. Nothing was written.
+// A Reverted means that the service returned a lower revision than one seen
+// before: a restored backup or a stale read. Nothing was written.
 type Reverted struct {
 	revision uint64 // in the service
 	seen     uint64 // the highest seen before
--- a/profile/digest.go
+++ b/profile/digest.go
@@ -5,8 +5,7 @@
 	"encoding/hex"
 )
 
-// Digest returns the digest of the profile's source, by which two states of a
-// profile are told apart.
+// Digest returns the hex digest of the profile's source.
 func (pr Profile) Digest() string { return digestOf(pr.source) }
 
 func digestOf(source string) string {
--- a/profile/doc.go
+++ b/profile/doc.go
@@ -1,5 +1,5 @@
-// Package profile holds the operators' declarations: how each class of work
-// must be served. It reads and checks them, keeps all of them as one value at
-// one revision in the platform's key-value service, and brings the highest
-// accepted revision in force in every process.
+// Package profile holds the operators' declarations of how each class of work
+// is served. It parses and checks them, stores all of them as one versioned
+// value in the platform's key-value service, and distributes the highest
+// accepted revision to every process.
 package profile
--- a/profile/document.go
+++ b/profile/document.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// A Document is all profiles at one revision, with a record of the recent
-// changes that led to it. It is never changed once made. The zero Document
-// has no profiles and stands for nothing accepted yet.
+// A Document holds all profiles at one revision and the recent changes that
+// led to it. It is immutable. The zero Document has no profiles and means that
+// no change was accepted yet.
 type Document struct {
-	changes  []Change  // by revision, the newest last
+	changes  []Change  // by revision, newest last
 	profiles []Profile // by name
 	revision uint64
 	sets     []EndpointSet // of all services, oldest first
 }
 
-// NewDocument returns a document without a record of changes.
+// NewDocument returns a document without recorded changes.
 func NewDocument(revision uint64, profiles ...Profile) Document {
 	do := Document{
 		profiles: append([]Profile{}, profiles...),
@@ -28,11 +28,11 @@
 	return do
 }
 
-// maxTouched bounds the profiles that the record of changes names, in all. The
-// oldest changes forget theirs first; they keep their ids.
-const maxTouched = 1024
+// maxRecordedProfiles bounds the profile names in all recorded changes. The oldest
+// changes drop their names first and keep their ids.
+const maxRecordedProfiles = 1024
 
-// Change returns the recent change of an id.
+// Change returns the recorded change with an id.
 func (do Document) Change(id string) (Change, bool) {
 	for _, ch := range do.changes {
 		if ch.id == id {
@@ -42,7 +42,7 @@
 	return Change{}, false
 }
 
-// Changes returns the recent changes, the newest last.
+// Changes returns the recorded changes, newest last.
 func (do Document) Changes() []Change { return do.changes }
 
 // Class returns the profile of a class of work of a service.
@@ -55,7 +55,7 @@
 	return Profile{}, false
 }
 
-// Profile returns the profile of a name.
+// Profile returns the profile with a name.
 func (do Document) Profile(name string) (Profile, bool) {
 	i, ok := sort.Find(len(do.profiles), func(i int) int {
 		return strings.Compare(name, do.profiles[i].name)
@@ -66,10 +66,10 @@
 	return do.profiles[i], true
 }
 
-// Profiles returns all profiles, by name. The caller must not change them.
+// Profiles returns all profiles, sorted by name. The caller must not modify them.
 func (do Document) Profiles() []Profile { return do.profiles }
 
-// Revision returns the revision, which grows with each accepted change.
+// Revision returns the revision, which each accepted change increments.
 func (do Document) Revision() uint64 { return do.revision }
 
 // Service returns the profile that declares how a service is run.
@@ -77,7 +77,7 @@
 	return do.Class(name, Service, "")
 }
 
-// Services returns the profiles of kind Service, by name.
+// Services returns the profiles of kind Service, sorted by name.
 func (do Document) Services() []Profile {
 	var services []Profile
 	for _, pr := range do.profiles {
@@ -88,7 +88,7 @@
 	return services
 }
 
-// Trainer returns the profiles that cover a trainer's samples, by name.
+// Trainer returns the profiles that cover a trainer's samples, sorted by name.
 func (do Document) Trainer(name string) []Profile {
 	var profiles []Profile
 	for _, pr := range do.profiles {
@@ -99,25 +99,25 @@
 	return profiles
 }
 
-// next returns the document that a change to the given profiles makes.
+// next returns the next revision, with the given profiles and the change recorded.
 func (do Document) next(profiles []Profile, ch Change) Document {
 	ch.revision = do.revision + 1
 	next := NewDocument(ch.revision, profiles...)
-	next.changes = boundChanges(append(slices.Clone(do.changes), ch))
-	next.noteEndpoints(do)
+	next.changes = trimChanges(append(slices.Clone(do.changes), ch))
+	next.recordEndpointSets(do)
 	return next
 }
 
-// boundChanges drops what the record has no room for.
-func boundChanges(changes []Change) []Change {
+// trimChanges drops the oldest changes and names beyond the bounds.
+func trimChanges(changes []Change) []Change {
 	if len(changes) > maxChanges {
 		changes = changes[len(changes)-maxChanges:]
 	}
 	named := 0
 	for i := len(changes) - 1; i >= 0; i-- {
-		named += len(changes[i].touched)
-		if named > maxTouched && i < len(changes)-1 {
-			changes[i].touched = nil
+		named += len(changes[i].changed)
+		if named > maxRecordedProfiles && i < len(changes)-1 {
+			changes[i].changed = nil
 		}
 	}
 	return changes
--- a/profile/endpointset.go
+++ b/profile/endpointset.go
@@ -2,25 +2,22 @@
 
 import "slices"
 
-// Bounds of the record of endpoint sets.
+// Bounds of the recorded endpoint sets.
 const (
-	maxEndpointSets = 16    // of one service
-	maxSetNames     = 16384 // in all sets of the document
+	maxEndpointSets = 16    // per service
+	maxSetNames     = 16384 // endpoint names in all sets of the document
 )
 
-// An EndpointSet is the endpoints that a service had from a revision on.
+// An EndpointSet holds the endpoints of a service since a revision.
 type EndpointSet struct {
 	Endpoints []string `cbor:"endpoints"`
 	Revision  uint64   `cbor:"revision"`
 	Service   string   `cbor:"service"`
 }
 
-// EndpointSets returns the sets that a service has had lately, oldest first.
-// The last one is in force.
-//
-// A process that has just started knows nothing of the sets before, and could
-// take itself for the one home of a key that a former home still runs. With
-// the record in the document, it knows whom to ask first.
+// EndpointSets returns the recent sets of a service, oldest first. The last one
+// is in force. A process that has just started needs the earlier sets to ask the
+// previous home of an idempotency key before it runs a call with that key.
 func (do Document) EndpointSets(service string) []EndpointSet {
 	var sets []EndpointSet
 	for _, es := range do.sets {
@@ -34,9 +31,9 @@
 	return sets
 }
 
-// noteEndpoints records the sets of a document that follows another. Those of
-// a service that is gone stay, since it may come back.
-func (do *Document) noteEndpoints(previous Document) {
+// recordEndpointSets records the sets of a document that follows previous. The sets
+// of a removed service stay, since it may be declared again.
+func (do *Document) recordEndpointSets(previous Document) {
 	for _, es := range previous.sets {
 		if _, ok := do.Service(es.Service); !ok {
 			do.sets = append(do.sets, es)
@@ -53,12 +50,12 @@
 		}
 		do.sets = append(do.sets, sets...)
 	}
-	do.boundSets()
+	do.trimEndpointSets()
 }
 
-// boundSets drops the oldest sets that the record has no room for, but never
-// the one in force.
-func (do *Document) boundSets() {
+// trimEndpointSets drops the oldest sets beyond the bounds, but never the one in
+// force.
+func (do *Document) trimEndpointSets() {
 	names := 0
 	counts := map[string]int{}
 	kept := do.sets[:0]
--- a/profile/endpointset_test.go
+++ b/profile/endpointset_test.go
@@ -16,11 +16,8 @@
 }
 
 func TestEndpointSetsSurviveARestart(t *testing.T) {
-	// Symptom: an order line runs twice, at its former home and at a new one.
-	// Sequence: the endpoints change; the new home's attendant restarts; the
-	// former home has yet to hear of the change.
-	// Cause: a document that names the present endpoints only, from which the
-	// restarted attendant can't know that there is a former home to ask.
+	// A restarted attendant must still see the previous endpoints, or a call would
+	// run twice: at the previous home of its key and at the new one.
 	do := Document{}.next([]Profile{serviceWith(t, `"a"`)}, Change{id: "1"})
 	do = do.next([]Profile{serviceWith(t, `"a"`)}, Change{id: "2"})
 	do = do.next([]Profile{serviceWith(t, `"a", "b"`)}, Change{id: "3"})
--- a/profile/follower.go
+++ b/profile/follower.go
@@ -8,20 +8,19 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Pace of a Follower.
+// Intervals of a Follower.
 const (
-	// DefaultRewatchInterval is how long a watch waits before the value is read anew. A
-	// watch that went silent for good costs that long at most, which is within
-	// the time in which a change must be in force.
+	// DefaultRewatchInterval is how long a watch waits before the value is read again.
+	// It bounds the delay that a watch whose connection hangs can cause.
 	DefaultRewatchInterval = 10 * time.Second
 
-	followBackoff     = 500 * time.Millisecond
-	mostFollowBackoff = 5 * time.Second
-	rearmJitter       = 0.2
+	followBackoff    = 500 * time.Millisecond
+	maxFollowBackoff = 5 * time.Second
+	waitJitter       = 0.2
 )
 
-// A Follower brings what the service accepts into a Replica. Entries run one;
-// attendants learn from entries, which spares the service their watches.
+// A Follower updates a Replica from the key-value service. Only entries run one;
+// attendants fetch from entries, which keeps the number of watches small.
 type Follower struct {
 	Holder *Replica
 	Log    *logrus.Entry // nil: logs nothing
@@ -32,56 +31,57 @@
 	failing bool
 }
 
-// Run follows until ctx ends.
+// Run updates the replica until ctx is done.
 func (fo *Follower) Run(ctx context.Context) {
-	fo.Holder.keepLineage()
+	fo.Holder.rejectBranches()
 	backoff := followBackoff
 	for ctx.Err() == nil {
-		err := fo.round(ctx)
-		fo.logChange(ctx, err)
+		err := fo.readAndWatch(ctx)
+		fo.logTransition(ctx, err)
 		if err == nil {
 			backoff = followBackoff
 			continue
 		}
 		sleep(ctx, fo.jitter(backoff))
-		backoff = min(2*backoff, mostFollowBackoff)
+		backoff = min(2*backoff, maxFollowBackoff)
 	}
 }
 
-// round reads the value once and then watches it for a while. The read finds
-// what a watch missed, also a version that went down.
-func (fo *Follower) round(ctx context.Context) error {
-	sd, err := fo.Store.readWithin(ctx, callTimeout)
+// readAndWatch reads the value once and then watches it until the rewatch
+// interval ends. The read finds changes that a watch missed, including a lower version.
+func (fo *Follower) readAndWatch(ctx context.Context) error {
+	vd, err := fo.Store.readWithin(ctx, callTimeout)
 	if err != nil {
 		return err
 	}
-	if err := fo.settle(ctx, sd); err != nil {
+	if err := fo.reconcile(ctx, vd); err != nil {
 		return err
 	}
-	limited, cancel := context.WithTimeout(ctx, fo.jitter(fo.rearm()))
+	limited, cancel := context.WithTimeout(ctx, fo.jitter(fo.rewatchInterval()))
 	defer cancel()
-	sd, err = fo.Store.Watch(limited, sd.Version)
+	vd, err = fo.Store.Watch(limited, vd.Version)
 	if limited.Err() != nil {
-		return nil // nothing changed, or the watch is silent: read again
+		return nil // no change, or the watch hangs: read again
 	}
 	if err != nil {
 		return err
 	}
-	if err := fo.settle(ctx, sd); err != nil {
+	if err := fo.reconcile(ctx, vd); err != nil {
 		return err
 	}
-	if sd.Version == 0 {
-		// The key was deleted and nothing is held to put back. The watch would
-		// answer this at once each time, and the service be called without end.
-		sleep(ctx, fo.jitter(mostFollowBackoff))
+	if vd.Version == 0 {
+		// The key was deleted and there is no document to restore. A watch on a
+		// deleted key returns at once: without a pause, this would be a busy loop.
+		sleep(ctx, fo.jitter(maxFollowBackoff))
 	}
 	return nil
 }
 
-// settle takes what the service holds, after putting back what it has lost.
-func (fo *Follower) settle(ctx context.Context, sd VersionedDocument) error {
+// reconcile restores changes that the service has lost and offers the result to
+// the replica.
+func (fo *Follower) reconcile(ctx context.Context, vd VersionedDocument) error {
 	fo.Holder.RecordContact(FromService, time.Now())
-	do, err := fo.Store.Reconcile(ctx, fo.Holder.Current(), sd)
+	do, err := fo.Store.Reconcile(ctx, fo.Holder.Current(), vd)
 	if err != nil {
 		return err
 	}
@@ -91,29 +91,29 @@
 	return nil
 }
 
-func (fo *Follower) rearm() time.Duration {
+func (fo *Follower) rewatchInterval() time.Duration {
 	if fo.Rearm == 0 {
 		return DefaultRewatchInterval
 	}
 	return fo.Rearm
 }
 
-// jitter shortens a wait at random, so that processes do not call together.
+// jitter shortens a wait at random, so that processes do not call at the same time.
 func (fo *Follower) jitter(du time.Duration) time.Duration {
 	if fo.Rand == nil {
 		return du
 	}
-	return time.Duration(float64(du) * (1 - rearmJitter*fo.Rand.Float64()))
+	return time.Duration(float64(du) * (1 - waitJitter*fo.Rand.Float64()))
 }
 
-// logChange logs when the service is lost and found, not each attempt.
-func (fo *Follower) logChange(ctx context.Context, err error) {
+// logTransition logs when following starts to fail or recovers, not each attempt.
+func (fo *Follower) logTransition(ctx context.Context, err error) {
 	switch {
 	case ctx.Err() != nil:
 	case err != nil && !fo.failing:
-		fo.log().WithError(err).Warn("profiles not followed")
+		fo.log().WithError(err).Warn("reading profiles from the key-value service failed")
 	case err == nil && fo.failing:
-		fo.log().Info("profiles followed again")
+		fo.log().Info("reading profiles from the key-value service recovered")
 	}
 	fo.failing = err != nil
 }
--- a/profile/key.go
+++ b/profile/key.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A Key is one key of the declarations: its place in the reference, its type
-// and default, and how it is read.
+// A Key describes one key of the declarations: its type, its default and its
+// text in the reference.
 type Key struct {
 	doc      string
 	fallback any // as TOML decodes it; nil for a required key
@@ -16,8 +16,7 @@
 	value    value
 }
 
-// Default returns the default as a file would write it, or "" for a key that
-// each declaration must give.
+// Default returns the default in TOML, or "" for a required key.
 func (ke Key) Default() string {
 	if ke.Required() {
 		return ""
@@ -29,25 +28,25 @@
 	return ke.value.show(&pr)
 }
 
-// Doc returns what the key is for, in one sentence.
+// Doc returns the key's description, one sentence.
 func (ke Key) Doc() string { return ke.doc }
 
-// Has tells whether declarations of a kind have the key.
+// Has reports whether declarations of a kind have the key.
 func (ke Key) Has(ki Kind) bool { return slices.Contains(ke.kinds, ki) }
 
-// Name returns the key as files write it.
+// Name returns the key as written in files.
 func (ke Key) Name() string { return ke.name }
 
-// Required tells whether each declaration must give the key.
+// Required reports whether the key has no default.
 func (ke Key) Required() bool { return ke.fallback == nil }
 
-// Type returns the name of the type of the key's value.
+// Type returns the name of the value's type.
 func (ke Key) Type() string { return ke.value.typeName }
 
-// Show returns the key's value in a profile, as a file would write it.
+// Show returns the key's value in a profile, in TOML.
 func (ke Key) Show(pr Profile) string { return ke.value.show(&pr) }
 
-// Names of keys that checks refer to.
+// Names of keys that the checks use.
 const (
 	answerRetentionKey = "answer-retention"
 	attemptTimeoutKey  = "attempt-timeout"
@@ -65,11 +64,11 @@
 
 // Bounds of values.
 const (
-	leastDuration = time.Millisecond
-	maxAttempts   = 100
-	maxPriority   = 9
-	mostDuration  = 24 * time.Hour
-	mostRunning   = 1 << 16
+	minDuration = time.Millisecond
+	maxAttempts = 100
+	maxPriority = 9
+	maxDuration = 24 * time.Hour
+	maxRequests = 1 << 16
 )
 
 var (
@@ -80,8 +79,8 @@
 	workKinds = []Kind{Calls, Samples}
 )
 
-// Keys returns all keys, in the order of the reference. A name may stand more
-// than once, each time for other kinds.
+// Keys returns all keys, in the order of the reference. A name can occur
+// several times, each for different kinds.
 func Keys() []Key {
 	return slices.Concat(commonKeys(), callKeys(), sampleKeys(), serviceKeys())
 }
@@ -91,7 +90,7 @@
 	return slices.DeleteFunc(Keys(), func(ke Key) bool { return !ke.Has(ki) })
 }
 
-// commonKeys returns the keys of several kinds.
+// commonKeys returns the keys that several kinds share.
 func commonKeys() []Key {
 	return []Key{
 		{
@@ -143,17 +142,17 @@
 		{
 			name: "retry-budget", kinds: callKinds, fallback: 0.1,
 			doc:   "How many retries the profile may add to its calls, as a fraction of them.",
-			value: partValue(func(pr *Profile) *float64 { return &pr.retryBudget }),
+			value: fractionValue(func(pr *Profile) *float64 { return &pr.retryBudget }),
 		},
 		{
 			name: maxRunningKey, kinds: callKinds, fallback: int64(4),
 			doc:   "How many calls of the profile one endpoint runs at once.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, maxRequests),
 		},
 		{
 			name: "max-waiting", kinds: callKinds, fallback: int64(16),
 			doc:   "How many calls of the profile wait at one endpoint; a call beyond is refused as overloaded.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, maxRequests),
 		},
 		{
 			name: "max-request-size", kinds: callKinds, fallback: "64KB",
@@ -194,7 +193,7 @@
 		{
 			name: "freshness-weight", kinds: stepKinds, fallback: 0.5,
 			doc:   "The weighing of staleness against trainer idle time: 1 counts staleness only, 0 idle time only.",
-			value: partValue(func(pr *Profile) *float64 { return &pr.freshnessWeight }),
+			value: fractionValue(func(pr *Profile) *float64 { return &pr.freshnessWeight }),
 		},
 		{
 			name: "delivery", kinds: stepKinds, fallback: string(WholeSteps),
@@ -229,17 +228,17 @@
 		{
 			name: "straggler-rate", kinds: stepKinds, fallback: 0.25,
 			doc:   "The part of the median rate of progress below which an attempt counts as a straggler; a long sample that makes progress is none.",
-			value: partValue(func(pr *Profile) *float64 { return &pr.stragglerRate }),
+			value: fractionValue(func(pr *Profile) *float64 { return &pr.stragglerRate }),
 		},
 		{
 			name: maxRunningKey, kinds: stepKinds, fallback: int64(8),
 			doc:   "How many samples of the profile one endpoint runs at once.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, maxRequests),
 		},
 		{
 			name: "max-waiting", kinds: stepKinds, fallback: int64(8),
 			doc:   "How many samples of the profile wait at one endpoint; the others wait at the entry.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, maxRequests),
 		},
 		{
 			name: "priority", kinds: stepKinds, fallback: int64(2),
@@ -265,7 +264,7 @@
 		{
 			name: servingFloorKey, kinds: runKinds, fallback: 0.75,
 			doc:   "The part of the service's endpoints, rounded down to whole ones, that go on serving while weights change.",
-			value: partValue(func(pr *Profile) *float64 { return &pr.servingFloor }),
+			value: fractionValue(func(pr *Profile) *float64 { return &pr.servingFloor }),
 		},
 		{
 			name: "leave-timeout", kinds: runKinds, fallback: "30s",
@@ -285,12 +284,12 @@
 		{
 			name: maxRunningKey, kinds: runKinds, fallback: int64(16),
 			doc:   "How many requests one endpoint runs at once, all profiles together.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, maxRequests),
 		},
 		{
 			name: "max-waiting", kinds: runKinds, fallback: int64(64),
 			doc:   "How many requests wait at one endpoint, all profiles together.",
-			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, mostRunning),
+			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, maxRequests),
 		},
 	}
 }
--- a/profile/kind.go
+++ b/profile/kind.go
@@ -7,10 +7,10 @@
 const (
 	Calls   Kind = "calls"   // live calls of a service
 	Samples Kind = "samples" // samples for trainers
-	Service Kind = "service" // how a service itself is run
+	Service Kind = "service" // the service itself
 )
 
-// A ServiceType is what stands behind a service's endpoints.
+// A ServiceType is the type of a service's endpoints.
 type ServiceType string
 
 // The types of services.
@@ -19,31 +19,31 @@
 	Plain  ServiceType = "plain"  // any other HTTP service
 )
 
-// A Delivery says when samples are handed to their trainer.
+// A Delivery is when samples are delivered to their trainer.
 type Delivery string
 
 // The ways of delivery.
 const (
-	Groups     Delivery = "groups"      // each group once it is whole
-	WholeSteps Delivery = "whole-steps" // a step once all its groups are whole
+	Groups     Delivery = "groups"      // each group once it is complete
+	WholeSteps Delivery = "whole-steps" // a step once all its groups are complete
 )
 
-// A StragglerRule says what is done about an attempt that makes no progress, or
-// far less than others. An attempt at a long sample that makes progress is none.
+// A StragglerRule is how an attempt is handled that makes no progress, or far
+// less than others. A long sample that makes progress is not a straggler.
 type StragglerRule string
 
 // The straggler rules.
 const (
-	Move StragglerRule = "move" // go on elsewhere from the tokens made so far
-	Race StragglerRule = "race" // start a second attempt from the prompt; the first whole one wins
+	Move StragglerRule = "move" // continue on another engine from the tokens generated so far
+	Race StragglerRule = "race" // start a second attempt from the prompt; the first complete one wins
 	Wait StragglerRule = "wait" // let it run
 )
 
-// A Preference says which endpoints are tried first.
+// A Preference is which endpoints are tried first.
 type Preference string
 
 // The failure-domain preferences.
 const (
 	Nearest Preference = "nearest" // those in the entry's own failure domain
-	None    Preference = "none"    // all alike
+	None    Preference = "none"    // no preference
 )
--- a/profile/lines.go
+++ b/profile/lines.go
@@ -6,10 +6,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// A lineIndex is the line, counted from 1, of each dotted key of a TOML file.
+// A lineIndex maps each dotted key of a TOML file to its line, counted from 1.
 type lineIndex map[string]int
 
-// line returns the line of a key, or that of its table, or 1.
+// line returns the line of a key, or else of its table, or else 1.
 func (li lineIndex) line(key string) int {
 	for key != "" {
 		if line, ok := li[key]; ok {
@@ -24,7 +24,7 @@
 	return 1
 }
 
-// indexLines finds the lines of a file that has been decoded without error.
+// indexLines returns the line index of a file that is valid TOML.
 func indexLines(source []byte) lineIndex {
 	li := lineIndex{}
 	var pa unstable.Parser
@@ -34,28 +34,28 @@
 		no := pa.Expression()
 		switch no.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = li.note(&pa, "", no.Key())
+			table = li.record(&pa, "", no.Key())
 		case unstable.KeyValue:
-			li.noteValue(&pa, table, no)
+			li.recordValue(&pa, table, no)
 		}
 	}
 	return li
 }
 
-// noteValue notes a key with its value, and the keys of an inline table.
-func (li lineIndex) noteValue(pa *unstable.Parser, prefix string, no *unstable.Node) {
-	key := li.note(pa, prefix, no.Key())
+// recordValue records the line of a key, and of the keys of an inline table.
+func (li lineIndex) recordValue(pa *unstable.Parser, prefix string, no *unstable.Node) {
+	key := li.record(pa, prefix, no.Key())
 	if no.Value().Kind != unstable.InlineTable {
 		return
 	}
 	children := no.Value().Children()
 	for children.Next() {
-		li.noteValue(pa, key, children.Node())
+		li.recordValue(pa, key, children.Node())
 	}
 }
 
-// note notes the line of each part of a dotted key and returns the whole key.
-func (li lineIndex) note(pa *unstable.Parser, prefix string, parts unstable.Iterator) string {
+// record records the line of each part of a dotted key and returns the whole key.
+func (li lineIndex) record(pa *unstable.Parser, prefix string, parts unstable.Iterator) string {
 	key := prefix
 	for parts.Next() {
 		no := parts.Node()
--- a/profile/listvalue.go
+++ b/profile/listvalue.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxNames bounds the entries of a list of names.
+// maxNames bounds the length of a list of names.
 const maxNames = 2048
 
 func namesValue(field func(*Profile) *[]string) value {
@@ -62,8 +62,8 @@
 
 // Bounds of a share's weight.
 const (
-	leastWeight = 0.01
-	mostWeight  = 1000
+	minWeight = 0.01
+	maxWeight = 1000
 )
 
 func sharesValue(field func(*Profile) *[]Share) value {
@@ -86,7 +86,7 @@
 			}
 			shares := make([]Share, 0, len(table))
 			for trainer, raw := range table {
-				weight, err := readNumber(raw, leastWeight, mostWeight)
+				weight, err := readNumber(raw, minWeight, maxWeight)
 				if err != nil {
 					return errors.Wrap(err, trainer)
 				}
--- a/profile/profile.go
+++ b/profile/profile.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A Profile is one declaration: how a class of work must be served, or how a
-// service is run. Keys that its kind doesn't have are at their zero values.
+// A Profile is one declaration of how a class of work is served or how a service
+// is run. Keys that its kind doesn't have are at their zero values.
 type Profile struct {
 	answerRetention time.Duration
 	attemptTimeout  time.Duration
@@ -46,8 +46,8 @@
 	Weight  float64
 }
 
-// AnswerRetention returns how long the answer to a call that may not be
-// repeated is kept for repeats of its key.
+// AnswerRetention returns how long the answer to a call that is not repeatable
+// is kept for retries with its idempotency key.
 func (pr Profile) AnswerRetention() time.Duration { return pr.answerRetention }
 
 // AttemptTimeout returns how long one attempt at a call or sample may run.
@@ -56,30 +56,30 @@
 // Class returns the class of work, which is unique in a service and kind.
 func (pr Profile) Class() string { return pr.class }
 
-// Deadline returns how long a call, or a step of samples, may take as a whole.
+// Deadline returns how long a call, or a step of samples, may take in total.
 func (pr Profile) Deadline() time.Duration { return pr.deadline }
 
-// Delivery returns when samples are handed over.
+// Delivery returns when samples are delivered.
 func (pr Profile) Delivery() Delivery { return pr.delivery }
 
 // Endpoints returns the names of the service's endpoints, in the order of the
-// declaration. The caller must not change them.
+// declaration. The caller must not modify them.
 func (pr Profile) Endpoints() []string { return pr.endpoints }
 
-// FreshnessWeight returns the weighing of staleness against trainer idle time:
+// FreshnessWeight returns the weight of staleness against trainer idle time:
 // 1 counts staleness only, 0 idle time only.
 func (pr Profile) FreshnessWeight() float64 { return pr.freshnessWeight }
 
 // Kind returns what the profile declares.
 func (pr Profile) Kind() Kind { return pr.kind }
 
-// LeaveTimeout returns how long a leaving endpoint may finish what it runs.
+// LeaveTimeout returns how long a leaving endpoint may take to finish its requests.
 func (pr Profile) LeaveTimeout() time.Duration { return pr.leaveTimeout }
 
-// MaxAnswerSize returns the largest answer to a call.
+// MaxAnswerSize returns the largest body of an answer to a call.
 func (pr Profile) MaxAnswerSize() Size { return pr.maxAnswerSize }
 
-// MaxAttempts returns how often a call or sample is tried, the first included.
+// MaxAttempts returns the maximum number of attempts, the first included.
 func (pr Profile) MaxAttempts() int { return pr.maxAttempts }
 
 // MaxRequestSize returns the largest body of a call.
@@ -89,8 +89,8 @@
 // profile, or, in a service's profile, of all profiles together.
 func (pr Profile) MaxRunning() int { return pr.maxRunning }
 
-// MaxWaiting returns how many requests wait at one endpoint, counted as
-// MaxRunning does.
+// MaxWaiting returns how many requests wait at one endpoint, counted like
+// MaxRunning.
 func (pr Profile) MaxWaiting() int { return pr.maxWaiting }
 
 // Name returns the profile's name, that of its file without ".toml".
@@ -102,27 +102,27 @@
 // Priority returns the priority, 0 to 9; the higher goes first.
 func (pr Profile) Priority() int { return pr.priority }
 
-// Repeatable tells whether a call may run more than once.
+// Repeatable reports whether a call may run more than once.
 func (pr Profile) Repeatable() bool { return pr.repeatable }
 
-// RetryBudget returns how many retries the profile may add, as a fraction of
-// its calls.
+// RetryBudget returns the maximum number of retries as a fraction of the
+// profile's calls.
 func (pr Profile) RetryBudget() float64 { return pr.retryBudget }
 
-// Service returns the name of the service that the profile concerns.
+// Service returns the name of the profile's service.
 func (pr Profile) Service() string { return pr.service }
 
-// ServiceType returns what stands behind the service's endpoints.
+// ServiceType returns the type of the service's endpoints.
 func (pr Profile) ServiceType() ServiceType { return pr.serviceType }
 
-// ServingFloor returns how many endpoints must go on serving while weights
-// change.
+// ServingFloor returns how many endpoints must keep serving during a weight
+// rollout.
 func (pr Profile) ServingFloor() int {
 	return int(math.Floor(pr.servingFloor * float64(len(pr.endpoints))))
 }
 
-// Share returns the trainer's weight: what the profile names, or 1 for another
-// of its trainers, or 0 for a trainer that it doesn't have.
+// Share returns the trainer's weight: the declared one, or 1 for a trainer
+// without one, or 0 for a trainer that the profile doesn't cover.
 func (pr Profile) Share(trainer string) float64 {
 	for _, sh := range pr.shares {
 		if sh.Trainer == trainer {
@@ -137,25 +137,25 @@
 	return 0
 }
 
-// Shares returns the shares that the profile names, by trainer.
+// Shares returns the declared shares, sorted by trainer.
 func (pr Profile) Shares() []Share { return pr.shares }
 
-// Source returns the declaration as its file holds it.
+// Source returns the text of the declaration's file.
 func (pr Profile) Source() string { return pr.source }
 
 // StalenessBound returns how many versions the oldest segment of a sample may
-// lie behind the trainer at hand-over.
+// be behind the trainer at delivery.
 func (pr Profile) StalenessBound() int { return pr.stalenessBound }
 
-// StragglerAfter returns how long an attempt may make no progress before it
-// counts as a straggler.
+// StragglerAfter returns after how long without progress an attempt counts as a
+// straggler.
 func (pr Profile) StragglerAfter() time.Duration { return pr.stragglerAfter }
 
-// StragglerRate returns the part of the median rate of progress below which
+// StragglerRate returns the fraction of the median rate of progress below which
 // an attempt counts as a straggler.
 func (pr Profile) StragglerRate() float64 { return pr.stragglerRate }
 
-// StragglerRule returns what is done about stragglers.
+// StragglerRule returns how stragglers are handled.
 func (pr Profile) StragglerRule() StragglerRule { return pr.stragglerRule }
 
 // Trainers returns the trainers whose samples the profile covers.
--- a/profile/random_test.go
+++ b/profile/random_test.go
@@ -15,26 +15,26 @@
 	"wisteriacroft/keyvalue"
 )
 
-// A machine takes random steps of three operators, four processes and a
-// service with faults. Processes 0 and 1 follow the service, 2 and 3 learn from
-// peers. Process 0 is never restarted.
+// A machine runs random actions of three operators, four processes and a service
+// with faults. Processes 0 and 1 follow the service, 2 and 3 fetch from peers.
+// Process 0 is never restarted.
 type machine struct {
 	t         *testing.T
-	accepted  []string // ids that an operator was told are in force
+	accepted  []string // ids of changes reported as in force
 	copies    []Document
 	failure   string // the first
-	holders   [4]*Replica
+	replicas  [4]*Replica
 	me        keyvalue.Memory
 	next      int
 	operators [3]operator
-	refused   []string // ids that an operator was told are not in force
-	unknown   []string
+	refused   []string // ids of changes reported as not in force
+	unknown   []string // ids of changes reported as of unknown outcome
 }
 
 func newMachine(t *testing.T) *machine {
 	ma := &machine{t: t}
-	for i := range ma.holders {
-		ma.holders[i] = &Replica{keepsLineage: i < 2}
+	for i := range ma.replicas {
+		ma.replicas[i] = &Replica{rejectsBranches: i < 2}
 	}
 	for i := range ma.operators {
 		ma.operators[i].store.Client = ma.me.Client()
@@ -49,7 +49,7 @@
 	}
 }
 
-// apply has an operator change one of three profiles while faults strike.
+// apply makes an operator change one of three profiles under a fault.
 func (ma *machine) apply(rt *rapid.T) {
 	faults := rapid.SampledFrom([]fault{
 		noFault, loseAnswer, lateWrite, silent, outageBefore, outageAfter, ma.race,
@@ -62,8 +62,8 @@
 	op.store.Client = ma.me.Client()
 }
 
-// change applies a new text of a profile and notes what the operator was told.
-// An operator who is refused takes over what is in force, as after a pull.
+// change applies a new text of a profile and records the reported outcome. After
+// a failure, the operator's directory is reset to the document in force.
 func (ma *machine) change(ctx context.Context, op *operator, name string) {
 	ma.next++
 	id := fmt.Sprintf("change-%d", ma.next)
@@ -80,9 +80,9 @@
 	default:
 		ma.refused = append(ma.refused, id)
 	}
-	sd, err := ma.operators[0].store.Read(ctx)
+	vd, err := ma.operators[0].store.Read(ctx)
 	if err == nil {
-		op.base, op.wanted = NewBase(sd.Document), sd.Document.Profiles()
+		op.base, op.wanted = NewBase(vd.Document), vd.Document.Profiles()
 	}
 }
 
@@ -94,7 +94,7 @@
 	})
 }
 
-// follow has a process read the service once, which may be away.
+// follow makes a process read the service once, possibly under faults.
 func (ma *machine) follow(rt *rapid.T) {
 	i := rapid.IntRange(0, 1).Draw(rt, "process")
 	ma.me.SetFaults(keyvalue.Faults{
@@ -106,68 +106,68 @@
 }
 
 func (ma *machine) read(i int) {
-	fo := Follower{Holder: ma.holders[i], Store: &Store{Client: ma.me.Client()}}
-	sd, err := fo.Store.Read(ma.t.Context())
+	fo := Follower{Holder: ma.replicas[i], Store: &Store{Client: ma.me.Client()}}
+	vd, err := fo.Store.Read(ma.t.Context())
 	if err == nil {
-		_ = fo.settle(ma.t.Context(), sd)
+		_ = fo.reconcile(ma.t.Context(), vd)
 	}
 }
 
-// learn offers what one process holds to another.
+// learn offers the document of one process to another.
 func (ma *machine) learn(rt *rapid.T) {
 	from := rapid.IntRange(0, 3).Draw(rt, "from")
 	to := rapid.IntRange(0, 3).Draw(rt, "to")
-	ma.holders[to].Offer(ma.holders[from].Current(), FromPeer)
+	ma.replicas[to].Offer(ma.replicas[from].Current(), FromPeer)
 }
 
-// offerOld offers any state that the service ever had.
+// offerOld offers an earlier document of the service to a process.
 func (ma *machine) offerOld(rt *rapid.T) {
 	if len(ma.copies) > 0 {
 		to := rapid.IntRange(0, 3).Draw(rt, "to")
-		ma.holders[to].Offer(rapid.SampledFrom(ma.copies).Draw(rt, "copy"), FromService)
+		ma.replicas[to].Offer(rapid.SampledFrom(ma.copies).Draw(rt, "copy"), FromService)
 	}
 }
 
-// copy keeps what the service holds now.
+// copy saves the service's document.
 func (ma *machine) copy(*rapid.T) {
-	sd, err := ma.operators[0].store.Read(ma.t.Context())
-	if err == nil && sd.Version > 0 {
-		ma.copies = append(ma.copies, sd.Document)
+	vd, err := ma.operators[0].store.Read(ma.t.Context())
+	if err == nil && vd.Version > 0 {
+		ma.copies = append(ma.copies, vd.Document)
 	}
 }
 
-// restoreCopy puts an older copy into the service. Process 0 has read what is
-// lost by it: a change that no process ever read can't be brought back.
+// restoreCopy puts an older copy into the service. Process 0 reads the document
+// before: a change that no process has read can't be restored.
 func (ma *machine) restoreCopy(rt *rapid.T) {
 	if len(ma.copies) == 0 {
 		return
 	}
 	ma.read(0)
 	st := ma.operators[0].store
-	sd, err := st.Read(ma.t.Context())
+	vd, err := st.Read(ma.t.Context())
 	if err == nil {
-		_ = st.put(ma.t.Context(), rapid.SampledFrom(ma.copies).Draw(rt, "copy"), sd.Version)
+		_ = st.put(ma.t.Context(), rapid.SampledFrom(ma.copies).Draw(rt, "copy"), vd.Version)
 	}
 }
 
-// restart has a process lose what it holds and returns which.
+// restart resets a process and returns its index.
 func (ma *machine) restart(rt *rapid.T) int {
 	i := rapid.IntRange(1, 3).Draw(rt, "process")
-	ma.holders[i] = &Replica{keepsLineage: i < 2}
+	ma.replicas[i] = &Replica{rejectsBranches: i < 2}
 	return i
 }
 
-// check lets all settle and compares what operators were told with what is in
-// force.
+// check waits until the processes converge and compares the outcomes reported to
+// operators with the document in force.
 func (ma *machine) check() {
 	time.Sleep(time.Minute)
 	for range 3 {
 		ma.read(0)
 		ma.read(1)
 	}
-	do := ma.holders[0].Current()
+	do := ma.replicas[0].Current()
 	for i := range 2 {
-		if got := ma.holders[i].Revision(); got != do.revision {
+		if got := ma.replicas[i].Revision(); got != do.revision {
 			ma.failf("process %d is at revision %d, process 0 at %d", i, got, do.revision)
 		}
 	}
@@ -175,14 +175,14 @@
 	last := map[string]string{}
 	for _, ch := range do.changes {
 		counts[ch.id]++
-		for _, to := range ch.touched {
+		for _, to := range ch.changed {
 			last[to.Name] = to.After
 		}
 	}
 	expect := func(ids []string, least, most int, told string) {
 		for _, id := range ids {
 			if counts[id] < least || counts[id] > most {
-				ma.failf("%s, told %s, is %d times in force", id, told, counts[id])
+				ma.failf("change %s, reported as %s, is %d times in force", id, told, counts[id])
 			}
 		}
 	}
@@ -197,15 +197,13 @@
 }
 
 func TestRandomChanges(t *testing.T) {
-	// Symptom: an accepted change is lost or doubled, a refused one is in force,
-	// or a process goes to a lower revision.
-	// Sequence: random steps of operators and processes with races, lost and
-	// late answers, silent connections, outages, restarts and restored copies.
-	// Cause: any two mechanisms that hold alone and not together.
+	// No accepted change may be lost or applied twice, no failed change may be in
+	// force, and no process may go to a lower revision, under random combinations of
+	// races, lost responses, hanging connections, outages, restarts and restores.
 	fixSeed(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		// rapid ends a run that draws too much by a panic, which must leave the
-		// bubble's goroutine. It tells failures apart by the line they come from.
+		// rapid aborts a run with a panic, which must be raised outside the bubble's
+		// goroutine. It groups failures by the line that raises them.
 		var stop any
 		var failure string
 		synctest.Test(t, func(t *testing.T) {
@@ -221,7 +219,7 @@
 	})
 }
 
-// fixSeed has rapid draw the same each time, unless a flag gives a seed.
+// fixSeed makes rapid's draws deterministic, unless a flag sets a seed.
 func fixSeed(t *testing.T) {
 	t.Helper()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
@@ -241,11 +239,11 @@
 		"restart":      func(rt *rapid.T) { seen[ma.restart(rt)] = 0 },
 		"restore-copy": ma.restoreCopy,
 		"": func(rt *rapid.T) {
-			for i := range ma.holders {
-				if now := ma.holders[i].Revision(); now < seen[i] {
+			for i := range ma.replicas {
+				if now := ma.replicas[i].Revision(); now < seen[i] {
 					ma.failf("process %d went from revision %d to %d", i, seen[i], now)
 				}
-				seen[i] = ma.holders[i].Revision()
+				seen[i] = ma.replicas[i].Revision()
 			}
 		},
 	})
--- a/profile/reader.go
+++ b/profile/reader.go
@@ -14,22 +14,21 @@
 	"wisteriacroft/keyvalue"
 )
 
-// fileSuffix ends the name of a declaration's file.
 const fileSuffix = ".toml"
 
-// A declaration is a profile with the place it was read from.
+// A declaration is a profile with the file and lines it was read from.
 type declaration struct {
 	file    string
 	lines   lineIndex
 	profile Profile
 }
 
-// add reports a finding at the line of a key.
+// add adds a finding at the line of a key.
 func (de declaration) add(li *finding.List, key, format string, args ...any) {
 	li.Add(de.file, de.lines.line(key), key, format, args...)
 }
 
-// Parse reads one declaration and checks it by itself. The findings name file.
+// Parse reads and checks one declaration. The findings name file.
 func Parse(name, file, source string) (Profile, []finding.Finding) {
 	var li finding.List
 	de := reader{strict: true}.parse(name, file, source, &li)
@@ -37,9 +36,9 @@
 	return de.profile, li.All()
 }
 
-// ReadDir reads the declarations of a directory, a file each, and checks them
-// by themselves and against each other. The error is a *finding.Error that
-// holds all findings, or says why the directory can't be read.
+// ReadDir reads the declarations of a directory, one per file, and checks each
+// of them and all together. The error is a *finding.Error that holds all
+// findings, or the reason why the directory can't be read.
 func ReadDir(dir string) ([]Profile, error) {
 	files, err := filepath.Glob(filepath.Join(escapeGlob(dir), "*"+fileSuffix))
 	if err != nil {
@@ -59,7 +58,7 @@
 			des = append(des, de)
 		}
 	}
-	checkAcross(des, &li)
+	checkDeclarations(des, &li)
 	return profilesOf(des), sortedErr(&li)
 }
 
@@ -68,26 +67,25 @@
 	return strings.NewReplacer(`\`, `\\`, `*`, `\*`, `?`, `\?`, `[`, `\[`).Replace(dir)
 }
 
-// Check checks profiles by themselves and against each other. The error is a
-// *finding.Error that holds all findings.
+// Check checks each profile and all together. The error is a *finding.Error that
+// holds all findings.
 func Check(profiles []Profile) error {
 	var li finding.List
 	des := make([]declaration, len(profiles))
 	for i, pr := range profiles {
 		des[i] = reader{strict: true}.parse(pr.name, pr.name+fileSuffix, pr.source, &li)
 	}
-	checkAcross(des, &li)
+	checkDeclarations(des, &li)
 	return sortedErr(&li)
 }
 
-// sortedErr returns the findings by place, as an error.
+// sortedErr returns the sorted findings as an error, or nil.
 func sortedErr(li *finding.List) error {
 	sortFindings(li.All())
 	return li.Err()
 }
 
-// sortFindings sorts by file, line and key, so that an operator can go through
-// them from top to bottom.
+// sortFindings sorts by file, line and key.
 func sortFindings(findings []finding.Finding) {
 	slices.SortStableFunc(findings, func(a, b finding.Finding) int {
 		return cmp.Or(
@@ -127,14 +125,14 @@
 	return reader{strict: true}.parse(name, file, string(source), li), true
 }
 
-// A reader reads declarations. One that isn't strict passes over keys that it
-// doesn't know and over what the checks of a later program may allow, so that
-// a process goes on while the others are being upgraded.
+// A reader reads declarations. If it is not strict, it ignores unknown keys and
+// skips checks, so that a process can read documents written by a newer version
+// during an upgrade.
 type reader struct {
 	strict bool
 }
 
-// parse reads one declaration. What can't be read is left at its zero value.
+// parse reads one declaration. Keys that can't be read keep their zero value.
 func (rd reader) parse(name, file, source string, li *finding.List) declaration {
 	de := declaration{file: file, lines: lineIndex{}, profile: Profile{name: name, source: source}}
 	if err := checkName(name); err != nil {
@@ -156,7 +154,7 @@
 		for key := range table {
 			checkKnown(de, key, li)
 		}
-		checkAlone(de, li)
+		checkDeclaration(de, li)
 	}
 	return de
 }
@@ -182,7 +180,7 @@
 	}
 }
 
-// readKind returns the kind that a file names, or "" if it names none.
+// readKind returns the kind of a decoded file, or "" if it has no valid one.
 func readKind(table map[string]any) Kind {
 	text, _ := table[kindKey].(string)
 	if ki := Kind(text); slices.Contains(allKinds, ki) {
@@ -191,7 +189,7 @@
 	return ""
 }
 
-// checkKnown reports a key that no declaration has, or none of this kind.
+// checkKnown reports a key that does not exist, or not for this kind.
 func checkKnown(de declaration, key string, li *finding.List) {
 	kind := de.profile.kind
 	var others []string
--- a/profile/reader_test.go
+++ b/profile/reader_test.go
@@ -17,7 +17,7 @@
 
 const reference = "../docs/reference/profiles.md"
 
-// referenceTable is the table of a kind's keys, as the reference shows it.
+// referenceTable returns the table of a kind's keys for the reference.
 func referenceTable(ki Kind) string {
 	var sb strings.Builder
 	sb.WriteString("| key | type | default | meaning |\n|---|---|---|---|\n")
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestReadDirRefusesWhatOneValueCannotHold(t *testing.T) {
+func TestReadDirRejectsOversizedDeclarations(t *testing.T) {
 	dir := t.TempDir()
 	service := plainService(t, "a", "1s").Source()
 	for _, name := range []string{"a", "b"} {
@@ -104,7 +104,7 @@
 }
 
 func TestDocumentAtTargetSize(t *testing.T) {
-	// 1,100 endpoints in 9 services, 2 profiles each, and a full record.
+	// 1,100 endpoints in 9 services, 2 profiles each, and the maximum of changes.
 	var profiles []Profile
 	for i := range 9 {
 		names := make([]string, 123)
@@ -124,7 +124,7 @@
 	do := NewDocument(1, profiles...)
 	for i := range 2 * maxChanges {
 		touched := []ChangedProfile{{After: digestOf("a"), Before: digestOf("b"), Name: "service-1"}}
-		do = do.next(profiles, Change{by: "operator", id: fmt.Sprintf("%036d", i), message: "raise a limit", touched: touched})
+		do = do.next(profiles, Change{by: "operator", id: fmt.Sprintf("%036d", i), message: "raise a limit", changed: touched})
 	}
 	assert.NilError(t, Check(do.Profiles()))
 	data, err := do.MarshalBinary()
@@ -134,10 +134,8 @@
 }
 
 func TestOlderProgramReadsNewerKeys(t *testing.T) {
-	// Symptom: a process stays at an old revision while others go on.
-	// Sequence: a newer program applies a profile with a key unknown to this one.
-	// Cause: declarations are checked strictly where they are applied, but must
-	// be read leniently where they are followed.
+	// A process must adopt a document with keys that it does not know, written by a
+	// newer version; only applying checks strictly.
 	pr := plainService(t, "a", "1s")
 	pr.source += "later = true\n"
 	data, err := NewDocument(1, pr).MarshalBinary()
@@ -172,10 +170,8 @@
 	})
 }
 
-func TestExpandsWithoutEnd(t *testing.T) {
-	// Symptom: every process of the system runs out of memory at once.
-	// Sequence: a value of a few KB, broken or hostile, expands to gigabytes.
-	// Cause: only the size of what was read is bounded.
+func TestExpansionIsBounded(t *testing.T) {
+	// A small compressed value that expands to gigabytes must not exhaust memory.
 	data, err := compress(make([]byte, 4*maxExpandedSize))
 	assert.NilError(t, err)
 	var do Document
--- a/profile/replica.go
+++ b/profile/replica.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// A Replica is the document in force in one process. It never goes to a lower
-// revision. The zero Replica holds nothing and is ready to use.
+// A Replica holds the document in force in one process. Its revision never
+// decreases. The zero Replica is empty and ready to use. It is safe for
+// concurrent use.
 type Replica struct {
-	mu           sync.Mutex
-	changed      chan struct{}
-	current      Document
-	keepsLineage bool
-	peerAt       time.Time
-	serverAt     time.Time
-	source       Source
-	takenAt      time.Time
+	mu              sync.Mutex
+	changed         chan struct{}
+	current         Document
+	rejectsBranches bool
+	peerContact     time.Time
+	serviceContact  time.Time
+	source          Source
+	adoptedAt       time.Time
 }
 
-// A Status is what a Replica can tell of itself.
+// A Status is a snapshot of a Replica's state.
 type Status struct {
 	PeerHeardAt    time.Time // zero: never
 	Revision       uint64
 	ServiceHeardAt time.Time // zero: never
 	Source         Source
-	TakenAt        time.Time // zero: nothing is held
+	TakenAt        time.Time // zero: no document yet
 }
 
-// Silent tells whether a source has not been heard for longer than a bound,
-// and since when; the zero time stands for never heard. A process that hears
-// neither the service nor a peer is cut off: it goes on with what it holds.
+// Silent reports whether the last contact with a source is longer ago than a
+// bound, and returns the time of that contact, zero if there was none.
 func (st Status) Silent(so Source, now time.Time, bound time.Duration) (time.Time, bool) {
 	since := st.ServiceHeardAt
 	if so == FromPeer {
@@ -38,43 +38,43 @@
 	return since, now.Sub(since) > bound
 }
 
-// CutOff tells whether neither the service nor a peer has been heard for
-// longer than a bound, and since when.
+// CutOff reports whether the last contact with the service and all peers is
+// longer ago than a bound, and returns the time of that contact. A process that
+// is cut off continues with the document that it holds.
 func (st Status) CutOff(now time.Time, bound time.Duration) (time.Time, bool) {
 	since := later(st.ServiceHeardAt, st.PeerHeardAt)
 	return since, now.Sub(since) > bound
 }
 
-// Changed returns a channel that is closed when the next document is taken.
-func (ho *Replica) Changed() <-chan struct{} {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	if ho.changed == nil {
-		ho.changed = make(chan struct{})
+// Changed returns a channel that is closed when the next document is adopted.
+func (re *Replica) Changed() <-chan struct{} {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	if re.changed == nil {
+		re.changed = make(chan struct{})
 	}
-	return ho.changed
+	return re.changed
 }
 
-// Current returns the document in force. Its revision is 0 until one is taken.
-func (ho *Replica) Current() Document {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	return ho.current
+// Current returns the document in force, or the zero Document if there is none.
+func (re *Replica) Current() Document {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	return re.current
 }
 
-// RecordContact notes that the key-value service or a peer has answered at a time.
-func (ho *Replica) RecordContact(so Source, at time.Time) {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+// RecordContact records that the key-value service or a peer answered at a time.
+func (re *Replica) RecordContact(so Source, at time.Time) {
+	re.mu.Lock()
+	defer re.mu.Unlock()
 	switch so {
 	case FromPeer:
-		ho.peerAt = later(ho.peerAt, at)
+		re.peerContact = later(re.peerContact, at)
 	case FromService:
-		ho.serverAt = later(ho.serverAt, at)
+		re.serviceContact = later(re.serviceContact, at)
 	}
 }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -82,56 +82,53 @@
 	return a
 }
 
-// keepLineage has the holder take only a document that has all changes of the
-// one held. A Follower asks for it. Otherwise a branch, written on a restored
-// copy of the service's value and heard from a peer, could replace the last
-// trace of accepted changes before the Follower joins the two. Processes that
-// do not follow the service take the highest revision, branch or not.
-func (ho *Replica) keepLineage() {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	ho.keepsLineage = true
+// rejectBranches makes Offer reject documents that lack changes of the current one.
+// A Follower calls it. Otherwise a branch that was written on a restored copy of
+// the service's value, and received from a peer, could replace the last copy of
+// accepted changes before the Follower merges the two. Processes without a
+// Follower adopt the highest revision, branch or not.
+func (re *Replica) rejectBranches() {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	re.rejectsBranches = true
 }
 
-// Offer takes a document of a higher revision than the one held and tells
-// whether it did.
-//
-// A restored or lagging key-value service, or a peer that was paused, can show
-// a revision below one that is in force; to take it would revert an accepted
-// change. One would notice it by a process whose revision falls. Comparing
-// under the lock, here and nowhere else, prevents it.
-func (ho *Replica) Offer(do Document, so Source) bool {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
-	if do.revision <= ho.current.revision {
+// Offer adopts a document if its revision is above the current one and reports
+// whether it did. A restored or lagging key-value service, or a peer that was
+// paused, can return a lower revision; adopting it would revert an accepted
+// change.
+func (re *Replica) Offer(do Document, so Source) bool {
+	re.mu.Lock()
+	defer re.mu.Unlock()
+	if do.revision <= re.current.revision {
 		return false
 	}
-	if ho.keepsLineage && !do.descendsFrom(ho.current) {
+	if re.rejectsBranches && !do.descendsFrom(re.current) {
 		return false
 	}
-	ho.current = do
-	ho.source = so
-	ho.takenAt = time.Now()
-	if ho.changed != nil {
-		close(ho.changed)
-		ho.changed = nil
+	re.current = do
+	re.source = so
+	re.adoptedAt = time.Now()
+	if re.changed != nil {
+		close(re.changed)
+		re.changed = nil
 	}
 	return true
 }
 
 // Revision returns the revision in force, or 0.
-func (ho *Replica) Revision() uint64 { return ho.Current().Revision() }
+func (re *Replica) Revision() uint64 { return re.Current().Revision() }
 
-// Status returns what the holder can tell of itself.
-func (ho *Replica) Status() Status {
-	ho.mu.Lock()
-	defer ho.mu.Unlock()
+// Status returns a snapshot of the replica's state.
+func (re *Replica) Status() Status {
+	re.mu.Lock()
+	defer re.mu.Unlock()
 	st := Status{
-		PeerHeardAt:    ho.peerAt,
-		Revision:       ho.current.revision,
-		ServiceHeardAt: ho.serverAt,
-		Source:         ho.source,
-		TakenAt:        ho.takenAt,
+		PeerHeardAt:    re.peerContact,
+		Revision:       re.current.revision,
+		ServiceHeardAt: re.serviceContact,
+		Source:         re.source,
+		TakenAt:        re.adoptedAt,
 	}
 	if st.Source == "" {
 		st.Source = FromNone
--- a/profile/replica_test.go
+++ b/profile/replica_test.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-func TestHolderTakesOnlyHigher(t *testing.T) {
+func TestReplicaAdoptsOnlyHigherRevisions(t *testing.T) {
 	var ho Replica
 	assert.Equal(t, ho.Status().Source, FromNone)
 	changed := ho.Changed()
@@ -25,17 +25,14 @@
 	assert.Equal(t, ho.Status().Source, FromPeer)
 }
 
-func TestEntryTakesNoBranchFromPeer(t *testing.T) {
-	// Symptom: accepted changes are gone from every process and the service.
-	// Sequence: the service is restored from an old copy; operators write on it
-	// past the revision in force; a new entry reads it; an entry that holds the
-	// lost changes hears the new one before it reads the service itself.
-	// Cause: the higher revision is taken although it lacks changes held.
+func TestEntryRejectsBranchFromPeer(t *testing.T) {
+	// An entry must not adopt a peer's higher revision that lacks its own changes:
+	// after a restore of the service, the last copy of those changes would be lost.
 	first := Document{}.next(nil, Change{id: "first"})
 	held := first.next(nil, Change{id: "lost"})
 	branch := first.next(nil, Change{id: "other"}).next(nil, Change{id: "another"})
 	var entry Replica
-	entry.keepLineage()
+	entry.rejectBranches()
 	assert.Assert(t, entry.Offer(held, FromService))
 	assert.Assert(t, !entry.Offer(branch, FromPeer))
 	joined := held.join(branch)
@@ -47,11 +44,8 @@
 }
 
 func TestStartDuringOutage(t *testing.T) {
-	// Symptom: a restarted process serves by no profile, or by an old one.
-	// Sequence: the service is away; the process starts; one peer holds revision
-	// 7 but is silent, another 7, another 5; later the service is back at 8.
-	// Cause: the service is the only place to learn from, or one peer is waited
-	// for.
+	// A process that starts during an outage of the service must get the latest
+	// revision from its peers, although one of them hangs and another is behind.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
@@ -84,7 +78,7 @@
 		assert.Assert(t, time.Since(started) < 3*time.Second)
 		assert.Equal(t, st.Source, FromPeer)
 		_, silent := st.Silent(FromService, time.Now(), 10*time.Second)
-		assert.Assert(t, silent, "the service was never heard")
+		assert.Assert(t, silent, "the service never answered")
 		time.Sleep(20 * time.Second)
 		since, cut := ho.Status().CutOff(time.Now(), 10*time.Second)
 		assert.Assert(t, cut && since.Equal(started), "%v", since)
@@ -94,7 +88,7 @@
 		me.SetFaults(keyvalue.Faults{})
 		_, err = me.Client().Put(ctx, DefaultKey, data, 0, 0)
 		assert.NilError(t, err)
-		time.Sleep(mostFollowBackoff)
+		time.Sleep(maxFollowBackoff)
 		assert.Equal(t, ho.Revision(), uint64(8))
 		assert.Equal(t, ho.Status().Source, FromService)
 		_, cut = ho.Status().CutOff(time.Now(), 10*time.Second)
@@ -104,9 +98,8 @@
 }
 
 func TestFollowerOfDeletedKey(t *testing.T) {
-	// Symptom: the service's calls grow a thousandfold.
-	// Sequence: the key is deleted while a process holds nothing.
-	// Cause: a watch on a deleted key answers at once, and is armed again at once.
+	// A watch on a deleted key returns at once: without a pause, a process without a
+	// document would call the service in a busy loop.
 	synctest.Test(t, func(t *testing.T) {
 		var me keyvalue.Memory
 		cl := me.Client()
@@ -121,22 +114,18 @@
 	})
 }
 
-// A restore is what the service does to its value behind everyone's back.
+// A restore replaces the service's value, as a restore from a backup does.
 type restore func(ctx context.Context, t *testing.T, st *Store, oldCopy Document)
 
 func putCopy(ctx context.Context, t *testing.T, st *Store, oldCopy Document) {
-	sd, err := st.Read(ctx)
+	vd, err := st.Read(ctx)
 	assert.NilError(t, err)
-	assert.NilError(t, st.put(ctx, oldCopy, sd.Version))
+	assert.NilError(t, st.put(ctx, oldCopy, vd.Version))
 }
 
-func TestServiceGoesBack(t *testing.T) {
-	// Symptom: an accepted change is reverted, or one accepted later is lost.
-	// Sequence: revisions 1 (a, b) to 3 are in force; the service is restored
-	// from its copy of revision 1; in some cases carol applies before an entry
-	// looks; in one the value is gone.
-	// Cause: the service is believed whatever it returns, or only its revision
-	// is compared, not its lineage.
+func TestServiceRestoredFromBackup(t *testing.T) {
+	// A restore of the service to an older copy must neither revert accepted
+	// changes nor lose those made on the restored copy.
 	tests := []struct {
 		name     string
 		restore  restore
@@ -145,9 +134,9 @@
 	}{
 		{name: "older copy", restore: putCopy, a: "3s", b: "1s", revision: 3},
 		{name: "value gone", restore: func(ctx context.Context, t *testing.T, st *Store, _ Document) {
-			sd, err := st.Read(ctx)
+			vd, err := st.Read(ctx)
 			assert.NilError(t, err)
-			assert.NilError(t, st.Client.Delete(ctx, DefaultKey, sd.Version))
+			assert.NilError(t, st.Client.Delete(ctx, DefaultKey, vd.Version))
 		}, a: "3s", b: "1s", revision: 3},
 		{name: "older copy and one change on it", restore: writeOn("7s"), a: "3s", b: "7s", revision: 4},
 		{name: "older copy and changes beyond what is in force", restore: writeOn("5s", "6s", "7s"), a: "3s", b: "7s", revision: 7},
@@ -177,39 +166,38 @@
 				tt.restore(ctx, t, &ana.store, oldCopy)
 				time.Sleep(2 * DefaultRewatchInterval)
 				cancel()
-				sd, err := ana.store.Read(t.Context())
+				vd, err := ana.store.Read(t.Context())
 				assert.NilError(t, err)
-				assert.Equal(t, sd.Document.Revision(), tt.revision)
+				assert.Equal(t, vd.Document.Revision(), tt.revision)
 				for i := range holders {
 					assert.Equal(t, holders[i].Revision(), tt.revision)
-					assert.Assert(t, holders[i].keepsLineage)
+					assert.Assert(t, holders[i].rejectsBranches)
 				}
-				a, _ := sd.Document.Profile("a")
-				b, _ := sd.Document.Profile("b")
+				a, _ := vd.Document.Profile("a")
+				b, _ := vd.Document.Profile("b")
 				assert.Equal(t, formatDuration(a.LeaveTimeout())+" "+formatDuration(b.LeaveTimeout()), tt.a+" "+tt.b)
 			})
 		})
 	}
 }
 
-// writeOn restores the copy and applies changes to b before an entry looks.
+// writeOn restores the copy with changes to b applied on top of it.
 func writeOn(timeouts ...string) restore {
 	return func(ctx context.Context, t *testing.T, st *Store, oldCopy Document) {
 		next := oldCopy
 		for _, timeout := range timeouts {
 			op := operator{base: NewBase(next), wanted: next.Profiles()}
 			op.set(plainService(t, "b", timeout))
-			me := mergeThree(op.base, next, op.wanted)
-			next = next.next(me.profiles, Change{by: "carol", id: "carol-" + timeout, touched: me.touched})
+			me := threeWayMerge(op.base, next, op.wanted)
+			next = next.next(me.profiles, Change{by: "carol", id: "carol-" + timeout, changed: me.changed})
 		}
 		putCopy(ctx, t, st, next)
 	}
 }
 
-func TestLaggingReadWritesNothing(t *testing.T) {
-	// Symptom: an entry overwrites the newest revision with an older one.
-	// Sequence: its read lags behind; it takes the old value for a restored copy.
-	// Cause: a write that is not bound to the version that was read.
+func TestStaleReadWritesNothing(t *testing.T) {
+	// After a stale read, which looks like a restored copy, an entry must not
+	// overwrite the newest revision.
 	var me keyvalue.Memory
 	op := operator{store: Store{Client: me.Client()}, wanted: []Profile{plainService(t, "a", "1s")}}
 	_, err := op.apply(t.Context(), "one")
--- a/profile/size.go
+++ b/profile/size.go
@@ -10,14 +10,14 @@
 // A Size is a number of bytes, written with a unit: "64KB".
 type Size int64
 
-// Units of a Size. They are powers of two, as the platform counts its values.
+// Units of a Size. They are powers of two, as the platform counts sizes.
 const (
 	Byte     Size = 1
 	Kilobyte      = 1024 * Byte
 	Megabyte      = 1024 * Kilobyte
 )
 
-// maxSize bounds what a declaration may ask for.
+// maxSize bounds every size in a declaration.
 const maxSize = 1024 * Megabyte
 
 type sizeUnit struct {
@@ -25,10 +25,10 @@
 	size   Size
 }
 
-// sizeUnits are tried in order, so that "KB" goes before "B".
+// sizeUnits are tried in order: "KB" must precede "B".
 var sizeUnits = []sizeUnit{{"MB", Megabyte}, {"KB", Kilobyte}, {"B", Byte}}
 
-// ParseSize reads a whole number with one of the units B, KB and MB.
+// ParseSize parses an integer with one of the units B, KB and MB.
 func ParseSize(text string) (Size, error) {
 	for _, su := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, su.suffix)
@@ -48,7 +48,7 @@
 	return 0, errors.Newf("%q has no unit: want B, KB or MB, such as \"64KB\"", text)
 }
 
-// String returns the size in the largest unit that divides it.
+// String formats the size in the largest unit that divides it.
 func (si Size) String() string {
 	for _, su := range sizeUnits {
 		if si != 0 && si%su.size == 0 {
--- a/profile/source.go
+++ b/profile/source.go
@@ -1,6 +1,6 @@
 package profile
 
-// A Source is where a process got the document that it holds.
+// A Source is the origin of the document in a Replica.
 type Source string
 
 // The sources of a document.
--- a/profile/spread_test.go
+++ b/profile/spread_test.go
@@ -17,20 +17,20 @@
 	"wisteriacroft/keyvalue"
 )
 
-// Sizes and paces of the measured fleet.
+// Parameters of the simulated fleet.
 const (
-	bound     = 19 * time.Second // within which a change must be in force
-	heartbeat = time.Second
-	link      = time.Millisecond
-	tickEvery = 100 * time.Millisecond
+	maxTimeToInForce = 19 * time.Second // within which a change must be in force
+	heartbeat        = time.Second
+	link             = time.Millisecond
+	tickEvery        = 100 * time.Millisecond
 )
 
-// A fleet is entries, which watch the service, and attendants, which learn
-// from the entries of their failure domain.
+// A fleet consists of entries, which watch the service, and attendants, which
+// fetch from the entries of their failure domain.
 type fleet struct {
 	accepted time.Time
 	entries  int
-	inForce  []time.Duration // for each node, since accepted
+	inForce  []time.Duration // per node, since accepted
 	loss     float64
 	me       keyvalue.Memory
 	messages int
@@ -39,11 +39,11 @@
 }
 
 type node struct {
-	domain   int
-	holder   Replica
-	name     string
-	phase    time.Duration // of its heartbeats
-	spreader Syncer
+	domain  int
+	replica Replica
+	name    string
+	phase   time.Duration // of its heartbeats
+	syncer  Syncer
 }
 
 func newFleet(size, entries, domains int, loss float64) *fleet {
@@ -51,9 +51,9 @@
 	for i := range size {
 		no := &node{domain: i % domains, name: fmt.Sprint(i)}
 		no.phase = time.Duration(fl.rnd.IntN(int(heartbeat/tickEvery))) * tickEvery
-		no.spreader = Syncer{
+		no.syncer = Syncer{
 			FetchFunc: fl.fetch,
-			Holder:    &no.holder,
+			Holder:    &no.replica,
 			Rand:      rand.New(rand.NewPCG(2, uint64(i))),
 		}
 		fl.nodes = append(fl.nodes, no)
@@ -65,25 +65,25 @@
 	time.Sleep(2 * link)
 	for _, no := range fl.nodes {
 		if no.name == peer {
-			return no.holder.Current(), nil
+			return no.replica.Current(), nil
 		}
 	}
 	return Document{}, errors.Newf("no peer %s", peer)
 }
 
-// send carries a header to a node after the link's delay, unless it is lost.
+// send delivers a message header to a node after the link's delay, unless it is lost.
 func (fl *fleet) send(from, to *node) {
 	fl.messages++
 	if fl.rnd.Float64() < fl.loss {
 		return
 	}
-	revision := from.holder.Revision()
-	time.AfterFunc(link, func() { to.spreader.Observe(from.name, revision) })
+	revision := from.replica.Revision()
+	time.AfterFunc(link, func() { to.syncer.Observe(from.name, revision) })
 }
 
-// beat sends a node's heartbeat to the entries of its failure domain, or to
-// all entries if it is one itself; each heartbeat is answered.
-func (fl *fleet) beat(i int) {
+// sendHeartbeats sends a node's heartbeat to the entries of its failure domain, or
+// to all other entries if it is an entry; each heartbeat is answered.
+func (fl *fleet) sendHeartbeats(i int) {
 	no := fl.nodes[i]
 	for j, entry := range fl.nodes[:fl.entries] {
 		if j != i && (i < fl.entries || entry.domain == no.domain) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// run lets the fleet work for a while and notes when each node has a revision.
+// run simulates the fleet for a time and records when each node has a revision.
 func (fl *fleet) run(du time.Duration, revision uint64) {
 	fl.inForce = make([]time.Duration, len(fl.nodes))
 	for range du / tickEvery {
@@ -101,19 +101,19 @@
 		synctest.Wait()
 		now := time.Now()
 		for i, no := range fl.nodes {
-			if fl.inForce[i] == 0 && no.holder.Revision() >= revision {
-				fl.inForce[i] = no.holder.Status().TakenAt.Sub(fl.accepted)
+			if fl.inForce[i] == 0 && no.replica.Revision() >= revision {
+				fl.inForce[i] = no.replica.Status().TakenAt.Sub(fl.accepted)
 			}
-			no.spreader.Run(now)
+			no.syncer.Run(now)
 			if time.Duration(now.UnixNano())%heartbeat == no.phase {
-				fl.beat(i)
+				fl.sendHeartbeats(i)
 			}
 		}
 	}
 }
 
-// follow starts the entries' followers; the watches of the first silent ones
-// never answer.
+// follow starts the entries' followers; the watches of the first silent entries
+// never return.
 func (fl *fleet) follow(ctx context.Context, silent int) {
 	for i, no := range fl.nodes[:fl.entries] {
 		cl := fl.me.Client()
@@ -123,26 +123,22 @@
 				return keyvalue.Item{}, ctx.Err()
 			}
 		}
-		fo := Follower{Holder: &no.holder, Rand: rand.New(rand.NewPCG(3, uint64(i))), Store: &Store{Client: cl}}
+		fo := Follower{Holder: &no.replica, Rand: rand.New(rand.NewPCG(3, uint64(i))), Store: &Store{Client: cl}}
 		go fo.Run(ctx)
 	}
 }
 
-// total counts the calls of a service.
+// total returns the number of calls to the service.
 func total(ca keyvalue.Calls) int64 { return ca.Reads + ca.Watches + ca.Writes }
 
-// TestTimeToInForce measures how long after its acceptance a change is in force
-// at each node. The table also counts, in the 30 s before the change and in the
-// 30 s after it, the calls that the key-value service took, and the messages
-// and fetches between nodes after it.
+// TestTimeToInForce checks that a change reaches every node in time although
+// watches hang, the service is slow, messages are lost or an outage follows. The
+// golden table also holds the calls to the key-value service in the 30 s before
+// and after the change, and the fetches and messages between nodes after it.
 func TestTimeToInForce(t *testing.T) {
-	// Symptom: a process serves by an old profile long after the change.
-	// Sequence: a change is accepted while watches are silent, the service is
-	// slow, messages are lost or the service goes away right after.
-	// Cause: a process that waits for one source only.
 	scenarios := []struct {
 		name   string
-		silent int // entries whose watch never answers; -1 for all
+		silent int // entries whose watch never returns; -1 for all
 		faults keyvalue.Faults
 		loss   float64
 	}{
@@ -170,21 +166,21 @@
 			_, err := op.apply(t.Context(), "one")
 			assert.NilError(t, err)
 			fl.accepted = time.Now()
-			synctest.Wait() // watches that wait are answered
+			synctest.Wait() // pending watches return
 			fl.me.SetFaults(faults)
 			fl.messages = 0
 			fl.run(30*time.Second, 1)
 			after := fl.me.Calls()
 			cancel()
 			slices.Sort(fl.inForce)
-			assert.Assert(t, fl.inForce[0] >= 0 && fl.nodes[size-1].holder.Revision() == 1)
+			assert.Assert(t, fl.inForce[0] >= 0 && fl.nodes[size-1].replica.Revision() == 1)
 			var fetches int64
 			for _, no := range fl.nodes {
-				assert.Equal(t, no.holder.Revision(), uint64(1))
-				fetches += no.spreader.Fetches()
+				assert.Equal(t, no.replica.Revision(), uint64(1))
+				fetches += no.syncer.Fetches()
 			}
 			most := fl.inForce[size-1]
-			assert.Assert(t, most < bound, "%s", most)
+			assert.Assert(t, most < maxTimeToInForce, "%s", most)
 			fmt.Fprintf(&table, "%-46s %6d %8s %8s %8s %8d %10d %9d %9d\n", name, size, fl.inForce[size/2], fl.inForce[size*99/100], most,
 				fetches, fl.messages/30, total(before), total(after)-total(before))
 			time.Sleep(time.Minute)
--- a/profile/store.go
+++ b/profile/store.go
@@ -8,17 +8,18 @@
 	"wisteriacroft/keyvalue"
 )
 
-// DefaultKey is where the document is kept in the key-value service.
+// DefaultKey is the document's key in the key-value service.
 const DefaultKey = "wisteriacroft/profiles"
 
-// A Store keeps the document in the key-value service, all of it under one
-// key: one revision, one watch, and a change to several profiles is atomic.
+// A Store reads and writes the document in the key-value service. One key
+// holds all profiles, so that a change to several of them is atomic and one
+// watch covers all.
 type Store struct {
 	Client *keyvalue.Client
 	Key    string // default DefaultKey
 }
 
-// A VersionedDocument is a document with its place in the service's order of writes.
+// A VersionedDocument is a document with the version of its key.
 type VersionedDocument struct {
 	Document Document
 	Version  int64 // 0: the key does not exist
@@ -31,8 +32,7 @@
 	return st.Key
 }
 
-// Read returns the document in the service, or the zero VersionedDocument if there is
-// none yet.
+// Read returns the stored document, or the zero VersionedDocument if there is none.
 func (st *Store) Read(ctx context.Context) (VersionedDocument, error) {
 	it, err := st.Client.Get(ctx, st.key())
 	if errors.Is(err, keyvalue.ErrNotFound) {
@@ -44,7 +44,7 @@
 	return decodeItem(it)
 }
 
-// Watch waits until the key is at a version above after. It returns the zero
+// Watch waits until the key's version is above after. It returns the zero
 // VersionedDocument if the key was deleted.
 func (st *Store) Watch(ctx context.Context, after int64) (VersionedDocument, error) {
 	it, err := st.Client.Watch(ctx, st.key(), after)
@@ -57,14 +57,13 @@
 	return decodeItem(it)
 }
 
-// decodeItem returns the document that an item holds.
 func decodeItem(it keyvalue.Item) (VersionedDocument, error) {
-	sd := VersionedDocument{Version: it.Version}
-	err := sd.Document.UnmarshalBinary(it.Value)
-	return sd, errors.Wrap(err, it.Key)
+	vd := VersionedDocument{Version: it.Version}
+	err := vd.Document.UnmarshalBinary(it.Value)
+	return vd, errors.Wrap(err, it.Key)
 }
 
-// put writes a document over the item at a version.
+// put writes a document if the key is at the expected version.
 func (st *Store) put(ctx context.Context, do Document, expected int64) error {
 	data, err := do.MarshalBinary()
 	if err != nil {
--- a/profile/store_test.go
+++ b/profile/store_test.go
@@ -13,8 +13,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-// plainService declares a plain service; timeout makes one text differ from
-// another.
+// plainService returns a profile of a plain service; timeout varies its text.
 func plainService(t testing.TB, name, timeout string) Profile {
 	t.Helper()
 	pr, findings := Parse(name, name+fileSuffix, fmt.Sprintf(
@@ -50,10 +49,10 @@
 	return ou, err
 }
 
-// A fault makes one of ana's calls go wrong, while bob can go on.
+// A fault makes one of ana's calls fail; bob's calls are not affected.
 type fault func(t *testing.T, ana *keyvalue.Client, me *keyvalue.Memory, bob *operator)
 
-// onFirstPut has act stand in for the first write; put passes it on.
+// onFirstPut replaces the first write by act; put performs the write.
 func onFirstPut(cl *keyvalue.Client, act func(ctx context.Context, put func() (int64, error)) (int64, error)) {
 	next := cl.PutFunc
 	cl.PutFunc = func(ctx context.Context, key string, va []byte, ve int64, le keyvalue.LeaseID) (int64, error) {
@@ -64,7 +63,7 @@
 
 func noFault(*testing.T, *keyvalue.Client, *keyvalue.Memory, *operator) {}
 
-// loseAnswer lets the first write take effect and drops its answer.
+// loseAnswer lets the first write take effect and drops its response.
 func loseAnswer(_ *testing.T, ana *keyvalue.Client, _ *keyvalue.Memory, _ *operator) {
 	onFirstPut(ana, func(_ context.Context, put func() (int64, error)) (int64, error) {
 		_, err := put()
@@ -72,15 +71,15 @@
 	})
 }
 
-// bobAfter loses the first write's answer and lets bob write on top.
+// bobAfter loses the first write's response and lets bob write after it.
 func bobAfter(service string) fault {
 	return func(t *testing.T, ana *keyvalue.Client, _ *keyvalue.Memory, bob *operator) {
 		onFirstPut(ana, func(ctx context.Context, put func() (int64, error)) (int64, error) {
 			_, err := put()
 			assert.NilError(t, err)
-			sd, err := bob.store.Read(ctx)
+			vd, err := bob.store.Read(ctx)
 			assert.NilError(t, err)
-			bob.base, bob.wanted = NewBase(sd.Document), sd.Document.Profiles()
+			bob.base, bob.wanted = NewBase(vd.Document), vd.Document.Profiles()
 			bob.set(plainService(t, service, "9s"))
 			_, err = bob.apply(ctx, "bob")
 			assert.NilError(t, err)
@@ -101,7 +100,7 @@
 	}
 }
 
-// outageBefore has the service away from the first write on.
+// outageBefore starts an outage just before the first write.
 func outageBefore(_ *testing.T, ana *keyvalue.Client, me *keyvalue.Memory, _ *operator) {
 	onFirstPut(ana, func(_ context.Context, put func() (int64, error)) (int64, error) {
 		me.SetFaults(keyvalue.Faults{Outage: true})
@@ -109,8 +108,8 @@
 	})
 }
 
-// outageAfter has the first write take effect as the last thing before an
-// outage, in which its answer is lost.
+// outageAfter starts an outage just after the first write took effect and loses
+// its response.
 func outageAfter(_ *testing.T, ana *keyvalue.Client, me *keyvalue.Memory, _ *operator) {
 	onFirstPut(ana, func(_ context.Context, put func() (int64, error)) (int64, error) {
 		_, err := put()
@@ -119,7 +118,7 @@
 	})
 }
 
-// lateWrite answers unknown, and the write arrives only after the next read.
+// lateWrite returns an unknown outcome and performs the write after the next read.
 func lateWrite(_ *testing.T, ana *keyvalue.Client, _ *keyvalue.Memory, _ *operator) {
 	onFirstPut(ana, func(_ context.Context, put func() (int64, error)) (int64, error) {
 		time.AfterFunc(firstBackoff+time.Millisecond, func() { _, _ = put() })
@@ -127,7 +126,7 @@
 	})
 }
 
-// silent never answers ana's first write, nor passes it on.
+// silent makes ana's first write hang without performing it.
 func silent(_ *testing.T, ana *keyvalue.Client, _ *keyvalue.Memory, _ *operator) {
 	onFirstPut(ana, func(ctx context.Context, _ func() (int64, error)) (int64, error) {
 		<-ctx.Done()
@@ -135,7 +134,7 @@
 	})
 }
 
-// silentRead never answers ana's first read.
+// silentRead makes ana's first read hang.
 func silentRead(_ *testing.T, ana *keyvalue.Client, _ *keyvalue.Memory, _ *operator) {
 	get := ana.GetFunc
 	ana.GetFunc = func(ctx context.Context, _ string) (keyvalue.Item, error) {
@@ -146,16 +145,13 @@
 }
 
 func TestApply(t *testing.T) {
-	// Symptom: an accepted change vanishes or is there twice, or an operator is
-	// told that a change failed that is in force, or the reverse.
-	// Sequence: ana sets service a's timeout to 2s; the fault strikes her first
-	// write; bob may write at that moment.
-	// Cause: races, lost answers and outages of the key-value service.
+	// Under races, lost responses and outages, a change must be applied exactly once
+	// or reported as failed or unknown. ana sets service a's timeout to 2s.
 	tests := []struct {
 		name      string
 		fault     fault
-		err       error  // a sentinel, or
-		errText   string // part of the error
+		err       error  // sentinel error
+		errText   string // part of the error, if there is no sentinel
 		a, b      string // leave-timeouts in the service at the end
 		revision  uint64
 		settled   bool
@@ -211,21 +207,20 @@
 				}
 				time.Sleep(time.Minute)
 				me.SetFaults(keyvalue.Faults{})
-				sd, err := bob.store.Read(t.Context())
+				vd, err := bob.store.Read(t.Context())
 				assert.NilError(t, err)
-				assert.Equal(t, sd.Document.Revision(), tt.revision)
-				a, _ := sd.Document.Profile("a")
-				b, _ := sd.Document.Profile("b")
+				assert.Equal(t, vd.Document.Revision(), tt.revision)
+				a, _ := vd.Document.Profile("a")
+				b, _ := vd.Document.Profile("b")
 				assert.Equal(t, formatDuration(a.LeaveTimeout())+" "+formatDuration(b.LeaveTimeout()), tt.a+" "+tt.b)
 			})
 		})
 	}
 }
 
-func TestApplyMergedProfilesMustHoldTogether(t *testing.T) {
-	// Symptom: two services in force claim one endpoint.
-	// Sequence: two operators each add a service; each directory is valid.
-	// Cause: the merge is more than either of its sides.
+func TestApplyChecksMergedProfiles(t *testing.T) {
+	// Two valid directories can merge into an invalid document, such as two
+	// services with the same endpoint.
 	var me keyvalue.Memory
 	ana := operator{store: Store{Client: me.Client()}, wanted: []Profile{plainService(t, "a", "1s")}}
 	_, err := ana.apply(t.Context(), "ana")
--- a/profile/value.go
+++ b/profile/value.go
@@ -9,8 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A value says how one key's value is read from TOML, kept in a Profile and
-// written again.
+// A value converts one key's value between TOML and a Profile.
 type value struct {
 	set      func(pr *Profile, raw any) error
 	show     func(pr *Profile) string
@@ -29,7 +28,7 @@
 	return nil
 }
 
-// wrongType says what was wanted in place of raw.
+// wrongType returns the error for a value whose type is not the wanted one.
 func wrongType(raw any, want string) error {
 	return errors.Newf("want %s, got %s", want, tomlType(raw))
 }
@@ -66,9 +65,9 @@
 			if err != nil {
 				return errors.Newf(`%q is no duration with its unit, such as "250ms"`, text)
 			}
-			if du < leastDuration || du > mostDuration {
+			if du < minDuration || du > maxDuration {
 				return errors.Newf("%s is not between %s and %s",
-					text, formatDuration(leastDuration), formatDuration(mostDuration))
+					text, formatDuration(minDuration), formatDuration(maxDuration))
 			}
 			*field(pr) = du
 			return nil
@@ -129,8 +128,8 @@
 	}
 }
 
-// partValue is a number from 0 to 1.
-func partValue(field func(*Profile) *float64) value {
+// fractionValue is a number from 0 to 1.
+func fractionValue(field func(*Profile) *float64) value {
 	return value{
 		typeName: "number",
 		show:     func(pr *Profile) string { return formatNumber(*field(pr)) },
