--- a/profile/syncer.go
+++ b/profile/syncer.go
@@ -91,7 +91,7 @@
 	go sy.fetch(name)
 }
 
-// evictStale drops peers that were replaced: their names do not come back.
+// evictStale drops peers without a recent message, such as replaced processes.
 func (sy *Syncer) evictStale(now time.Time) {
 	kept := sy.peers[:0]
 	for _, pe := range sy.peers {
@@ -141,8 +141,8 @@
 	}
 }
 
-// recordFetch makes a peer that failed wait, so that another is asked in between: one
-// that went silent must not hold the process at an old revision.
+// recordFetch records the result of a fetch. After a failure, the peer is not used for
+// a backoff, so that a peer that hangs does not keep the process at an old revision.
 func (pe *peer) recordFetch(taken bool, now time.Time) {
 	if taken {
 		pe.failures = 0
--- a/profile/value.go
+++ b/profile/value.go
@@ -75,8 +75,7 @@
 	}
 }
 
-// formatDuration drops the zero units that time.Duration writes: "10m", not
-// "10m0s".
+// formatDuration omits zero units: "10m", not "10m0s".
 func formatDuration(du time.Duration) string {
 	text := du.String()
 	if strings.HasSuffix(text, "m0s") {
@@ -128,7 +127,7 @@
 	}
 }
 
-// fractionValue is a number from 0 to 1.
+// fractionValue converts a number from 0 to 1.
 func fractionValue(field func(*Profile) *float64) value {
 	return value{
 		typeName: "number",
