--- a/settings/endpoint.go
+++ b/settings/endpoint.go
@@ -11,7 +11,7 @@
 	PlainKind  Kind = "plain"
 )
 
-// An Endpoint is one server beside which an attendant runs.
+// An Endpoint is one server that an attendant serves.
 type Endpoint struct {
 	address string
 	kind    Kind
@@ -19,7 +19,7 @@
 	service string
 }
 
-// Address returns the endpoint's base URL, without a slash at the end.
+// Address returns the endpoint's base URL, without a trailing slash.
 func (en Endpoint) Address() string { return en.address }
 
 // Kind returns what the endpoint serves.
@@ -31,7 +31,7 @@
 // Service returns the name of the service to which the endpoint belongs.
 func (en Endpoint) Service() string { return en.service }
 
-// endpoints checks the endpoints against each other and returns them.
+// endpoints checks the endpoints for duplicates and converts them.
 func (re *reader) endpoints(ras []rawEndpoint) []Endpoint {
 	if len(ras) == 0 && !re.do.Faulty(endpointTable) {
 		re.do.Add(endpointTable, "is missing: an attendant runs beside one endpoint at least")
@@ -40,8 +40,8 @@
 	addresses := map[string]int{}
 	endpoints := make([]Endpoint, len(ras))
 	for i, ra := range ras {
-		re.unique(names, ra.Name.text, i, "name")
-		re.unique(addresses, ra.Address.text, i, "address")
+		re.requireUnique(names, ra.Name.text, i, "name")
+		re.requireUnique(addresses, ra.Address.text, i, "address")
 		endpoints[i] = Endpoint{
 			address: ra.Address.text,
 			kind:    ra.Kind.value,
@@ -52,8 +52,8 @@
 	return endpoints
 }
 
-// unique reports a value that an earlier endpoint has too.
-func (re *reader) unique(seen map[string]int, value string, element int, key string) {
+// requireUnique reports a value that an earlier endpoint already has.
+func (re *reader) requireUnique(seen map[string]int, value string, element int, key string) {
 	if value == "" {
 		return
 	}
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -9,21 +9,21 @@
 	peers []netip.AddrPort
 }
 
-// Peers returns the addresses of other entries to ask while the instance list
-// is away.
+// Peers returns the addresses of other entries to contact while the instance list is
+// unavailable.
 func (en Entry) Peers() []netip.AddrPort { return en.peers }
 
-// ReadEntry reads an entry's settings from a document; file names it in
-// findings. Bad settings give a *finding.Error with all findings.
+// ReadEntry parses an entry's settings; the findings name file. For invalid settings, the
+// error is a *finding.Error with all findings.
 func ReadEntry(file string, data []byte) (Entry, error) {
 	var raw rawEntry
 	re := reader{role: EntryRole}
 	if err := re.decode(file, data, &raw); err != nil {
 		return Entry{}, err
 	}
-	re.missing(0)
-	re.process(raw.rawProcess)
-	peers := re.reachable("peers", raw.Peers)
+	re.checkRequired(0)
+	re.checkProcess(raw.rawProcess)
+	peers := re.peerAddresses("peers", raw.Peers)
 	if err := re.err(); err != nil {
 		return Entry{}, err
 	}
--- a/settings/key.go
+++ b/settings/key.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// A keyType is the form of a key's value.
+// A keyType is the type of a key's value.
 type keyType string
 
-// The forms of values. Each but bool and number is a TOML string.
+// The types of values. All but bool, number and the list are TOML strings.
 const (
 	boolType     keyType = "bool"
 	choiceType   keyType = "choice"
@@ -18,7 +18,7 @@
 	urlType      keyType = "base URL"
 )
 
-// unit returns the units in which values of the type are written.
+// unit returns the units of values of the type.
 func (ke keyType) unit() string {
 	if ke == durationType {
 		return "ms, s, m, h"
@@ -26,22 +26,22 @@
 	return "none"
 }
 
-// A key is one key of a settings file. The table of keys gives the defaults to
-// the reader and the lines to the reference for operators.
+// A key describes one key of a settings file. The reader takes the defaults from
+// it, and the reference for operators its rows.
 type key struct {
 	doc      string
 	fallback string // default, in TOML; "" if there is none
 	name     string
-	only     Role // the role that has the key; "" if both have it
+	role     Role // the role that has the key; "" if both have it
 	required bool
 	typ      keyType
 }
 
-// endpointTable names the array of tables of an attendant's endpoints.
+// endpointTable is the key of the array of tables of an attendant's endpoints.
 const endpointTable = "endpoint"
 
-// keys lists every key of a settings file, top level first, since a top-level
-// key cannot follow a table.
+// keys lists every key of a settings file. Top-level keys come first, since in TOML
+// they cannot follow a table.
 var keys = []key{
 	{
 		name: "role", typ: choiceType, required: true,
@@ -84,11 +84,11 @@
 		doc: "Interval between two ticks of the decision logic. Shorter decides sooner and costs processor time.",
 	},
 	{
-		name: "peers", typ: ipPortsType, fallback: `[]`, only: EntryRole,
+		name: "peers", typ: ipPortsType, fallback: `[]`, role: EntryRole,
 		doc: "Other entries to ask while the instance list is away.",
 	},
 	{
-		name: "entries", typ: ipPortsType, fallback: `[]`, only: AttendantRole,
+		name: "entries", typ: ipPortsType, fallback: `[]`, role: AttendantRole,
 		doc: "Entries to report to while the instance list is away.",
 	},
 	{
@@ -128,27 +128,27 @@
 		doc: "Share of the traces that is kept, from 0 to 1. A trace that a caller started keeps the caller's choice.",
 	},
 	{
-		name: endpointTable + ".name", typ: nameType, required: true, only: AttendantRole,
+		name: endpointTable + ".name", typ: nameType, required: true, role: AttendantRole,
 		doc: "Name of the endpoint, unique in the fleet.",
 	},
 	{
-		name: endpointTable + ".service", typ: nameType, required: true, only: AttendantRole,
+		name: endpointTable + ".service", typ: nameType, required: true, role: AttendantRole,
 		doc: "Service to which the endpoint belongs, as profiles name it.",
 	},
 	{
-		name: endpointTable + ".kind", typ: choiceType, required: true, only: AttendantRole,
+		name: endpointTable + ".kind", typ: choiceType, required: true, role: AttendantRole,
 		doc: "`engine` for a model engine, `plain` for a plain service.",
 	},
 	{
-		name: endpointTable + ".address", typ: urlType, required: true, only: AttendantRole,
+		name: endpointTable + ".address", typ: urlType, required: true, role: AttendantRole,
 		doc: "Base URL of the endpoint.",
 	},
 }
 
-// of reports whether a role has the key.
-func (ke key) of(ro Role) bool { return ke.only == "" || ke.only == ro }
+// appliesTo reports whether a role has the key.
+func (ke key) appliesTo(ro Role) bool { return ke.role == "" || ke.role == ro }
 
-// placed returns the key's name for an element of its array of tables.
-func (ke key) placed(element int) string {
+// elementKey returns the key's dotted name in an element of the endpoint array.
+func (ke key) elementKey(element int) string {
 	return fmt.Sprintf("%s[%d]%s", endpointTable, element, ke.name[len(endpointTable):])
 }
--- a/settings/log.go
+++ b/settings/log.go
@@ -1,6 +1,6 @@
 package settings
 
-// A LogFormat is the form of log lines.
+// A LogFormat is the format of log lines.
 type LogFormat string
 
 // The log formats.
@@ -9,14 +9,14 @@
 	TextLog LogFormat = "text"
 )
 
-// A Log says how a process logs.
+// A Log holds the settings of a process's log.
 type Log struct {
 	format LogFormat
 	level  string
 }
 
-// Format returns the form of log lines.
+// Format returns the format of log lines.
 func (lo Log) Format() LogFormat { return lo.format }
 
-// Level returns the least level that is logged, a name that logrus knows.
+// Level returns the minimum level that is logged, by its logrus name.
 func (lo Log) Level() string { return lo.level }
--- a/settings/process.go
+++ b/settings/process.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a process: one TOML file for each
-// instance. A process learns its addresses and its failure domain from it.
+// Package settings reads the settings of a process, such as its addresses and failure
+// domain, from one TOML file per instance.
 package settings
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A Role is what a process does.
+// A Role is the function of a process.
 type Role string
 
 // The roles.
@@ -16,7 +16,7 @@
 	EntryRole     Role = "entry"
 )
 
-// A Process holds the settings that every role has.
+// A Process holds the settings that both roles share.
 type Process struct {
 	adminListen   netip.AddrPort
 	advertise     netip.AddrPort
@@ -49,16 +49,16 @@
 // Instance returns the instance's id.
 func (pr Process) Instance() string { return pr.instance }
 
-// LeaseTTL returns the time to live of the leases that the process takes.
+// LeaseTTL returns the time to live of the leases that the process acquires.
 func (pr Process) LeaseTTL() time.Duration { return pr.leaseTTL }
 
 // Listen returns the address for callers, trainers and other processes.
 func (pr Process) Listen() netip.AddrPort { return pr.listen }
 
-// Log returns how to log.
+// Log returns the settings of the log.
 func (pr Process) Log() Log { return pr.log }
 
-// Platform returns where the platform's services are.
+// Platform returns the URLs of the platform's services.
 func (pr Process) Platform() Platform { return pr.platform }
 
 // Region returns the region in which the process runs.
@@ -70,8 +70,8 @@
 // ShutdownGrace returns how long a graceful shutdown may take.
 func (pr Process) ShutdownGrace() time.Duration { return pr.shutdownGrace }
 
-// TickInterval returns the interval between two ticks of the systems.
+// TickInterval returns the interval between two ticks of the decision logic.
 func (pr Process) TickInterval() time.Duration { return pr.tickInterval }
 
-// Trace returns where spans go.
+// Trace returns the settings of tracing.
 func (pr Process) Trace() Trace { return pr.trace }
--- a/settings/raw.go
+++ b/settings/raw.go
@@ -6,7 +6,7 @@
 	"wisteriacroft/unit"
 )
 
-// A rawProcess is what the TOML codec fills of the keys that every role has.
+// A rawProcess holds the decoded keys that both roles share.
 type rawProcess struct {
 	AdminListen   ipPort        `toml:"admin-listen"`
 	Advertise     ipPort        `toml:"advertise"`
@@ -24,39 +24,35 @@
 	Trace         rawTrace      `toml:"trace"`
 }
 
-// A rawLease is the table of leases' keys.
 type rawLease struct {
 	TTL unit.Duration `toml:"ttl"`
 }
 
-// A rawLog is the table of the log's keys.
 type rawLog struct {
 	Format logFormat `toml:"format"`
 	Level  logLevel  `toml:"level"`
 }
 
-// A rawPlatform is the table of the platform's keys.
 type rawPlatform struct {
 	InstanceList baseURL `toml:"instance-list"`
 	KeyValue     baseURL `toml:"key-value"`
 	WeightStore  baseURL `toml:"weight-store"`
 }
 
-// A rawTrace is the table of tracing's keys.
 type rawTrace struct {
 	File        string  `toml:"file"`
 	OTLPAddress baseURL `toml:"otlp-address"`
 	Ratio       float64 `toml:"ratio"`
 }
 
-// A rawEntry is what the TOML codec fills of an entry's settings.
+// A rawEntry holds the decoded settings of an entry.
 type rawEntry struct {
 	rawProcess
 
 	Peers []string `toml:"peers"`
 }
 
-// A rawAttendant is what the TOML codec fills of an attendant's settings.
+// A rawAttendant holds the decoded settings of an attendant.
 type rawAttendant struct {
 	rawProcess
 
@@ -64,7 +60,6 @@
 	Entries   []string      `toml:"entries"`
 }
 
-// A rawEndpoint is one element of the array of endpoints.
 type rawEndpoint struct {
 	Address baseURL      `toml:"address"`
 	Kind    endpointKind `toml:"kind"`
@@ -72,14 +67,13 @@
 	Service name         `toml:"service"`
 }
 
-// defaults returns a document of the defaults of a role's keys. The reader
-// decodes it before the operator's document, so that the table of keys is the
-// only place that holds a default.
+// defaults returns a TOML document with the defaults of a role's keys. The reader
+// decodes it before the operator's document.
 func defaults(ro Role) []byte {
 	var sb strings.Builder
 	table := ""
 	for _, ke := range keys {
-		if ke.fallback == "" || !ke.of(ro) || strings.HasPrefix(ke.name, endpointTable+".") {
+		if ke.fallback == "" || !ke.appliesTo(ro) || strings.HasPrefix(ke.name, endpointTable+".") {
 			continue
 		}
 		name := ke.name
@@ -95,7 +89,7 @@
 	return []byte(sb.String())
 }
 
-// process returns the settings that every role has.
+// process converts the settings that both roles share.
 func (ra rawProcess) process() Process {
 	pr := Process{
 		adminListen:   ra.AdminListen.AddrPort,
--- a/settings/reader.go
+++ b/settings/reader.go
@@ -17,24 +17,23 @@
 	"wisteriacroft/unit"
 )
 
-// minLeaseTTL keeps a lease's margin, a sixth of its time to live, above the
-// time for which an attendant's token holds (rollout.DefaultTokenLife).
+// minLeaseTTL keeps the safety margin of a lease, a sixth of its TTL, above the
+// lifetime of an attendant's token (rollout.DefaultTokenLife).
 const minLeaseTTL = unit.Duration(8 * time.Second)
 
-// minTicksPerLease is how many ticks fit into a lease's time to live at least.
-// With fewer, a tick that comes a little late would find the lease expired, and
-// ownership would move back and forth.
+// minTicksPerLease is the minimum number of ticks in a lease's TTL. With fewer, one
+// late tick would let the lease expire and ownership would flap.
 const minTicksPerLease = 10
 
-// A reader reads the settings of one role and collects what is wrong.
+// A reader reads the settings of one role and collects findings.
 type reader struct {
 	do       *document.Document
 	findings finding.List
 	role     Role
 }
 
-// decode fills raw with the defaults and then with the document. It returns an
-// error for a document that cannot be checked further.
+// decode decodes the defaults and then the document into raw. It returns an error if
+// the document cannot be checked further.
 func (re *reader) decode(file string, data []byte, raw any) error {
 	if err := toml.Unmarshal(defaults(re.role), raw); err != nil {
 		return errors.Wrap(err, "decode the defaults")
@@ -46,7 +45,7 @@
 	return nil
 }
 
-// err returns nil or a *finding.Error with all findings, by line.
+// err returns nil or a *finding.Error with all findings, sorted by line.
 func (re *reader) err() error {
 	slices.SortStableFunc(re.findings.All(), func(fi, other finding.Finding) int {
 		return cmp.Compare(fi.Line(), other.Line())
@@ -54,10 +53,10 @@
 	return re.findings.Err()
 }
 
-// missing reports the required keys that are not in the document.
-func (re *reader) missing(endpoints int) {
+// checkRequired reports required keys that are missing in the document.
+func (re *reader) checkRequired(endpoints int) {
 	for _, ke := range keys {
-		if !ke.required || !ke.of(re.role) {
+		if !ke.required || !ke.appliesTo(re.role) {
 			continue
 		}
 		if !strings.HasPrefix(ke.name, endpointTable+".") {
@@ -65,26 +64,26 @@
 			continue
 		}
 		for i := range endpoints {
-			re.require(ke.placed(i))
+			re.require(ke.elementKey(i))
 		}
 	}
 }
 
-// require reports a key that is not in the document.
+// require reports a key that is missing in the document.
 func (re *reader) require(key string) {
 	if !re.do.Has(key) && !re.do.Faulty(key) {
 		re.do.Add(key, "is missing")
 	}
 }
 
-// process checks the keys that every role has.
-func (re *reader) process(ra rawProcess) {
+// checkProcess checks the keys that both roles share.
+func (re *reader) checkProcess(ra rawProcess) {
 	if ra.Role.value != "" && ra.Role.value != re.role {
 		re.do.Add("role", "is %q in a file read by the command %q", ra.Role.value, re.role)
 	}
-	re.positive("shutdown-grace", ra.ShutdownGrace)
-	re.positive("tick-interval", ra.TickInterval)
-	re.positive("lease.ttl", ra.Lease.TTL)
+	re.requirePositive("shutdown-grace", ra.ShutdownGrace)
+	re.requirePositive("tick-interval", ra.TickInterval)
+	re.requirePositive("lease.ttl", ra.Lease.TTL)
 	if ra.Lease.TTL < minTicksPerLease*ra.TickInterval {
 		re.do.Add("lease.ttl", "is %s, less than %d times the tick-interval of %s",
 			ra.Lease.TTL, minTicksPerLease, ra.TickInterval)
@@ -93,14 +92,14 @@
 		re.do.Add("lease.ttl", "is %s, less than %s: an order of a former owner could still be taken after it",
 			ra.Lease.TTL, minLeaseTTL)
 	}
-	re.absolute("data-folder", ra.DataFolder)
-	re.absolute("trace.file", ra.Trace.File)
-	re.addresses(ra)
-	re.trace(ra.Trace)
+	re.requireAbsolute("data-folder", ra.DataFolder)
+	re.requireAbsolute("trace.file", ra.Trace.File)
+	re.checkAddresses(ra)
+	re.checkTrace(ra.Trace)
 }
 
-// addresses checks the addresses of the process against each other.
-func (re *reader) addresses(ra rawProcess) {
+// checkAddresses checks the addresses of the process for conflicts.
+func (re *reader) checkAddresses(ra rawProcess) {
 	if ra.Listen.IsValid() && ra.Listen.Port() != 0 && ra.Listen == ra.AdminListen {
 		re.do.Add("admin-listen", "is %s, the same as listen", ra.AdminListen)
 	}
@@ -112,33 +111,33 @@
 	}
 }
 
-// trace checks where spans go.
-func (re *reader) trace(ra rawTrace) {
+// checkTrace checks the settings of tracing.
+func (re *reader) checkTrace(ra rawTrace) {
 	if ra.File != "" && ra.OTLPAddress.text != "" {
 		re.do.Add("trace.file", "stands together with trace.otlp-address: spans go to one of them")
 	}
-	if !(ra.Ratio >= 0 && ra.Ratio <= 1) { // also true of NaN
+	if !(ra.Ratio >= 0 && ra.Ratio <= 1) { // also true for NaN
 		re.do.Add("trace.ratio", "is %v, not from 0 to 1", ra.Ratio)
 	}
 }
 
-// positive reports a duration that is not positive.
-func (re *reader) positive(key string, du unit.Duration) {
+// requirePositive reports a duration that is not positive.
+func (re *reader) requirePositive(key string, du unit.Duration) {
 	if du <= 0 {
 		re.do.Add(key, "is %s, not positive", du)
 	}
 }
 
-// absolute reports a path that is not absolute.
-func (re *reader) absolute(key, path string) {
+// requireAbsolute reports a path that is not absolute.
+func (re *reader) requireAbsolute(key, path string) {
 	if path != "" && !filepath.IsAbs(path) {
 		re.do.Add(key, "%q is no absolute path", path)
 	}
 }
 
-// reachable returns addresses of other processes and reports those that none
-// can reach.
-func (re *reader) reachable(key string, texts []string) []netip.AddrPort {
+// peerAddresses parses the addresses of other processes and reports those that are
+// invalid, unreachable or duplicate.
+func (re *reader) peerAddresses(key string, texts []string) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for i, text := range texts {
 		place := fmt.Sprintf("%s[%d]", key, i)
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -16,21 +16,21 @@
 ` + "`go test ./settings -update`" + ` renews it.
 `
 
-// Reference returns the page of all keys for operators.
+// Reference returns the reference of all keys for operators, in Markdown.
 func Reference() string {
 	var sb strings.Builder
 	sb.WriteString(referenceHead)
 	sb.WriteString("\n## Keys of both roles\n\n")
-	writeTable(&sb, func(ke key) bool { return ke.only == "" })
+	writeTable(&sb, func(ke key) bool { return ke.role == "" })
 	sb.WriteString("\n## Keys of an entry\n\n")
-	writeTable(&sb, func(ke key) bool { return ke.only == EntryRole })
+	writeTable(&sb, func(ke key) bool { return ke.role == EntryRole })
 	sb.WriteString("\n## Keys of an attendant\n\n")
 	sb.WriteString("Each `[[endpoint]]` table names one endpoint; one at least is required.\n\n")
-	writeTable(&sb, func(ke key) bool { return ke.only == AttendantRole })
+	writeTable(&sb, func(ke key) bool { return ke.role == AttendantRole })
 	return sb.String()
 }
 
-// writeTable writes the rows of the keys that match.
+// writeTable writes a table of the keys that match.
 func writeTable(sb *strings.Builder, match func(key) bool) {
 	sb.WriteString("| key | type | default | unit | meaning |\n|---|---|---|---|---|\n")
 	for _, ke := range keys {
@@ -41,7 +41,7 @@
 	}
 }
 
-// shownDefault returns the default as the reference shows it.
+// shownDefault returns the default as shown in the reference.
 func (ke key) shownDefault() string {
 	switch {
 	case ke.required:
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -16,7 +16,7 @@
 	"wisteriacroft/finding"
 )
 
-// read reads a document in the role of the test.
+// read parses a document as the settings of a role.
 func read(ro Role, file string, data []byte) (any, error) {
 	if ro == EntryRole {
 		return ReadEntry(file, data)
@@ -24,8 +24,8 @@
 	return ReadAttendant(file, data)
 }
 
-// TestRead reads each document of testdata and compares the settings, or all
-// the findings, with its golden file.
+// TestRead compares the settings or findings of each document in testdata with its
+// golden file.
 func TestRead(t *testing.T) {
 	for _, ro := range []Role{EntryRole, AttendantRole} {
 		paths, err := filepath.Glob(filepath.Join("testdata", string(ro)+"-*.toml"))
@@ -47,7 +47,7 @@
 	}
 }
 
-// describe lists what the accessors of a value return, a line each.
+// describe returns the results of a value's accessors, one per line.
 func describe(prefix string, va reflect.Value) string {
 	if va.Kind() == reflect.Slice {
 		var sb strings.Builder
@@ -67,17 +67,17 @@
 	return sb.String()
 }
 
-// TestReference compares the operators' page with the table of keys.
+// TestReference compares the reference for operators with the table of keys.
 func TestReference(t *testing.T) {
 	golden.Assert(t, Reference(), "../../docs/reference/settings.md")
 }
 
-// TestKeys compares the table of keys with what the codec fills.
+// TestKeys compares the table of keys with the structs that the TOML codec decodes into.
 func TestKeys(t *testing.T) {
 	for ro, raw := range map[Role]any{EntryRole: rawEntry{}, AttendantRole: rawAttendant{}} {
 		var want []string
 		for _, ke := range keys {
-			if ke.of(ro) {
+			if ke.appliesTo(ro) {
 				want = append(want, ke.name)
 			}
 		}
@@ -109,8 +109,7 @@
 	return names
 }
 
-// FuzzRead reads any document in both roles. A document is settings or gives
-// findings that name the file, and none makes the reader panic.
+// FuzzRead checks that every document either parses or yields findings, without a panic.
 func FuzzRead(f *testing.F) {
 	paths, err := filepath.Glob(filepath.Join("testdata", "*.toml"))
 	assert.NilError(f, err)
--- a/settings/text.go
+++ b/settings/text.go
@@ -10,16 +10,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxNameLength bounds names, which stand in keys, labels and headers.
+// maxNameLength bounds names, which are used in keys, labels and headers.
 const maxNameLength = 63
 
-// namePattern is the form of names.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]*[a-z0-9])?$`)
 
-// The types of text are structs, as the TOML codec asks a type whose kind is
-// string no further.
+// The text types are structs: the TOML codec does not call UnmarshalText for types whose
+// kind is string.
 
-// A name is an id such as "coventry-entry-1".
+// A name is an identifier such as "coventry-entry-1".
 type name struct{ text string }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -46,7 +45,7 @@
 	return nil
 }
 
-// A baseURL is the URL below which a service has its paths.
+// A baseURL is a service's URL without a path suffix.
 type baseURL struct{ text string }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -62,12 +61,12 @@
 	return nil
 }
 
-// badURL returns the error of a text that is no base URL.
+// badURL returns the error for an invalid base URL.
 func badURL(text []byte) error {
 	return errors.Newf("%q is no base URL: write http or https, an IP number and a port, such as \"http://10.0.0.5:2379\"", text)
 }
 
-// A logLevel is the name of a level that logrus knows.
+// A logLevel is the name of a logrus level.
 type logLevel struct{ text string }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -79,7 +78,7 @@
 	return nil
 }
 
-// A logFormat is a LogFormat that is read.
+// A logFormat decodes a LogFormat.
 type logFormat struct{ value LogFormat }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -87,7 +86,7 @@
 	return choose(&lo.value, text, JSONLog, TextLog)
 }
 
-// An endpointKind is a Kind that is read.
+// An endpointKind decodes a Kind.
 type endpointKind struct{ value Kind }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -95,7 +94,7 @@
 	return choose(&en.value, text, EngineKind, PlainKind)
 }
 
-// A processRole is a Role that is read.
+// A processRole decodes a Role.
 type processRole struct{ value Role }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -103,7 +102,7 @@
 	return choose(&pr.value, text, AttendantRole, EntryRole)
 }
 
-// choose sets the choice that text names.
+// choose sets to to the choice equal to text, or fails.
 func choose[T ~string](to *T, text []byte, choices ...T) error {
 	names := make([]string, len(choices))
 	for i, ch := range choices {
