--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -1,5 +1,5 @@
-// Package configuration carries the document in force between processes over
-// net/rpc: whoever sees a higher revision in a message's header fetches it.
+// Package configuration transfers the profile document between processes over net/rpc: a
+// process that receives a higher revision in a message's header fetches the document.
 package configuration
 
 import (
@@ -10,24 +10,24 @@
 	"wisteriacroft/profile"
 )
 
-// FetchMethod is the net/rpc method that answers with the document in force.
+// FetchMethod is the net/rpc method that returns the document in force.
 const FetchMethod = "Configuration.Fetch"
 
 // A FetchRequest asks a process for its document.
 type FetchRequest struct {
-	Held uint64 // revision that the asking process holds
+	Held uint64 // revision held by the caller
 }
 
-// A FetchResponse holds the document of the process asked, or the zero Document if
-// that is no newer than the one held.
+// A FetchResponse holds the document of the called process, or the zero Document if that
+// is not newer than the caller's.
 type FetchResponse struct {
 	Document profile.Document
 }
 
-// Handle serves the document that ho holds.
-func Handle(sv *peer.Server, ho *profile.Replica) {
+// Handle registers FetchMethod, which serves the replica's document.
+func Handle(sv *peer.Server, rp *profile.Replica) {
 	peer.Handle(sv, FetchMethod, func(_ context.Context, _ message.Header, req FetchRequest) (FetchResponse, error) {
-		do := ho.Current()
+		do := rp.Current()
 		if do.Revision() <= req.Held {
 			return FetchResponse{}, nil
 		}
@@ -35,11 +35,11 @@
 	})
 }
 
-// Fetcher returns a FetchFunc for a profile.Syncer whose peers are named by
-// their addresses. It fetches over a pool, for the holder's process.
-func Fetcher(po *peer.Pool, ho *profile.Replica) func(ctx context.Context, address string) (profile.Document, error) {
+// Fetcher returns a FetchFunc for a profile.Syncer whose peers are identified by their
+// addresses. It fetches over a pool, for the replica's process.
+func Fetcher(po *peer.Pool, rp *profile.Replica) func(ctx context.Context, address string) (profile.Document, error) {
 	return func(ctx context.Context, address string) (profile.Document, error) {
-		req := FetchRequest{Held: ho.Revision()}
+		req := FetchRequest{Held: rp.Revision()}
 		re, err := peer.Call[FetchRequest, FetchResponse](ctx, po, address, FetchMethod, req)
 		return re.Document, err
 	}
--- a/configuration/status.go
+++ b/configuration/status.go
@@ -7,39 +7,39 @@
 	"wisteriacroft/profile"
 )
 
-// EntryRole is the name of the entries' role. Only entries read the
-// configuration from the key-value service.
+// EntryRole is the role of entries. Only entries read the configuration from the
+// key-value service.
 const EntryRole = "entry"
 
-// cutOffAfter is after how long without word of the configuration a process
-// counts as cut off.
+// cutOffAfter is the time without contact after which a process counts as cut off.
 const cutOffAfter = 30 * time.Second
 
-// FillStatus writes into a status what its process holds of the configuration.
+// FillStatus sets the fields of a status that concern the configuration.
 func FillStatus(st *message.Status, ps profile.Status, now time.Time) {
 	st.CutOffSince = CutOffSince(ps, st.Role, st.StartedAt, now)
 	st.Revision = ps.Revision
 	st.RevisionSource = revisionSource(ps.Source)
 }
 
-// CutOffSince returns when a process that started at a time last heard of the
-// configuration, if that is too long ago, and the zero time if not. An entry
-// hears of it from the key-value service, an attendant from entries.
+// CutOffSince returns the time of a process's last contact with a source of the
+// configuration if the process is cut off, and otherwise the zero time. An entry's source
+// is the key-value service, an attendant's are also its peers. Without any contact, it
+// uses startedAt.
 func CutOffSince(ps profile.Status, role string, startedAt, now time.Time) time.Time {
-	heard := ps.ServiceHeardAt
-	if role != EntryRole && ps.PeerHeardAt.After(heard) {
-		heard = ps.PeerHeardAt
+	contact := ps.ServiceHeardAt
+	if role != EntryRole && ps.PeerHeardAt.After(contact) {
+		contact = ps.PeerHeardAt
 	}
-	if heard.IsZero() {
-		heard = startedAt
+	if contact.IsZero() {
+		contact = startedAt
 	}
-	if now.Sub(heard) < cutOffAfter {
+	if now.Sub(contact) < cutOffAfter {
 		return time.Time{}
 	}
-	return heard
+	return contact
 }
 
-// revisionSource returns the name of a source in a status.
+// revisionSource converts a source for a status.
 func revisionSource(so profile.Source) message.RevisionSource {
 	switch so {
 	case profile.FromPeer:
--- a/document/document.go
+++ b/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads TOML documents strictly and reports all faults
-// together, each with its file, line and key. Settings and profiles share it.
+// Package document decodes TOML documents strictly and reports all errors together, each
+// with its file, line and key.
 package document
 
 import (
@@ -17,13 +17,12 @@
 // MaxSize is the largest document that is read, in bytes.
 const MaxSize = 1 << 20
 
-// maxRounds bounds the faults that are found one by one, as each costs a
-// decoding of the whole document.
+// maxRounds bounds the errors that the decoder finds one by one: each costs a decoding of
+// the whole document.
 const maxRounds = 50
 
-// A Document knows where the keys of a TOML document stand. Keys are dotted
-// and elements of an array of tables are counted: "lease.ttl",
-// "endpoint[0].name".
+// A Document holds the lines of a TOML document's keys. Keys are dotted, with an index
+// for elements of an array of tables: "lease.ttl", "endpoint[0].name".
 type Document struct {
 	broken   bool
 	faulty   map[string]bool
@@ -32,9 +31,9 @@
 	lines    map[string]int
 }
 
-// Read decodes data into the struct that into points to and adds a finding for
-// each unknown key, wrong type and syntax error. The fields of faulty keys
-// keep the value that they had.
+// Read decodes data into the struct that into points to and adds a finding for each
+// unknown key, wrong type and syntax error. Fields of keys with a finding keep their
+// previous value.
 func Read(file string, data []byte, into any, li *finding.List) *Document {
 	do := &Document{
 		faulty:   map[string]bool{},
@@ -61,9 +60,8 @@
 	return do
 }
 
-// Add adds a finding at a key's line, unless the key has one already. A key
-// that does not stand in the document gets the line of the table that should
-// hold it.
+// Add adds a finding at a key's line, unless the key already has one. The line of a
+// missing key is that of the table it belongs to.
 func (do *Document) Add(key, format string, args ...any) {
 	if do.faulty[key] {
 		return
@@ -72,49 +70,48 @@
 	do.findings.Add(do.file, do.Line(key), key, format, args...)
 }
 
-// Broken reports whether the document could not be taken apart into keys, so
-// that nothing can be said of what it lacks.
+// Broken reports whether the document could not be parsed completely, so that missing
+// keys can't be determined.
 func (do *Document) Broken() bool { return do.broken }
 
-// Has reports whether a key stands in the document.
+// Has reports whether the document contains a key.
 func (do *Document) Has(key string) bool {
 	_, ok := do.lines[key]
 	return ok
 }
 
-// Faulty reports whether a key, or a table that holds it, has a finding.
+// Faulty reports whether a key or a table that contains it has a finding.
 func (do *Document) Faulty(key string) bool {
 	for {
 		if do.faulty[key] {
 			return true
 		}
-		if key = holder(key); key == "" {
+		if key = parentKey(key); key == "" {
 			return false
 		}
 	}
 }
 
-// Line returns the line of a key or else of the nearest table that should hold
-// it, or 0 if neither stands in the document.
+// Line returns the line of a key, or else of the nearest enclosing table, or else 0.
 func (do *Document) Line(key string) int {
 	for {
 		if line, ok := do.lines[key]; ok {
 			return line
 		}
-		if key = holder(key); key == "" {
+		if key = parentKey(key); key == "" {
 			return 0
 		}
 	}
 }
 
-// holder returns the key of the table or array that holds a key, or "".
-func holder(key string) string {
+// parentKey returns the key of the table or array that contains a key, or "".
+func parentKey(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
 
-// decode decodes data until no faulty expression is left. The decoder stops at
-// the first wrong type, so each round blanks the expression at fault and
-// decodes anew: without that, an operator would mend one fault a run.
+// decode decodes data until no expression fails. The decoder stops at the first wrong
+// type; each round blanks that expression and decodes again, so that all errors are
+// reported in one run.
 func (do *Document) decode(data []byte, exprs []expression, into any) {
 	for range maxRounds {
 		err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(into)
@@ -129,20 +126,20 @@
 		var wrong *toml.DecodeError
 		if !errors.As(err, &wrong) {
 			do.broken = true
-			do.findings.Add(do.file, 0, "", "%s", trim(err))
+			do.findings.Add(do.file, 0, "", "%s", cleanMessage(err))
 			return
 		}
 		line, _ := wrong.Position()
 		at := sort.Search(len(exprs), func(i int) bool { return exprs[i].line > line }) - 1
 		do.faulty[exprs[at].key] = true
-		do.findings.Add(do.file, line, exprs[at].key, "%s", trim(err))
+		do.findings.Add(do.file, line, exprs[at].key, "%s", cleanMessage(err))
 		blank(data, exprs, at)
 	}
 	do.broken = true
 	do.findings.Add(do.file, 0, "", "holds more faults, which are shown once these are mended")
 }
 
-// addUnknown adds a finding for each key that the target does not know.
+// addUnknown adds a finding for each key without a field in the target.
 func (do *Document) addUnknown(unknown *toml.StrictMissingError, exprs []expression) {
 	for i := range unknown.Errors {
 		line, _ := unknown.Errors[i].Position()
@@ -156,9 +153,9 @@
 	}
 }
 
-// trim returns an error's message without the decoder's prefix and without the
-// Go types that it names, which tell an operator nothing.
-func trim(err error) string {
+// cleanMessage returns an error's message without the decoder's prefix and without Go
+// types.
+func cleanMessage(err error) string {
 	message := strings.TrimPrefix(err.Error(), "toml: ")
 	if value, _, ok := strings.Cut(message, " into struct field "); ok {
 		return strings.TrimPrefix(value, "cannot decode ") + " cannot stand here"
--- a/document/expression.go
+++ b/document/expression.go
@@ -10,27 +10,27 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// An expression is a key with its value, or the head of a table.
+// An expression is a key with its value, or the header of a table.
 type expression struct {
-	end   int // offset behind its last byte
+	end   int // offset after its last byte
 	head  bool
 	key   string
 	line  int
 	start int // offset of its first byte
 }
 
-// scan records the line of each key and returns the document's expressions in
-// order. It reports texts that their types in target refuse. After a syntax
-// error the document is broken.
+// scan records the line of each key and returns the document's expressions in order. It
+// reports texts that their types in target reject. A syntax error marks the document as
+// broken.
 func (do *Document) scan(data []byte, target reflect.Type) []expression {
 	var pa unstable.Parser
 	pa.Reset(data)
 	sc := scanner{arrays: map[string]int{}, data: data, do: do, target: target}
 	for pa.NextExpression() {
-		sc.take(pa.Expression())
+		sc.record(pa.Expression())
 	}
 	if err := pa.Error(); err != nil {
-		do.findings.Add(do.file, sc.errorLine(&pa, err), "", "%s", trim(err))
+		do.findings.Add(do.file, sc.errorLine(&pa, err), "", "%s", cleanMessage(err))
 		do.broken = true
 		return nil
 	}
@@ -48,17 +48,17 @@
 
 // A scanner walks the expressions of a document.
 type scanner struct {
-	arrays map[string]int // tables seen of each array of tables
+	arrays map[string]int // number of elements so far, by array of tables
 	data   []byte
 	do     *Document
 	exprs  []expression
-	path   []string // parts of the key of the table that holds what follows
-	table  string   // the same key, its elements of arrays counted
+	path   []string // parts of the current table's key
+	table  string   // the same key, with indexes of array elements
 	target reflect.Type
 }
 
-// take records one expression.
-func (sc *scanner) take(no *unstable.Node) {
+// record adds one expression and checks its value.
+func (sc *scanner) record(no *unstable.Node) {
 	if no.Kind == unstable.Comment {
 		return
 	}
@@ -71,24 +71,24 @@
 	switch no.Kind {
 	case unstable.Table:
 		sc.path = key
-		sc.table = sc.within(key)
+		sc.table = sc.tableKey(key)
 		ex.key = sc.table
 	case unstable.ArrayTable:
 		sc.path = key
-		name := sc.within(key)
+		name := sc.tableKey(key)
 		sc.table = fmt.Sprintf("%s[%d]", name, sc.arrays[name])
 		sc.arrays[name]++
 		ex.key = sc.table
 	default:
 		ex.key = join(sc.table, strings.Join(key, "."))
-		sc.check(ex, no.Value(), descend(descend(sc.target, sc.path), key))
+		sc.check(ex, no.Value(), fieldType(fieldType(sc.target, sc.path), key))
 	}
 	sc.exprs = append(sc.exprs, ex)
 }
 
-// within returns a table's key, in which each array of tables stands for its
-// last element.
-func (sc *scanner) within(parts []string) string {
+// tableKey returns a table's key, with the index of the last element after each array
+// of tables.
+func (sc *scanner) tableKey(parts []string) string {
 	key := ""
 	for i, part := range parts {
 		key = join(key, part)
@@ -99,7 +99,7 @@
 	return key
 }
 
-// key returns the parts of a node's key and the offset of its line.
+// key returns the parts of a node's key and the offset of the start of its line.
 func (sc *scanner) key(no *unstable.Node) (parts []string, start int) {
 	it := no.Key()
 	start = -1
@@ -126,9 +126,9 @@
 	return sc.line(int(pa.Range(syntax.Highlight).Offset))
 }
 
-// blank overwrites an expression with spaces and keeps its line breaks, so
-// that later lines keep their numbers. A table's head goes with all that it
-// holds, which would else fall to the table before.
+// blank overwrites an expression with spaces and keeps its line breaks, so that line
+// numbers stay valid. With a table's header, it blanks the table's content, which would
+// otherwise belong to the previous table.
 func blank(data []byte, exprs []expression, at int) {
 	end := exprs[at].end
 	if exprs[at].head {
@@ -143,7 +143,6 @@
 	}
 }
 
-// join joins two parts of a key.
 func join(table, key string) string {
 	if table == "" {
 		return key
--- a/document/text.go
+++ b/document/text.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// check reports each value below a node that its type refuses as a text. The
-// decoder itself gives a bare number to any type of a number's kind, so that 30
-// would become a duration of 30 ns, and names no line for some refusals.
+// check reports each value below a node that its type's UnmarshalText rejects. The decoder
+// alone would accept a bare number for any numeric type, such as 30 as a duration of
+// 30 ns, and reports some errors without a line.
 func (sc *scanner) check(ex expression, no *unstable.Node, ty reflect.Type) {
 	if ty == nil {
 		return
@@ -21,7 +21,7 @@
 	case unstable.InlineTable:
 		for it := no.Children(); it.Next(); {
 			parts, _ := sc.key(it.Node())
-			sc.check(ex, it.Node().Value(), descend(ty, parts))
+			sc.check(ex, it.Node().Value(), fieldType(ty, parts))
 		}
 	default:
 		text, ok := reflect.New(ty).Interface().(encoding.TextUnmarshaler)
@@ -30,7 +30,7 @@
 		}
 		err := text.UnmarshalText(no.Data)
 		if err == nil && no.Kind != unstable.String {
-			// A bare true or 3 is no name, though its text would do for one.
+			// A bare true or 3 must not pass as a name.
 			err = errors.Newf("%s is no text: write it in quotes", no.Data)
 		}
 		if err != nil {
@@ -40,7 +40,6 @@
 	}
 }
 
-// checkArray checks the elements of an array.
 func (sc *scanner) checkArray(ex expression, no *unstable.Node, ty reflect.Type) {
 	if ty.Kind() != reflect.Slice {
 		return
@@ -50,8 +49,8 @@
 	}
 }
 
-// nodeLine returns the line of a value, or that of its expression if the
-// parser keeps no place for it.
+// nodeLine returns the line of a value, or that of its expression if the parser does not
+// record its offset.
 func (sc *scanner) nodeLine(ex expression, no *unstable.Node) int {
 	if no.Raw.Length == 0 {
 		return ex.line
@@ -59,9 +58,8 @@
 	return sc.line(int(no.Raw.Offset))
 }
 
-// descend returns the type of the field that the parts of a key lead to, or
-// nil.
-func descend(ty reflect.Type, parts []string) reflect.Type {
+// fieldType returns the type of the field at a key path, or nil.
+func fieldType(ty reflect.Type, parts []string) reflect.Type {
 	for _, part := range parts {
 		for ty != nil && (ty.Kind() == reflect.Slice || ty.Kind() == reflect.Pointer) {
 			ty = ty.Elem()
@@ -69,20 +67,20 @@
 		if ty == nil || ty.Kind() != reflect.Struct {
 			return nil
 		}
-		ty = field(ty, part)
+		ty = structField(ty, part)
 	}
 	return ty
 }
 
-// field returns the type of a struct's field of a key, or nil.
-func field(ty reflect.Type, key string) reflect.Type {
+// structField returns the type of a struct's field with a TOML key, or nil.
+func structField(ty reflect.Type, key string) reflect.Type {
 	for i := range ty.NumField() {
 		fi := ty.Field(i)
 		if fi.Tag.Get("toml") == key {
 			return fi.Type
 		}
 		if fi.Anonymous && fi.Type.Kind() == reflect.Struct {
-			if found := field(fi.Type, key); found != nil {
+			if found := structField(fi.Type, key); found != nil {
 				return found
 			}
 		}
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with an input, each fault with its
-// place, so that all of them can be reported together.
+// Package finding collects the errors in an input, each with its file, line and key, to
+// report them together.
 package finding
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// A Finding is one fault and the place where it stands.
+// A Finding is one error in an input, with its location.
 type Finding struct {
 	file    string
 	key     string
@@ -15,19 +15,19 @@
 	message string
 }
 
-// File returns the file's name, or "" if there is none.
+// File returns the file's name, or "".
 func (fi Finding) File() string { return fi.file }
 
-// Key returns the dotted key that the finding concerns, or "".
+// Key returns the dotted key, or "".
 func (fi Finding) Key() string { return fi.key }
 
-// Line returns the line, counted from 1, or 0 if it is not known.
+// Line returns the line, counted from 1, or 0 if it is unknown.
 func (fi Finding) Line() int { return fi.line }
 
-// Message returns what is wrong.
+// Message returns the description of the error, without its location.
 func (fi Finding) Message() string { return fi.message }
 
-// String returns the finding as file:line: key: message.
+// String formats the finding as file:line: key: message.
 func (fi Finding) String() string {
 	var sb strings.Builder
 	if fi.file != "" {
@@ -45,12 +45,12 @@
 	return sb.String()
 }
 
-// A List gathers findings. The zero List is empty and ready to use.
+// A List collects findings. The zero List is empty and ready to use.
 type List struct {
 	findings []Finding
 }
 
-// Add appends a finding. A line of 0 means that the line is not known.
+// Add appends a finding. A line of 0 means that the line is unknown.
 func (li *List) Add(file string, line int, key, format string, args ...any) {
 	li.findings = append(li.findings, Finding{
 		file:    file,
@@ -60,10 +60,10 @@
 	})
 }
 
-// All returns the findings in the order in which they were added.
+// All returns the findings in the order of Add.
 func (li *List) All() []Finding { return li.findings }
 
-// Err returns nil for an empty list and otherwise an *Error holding all.
+// Err returns nil for an empty list and otherwise an *Error with all findings.
 func (li *List) Err() error {
 	if len(li.findings) == 0 {
 		return nil
@@ -71,12 +71,12 @@
 	return &Error{findings: li.findings}
 }
 
-// An Error reports findings together, a line each.
+// An Error holds findings. Its message has one line for each.
 type Error struct {
 	findings []Finding
 }
 
-// Findings returns the findings that the error reports.
+// Findings returns the findings of the error.
 func (er *Error) Findings() []Finding { return er.findings }
 
 // Error implements error.
