--- a/profile/replica_test.go
+++ b/profile/replica_test.go
@@ -133,7 +133,7 @@
 		revision uint64
 	}{
 		{name: "older copy", restore: putCopy, a: "3s", b: "1s", revision: 3},
-		{name: "value gone", restore: func(ctx context.Context, t *testing.T, st *Store, _ Document) {
+		{name: "value deleted", restore: func(ctx context.Context, t *testing.T, st *Store, _ Document) {
 			vd, err := st.Read(ctx)
 			assert.NilError(t, err)
 			assert.NilError(t, st.Client.Delete(ctx, DefaultKey, vd.Version))
--- a/profile/spread_test.go
+++ b/profile/spread_test.go
@@ -143,11 +143,11 @@
 		loss   float64
 	}{
 		{name: "no fault"},
-		{name: "one watch silent", silent: 1},
-		{name: "all watches silent", silent: -1},
+		{name: "one watch hangs", silent: 1},
+		{name: "all watches hang", silent: -1},
 		{name: "service takes 2s a call", faults: keyvalue.Faults{Delay: 2 * time.Second}},
-		{name: "1 message in 5 lost, half the watches silent", silent: 8, loss: 0.2},
-		{name: "outage at once, all but one watch silent", silent: 15, faults: keyvalue.Faults{Outage: true}},
+		{name: "1 message in 5 lost, half the watches hang", silent: 8, loss: 0.2},
+		{name: "outage at once, all but one watch hang", silent: 15, faults: keyvalue.Faults{Outage: true}},
 	}
 	var table strings.Builder
 	fmt.Fprintf(&table, "%-46s %6s %8s %8s %8s %8s %10s %9s %9s\n", "scenario", "nodes", "p50", "p99", "max", "fetches", "messages/s", "kv-before", "kv-after")
@@ -190,7 +190,7 @@
 		row(sc.name, 380, 16, 9, sc.silent, sc.faults, sc.loss)
 	}
 	for _, size := range []int{10, 100, 380} {
-		row("slope, no fault", size, max(3, size*16/380), 3, 0, keyvalue.Faults{}, 0)
+		row("fleet size, no fault", size, max(3, size*16/380), 3, 0, keyvalue.Faults{}, 0)
 	}
 	golden.Assert(t, table.String(), "time-to-in-force.golden")
 }
--- a/profile/store_test.go
+++ b/profile/store_test.go
@@ -158,12 +158,12 @@
 		unsettled bool
 	}{
 		{name: "no fault", fault: noFault, a: "2s", b: "1s", revision: 2},
-		{name: "answer lost", fault: loseAnswer, a: "2s", b: "1s", revision: 2, settled: true},
-		{name: "answer lost, then another profile written", fault: bobAfter("b"), a: "2s", b: "9s", revision: 3, settled: true},
-		{name: "answer lost, then the same profile written", fault: bobAfter("a"), a: "9s", b: "1s", revision: 3, settled: true},
+		{name: "response lost", fault: loseAnswer, a: "2s", b: "1s", revision: 2, settled: true},
+		{name: "response lost, then another profile written", fault: bobAfter("b"), a: "2s", b: "9s", revision: 3, settled: true},
+		{name: "response lost, then the same profile written", fault: bobAfter("a"), a: "9s", b: "1s", revision: 3, settled: true},
 		{name: "write arrives late", fault: lateWrite, a: "2s", b: "1s", revision: 2},
-		{name: "connection silent", fault: silent, a: "2s", b: "1s", revision: 2},
-		{name: "connection silent at the read", fault: silentRead, err: keyvalue.ErrUnavailable, a: "1s", b: "1s", revision: 1},
+		{name: "write hangs", fault: silent, a: "2s", b: "1s", revision: 2},
+		{name: "read hangs", fault: silentRead, err: keyvalue.ErrUnavailable, a: "1s", b: "1s", revision: 1},
 		{name: "race on different profiles", fault: bobBefore("b"), a: "2s", b: "9s", revision: 3},
 		{name: "race on the same profile", fault: bobBefore("a"), errText: "changed both here and in revision 2", a: "9s", b: "1s", revision: 2},
 		{name: "outage before the write", fault: outageBefore, err: keyvalue.ErrUnavailable, a: "1s", b: "1s", revision: 1},
--- a/settings/text.go
+++ b/settings/text.go
@@ -102,7 +102,7 @@
 	return choose(&pr.value, text, AttendantRole, EntryRole)
 }
 
-// choose sets to to the choice equal to text, or fails.
+// choose sets the target to the choice that equals text, or fails.
 func choose[T ~string](to *T, text []byte, choices ...T) error {
 	names := make([]string, len(choices))
 	for i, ch := range choices {
