--- a/standin/caller.go
+++ b/standin/caller.go
@@ -25,32 +25,32 @@
 	"wisteriacroft/unit"
 )
 
-// maxInFlight is how many calls a caller has open at one time.
+// maxInFlight is how many calls a caller has open at once.
 const maxInFlight = 512
 
-// A CallerSummary is what a caller saw, compared with what the endpoints
-// counted.
+// A CallerSummary counts the results of a caller's calls and compares them
+// with the counts of the endpoints.
 type CallerSummary struct {
-	Broken                int                  `json:"broken"`              // connections cut, answers cut short
-	BrokenBy              string               `json:"broken-by,omitempty"` // how the first of them ended
+	Broken                int                  `json:"broken"`              // connections cut, responses truncated
+	BrokenBy              string               `json:"broken-by,omitempty"` // id, duration and error of the first of them
 	Calls                 int                  `json:"calls"`
 	Crossed               int                  `json:"crossed"`
 	Name                  string               `json:"name"`
 	NotRepeatableRunTwice int                  `json:"not-repeatable-run-twice"`
 	NotRunButRan          int                  `json:"not-run-but-ran"`
-	P50                   unit.Duration        `json:"p50"` // of whole answers
+	P50                   unit.Duration        `json:"p50"` // of complete responses
 	P99                   unit.Duration        `json:"p99"`
 	Refused               map[outcome.Code]int `json:"refused"`
-	Unsent                int                  `json:"unsent"` // too many were open
+	Unsent                int                  `json:"unsent"` // maxInFlight was reached
 	Whole                 int                  `json:"whole"`
 }
 
-// errCrossed means that a caller got the answer of another request.
-var errCrossed = errors.New("answer belongs to another request")
+// errMismatchedResponse means that a caller got the response of another request.
+var errMismatchedResponse = errors.New("answer belongs to another request")
 
-// A liveCall is one call and all that is known of it.
+// A liveCall is one call of a Caller.
 type liveCall struct {
-	id         string // also names the path or prompt, so that the endpoints count it
+	id         string // part of the path or prompt, by which the endpoints count runs
 	key        string // idempotency key
 	repeatable bool
 }
@@ -58,8 +58,8 @@
 func (lc liveCall) path() string   { return "/calls/" + lc.id }
 func (lc liveCall) prompt() string { return "live call " + lc.id }
 
-// refusedDials is how many entries a call is offered to.
-const refusedDials = 3
+// maxDials is how many entries an attempt may dial.
+const maxDials = 3
 
 // A Caller sends live calls at a rate.
 type Caller struct {
@@ -68,14 +68,14 @@
 	hc        *http.Client
 	settings  CallerSettings
 
-	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram // of whole answers, in microseconds
-	notRun    []liveCall
-	notTwice  []liveCall // not repeatable
-	sum       CallerSummary
+	mu            sync.Mutex
+	histogram     *hdrhistogram.Histogram // of complete responses, in microseconds
+	notRun        []liveCall
+	notRepeatable []liveCall
+	sum           CallerSummary
 }
 
-// NewCaller returns a caller of checked settings. endpoints are the base URLs
+// NewCaller returns a caller of validated settings. endpoints are the base URLs
 // of the endpoints' stand-ins whose counts it compares with, if any.
 func NewCaller(se CallerSettings, addresses, endpoints []string, hc *http.Client) *Caller {
 	return &Caller{
@@ -88,8 +88,8 @@
 	}
 }
 
-// Run sends calls until its time is over or until closes, and compares what it
-// was told with what the endpoints counted.
+// Run sends calls until its configured duration has passed or until is closed,
+// and compares the responses with the counts of the endpoints.
 func (ca *Caller) Run(ctx context.Context, until <-chan struct{}) (CallerSummary, error) {
 	var over <-chan time.Time
 	if ca.settings.For > 0 {
@@ -116,8 +116,7 @@
 	return ca.compare(ctx)
 }
 
-// send makes a call in the background, unless as many as open has room for are
-// under way.
+// send makes a call in the background, unless maxInFlight calls are open.
 func (ca *Caller) send(ctx context.Context, wg *sync.WaitGroup, open chan struct{}) {
 	select {
 	case open <- struct{}{}:
@@ -130,14 +129,15 @@
 	}
 }
 
-// count changes the counts under mu.
+// count calls change with mu held.
 func (ca *Caller) count(change func()) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	change()
 }
 
-// call makes one call, again by the same key while its fate is unknown.
+// call makes one call, and repeats it with the same key while its outcome is
+// unknown.
 func (ca *Caller) call(ctx context.Context) {
 	lc := liveCall{
 		id:         uuid.NewString(),
@@ -146,36 +146,36 @@
 	}
 	began := time.Now()
 	var err error
-	truth := outcome.NotRun // of all attempts
+	overall := outcome.NotRun // of all attempts
 	for range 1 + ca.settings.Repeats {
-		if err = ca.tryEach(ctx, lc); err == nil {
+		if err = ca.tryEntries(ctx, lc); err == nil {
 			break
 		}
 		if outcome.FromError(err) == outcome.NotRun {
 			break
 		}
-		truth = outcome.Unknown
+		overall = outcome.Unknown
 		ca.entries.next()
 	}
-	ca.count(func() { ca.settle(lc, err, truth, time.Since(began)) })
+	ca.count(func() { ca.recordResult(lc, err, overall, time.Since(began)) })
 }
 
-// settle counts a call's end.
-func (ca *Caller) settle(lc liveCall, err error, truth outcome.Outcome, took time.Duration) {
+// recordResult counts the result of a call. The caller holds mu.
+func (ca *Caller) recordResult(lc liveCall, err error, overall outcome.Outcome, took time.Duration) {
 	ca.sum.Calls++
 	if !lc.repeatable {
-		ca.notTwice = append(ca.notTwice, lc)
+		ca.notRepeatable = append(ca.notRepeatable, lc)
 	}
 	var re *outcome.Refusal
 	switch {
 	case err == nil:
 		ca.sum.Whole++
 		_ = ca.histogram.RecordValue(max(1, took.Microseconds()))
-	case errors.Is(err, errCrossed):
+	case errors.Is(err, errMismatchedResponse):
 		ca.sum.Crossed++
 	case errors.As(err, &re):
 		ca.sum.Refused[re.Code]++
-		if re.Outcome() == outcome.NotRun && truth == outcome.NotRun {
+		if re.Outcome() == outcome.NotRun && overall == outcome.NotRun {
 			ca.notRun = append(ca.notRun, lc)
 		}
 	default:
@@ -184,11 +184,11 @@
 	}
 }
 
-// tryEach sends a call once, to the first entry that takes a connection, as a
-// balancer does: a refused connection has carried nothing.
-func (ca *Caller) tryEach(ctx context.Context, lc liveCall) error {
+// tryEntries sends a call once, to the first entry that accepts a connection, as a
+// load balancer does: after a refused connection, nothing was sent.
+func (ca *Caller) tryEntries(ctx context.Context, lc liveCall) error {
 	var err error
-	for range refusedDials {
+	for range maxDials {
 		err = ca.try(ctx, lc)
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			break
@@ -198,7 +198,7 @@
 	return err
 }
 
-// try sends a call once.
+// try sends a call to the current entry.
 func (ca *Caller) try(ctx context.Context, lc liveCall) error {
 	ctx, cancel := context.WithTimeout(ctx, ca.settings.deadline()+time.Second)
 	defer cancel()
@@ -214,7 +214,7 @@
 	return ca.check(lc, resp)
 }
 
-// request returns the request of a call.
+// request builds the HTTP request of a call.
 func (ca *Caller) request(ctx context.Context, lc liveCall) (*http.Request, error) {
 	path := "/v1/services/" + ca.settings.Service
 	body := []byte(lc.id)
@@ -232,7 +232,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // the transport must not repeat it
+	req.GetBody = nil // the transport must not retry it
 	req.Header.Set(message.DeadlineHeader, ca.settings.deadline().String())
 	req.Header.Set(message.ProfileHeader, ca.settings.Profile)
 	req.Header.Set(message.RequestIDHeader, lc.id)
@@ -244,13 +244,13 @@
 	return req, nil
 }
 
-// check tells whether an answer is whole and the call's own.
+// check returns an error unless a response is complete and belongs to the call.
 func (ca *Caller) check(lc liveCall, resp *http.Response) error {
 	if resp.StatusCode != http.StatusOK {
 		return refusalOf(resp)
 	}
 	if id := resp.Header.Get(message.RequestIDHeader); id != "" && id != lc.id {
-		return errCrossed
+		return errMismatchedResponse
 	}
 	if ca.settings.MaxTokens > 0 {
 		return checkStream(lc, resp.Body, ca.settings.MaxTokens)
@@ -260,12 +260,13 @@
 		return errors.Wrap(err, "decode an answer")
 	}
 	if an.Path != lc.path() || an.Body != lc.id {
-		return errCrossed
+		return errMismatchedResponse
 	}
 	return nil
 }
 
-// checkStream tells whether a stream is whole and made for the call's prompt.
+// checkStream returns an error unless a stream is complete and was generated
+// for the call's prompt.
 func checkStream(lc liveCall, body io.Reader, maxTokens int) error {
 	var tokens []engine.Token
 	var segments []engine.Segment
@@ -276,7 +277,7 @@
 			return errors.Wrap(err, "decode a chunk")
 		}
 		if ch.RequestID != lc.id {
-			return errCrossed
+			return errMismatchedResponse
 		}
 		if ch.First != len(tokens) {
 			return errors.Newf("chunk at %d came for %d", ch.First, len(tokens))
@@ -287,14 +288,14 @@
 			continue
 		}
 		if !Attributed(lc.prompt(), tokens, segments) || !Whole(lc.prompt(), tokens, maxTokens) {
-			return errCrossed
+			return errMismatchedResponse
 		}
 		return nil
 	}
 	return errors.New("stream ended before its last chunk")
 }
 
-// compare compares what the caller was told with what the endpoints counted.
+// compare compares the caller's results with the counts of the endpoints.
 func (ca *Caller) compare(ctx context.Context) (CallerSummary, error) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
@@ -302,7 +303,7 @@
 	ca.sum.P99 = unit.Duration(ca.histogram.ValueAtPercentile(99)) * unit.Duration(time.Microsecond)
 	all := Counts{Keys: map[string]int{}, Paths: map[string]int{}, Prompts: map[string]int{}}
 	for _, base := range ca.endpoints {
-		co, err := ca.counts(context.WithoutCancel(ctx), base)
+		co, err := ca.fetchCounts(context.WithoutCancel(ctx), base)
 		if err != nil {
 			return ca.sum, errors.Wrapf(err, "counts of %s", base)
 		}
@@ -317,21 +318,21 @@
 	return ca.sum, nil
 }
 
-// compareWith counts the calls that ran though they were refused as not run, and
-// those that ran twice though they may not. Calls are found by path and prompt,
-// which are known even if the headers got lost on the way.
+// compareWith counts the calls that ran although they were refused as not run,
+// and the calls that are not repeatable but ran twice. It looks calls up by path
+// and prompt, which reach the endpoint even if headers are lost.
 func (ca *Caller) compareWith(all Counts) {
 	ca.sum.NotRunButRan, ca.sum.NotRepeatableRunTwice = 0, 0
 	for _, lc := range ca.notRun {
-		ca.sum.NotRunButRan += count(all.Paths[lc.path()]+all.Prompts[lc.prompt()] > 0)
+		ca.sum.NotRunButRan += boolToInt(all.Paths[lc.path()]+all.Prompts[lc.prompt()] > 0)
 	}
-	for _, lc := range ca.notTwice {
-		ca.sum.NotRepeatableRunTwice += count(all.Paths[lc.path()]+all.Prompts[lc.prompt()] > 1)
+	for _, lc := range ca.notRepeatable {
+		ca.sum.NotRepeatableRunTwice += boolToInt(all.Paths[lc.path()]+all.Prompts[lc.prompt()] > 1)
 	}
 }
 
-// counts returns what the endpoints behind a base URL counted.
-func (ca *Caller) counts(ctx context.Context, base string) (Counts, error) {
+// fetchCounts requests the counts of the endpoints behind a base URL.
+func (ca *Caller) fetchCounts(ctx context.Context, base string) (Counts, error) {
 	cl := roundtrip.New(base, ca.hc, errors.New("endpoints are unavailable"))
 	co, status, err := roundtrip.Call[Counts](ctx, cl, http.MethodGet, "/counts", nil)
 	if err == nil && status != http.StatusOK {
--- a/standin/clients.go
+++ b/standin/clients.go
@@ -25,8 +25,8 @@
 	trainers []*Trainer
 }
 
-// NewClients returns the clients of checked settings. A nil hc means one of
-// its own.
+// NewClients returns the clients of validated settings. If hc is nil, it
+// creates a client.
 func NewClients(se ClientsSettings, hc *http.Client) *Clients {
 	if hc == nil {
 		hc = roundtrip.NewHTTPClient()
@@ -41,15 +41,15 @@
 	return cl
 }
 
-// A ClientsProgress is how far the clients are.
+// A ClientsProgress is the progress of running clients.
 type ClientsProgress struct {
 	Calls   int // that ended
-	Samples int // that the trainers took
-	Step    int // that the slowest trainer pulls
+	Samples int // received by the trainers
+	Step    int // of the slowest trainer
 	Wanted  int // samples in all
 }
 
-// Progress returns how far the clients are while they run.
+// Progress returns the progress of the clients. It may be called while they run.
 func (cl *Clients) Progress() ClientsProgress {
 	var pr ClientsProgress
 	for _, ca := range cl.callers {
@@ -66,8 +66,8 @@
 	return pr
 }
 
-// Recount compares again what the callers were told with what the endpoints
-// counted: a request that was refused as not run may run later.
+// Recount repeats the comparison of the callers' results with the counts of the
+// endpoints: a request that was refused as not run may have run later.
 func (cl *Clients) Recount(ctx context.Context, sum ClientsSummary) (ClientsSummary, error) {
 	for i, ca := range cl.callers {
 		var err error
@@ -78,8 +78,8 @@
 	return sum, nil
 }
 
-// Run runs the trainers to their last step and the callers as long as their
-// settings say. It ends with ctx.
+// Run runs the trainers to their last step and the callers for their configured
+// duration, or until ctx ends.
 func (cl *Clients) Run(ctx context.Context) (ClientsSummary, error) {
 	sum := ClientsSummary{
 		Callers:  make([]CallerSummary, len(cl.callers)),
@@ -102,29 +102,28 @@
 	return sum, err
 }
 
-// An entries is the list of entries that a client may ask, and the one that it
-// asks now.
+// An entries is a client's list of entries and the one currently in use.
 type entries struct {
 	mu        sync.Mutex
 	addresses []string
-	at        int // index of the one asked, modulo their number
+	index     int // of the current entry, modulo the number of addresses
 }
 
-// current returns the base URL of the entry asked now.
+// current returns the base URL of the current entry.
 func (es *entries) current() string {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	return "http://" + es.addresses[es.at%len(es.addresses)]
+	return "http://" + es.addresses[es.index%len(es.addresses)]
 }
 
-// next goes to the next entry.
+// next switches to the next entry.
 func (es *entries) next() {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	es.at++
+	es.index++
 }
 
-// refusalOf returns the refusal that an answer's body holds.
+// refusalOf decodes the refusal in a response body.
 func refusalOf(resp *http.Response) *outcome.Refusal {
 	re := &outcome.Refusal{}
 	err := json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxBody)).Decode(re)
@@ -141,7 +140,7 @@
 }
 
 // call reads the newest version (GET) or publishes the next one (POST), and
-// tries again until the store answers.
+// retries until the store responds or ctx ends.
 func (we weights) call(ctx context.Context, method string) (weightstore.Weights, error) {
 	for {
 		la, status, err := roundtrip.Call[weightstore.Weights](ctx, we.client, method, "/weights/"+we.model, nil)
--- a/standin/clients_test.go
+++ b/standin/clients_test.go
@@ -8,11 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRecount
-//
-// Symptom: clients end with an error in place of their counts.
-// Sequence: a caller makes its calls and asks the endpoints' stand-in what ran.
-// Cause: the stand-in's own commands did not echo the request's id.
+// TestRecount guards against a stand-in whose /counts doesn't echo the request
+// id: the clients would fail with an error.
 func TestRecount(t *testing.T) {
 	es := NewEndpoints(EndpointsSettings{Endpoints: []EndpointRow{{Kind: PlainKind, Names: []string{"gate-api-1"}}}})
 	server := httptest.NewServer(es.Handler())
--- a/standin/clientsettings.go
+++ b/standin/clientsettings.go
@@ -16,7 +16,7 @@
 	Trainers  []TrainerSettings `toml:"trainer"`
 }
 
-// A TrainerSettings says what a trainer asks for.
+// A TrainerSettings configures a trainer.
 type TrainerSettings struct {
 	Follows        bool          `toml:"follows"` // trains the newest version of the model and publishes none
 	Groups         int           `toml:"groups"`  // in a step
@@ -30,11 +30,11 @@
 	Seed           int           `toml:"seed"`   // of the prompts
 	StalenessBound int           `toml:"staleness-bound"`
 	Steps          int           `toml:"steps"`
-	StepsAhead     int           `toml:"steps-ahead"` // asked for before the step that it trains on
+	StepsAhead     int           `toml:"steps-ahead"` // submitted before the step that it trains on
 	TrainTime      unit.Duration `toml:"train-time"`  // of a step
 }
 
-// A CallerSettings says what a live caller sends.
+// A CallerSettings configures a live caller.
 type CallerSettings struct {
 	Deadline      unit.Duration `toml:"deadline"`
 	For           unit.Duration `toml:"for"`        // 0: until the trainers are done
@@ -43,7 +43,7 @@
 	NotRepeatable int           `toml:"not-repeatable"` // percent of the calls
 	Profile       string        `toml:"profile"`
 	Rate          int           `toml:"rate"`    // calls a second
-	Repeats       int           `toml:"repeats"` // by the same key, when a call's fate is unknown
+	Repeats       int           `toml:"repeats"` // with the same key, when a call's outcome is unknown
 	Service       string        `toml:"service"`
 }
 
@@ -66,8 +66,8 @@
 }
 
 func (se TrainerSettings) check(prefix string, ch checker) {
-	ch.named(prefix+"name", se.Name)
-	ch.named(prefix+"profile", se.Profile)
+	ch.notEmpty(prefix+"name", se.Name)
+	ch.notEmpty(prefix+"profile", se.Profile)
 	ch.atLeast(prefix+"groups", se.Groups, 1)
 	ch.atLeast(prefix+"max-tokens", se.MaxTokens, 1)
 	ch.atLeast(prefix+"members", se.Members, 1)
@@ -79,8 +79,8 @@
 }
 
 func (se CallerSettings) check(prefix string, ch checker) {
-	ch.named(prefix+"name", se.Name)
-	ch.named(prefix+"service", se.Service)
+	ch.notEmpty(prefix+"name", se.Name)
+	ch.notEmpty(prefix+"service", se.Service)
 	ch.atLeast(prefix+"max-tokens", se.MaxTokens, 0)
 	ch.atLeast(prefix+"rate", se.Rate, 1)
 	ch.atLeast(prefix+"repeats", se.Repeats, 0)
@@ -91,7 +91,7 @@
 	}
 }
 
-// deadline returns how long a call may take.
+// deadline returns the time limit of a call.
 func (se CallerSettings) deadline() time.Duration {
 	if se.Deadline == 0 {
 		return 5 * time.Second
--- a/standin/endpoints.go
+++ b/standin/endpoints.go
@@ -32,10 +32,10 @@
 	WeightStore string        `toml:"weight-store"` // base URL; "": loading takes load-time alone
 }
 
-// An EndpointRow holds the settings of endpoints that are alike. The first
-// group is for both kinds, the second for engines.
+// An EndpointRow holds the settings of identical endpoints. The first group of
+// fields applies to both kinds, the second to engines.
 type EndpointRow struct {
-	Addresses  []string      `toml:"addresses"` // listeners of their own, one for each name; none: under /NAME only
+	Addresses  []string      `toml:"addresses"` // separate listeners, one per name; none: under /NAME only
 	Kind       Kind          `toml:"kind"`
 	MaxRunning int           `toml:"max-running"`
 	Names      []string      `toml:"names"`
@@ -43,7 +43,7 @@
 	Time       unit.Duration `toml:"time"` // of an engine's step or of a plain service's call
 
 	Adapter           string         `toml:"adapter"`
-	CacheEventGap     int            `toml:"cache-event-gap"` // each so many-th event is lost; 0: none
+	CacheEventGap     int            `toml:"cache-event-gap"` // every so many events one is lost; 0: none
 	CacheEventLag     unit.Duration  `toml:"cache-event-lag"`
 	CacheMemory       int            `toml:"cache-memory"` // in prefixes
 	Fencing           bool           `toml:"fencing"`
@@ -57,7 +57,7 @@
 	Version           engine.Version `toml:"version"`
 }
 
-// defaults fills in what a row leaves out.
+// defaults returns the row with defaults in place of zero values.
 func (ro EndpointRow) defaults() EndpointRow {
 	ro.CacheMemory = cmp.Or(ro.CacheMemory, 64)
 	ro.MaxRunning = cmp.Or(ro.MaxRunning, 16)
@@ -121,13 +121,13 @@
 	plain   *Plain
 }
 
-// Endpoints is any number of engines and plain services in one process.
+// Endpoints serves engines and plain services in one process.
 type Endpoints struct {
 	byName map[string]endpoint
 	names  []string // in the settings' order
 }
 
-// NewEndpoints returns the endpoints of checked settings.
+// NewEndpoints returns the endpoints of validated settings.
 func NewEndpoints(se EndpointsSettings) *Endpoints {
 	es := &Endpoints{byName: map[string]endpoint{}}
 	for _, row := range se.Endpoints {
@@ -155,7 +155,7 @@
 // Engine returns an engine by its endpoint's name, or nil.
 func (es *Endpoints) Engine(name string) *Engine { return es.byName[name].engine }
 
-// SetFault makes an endpoint misbehave.
+// SetFault activates a fault at the endpoint that it names as its target.
 func (es *Endpoints) SetFault(fa Fault) error {
 	ep, ok := es.byName[fa.Target]
 	if !ok {
@@ -165,8 +165,7 @@
 	return nil
 }
 
-// Counts returns what truly ran at the plain services and engines, all
-// together.
+// Counts returns how often calls ran, summed over all endpoints.
 func (es *Endpoints) Counts() Counts {
 	co := Counts{Keys: map[string]int{}, Paths: map[string]int{}, Prompts: map[string]int{}}
 	for _, name := range es.names {
@@ -179,7 +178,7 @@
 	return co
 }
 
-// Runs returns what the engines truly made.
+// Runs returns the runs of all engines.
 func (es *Endpoints) Runs() []Run {
 	var runs []Run
 	for _, name := range es.names {
@@ -190,20 +189,20 @@
 	return runs
 }
 
-// Handler returns each endpoint under /NAME and the stand-in's own commands.
+// Handler serves each endpoint under /NAME, and /faults, /counts and /runs.
 func (es *Endpoints) Handler() http.Handler {
 	ro := mux.NewRouter()
-	ro.Handle("/faults", echoing(faultHandler(es.SetFault))).Methods(http.MethodPost)
-	ro.Handle("/counts", echoing(handle(func(context.Context, struct{}) (Counts, error) { return es.Counts(), nil })))
-	ro.Handle("/runs", echoing(handle(func(context.Context, struct{}) ([]Run, error) { return es.Runs(), nil })))
+	ro.Handle("/faults", echoRequestID(faultHandler(es.SetFault))).Methods(http.MethodPost)
+	ro.Handle("/counts", echoRequestID(handle(func(context.Context, struct{}) (Counts, error) { return es.Counts(), nil })))
+	ro.Handle("/runs", echoRequestID(handle(func(context.Context, struct{}) ([]Run, error) { return es.Runs(), nil })))
 	for _, name := range es.names {
 		ro.PathPrefix("/" + name + "/").Handler(http.StripPrefix("/"+name, es.byName[name].handler))
 	}
 	return ro
 }
 
-// Serve serves all endpoints on a listener, and those with an address on one
-// of their own too, and runs the engines until ctx ends.
+// Serve serves all endpoints on ln, those with an address on a separate
+// listener too, and runs the engines until ctx ends.
 func (es *Endpoints) Serve(ctx context.Context, ln net.Listener) error {
 	gr, ctx := errgroup.WithContext(ctx)
 	gr.Go(func() error { return serve(ctx, ln, es.Handler()) })
@@ -219,7 +218,7 @@
 	return gr.Wait()
 }
 
-// serve serves an endpoint on a listener of its own, which is closed while the
+// serve serves an endpoint on a separate listener, which is closed while the
 // endpoint is crashed.
 func (ep endpoint) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
--- a/standin/endpoints_test.go
+++ b/standin/endpoints_test.go
@@ -17,13 +17,13 @@
 	"wisteriacroft/unit"
 )
 
-// drain steps an engine by hand until a request is done.
-func drain(en *Engine, wo *work, each func(step int)) (tokens []engine.Token, segments []engine.Segment) {
+// drain steps an engine until a request is done.
+func drain(en *Engine, ge *generation, each func(step int)) (tokens []engine.Token, segments []engine.Segment) {
 	now := time.Unix(0, 0)
 	for step := 0; ; step++ {
 		each(step)
 		en.step(now)
-		chunks, more := en.take(wo)
+		chunks, more := en.takeChunks(ge)
 		for _, ch := range chunks {
 			tokens = append(tokens, ch.Tokens...)
 			segments = append(segments, engine.Segment{Tokens: len(ch.Tokens), Version: ch.Version})
@@ -36,10 +36,9 @@
 
 func testRow() EndpointRow { return EndpointRow{Kind: EngineKind, Fencing: true}.defaults() }
 
-func TestTokensTellTheirVersion(t *testing.T) {
-	// Symptom: a sample names a version that did not make all its tokens.
-	// Sequence: the engine swaps weights inside the answer.
-	// Cause: the segments say so; only the tokens prove it.
+func TestTokensIdentifyVersion(t *testing.T) {
+	// A sample whose segments name a version that did not generate its tokens
+	// must be detected, also if the engine swaps weights within a response.
 	req := engine.GenerateRequest{ID: "a", MaxTokens: 400, Prompt: "p", Seed: 5}
 	answer := func() ([]engine.Token, []engine.Segment) {
 		en := newEngine(testRow(), "")
@@ -72,12 +71,12 @@
 	}})
 }
 
-func TestLengthsHaveAHeavyTail(t *testing.T) {
+func TestLengthDistribution(t *testing.T) {
 	full, sum := 0, 0
 	for seed := range uint64(10_000) {
 		length := LengthOf("p", seed, 1600)
 		sum += length
-		full += count(length == 1600)
+		full += boolToInt(length == 1600)
 	}
 	assert.Assert(t, full > 100 && full < 220, "%d", full)
 	assert.Assert(t, sum/10_000 > 200 && sum/10_000 < 320, "%d", sum/10_000)
@@ -164,10 +163,9 @@
 	assert.ErrorIs(t, call("c"), plainservice.ErrNotSent)
 }
 
-func TestCrashedEndpointRefuses(t *testing.T) {
-	// Symptom: a call to a crashed endpoint can't be told from one that ran.
-	// Sequence: the endpoint with a listener of its own crashes and is back.
-	// Cause: its port must refuse meanwhile, as a dead process's does.
+func TestCrashedEndpointRefusesConnections(t *testing.T) {
+	// The port of a crashed endpoint must refuse connections, or a caller can't
+	// distinguish a call that was not sent from one that ran.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := ln.Addr().String()
@@ -196,9 +194,8 @@
 }
 
 func TestCrashCutsStream(t *testing.T) {
-	// Symptom: an answer that an engine never ended passes for a whole one.
-	// Sequence: the engine crashes with the stream open.
-	// Cause: the stream must lack its last chunk, and running state be lost.
+	// A crash must abort running requests without a last chunk, or a truncated
+	// response passes for a complete one.
 	es := NewEndpoints(EndpointsSettings{Endpoints: []EndpointRow{{Kind: EngineKind, Names: []string{"marker-1"}}}})
 	se := httptest.NewServer(es.Handler())
 	defer se.Close()
@@ -206,7 +203,7 @@
 	now := time.Unix(0, 0)
 	emitted := 0
 	go func() {
-		for en.lagging().Running == 0 { // the engine steps once the request is there
+		for en.delayedReport().Running == 0 { // step until the request is admitted
 			now = now.Add(time.Second)
 			en.step(now)
 		}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -12,14 +12,14 @@
 	"wisteriacroft/weightstore"
 )
 
-// maxRuns is how many runs an engine keeps.
+// maxRuns is how many runs an engine records.
 const maxRuns = 100_000
 
-// maxFetches is how often an engine tries to fetch weights.
+// maxFetches is how many times an engine tries to fetch weights.
 const maxFetches = 100
 
-// A Run is tokens that an engine truly made for a request, in a row and with
-// one version.
+// A Run is a contiguous sequence of tokens that an engine generated for a
+// request with one version.
 type Run struct {
 	First     int            `json:"first"`
 	Prompt    string         `json:"prompt"`
@@ -29,60 +29,60 @@
 	Version   engine.Version `json:"version"`
 }
 
-// A work is a request that an engine holds.
-type work struct {
+// A generation is a request in progress at an engine.
+type generation struct {
 	changed chan struct{}
-	chunks  []engine.Chunk // not yet written
+	chunks  []engine.Chunk // not yet sent
 	done    bool
 	length  int
-	lost    bool // by a crash or a cancel
-	prefill int  // steps that are left
+	aborted bool // by a crash or a cancellation
+	prefill int  // remaining steps
 	req     engine.GenerateRequest
 	run     int // index of its latest run, or -1
 	tokens  []engine.Token
 }
 
-// wake tells the work's writer to look again.
-func (wo *work) wake() {
+// notify wakes the handler that streams the response.
+func (ge *generation) notify() {
 	select {
-	case wo.changed <- struct{}{}:
+	case ge.changed <- struct{}{}:
 	default:
 	}
 }
 
-// An Engine is a model engine. It admits requests as they arrive.
+// An Engine simulates a model engine that admits requests in arrival order.
 type Engine struct {
 	faults
 	mu       sync.Mutex
 	cache    prefixCache
-	crashed  int // how often
+	crashes  int // number of crashes
 	epoch    uint64
 	imported []engine.CacheSnapshot
 	orders   chan engine.Order
-	report   engine.Report // the lagging one
+	report   engine.Report // as served, at most a report lag old
 	row      EndpointRow
-	running  []*work
+	running  []*generation
 	runs     []Run
-	state    engine.Report // the true one
+	state    engine.Report // current
 	store    roundtrip.Client
-	stored   bool // whether there is a store
-	waiting  []*work
+	hasStore bool
+	waiting  []*generation
 }
 
 func newEngine(row EndpointRow, store string) *Engine {
 	en := &Engine{
-		cache:  newPrefixCache(row),
-		orders: make(chan engine.Order, 64),
-		row:    row,
-		store:  roundtrip.New(store, nil, weightstore.ErrUnavailable),
-		stored: store != "",
+		cache:    newPrefixCache(row),
+		orders:   make(chan engine.Order, 64),
+		row:      row,
+		store:    roundtrip.New(store, nil, weightstore.ErrUnavailable),
+		hasStore: store != "",
 	}
 	en.restart()
 	en.onCrash = en.crash
 	return en
 }
 
-// restart gives the engine what it has after a start.
+// restart resets the engine to its initial state.
 func (en *Engine) restart() {
 	en.cache = newPrefixCache(en.row)
 	en.epoch = 0
@@ -92,35 +92,35 @@
 	}
 }
 
-// crash loses all that the engine holds.
+// crash aborts all requests and resets the engine.
 func (en *Engine) crash() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	for _, wo := range slices.Concat(en.running, en.waiting) {
-		wo.lost = true
-		wo.wake()
+	for _, ge := range slices.Concat(en.running, en.waiting) {
+		ge.aborted = true
+		ge.notify()
 	}
 	en.running, en.waiting = nil, nil
-	en.crashed++
+	en.crashes++
 	en.restart()
 }
 
-// lagging returns the load of up to a report lag ago.
-func (en *Engine) lagging() engine.Report {
+// delayedReport returns the last published report.
+func (en *Engine) delayedReport() engine.Report {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.report
 }
 
-// Runs returns what the engine truly made.
+// Runs returns a copy of the engine's recorded runs.
 func (en *Engine) Runs() []Run {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return slices.Clone(en.runs)
 }
 
-// count adds the starts at the engine to others. A resumed answer counts
-// where it started.
+// count adds the generations that started at this engine to co. A resumed
+// generation is counted only by the engine that started it.
 func (en *Engine) count(co Counts) {
 	for _, ru := range en.Runs() {
 		if ru.First == 0 {
@@ -129,12 +129,12 @@
 	}
 }
 
-// Run steps the engine and obeys its orders until ctx ends.
+// Run steps the engine and executes its orders until ctx ends.
 func (en *Engine) Run(ctx context.Context) {
-	go en.obey(ctx)
+	go en.executeOrders(ctx)
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(en.row.Time))
-		if delay, ok := en.strike(Slow); ok {
+		if delay, ok := en.trigger(Slow); ok {
 			sleep(ctx, delay)
 		}
 		en.wait(ctx, Freeze)
@@ -142,8 +142,8 @@
 	}
 }
 
-// obey carries the orders out, one after another, until ctx ends.
-func (en *Engine) obey(ctx context.Context) {
+// executeOrders executes the orders one by one until ctx ends.
+func (en *Engine) executeOrders(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -154,21 +154,21 @@
 	}
 }
 
-// step makes the next tokens of each request that runs.
+// step admits waiting requests and generates the next tokens of the running ones.
 func (en *Engine) step(now time.Time) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for len(en.waiting) > 0 && len(en.running) < en.row.MaxRunning {
-		wo := en.waiting[0]
+		ge := en.waiting[0]
 		en.waiting = en.waiting[1:]
-		wo.prefill = en.prefill(wo.req, now)
-		en.running = append(en.running, wo)
+		ge.prefill = en.prefill(ge.req, now)
+		en.running = append(en.running, ge)
 	}
 	if !en.state.Loading || en.row.ServeWhileLoading {
-		for _, wo := range en.running {
-			en.advance(wo)
+		for _, ge := range en.running {
+			en.advance(ge)
 		}
-		en.running = slices.DeleteFunc(en.running, func(wo *work) bool { return wo.done })
+		en.running = slices.DeleteFunc(en.running, func(ge *generation) bool { return ge.done })
 	}
 	en.state.Running, en.state.Waiting = len(en.running), len(en.waiting)
 	if now.Sub(en.report.At) >= time.Duration(en.row.ReportLag) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// prefill returns how many steps a request takes before its first token. The
-// cached prefix, and an imported cache of the version in use, cost nothing.
+// prefill returns how many steps a request takes before its first token. A
+// cached prefix, and an imported cache of the current version, take no steps.
 func (en *Engine) prefill(req engine.GenerateRequest, now time.Time) int {
 	size := len(req.Prompt)
 	prefix := req.Prompt[:min(size, en.row.PrefixSize)]
@@ -194,47 +194,47 @@
 	return size / en.row.PrefillPerStep
 }
 
-// advance makes a request's next tokens.
-func (en *Engine) advance(wo *work) {
-	if wo.prefill > 0 {
-		wo.prefill--
+// advance generates a request's next tokens.
+func (en *Engine) advance(ge *generation) {
+	if ge.prefill > 0 {
+		ge.prefill--
 		return
 	}
-	ch := engine.Chunk{First: len(wo.tokens), RequestID: wo.req.ID, Version: en.state.Version}
-	for range min(en.row.TokensPerStep, wo.length-len(wo.tokens)) {
-		to := TokenAt(wo.req.Prompt, wo.req.Seed, len(wo.tokens), en.state.Version)
-		wo.tokens = append(wo.tokens, to)
+	ch := engine.Chunk{First: len(ge.tokens), RequestID: ge.req.ID, Version: en.state.Version}
+	for range min(en.row.TokensPerStep, ge.length-len(ge.tokens)) {
+		to := TokenAt(ge.req.Prompt, ge.req.Seed, len(ge.tokens), en.state.Version)
+		ge.tokens = append(ge.tokens, to)
 		ch.Tokens = append(ch.Tokens, to)
 	}
-	en.record(wo, ch)
-	ch.Done = len(wo.tokens) >= wo.length
-	wo.done = ch.Done
-	wo.chunks = append(wo.chunks, ch)
-	wo.wake()
+	en.record(ge, ch)
+	ch.Done = len(ge.tokens) >= ge.length
+	ge.done = ch.Done
+	ge.chunks = append(ge.chunks, ch)
+	ge.notify()
 }
 
-// record adds a chunk to what the engine made.
-func (en *Engine) record(wo *work, ch engine.Chunk) {
+// record adds a chunk to the engine's runs, up to maxRuns.
+func (en *Engine) record(ge *generation, ch engine.Chunk) {
 	if len(ch.Tokens) == 0 {
 		return
 	}
-	if wo.run >= 0 && en.runs[wo.run].Version == ch.Version {
-		en.runs[wo.run].Tokens += len(ch.Tokens)
+	if ge.run >= 0 && en.runs[ge.run].Version == ch.Version {
+		en.runs[ge.run].Tokens += len(ch.Tokens)
 		return
 	}
 	if len(en.runs) >= maxRuns {
 		return
 	}
-	wo.run = len(en.runs)
+	ge.run = len(en.runs)
 	en.runs = append(en.runs, Run{
-		First: ch.First, Prompt: wo.req.Prompt, RequestID: wo.req.ID, Seed: wo.req.Seed,
+		First: ch.First, Prompt: ge.req.Prompt, RequestID: ge.req.ID, Seed: ge.req.Seed,
 		Tokens: len(ch.Tokens), Version: ch.Version,
 	})
 }
 
-// start takes a request.
-func (en *Engine) start(req engine.GenerateRequest) *work {
-	wo := &work{
+// start enqueues a request.
+func (en *Engine) start(req engine.GenerateRequest) *generation {
+	ge := &generation{
 		changed: make(chan struct{}, 1),
 		length:  LengthOf(req.Prompt, req.Seed, req.MaxTokens),
 		req:     req,
@@ -243,35 +243,36 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.waiting = append(en.waiting, wo)
-	return wo
+	en.waiting = append(en.waiting, ge)
+	return ge
 }
 
-// cancel drops the requests that are chosen.
-func (en *Engine) cancel(chosen func(*work) bool) {
+// cancel aborts the requests for which chosen returns true.
+func (en *Engine) cancel(chosen func(*generation) bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	drop := func(wo *work) bool {
-		if !chosen(wo) {
+	drop := func(ge *generation) bool {
+		if !chosen(ge) {
 			return false
 		}
-		wo.lost = true
-		wo.wake()
+		ge.aborted = true
+		ge.notify()
 		return true
 	}
 	en.running = slices.DeleteFunc(en.running, drop)
 	en.waiting = slices.DeleteFunc(en.waiting, drop)
 }
 
-// take returns the chunks that are ready, and whether more can come.
-func (en *Engine) take(wo *work) (chunks []engine.Chunk, more bool) {
+// takeChunks returns the chunks that are ready, and whether more can follow.
+func (en *Engine) takeChunks(ge *generation) (chunks []engine.Chunk, more bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	chunks, wo.chunks = wo.chunks, nil
-	return chunks, !wo.done && !wo.lost
+	chunks, ge.chunks = ge.chunks, nil
+	return chunks, !ge.done && !ge.aborted
 }
 
-// accept takes an order, or refuses it by its epoch.
+// accept enqueues an order, or rejects it if its epoch is old and the engine
+// has fencing.
 func (en *Engine) accept(or engine.Order) error {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -292,10 +293,10 @@
 	}
 }
 
-// load obeys an order, unless the engine crashes or a fault strikes.
+// load executes an order, unless the engine crashes meanwhile or a fault is active.
 func (en *Engine) load(ctx context.Context, or engine.Order) {
 	en.mu.Lock()
-	crashed := en.crashed
+	crashed := en.crashes
 	we := weightstore.Weights{Model: en.state.Model, Version: or.Version}
 	if or.Kind == engine.LoadModel {
 		we.Model = or.Name
@@ -303,11 +304,11 @@
 	en.mu.Unlock()
 	fetched := en.fetch(ctx, or.Kind, we)
 	sleep(ctx, time.Duration(en.row.LoadTime))
-	_, fails := en.strike(SwapFails)
-	_, unknown := en.strike(SwapUnknown)
+	_, fails := en.trigger(SwapFails)
+	_, unknown := en.trigger(SwapUnknown)
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.crashed != crashed {
+	if en.crashes != crashed {
 		return
 	}
 	en.state.Loading = len(en.orders) > 0
@@ -323,9 +324,9 @@
 	}
 }
 
-// fetch gets weights from the store, which may have to be asked again.
+// fetch fetches weights from the store, with up to maxFetches attempts.
 func (en *Engine) fetch(ctx context.Context, kind engine.OrderKind, we weightstore.Weights) bool {
-	if !en.stored || kind == engine.LoadAdapter {
+	if !en.hasStore || kind == engine.LoadAdapter {
 		return true
 	}
 	for range maxFetches {
--- a/standin/enginehttp.go
+++ b/standin/enginehttp.go
@@ -15,14 +15,14 @@
 	"wisteriacroft/roundtrip"
 )
 
-// cacheBytesPerToken is the size of an exported cache.
+// cacheBytesPerToken is the size of an exported cache per token.
 const cacheBytesPerToken = 64
 
 func (en *Engine) handler() http.Handler {
 	ro := mux.NewRouter()
 	ro.HandleFunc("/generate", en.generate).Methods(http.MethodPost)
 	ro.HandleFunc("/cancel", handle(func(_ context.Context, id engine.CallID) (struct{}, error) {
-		en.cancel(func(wo *work) bool { return wo.req.ID == id.RequestID })
+		en.cancel(func(ge *generation) bool { return ge.req.ID == id.RequestID })
 		return struct{}{}, nil
 	}))
 	ro.HandleFunc("/export-cache", handle(func(_ context.Context, id engine.CallID) (engine.CacheSnapshot, error) {
@@ -36,7 +36,7 @@
 		return struct{}{}, en.accept(or)
 	}))
 	ro.HandleFunc("/report", handle(func(context.Context, struct{}) (engine.Report, error) {
-		return en.lagging(), nil
+		return en.delayedReport(), nil
 	}))
 	ro.HandleFunc("/cache-events", func(w http.ResponseWriter, r *http.Request) {
 		after, err := strconv.ParseUint(r.FormValue("after"), 10, 64)
@@ -46,12 +46,12 @@
 		}
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		answer(w, en.cache.after(after, time.Now()), nil)
+		answer(w, en.cache.eventsAfter(after, time.Now()), nil)
 	})
 	return ro
 }
 
-// generate streams an answer. A caller that goes away cancels it.
+// generate streams a response. It cancels the request if the caller disconnects.
 func (en *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var req engine.GenerateRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
@@ -66,12 +66,12 @@
 	if echo := w.Header().Get(roundtrip.IDHeader); echo != "" {
 		id = echo
 	}
-	wo := en.start(req)
-	defer en.cancel(func(other *work) bool { return other == wo })
+	ge := en.start(req)
+	defer en.cancel(func(other *generation) bool { return other == ge })
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
 	for {
-		chunks, more := en.take(wo)
+		chunks, more := en.takeChunks(ge)
 		for _, ch := range chunks {
 			ch.RequestID = id
 			_ = json.NewEncoder(w).Encode(ch)
@@ -83,21 +83,21 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-wo.changed:
+		case <-ge.changed:
 		}
 	}
 }
 
-// exportCache returns the cache of a request that is running.
+// exportCache returns the cache of a running request.
 func (en *Engine) exportCache(id string) (engine.CacheSnapshot, error) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	for _, wo := range en.running {
-		if wo.req.ID == id {
+	for _, ge := range en.running {
+		if ge.req.ID == id {
 			return engine.CacheSnapshot{
-				Data:      make([]byte, cacheBytesPerToken*len(wo.tokens)),
+				Data:      make([]byte, cacheBytesPerToken*len(ge.tokens)),
 				RequestID: id,
-				Tokens:    slices.Clone(wo.tokens),
+				Tokens:    slices.Clone(ge.tokens),
 				Version:   en.state.Version,
 			}, nil
 		}
@@ -105,7 +105,7 @@
 	return engine.CacheSnapshot{}, errors.Wrapf(errNoSuch, "request %q", id)
 }
 
-// importCache keeps a cache, as many as there are prefixes.
+// importCache stores a cache without its data. At most CacheMemory of them are kept.
 func (en *Engine) importCache(cs engine.CacheSnapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -12,22 +12,22 @@
 	"wisteriacroft/unit"
 )
 
-// A FaultName says what goes wrong.
+// A FaultName is a kind of fault.
 type FaultName string
 
-// The faults. All but the last four strike any target.
+// The faults. All but the last four apply to any target.
 const (
 	Clear       FaultName = "clear"        // ends all faults of the target
-	Crash       FaultName = "crash"        // cuts connections, loses what runs; back after For
-	Cross       FaultName = "cross"        // answers with another request's id
-	Drop        FaultName = "drop"         // does all of it, then cuts the connection
-	Freeze      FaultName = "freeze"       // takes requests and says nothing
-	Outage      FaultName = "outage"       // refuses with status 503
+	Crash       FaultName = "crash"        // cuts connections, aborts requests; serves again after For
+	Cross       FaultName = "cross"        // responds with another request's id
+	Drop        FaultName = "drop"         // processes the request, then cuts the connection
+	Freeze      FaultName = "freeze"       // accepts requests and doesn't respond
+	Outage      FaultName = "outage"       // responds with status 503
 	Slow        FaultName = "slow"         // adds Delay
-	Restore     FaultName = "restore"      // platform: goes back to the snapshot
+	Restore     FaultName = "restore"      // platform: restores the snapshot
 	Snapshot    FaultName = "snapshot"     // platform: takes the snapshot
-	SwapFails   FaultName = "swap-fails"   // engines: takes an order and stays as it is
-	SwapUnknown FaultName = "swap-unknown" // engines: names no version after an order
+	SwapFails   FaultName = "swap-fails"   // engines: accepts an order and doesn't execute it
+	SwapUnknown FaultName = "swap-unknown" // engines: reports no version after an order
 )
 
 var faultNames = map[FaultName]bool{
@@ -35,47 +35,47 @@
 	Restore: true, Snapshot: true, SwapFails: true, SwapUnknown: true,
 }
 
-// A Fault is a command to misbehave, the body of POST /faults.
+// A Fault is a command to activate a fault, the body of POST /faults.
 type Fault struct {
-	Count  int           `json:"count,omitempty"` // requests or orders that it strikes; 0: each one
+	Count  int           `json:"count,omitempty"` // requests or orders affected; 0: all
 	Delay  unit.Duration `json:"delay,omitempty"`
 	For    unit.Duration `json:"for,omitempty"` // 0: until cleared
 	Name   FaultName     `json:"name"`
 	Target string        `json:"target"`
 }
 
-// faultPoll is how often wait looks whether a fault has ended by itself.
+// faultPoll is how often wait checks whether a fault has expired.
 const faultPoll = 10 * time.Millisecond
 
-// A condition is a fault in force.
-type condition struct {
-	delay time.Duration
-	ends  time.Time // zero: doesn't end by itself
-	left  int       // 0: not counted
+// An activeFault is a fault that was set and has not expired.
+type activeFault struct {
+	delay     time.Duration
+	expiresAt time.Time // zero: never
+	remaining int       // requests or orders; 0: unlimited
 }
 
-// A faults holds the faults in force at one target. The zero faults is none.
+// A faults holds the active faults of one target. The zero value has none.
 type faults struct {
 	mu       sync.Mutex
-	active   map[FaultName]condition
+	active   map[FaultName]activeFault
 	changed  chan struct{} // closed when a fault is set
 	crashed  chan struct{} // closed by the next crash
 	onCrash  func()        // optional
-	previous string        // id of the request before
+	previous string        // id of the previous request
 }
 
-// set puts a fault in force.
+// set activates a fault, or clears all.
 func (fs *faults) set(fa Fault) {
 	fs.mu.Lock()
-	fs.ready()
+	fs.initialize()
 	if fa.Name == Clear {
 		clear(fs.active)
 	} else {
-		co := condition{delay: time.Duration(fa.Delay), left: fa.Count}
+		af := activeFault{delay: time.Duration(fa.Delay), remaining: fa.Count}
 		if fa.For > 0 {
-			co.ends = time.Now().Add(time.Duration(fa.For))
+			af.expiresAt = time.Now().Add(time.Duration(fa.For))
 		}
-		fs.active[fa.Name] = co
+		fs.active[fa.Name] = af
 	}
 	close(fs.changed)
 	fs.changed = make(chan struct{})
@@ -89,51 +89,51 @@
 	}
 }
 
-// ready makes the zero faults usable. The caller holds mu.
-func (fs *faults) ready() {
+// initialize makes the zero value usable. The caller holds mu.
+func (fs *faults) initialize() {
 	if fs.active == nil {
-		fs.active = map[FaultName]condition{}
+		fs.active = map[FaultName]activeFault{}
 		fs.changed = make(chan struct{})
 		fs.crashed = make(chan struct{})
 	}
 }
 
-// strike returns the delay of a fault and whether it is in force. It uses up
-// one of the fault's count.
-func (fs *faults) strike(name FaultName) (time.Duration, bool) {
+// trigger returns the delay of a fault and whether it is active, and decrements
+// its count.
+func (fs *faults) trigger(name FaultName) (time.Duration, bool) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	co, ok := fs.active[name]
+	af, ok := fs.active[name]
 	if !ok {
 		return 0, false
 	}
-	if !co.ends.IsZero() && !time.Now().Before(co.ends) {
+	if !af.expiresAt.IsZero() && !time.Now().Before(af.expiresAt) {
 		delete(fs.active, name)
 		return 0, false
 	}
-	if co.left == 1 {
+	if af.remaining == 1 {
 		delete(fs.active, name)
-	} else if co.left > 1 {
-		co.left--
-		fs.active[name] = co
+	} else if af.remaining > 1 {
+		af.remaining--
+		fs.active[name] = af
 	}
-	return co.delay, true
+	return af.delay, true
 }
 
-// wait waits until a fault is over or ctx ends.
+// wait blocks until a fault is no longer active or ctx ends.
 func (fs *faults) wait(ctx context.Context, name FaultName) {
 	for ctx.Err() == nil {
 		fs.mu.Lock()
-		fs.ready()
+		fs.initialize()
 		changed := fs.changed
 		fs.mu.Unlock()
-		if _, ok := fs.strike(name); !ok {
+		if _, ok := fs.trigger(name); !ok {
 			return
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(faultPoll): // it may end by itself
+		case <-time.After(faultPoll): // it may have expired
 		}
 	}
 }
@@ -142,13 +142,13 @@
 func (fs *faults) crashes() <-chan struct{} {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	fs.ready()
+	fs.initialize()
 	return fs.crashed
 }
 
-// echo returns the id to answer a request with.
-func (fs *faults) echo(id string) string {
-	_, cross := fs.strike(Cross)
+// responseID returns the id for the response to a request.
+func (fs *faults) responseID(id string) string {
+	_, cross := fs.trigger(Cross)
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	previous := fs.previous
@@ -162,8 +162,8 @@
 	return previous
 }
 
-// wrap puts the faults around a handler, which finds the id to answer with in
-// its answer's header.
+// wrap applies the faults to a handler. It sets the response id in the response
+// header before it calls next.
 func (fs *faults) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
@@ -176,20 +176,20 @@
 			case <-ctx.Done():
 			}
 		}()
-		if _, ok := fs.strike(Crash); ok {
+		if _, ok := fs.trigger(Crash); ok {
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set(roundtrip.IDHeader, fs.echo(r.Header.Get(roundtrip.IDHeader)))
+		w.Header().Set(roundtrip.IDHeader, fs.responseID(r.Header.Get(roundtrip.IDHeader)))
 		fs.wait(ctx, Freeze)
-		if delay, ok := fs.strike(Slow); ok {
+		if delay, ok := fs.trigger(Slow); ok {
 			sleep(ctx, delay)
 		}
-		if _, ok := fs.strike(Outage); ok {
+		if _, ok := fs.trigger(Outage); ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if _, ok := fs.strike(Drop); ok {
-			next.ServeHTTP(&nowhere{w.Header()}, r.WithContext(ctx))
+		if _, ok := fs.trigger(Drop); ok {
+			next.ServeHTTP(&discardWriter{w.Header()}, r.WithContext(ctx))
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r.WithContext(ctx))
@@ -201,7 +201,7 @@
 	})
 }
 
-// sleep waits for a time, or for the end of ctx.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -209,20 +209,20 @@
 	}
 }
 
-// A nowhere is a ResponseWriter whose answer gets lost.
-type nowhere struct{ header http.Header }
+// A discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
 // Flush implements http.Flusher.
-func (no *nowhere) Flush() {}
+func (dw *discardWriter) Flush() {}
 
 // Header implements http.ResponseWriter.
-func (no *nowhere) Header() http.Header { return no.header }
+func (dw *discardWriter) Header() http.Header { return dw.header }
 
 // Write implements http.ResponseWriter.
-func (no *nowhere) Write(data []byte) (int, error) { return len(data), nil }
+func (dw *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (no *nowhere) WriteHeader(int) {}
+func (dw *discardWriter) WriteHeader(int) {}
 
 // faultHandler serves POST /faults.
 func faultHandler(command func(Fault) error) http.HandlerFunc {
--- a/standin/instancelist.go
+++ b/standin/instancelist.go
@@ -12,24 +12,24 @@
 	"wisteriacroft/instancelist"
 )
 
-// A listing is the list as it stood from a time on.
+// A listing is the content of the list from a point in time.
 type listing struct {
 	rows  []instancelist.Instance
 	since time.Time
 }
 
-// An instanceList is a list of instances that lags.
+// An instanceList serves a list of instances as of a lag ago.
 type instanceList struct {
 	faults
 	mu       sync.Mutex
 	lag      time.Duration
-	listings []listing // by time
+	listings []listing // sorted by time
 	snapshot []instancelist.Instance
 }
 
-// last returns a copy of the newest rows, which the list doesn't show yet. The
+// latest returns a copy of the newest rows, which list may not return yet. The
 // caller holds mu.
-func (li *instanceList) last() []instancelist.Instance {
+func (li *instanceList) latest() []instancelist.Instance {
 	if len(li.listings) == 0 {
 		return nil
 	}
@@ -40,7 +40,7 @@
 func (li *instanceList) put(in instancelist.Instance, now time.Time) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	rows := slices.DeleteFunc(li.last(), func(row instancelist.Instance) bool { return row.ID == in.ID })
+	rows := slices.DeleteFunc(li.latest(), func(row instancelist.Instance) bool { return row.ID == in.ID })
 	li.listings = append(li.listings, listing{rows: append(rows, in), since: now})
 }
 
@@ -48,11 +48,11 @@
 func (li *instanceList) remove(id string, now time.Time) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	rows := slices.DeleteFunc(li.last(), func(row instancelist.Instance) bool { return row.ID == id })
+	rows := slices.DeleteFunc(li.latest(), func(row instancelist.Instance) bool { return row.ID == id })
 	li.listings = append(li.listings, listing{rows: rows, since: now})
 }
 
-// list returns the rows as they stood a lag before now.
+// list returns the rows as of one lag before now.
 func (li *instanceList) list(now time.Time) []instancelist.Instance {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -65,7 +65,7 @@
 	return li.listings[0].rows
 }
 
-// command sets a fault, takes a snapshot or goes back to it.
+// command sets a fault, takes a snapshot or restores it.
 func (li *instanceList) command(fa Fault) error {
 	rows := li.list(time.Now())
 	li.mu.Lock()
--- a/standin/keyvalue.go
+++ b/standin/keyvalue.go
@@ -19,13 +19,13 @@
 // A keyValue serves a keyvalue.Memory over HTTP.
 type keyValue struct {
 	faults
-	mu       sync.Mutex
-	earlier  keyvalue.Calls // that memories before this one took
-	memory   *keyvalue.Memory
-	snapshot []keyvalue.Item
+	mu            sync.Mutex
+	previousCalls keyvalue.Calls // of memories that a restore replaced
+	memory        *keyvalue.Memory
+	snapshot      []keyvalue.Item
 }
 
-// current returns the memory in use.
+// current returns the current memory.
 func (kv *keyValue) current() *keyvalue.Memory {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -35,16 +35,16 @@
 	return kv.memory
 }
 
-// calls returns how many calls were taken, restores left out.
+// calls returns how many calls were served, without those of restores.
 func (kv *keyValue) calls() keyvalue.Calls {
 	me := kv.current()
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	return add(kv.earlier, me.Calls(), 1)
+	return addCalls(kv.previousCalls, me.Calls(), 1)
 }
 
-// add returns a plus b as often as times says.
-func add(a, b keyvalue.Calls, times int64) keyvalue.Calls {
+// addCalls returns a + times*b.
+func addCalls(a, b keyvalue.Calls, times int64) keyvalue.Calls {
 	return keyvalue.Calls{
 		Leases:  a.Leases + times*b.Leases,
 		Reads:   a.Reads + times*b.Reads,
@@ -53,7 +53,7 @@
 	}
 }
 
-// command sets a fault, takes a snapshot or goes back to it.
+// command sets a fault, takes a snapshot or restores it.
 func (kv *keyValue) command(fa Fault) error {
 	ctx := context.Background()
 	switch fa.Name {
@@ -71,9 +71,8 @@
 	}
 }
 
-// restore goes back to the snapshot: its keys, at the versions that they had,
-// without leases. It reaches a version by writing a filler, and cuts the open
-// connections.
+// restore restores the keys of the snapshot at their versions, without leases,
+// and cuts the open connections. It advances the version by writing a filler key.
 func (kv *keyValue) restore(ctx context.Context) error {
 	before := kv.calls()
 	kv.mu.Lock()
@@ -102,7 +101,7 @@
 		}
 	}
 	kv.memory = me
-	kv.earlier = add(before, me.Calls(), -1)
+	kv.previousCalls = addCalls(before, me.Calls(), -1)
 	kv.set(Fault{For: unit.Duration(time.Millisecond), Name: Crash})
 	return nil
 }
@@ -142,7 +141,7 @@
 	return ro
 }
 
-// read returns a handler of a call that is named by the URL's query.
+// read returns a handler for a call whose parameters are in the URL query.
 func (kv *keyValue) read(serve func(context.Context, *keyvalue.Client, *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		out, err := serve(r.Context(), kv.current().Client(), r)
@@ -150,7 +149,7 @@
 	}
 }
 
-// write returns a handler of a call that the body holds.
+// write returns a handler for a call in the request body.
 func (kv *keyValue) write(
 	serve func(context.Context, *keyvalue.Client, keyvalue.Call) (keyvalue.Result, error),
 ) http.HandlerFunc {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -14,27 +14,27 @@
 	"wisteriacroft/plainservice"
 )
 
-// A Counts tells how often calls ran, the answer to GET /counts.
+// A Counts is how often calls ran, the response to GET /counts.
 type Counts struct {
 	Keys    map[string]int `json:"keys"`    // by idempotency key, or by request id without one
 	Paths   map[string]int `json:"paths"`   // by path
-	Prompts map[string]int `json:"prompts"` // by prompt: the starts at engines that made a token
+	Prompts map[string]int `json:"prompts"` // by prompt: generations at engines that made a first token
 }
 
-// A PlainAnswer is a plain service's answer to a call.
+// A PlainAnswer is a plain service's response to a call.
 type PlainAnswer struct {
-	Body      string `json:"body"` // as it came
+	Body      string `json:"body"` // of the request
 	Path      string `json:"path"`
 	RequestID string `json:"request-id"`
-	Run       int    `json:"run"` // how often the call's key has run
+	Run       int    `json:"run"` // how often the call's key has run so far
 }
 
-// A Plain is a plain service.
+// A Plain simulates a plain service.
 type Plain struct {
 	faults
 	mu       sync.Mutex
 	counts   Counts
-	previous string // path of the call before
+	previous string // path of the previous call
 	report   plainservice.Report
 	reported time.Time
 	row      EndpointRow
@@ -51,7 +51,7 @@
 	}
 }
 
-// count adds the service's counts to others.
+// count adds the service's counts to co.
 func (pn *Plain) count(co Counts) {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
@@ -66,14 +66,14 @@
 func (pn *Plain) handler() http.Handler {
 	ro := mux.NewRouter()
 	ro.HandleFunc("/report", handle(func(context.Context, struct{}) (plainservice.Report, error) {
-		return pn.lagging(time.Now()), nil
+		return pn.delayedReport(time.Now()), nil
 	}))
 	ro.PathPrefix("/").HandlerFunc(pn.call)
 	return ro
 }
 
-// lagging returns the load of up to a report lag ago.
-func (pn *Plain) lagging(now time.Time) plainservice.Report {
+// delayedReport returns the load as of at most a report lag ago.
+func (pn *Plain) delayedReport(now time.Time) plainservice.Report {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
 	if now.Sub(pn.reported) >= time.Duration(pn.row.ReportLag) {
@@ -83,23 +83,23 @@
 	return pn.report
 }
 
-// call runs a call once a slot is free.
+// call runs a call when a slot is free.
 func (pn *Plain) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		answer(w, nil, errors.Wrapf(errBadRequest, "read: %v", err))
 		return
 	}
-	pn.move(0, 1)
+	pn.adjustLoad(0, 1)
 	select {
 	case pn.slots <- struct{}{}:
-		pn.move(1, -1)
+		pn.adjustLoad(1, -1)
 		defer func() {
-			pn.move(-1, 0)
+			pn.adjustLoad(-1, 0)
 			<-pn.slots
 		}()
 	case <-r.Context().Done():
-		pn.move(0, -1)
+		pn.adjustLoad(0, -1)
 		return
 	}
 	an := pn.run(r, w.Header().Get(plainservice.RequestIDHeader))
@@ -108,16 +108,16 @@
 	answer(w, an, nil)
 }
 
-// move changes how many calls run and wait.
-func (pn *Plain) move(running, waiting int) {
+// adjustLoad adds to the numbers of running and waiting calls.
+func (pn *Plain) adjustLoad(running, waiting int) {
 	pn.mu.Lock()
 	defer pn.mu.Unlock()
 	pn.running += running
 	pn.waiting += waiting
 }
 
-// run counts a call and returns its answer with the id echo. If that is the id
-// of another request, the answer also has the path of the call before.
+// run counts a call and returns its response with the id echo. If that is the id
+// of another request, the response also has the path of the previous call.
 func (pn *Plain) run(r *http.Request, echo string) PlainAnswer {
 	id := r.Header.Get(plainservice.RequestIDHeader)
 	key := r.Header.Get(message.IdempotencyKeyHeader)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -25,7 +25,7 @@
 
 // A PlatformSettings is the settings file of `stand-in platform`.
 type PlatformSettings struct {
-	FetchLimit   int           `toml:"fetch-limit"` // engines that may fetch weights at one time
+	FetchLimit   int           `toml:"fetch-limit"` // concurrent fetches of weights
 	FetchTime    unit.Duration `toml:"fetch-time"`
 	Instances    []InstanceRow `toml:"instance"`
 	Lag          unit.Duration `toml:"instance-list-lag"`
@@ -34,7 +34,7 @@
 	PublishEvery unit.Duration `toml:"publish-every"` // 0: on command only
 }
 
-// An InstanceRow is a row of the list that stands from the start.
+// An InstanceRow is an initial row of the instance list.
 type InstanceRow struct {
 	Address       string             `toml:"address"`
 	FailureDomain string             `toml:"failure-domain"`
@@ -43,7 +43,7 @@
 	State         instancelist.State `toml:"state"`
 }
 
-// A ModelRow is a model in the weight store.
+// A ModelRow is an initial model of the weight store.
 type ModelRow struct {
 	Name    string         `toml:"name"`
 	Version engine.Version `toml:"version"`
@@ -64,11 +64,11 @@
 		ch.notNegative("publish-every", se.PublishEvery)
 		for i, row := range se.Instances {
 			key := fmt.Sprintf("instance[%d]", i)
-			ch.named(key+".id", row.ID)
+			ch.notEmpty(key+".id", row.ID)
 			ch.address(key+".address", row.Address)
 		}
 		for i, row := range se.Models {
-			ch.named(fmt.Sprintf("model[%d].name", i), row.Name)
+			ch.notEmpty(fmt.Sprintf("model[%d].name", i), row.Name)
 		}
 	})
 }
@@ -81,7 +81,7 @@
 	store    weightStore
 }
 
-// NewPlatform returns a platform of checked settings.
+// NewPlatform returns a platform of validated settings.
 func NewPlatform(se PlatformSettings) *Platform {
 	pl := &Platform{settings: se}
 	pl.list.lag = time.Duration(se.Lag)
@@ -110,7 +110,7 @@
 	return gr.Wait()
 }
 
-// A PlatformCalls is the answer to GET /calls.
+// A PlatformCalls is the response to GET /calls.
 type PlatformCalls struct {
 	Fetches int64 `json:"fetches"`
 	Leases  int64 `json:"leases"`
@@ -120,7 +120,7 @@
 	Writes  int64 `json:"writes"`
 }
 
-// Calls returns how many calls of each kind were taken.
+// Calls returns how many calls of each kind were served.
 func (pl *Platform) Calls() PlatformCalls {
 	ca := pl.keyValue.calls()
 	fetches, refused := pl.store.counts()
@@ -129,7 +129,7 @@
 	}
 }
 
-// SetFault makes one of the three services misbehave.
+// SetFault activates a fault at the service that it names as its target.
 func (pl *Platform) SetFault(fa Fault) error {
 	switch fa.Target {
 	case InstanceListTarget:
@@ -143,11 +143,11 @@
 	}
 }
 
-// Handler returns the three services and the stand-in's own commands.
+// Handler serves the three services, and /faults and /calls.
 func (pl *Platform) Handler() http.Handler {
 	ro := mux.NewRouter()
-	ro.Handle("/faults", echoing(faultHandler(pl.SetFault))).Methods(http.MethodPost)
-	ro.Handle("/calls", echoing(handle(func(context.Context, struct{}) (PlatformCalls, error) {
+	ro.Handle("/faults", echoRequestID(faultHandler(pl.SetFault))).Methods(http.MethodPost)
+	ro.Handle("/calls", echoRequestID(handle(func(context.Context, struct{}) (PlatformCalls, error) {
 		return pl.Calls(), nil
 	})))
 	ro.PathPrefix("/key-value/").Handler(pl.keyValue.wrap(pl.keyValue.handler()))
--- a/standin/platform_test.go
+++ b/standin/platform_test.go
@@ -25,10 +25,8 @@
 }
 
 func TestKeyValueOverHTTP(t *testing.T) {
-	// Symptom: a writer doesn't know whether its change happened, or believes
-	// that a change was lost which is in force.
-	// Sequence: the write takes effect and its answer is lost; or no byte of it
-	// left. Cause: both look alike unless the adapter tells them apart.
+	// The client must distinguish a write whose response was lost, which may have
+	// taken effect, from a write that was never sent.
 	ctx := t.Context()
 	pl, url := newTestPlatform(t)
 	cl := keyvalue.NewHTTP(url, nil)
@@ -57,9 +55,8 @@
 }
 
 func TestKeyValueRestored(t *testing.T) {
-	// Symptom: a reader sees an older value than before.
-	// Sequence: a snapshot, a write, the snapshot is restored.
-	// Cause: versions go back, so only a reader's own memory tells.
+	// A restored snapshot must have its old values and versions, as if later
+	// writes had never happened.
 	ctx := t.Context()
 	pl, url := newTestPlatform(t)
 	cl := keyvalue.NewHTTP(url, nil)
--- a/standin/server.go
+++ b/standin/server.go
@@ -21,7 +21,7 @@
 // maxBody is the largest request body that a stand-in reads, in bytes.
 const maxBody = 16 << 20
 
-// Errors that the stand-ins' handlers answer with a status.
+// Errors that statusOf maps to a status.
 var (
 	errBadRequest = errors.New("bad request")
 	errBusy       = errors.New("too many at one time")
@@ -29,7 +29,7 @@
 	errNoSuch     = errors.New("no such thing")
 )
 
-// handle returns a handler of JSON. A request without a body leaves In zero.
+// handle returns a handler with JSON bodies. Without a request body, In is zero.
 func handle[In, Out any](serve func(context.Context, In) (Out, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -43,9 +43,9 @@
 	}
 }
 
-// echoing answers with the request's id, which the adapters check. Targets of
-// faults do it themselves.
-func echoing(next http.Handler) http.Handler {
+// echoRequestID returns the request's id in the response, where clients check it.
+// Handlers wrapped with faults don't need it.
+func echoRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(roundtrip.IDHeader, r.Header.Get(roundtrip.IDHeader))
 		next.ServeHTTP(w, r)
@@ -77,7 +77,7 @@
 	}
 }
 
-// serve serves until ctx ends, then cuts off what is left.
+// serve serves until ctx ends, then closes all connections.
 func serve(ctx context.Context, ln net.Listener, handler http.Handler) error {
 	srv := &http.Server{Handler: handler, MaxHeaderBytes: 64 << 10, ReadHeaderTimeout: 10 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// A checker adds findings to the settings that it has read.
+// A checker adds findings to a settings file.
 type checker struct {
 	*document.Document
 }
 
-// readSettings decodes a settings file over its defaults and lets check add
-// what the types can't say.
+// readSettings decodes a settings file over its defaults and calls check, which
+// adds findings that decoding can't detect.
 func readSettings[Settings any](
 	file string, data []byte, defaults Settings, check func(Settings, checker),
 ) (Settings, error) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// named adds a finding if value is empty.
-func (ch checker) named(key, value string) {
+// notEmpty adds a finding if value is empty.
+func (ch checker) notEmpty(key, value string) {
 	if value == "" {
 		ch.Add(key, "is missing")
 	}
--- a/standin/trainer.go
+++ b/standin/trainer.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	maxBatch   = 1 << 30                // in bytes
-	pullWait   = 5 * time.Second        // how long an entry may hold a pull
-	askTimeout = 30 * time.Second       // of any exchange with an entry
-	retryWait  = 100 * time.Millisecond // unless the entry names another
+	maxBatch       = 1 << 30                // in bytes
+	pullWait       = 5 * time.Second        // how long an entry may delay the response to a pull
+	requestTimeout = 30 * time.Second       // of any request to an entry
+	retryWait      = 100 * time.Millisecond // unless the entry returns another
 )
 
-// A TrainerSummary is what a trainer saw.
+// A TrainerSummary counts the samples that a trainer received.
 type TrainerSummary struct {
-	Damaged       int     `json:"damaged"` // not whole, or not what was asked for
+	Damaged       int     `json:"damaged"` // incomplete, or not what was requested
 	Delivered     int     `json:"delivered"`
 	Doubled       int     `json:"doubled"`
 	IdleRatio     float64 `json:"idle-ratio"`
@@ -42,11 +42,11 @@
 	Wanted        int     `json:"wanted"`
 }
 
-// A slot is a sample that a trainer wants.
+// A slot identifies a sample that a trainer requests.
 type slot struct{ step, group, member int }
 
-// A Trainer asks for steps, takes their batches, checks each sample, and
-// publishes new weights after each step.
+// A Trainer submits steps, pulls their batches, checks each sample, and publishes
+// new weights after each step.
 type Trainer struct {
 	// DigestFunc returns a payload's digest, given its line. NewTrainer sets it
 	// to SHA-256 in hex.
@@ -54,14 +54,14 @@
 	// ScoreFunc returns a sample's score.
 	ScoreFunc func(message.Payload) float64
 
-	asked     int // steps that were asked for
+	submitted int // steps
 	cursor    message.Cursor
 	entries   entries
 	hc        *http.Client
 	idle      time.Duration
-	journal   journal
-	pulled    atomic.Int64 // step that is pulled
-	samples   atomic.Int64 // taken
+	records   recordFile
+	pulled    atomic.Int64 // step being pulled
+	samples   atomic.Int64 // received
 	settings  TrainerSettings
 	staleness int
 	sum       TrainerSummary
@@ -70,7 +70,7 @@
 	weights   weights
 }
 
-// NewTrainer returns a trainer of checked settings. platform is the base URL
+// NewTrainer returns a trainer of validated settings. platform is the base URL
 // of the weight store, or "".
 func NewTrainer(se TrainerSettings, addresses []string, platform string, hc *http.Client) *Trainer {
 	tr := &Trainer{
@@ -87,11 +87,11 @@
 	return tr
 }
 
-// Run trains until the last step, from the batch after the last one that the
-// record file holds.
+// Run trains until the last step, starting after the last batch in the record
+// file.
 func (tr *Trainer) Run(ctx context.Context) (TrainerSummary, error) {
 	step, err := tr.resume(ctx)
-	defer func() { tr.journal.close() }()
+	defer func() { tr.records.close() }()
 	for err == nil && step < tr.settings.Steps {
 		var whole bool
 		if whole, err = tr.takeBatch(ctx, step); whole {
@@ -101,27 +101,28 @@
 	return tr.summary(), errors.Wrapf(err, "trainer %s", tr.settings.Name)
 }
 
-// resume rebuilds what the record file holds and returns the step to take.
+// resume restores the state from the record file and returns the next step.
 func (tr *Trainer) resume(ctx context.Context) (step int, err error) {
 	var records []Record
-	if tr.journal, records, err = openJournal(tr.settings.Record); err != nil {
+	if tr.records, records, err = openRecordFile(tr.settings.Record); err != nil {
 		return 0, err
 	}
 	tr.cursor = message.Cursor{Incarnation: uint64(time.Now().UnixNano()), Step: -1, Version: 1}
 	for _, re := range records {
-		tr.remember(re)
+		tr.applyRecord(re)
 		tr.cursor.Version = re.Version
 		step = re.Step
 		if re.Whole {
 			step++
 		}
 	}
-	tr.asked = step
-	return step, tr.renew(ctx, http.MethodGet)
+	tr.submitted = step
+	return step, tr.updateVersion(ctx, http.MethodGet)
 }
 
-// renew publishes (POST) or reads (GET) the version to train.
-func (tr *Trainer) renew(ctx context.Context, method string) error {
+// updateVersion publishes (POST) or reads (GET) the version to train, and stores it in
+// the cursor.
+func (tr *Trainer) updateVersion(ctx context.Context, method string) error {
 	if tr.weights.model == "" {
 		return nil
 	}
@@ -132,10 +133,11 @@
 	return err
 }
 
-// takeBatch takes the next batch, trains on it and tells whether it ends step.
+// takeBatch pulls the next batch, trains on it and reports whether it completes
+// step.
 func (tr *Trainer) takeBatch(ctx context.Context, step int) (whole bool, err error) {
-	for ; tr.asked < min(step+tr.settings.StepsAhead+1, tr.settings.Steps); tr.asked++ {
-		if err := tr.askStep(ctx, tr.asked); err != nil {
+	for ; tr.submitted < min(step+tr.settings.StepsAhead+1, tr.settings.Steps); tr.submitted++ {
+		if err := tr.submitStep(ctx, tr.submitted); err != nil {
 			return false, err
 		}
 	}
@@ -147,10 +149,10 @@
 	}
 	tr.idle += time.Since(began)
 	re := tr.check(ctx, pull, lines)
-	if err := tr.journal.add(re); err != nil {
+	if err := tr.records.add(re); err != nil {
 		return false, err
 	}
-	tr.remember(re)
+	tr.applyRecord(re)
 	samples := max(1, tr.settings.Groups*tr.settings.Members)
 	began = time.Now()
 	sleep(ctx, time.Duration(tr.settings.TrainTime)*time.Duration(len(re.Samples))/time.Duration(samples))
@@ -159,9 +161,9 @@
 		return false, ctx.Err()
 	}
 	if tr.settings.Follows {
-		return true, tr.renew(ctx, http.MethodGet)
+		return true, tr.updateVersion(ctx, http.MethodGet)
 	}
-	return true, tr.renew(ctx, http.MethodPost)
+	return true, tr.updateVersion(ctx, http.MethodPost)
 }
 
 // prompt returns the prompt of a group, the same for each of its members.
@@ -169,40 +171,40 @@
 	return fmt.Sprintf("%s-%d: step %d, group %d", tr.settings.Name, tr.settings.Seed, step, group)
 }
 
-// path returns a path of the trainer's requests.
+// path returns a request path below the trainer's own.
 func (tr *Trainer) path(format string, args ...any) string {
 	return "/v1/trainers/" + url.PathEscape(tr.settings.Name) + fmt.Sprintf(format, args...)
 }
 
-// askStep asks an entry for a step's samples.
-func (tr *Trainer) askStep(ctx context.Context, step int) error {
+// submitStep submits a step to an entry.
+func (tr *Trainer) submitStep(ctx context.Context, step int) error {
 	req := message.StepRequest{Profile: tr.settings.Profile}
 	for group := range tr.settings.Groups {
 		req.Groups = append(req.Groups, message.Group{
 			MaxTokens: tr.settings.MaxTokens, Members: tr.settings.Members, Prompt: tr.prompt(step, group),
 		})
 	}
-	_, err := tr.ask(ctx, http.MethodPut, tr.path("/steps/%d", step), req)
-	return errors.Wrapf(err, "ask for step %d", step)
+	_, err := tr.request(ctx, http.MethodPut, tr.path("/steps/%d", step), req)
+	return errors.Wrapf(err, "submit step %d", step)
 }
 
-// pull waits for the next batch and returns its lines, by slot.
+// pull waits for the next batch and returns its lines, in the manifest's order.
 func (tr *Trainer) pull(ctx context.Context) (message.PullResponse, [][]byte, error) {
 	for {
 		var pa message.PullResponse
 		req := message.PullRequest{Cursor: tr.cursor, Wait: pullWait.String()}
-		data, err := tr.ask(ctx, http.MethodPost, tr.path("/pull"), req)
+		data, err := tr.request(ctx, http.MethodPost, tr.path("/pull"), req)
 		if err != nil {
 			return pa, nil, errors.Wrap(err, "pull")
 		}
 		if err := json.Unmarshal(data, &pa); err != nil {
-			return pa, nil, errors.Wrap(err, "decode a pull's answer")
+			return pa, nil, errors.Wrap(err, "decode pull response")
 		}
 		if pa.Batch == "" {
 			sleep(ctx, retryAfter(pa.RetryAfter))
 			continue
 		}
-		data, err = tr.ask(ctx, http.MethodGet, tr.path("/batches/%s", url.PathEscape(pa.Batch)), nil)
+		data, err = tr.request(ctx, http.MethodGet, tr.path("/batches/%s", url.PathEscape(pa.Batch)), nil)
 		if err != nil {
 			return pa, nil, errors.Wrapf(err, "batch %s", pa.Batch)
 		}
@@ -210,20 +212,20 @@
 		if len(lines) == len(pa.Manifest) {
 			return pa, lines, nil
 		}
-		tr.entries.next() // cut short: ask for it again
+		tr.entries.next() // truncated: request it again
 		sleep(ctx, retryWait)
 	}
 }
 
-// ask sends a request to one entry after another until one answers, and
-// returns the answer's body. It gives up on a bad request only.
-func (tr *Trainer) ask(ctx context.Context, method, path string, in any) ([]byte, error) {
+// request sends a request to one entry after another until one succeeds, and
+// returns the response body. It stops only on a bad request or when ctx ends.
+func (tr *Trainer) request(ctx context.Context, method, path string, in any) ([]byte, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return nil, err
 	}
 	for ctx.Err() == nil {
-		data, re, err := tr.askOnce(ctx, method, tr.entries.current()+path, body)
+		data, re, err := tr.requestOnce(ctx, method, tr.entries.current()+path, body)
 		if err == nil && re == nil {
 			return data, nil
 		}
@@ -240,10 +242,10 @@
 	return nil, ctx.Err()
 }
 
-// askOnce sends a request to one entry and returns the answer's body or the
+// requestOnce sends a request to one entry and returns the response body or the
 // refusal.
-func (tr *Trainer) askOnce(ctx context.Context, method, url string, body []byte) ([]byte, *outcome.Refusal, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (tr *Trainer) requestOnce(ctx context.Context, method, url string, body []byte) ([]byte, *outcome.Refusal, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -261,7 +263,7 @@
 	return data, nil, err
 }
 
-// retryAfter returns how long to wait, given what a refusal says.
+// retryAfter parses the retry delay of a refusal, at most pullWait.
 func retryAfter(text string) time.Duration {
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 {
@@ -270,8 +272,8 @@
 	return min(wait, pullWait)
 }
 
-// check checks a batch's samples against what was asked for and what the
-// engines' tokens tell.
+// check checks a batch's samples against the request and the origin of their
+// tokens.
 func (tr *Trainer) check(ctx context.Context, pull message.PullResponse, lines [][]byte) Record {
 	re := Record{
 		Batch: pull.Batch, Digest: pull.Digest, Step: pull.Step, Version: tr.cursor.Version, Whole: pull.Whole,
@@ -281,7 +283,7 @@
 		err := json.Unmarshal(line, &pa)
 		en := pull.Manifest[i]
 		sa := SampleRecord{
-			Damaged:       err != nil || tr.DigestFunc(line) != en.Digest || !tr.asWanted(pull.Step, en, pa),
+			Damaged:       err != nil || tr.DigestFunc(line) != en.Digest || !tr.matchesSlot(pull.Step, en, pa),
 			Digest:        en.Digest,
 			Group:         en.Group,
 			Member:        en.Member,
@@ -293,15 +295,15 @@
 		}
 		if tr.settings.Scorer != "" {
 			path := fmt.Sprintf("/v1/services/%s/call/scores/%s", tr.settings.Scorer, url.PathEscape(en.Digest))
-			_, _, _ = tr.askOnce(ctx, http.MethodPost, tr.entries.current()+path, line)
+			_, _, _ = tr.requestOnce(ctx, http.MethodPost, tr.entries.current()+path, line)
 		}
 		re.Samples = append(re.Samples, sa)
 	}
 	return re
 }
 
-// asWanted tells whether a payload is whole and the one that its slot wants.
-func (tr *Trainer) asWanted(step int, en message.SampleEntry, pa message.Payload) bool {
+// matchesSlot reports whether a payload is complete and belongs to its slot.
+func (tr *Trainer) matchesSlot(step int, en message.SampleEntry, pa message.Payload) bool {
 	return pa.Trainer == tr.settings.Name && pa.Step == step &&
 		pa.Group == en.Group && pa.Member == en.Member &&
 		pa.Group >= 0 && pa.Group < tr.settings.Groups &&
@@ -310,31 +312,31 @@
 		Whole(pa.Prompt, pa.Tokens, tr.settings.MaxTokens)
 }
 
-// remember counts a record and moves the cursor behind it.
-func (tr *Trainer) remember(re Record) {
+// applyRecord counts a record's samples and advances the cursor.
+func (tr *Trainer) applyRecord(re Record) {
 	tr.cursor.Batch, tr.cursor.Digest, tr.cursor.Step = re.Batch, re.Digest, re.Step
 	tr.samples.Add(int64(len(re.Samples)))
 	for _, sa := range re.Samples {
 		tr.taken[slot{re.Step, sa.Group, sa.Member}]++
 		tr.staleness += sa.Staleness
-		tr.sum.Damaged += count(sa.Damaged)
-		tr.sum.Misattributed += count(sa.Misattributed)
-		tr.sum.Stale += count(sa.Staleness > tr.settings.StalenessBound)
+		tr.sum.Damaged += boolToInt(sa.Damaged)
+		tr.sum.Misattributed += boolToInt(sa.Misattributed)
+		tr.sum.Stale += boolToInt(sa.Staleness > tr.settings.StalenessBound)
 	}
 }
 
-// count returns 1 for true.
-func count(yes bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// wanted returns how many samples all steps have.
+// wanted returns the number of samples of all steps.
 func (tr *Trainer) wanted() int { return tr.settings.Steps * tr.settings.Groups * tr.settings.Members }
 
-// summary returns what the trainer saw.
+// summary returns the trainer's totals.
 func (tr *Trainer) summary() TrainerSummary {
 	sum := tr.sum
 	sum.Name = tr.settings.Name
@@ -343,7 +345,7 @@
 	for sl, times := range tr.taken {
 		all += times
 		sum.Doubled += times - 1
-		sum.Delivered += count(sl.step < tr.settings.Steps)
+		sum.Delivered += boolToInt(sl.step < tr.settings.Steps)
 	}
 	sum.Lost = sum.Wanted - sum.Delivered
 	if all > 0 {
--- a/standin/trainer_test.go
+++ b/standin/trainer_test.go
@@ -23,16 +23,16 @@
 	"wisteriacroft/outcome"
 )
 
-// A liar is an entry that hands over a batch for each step and spoils it.
-type liar struct {
+// A faultyEntry is an entry that returns one batch per step, changed by spoil.
+type faultyEntry struct {
 	refusals int
 	spoil    func(step int, payloads []message.Payload) []message.Payload
 	steps    []message.StepRequest
 }
 
-func (li *liar) batch(step int) ([]message.SampleEntry, []byte) {
+func (fe *faultyEntry) batch(step int) ([]message.SampleEntry, []byte) {
 	var payloads []message.Payload
-	for group, gr := range li.steps[step].Groups {
+	for group, gr := range fe.steps[step].Groups {
 		for member := range gr.Members {
 			pa := message.Payload{Group: group, Member: member, Prompt: gr.Prompt, Step: step, Trainer: "t"}
 			for position := range LengthOf(gr.Prompt, uint64(member), gr.MaxTokens) {
@@ -44,7 +44,7 @@
 	}
 	var entries []message.SampleEntry
 	var body []byte
-	for _, pa := range li.spoil(step, payloads) {
+	for _, pa := range fe.spoil(step, payloads) {
 		line, _ := json.Marshal(pa)
 		sum := sha256.Sum256(line)
 		entries = append(entries, message.SampleEntry{
@@ -55,14 +55,14 @@
 	return entries, body
 }
 
-func (li *liar) handler() http.Handler {
+func (fe *faultyEntry) handler() http.Handler {
 	ro := mux.NewRouter()
 	ro.HandleFunc(message.StepPath, handle(func(_ context.Context, req message.StepRequest) (message.StepResponse, error) {
-		li.steps = append(li.steps, req)
+		fe.steps = append(fe.steps, req)
 		return message.StepResponse{}, nil
 	}))
 	ro.HandleFunc(message.PullPath, func(w http.ResponseWriter, r *http.Request) {
-		if li.refusals++; li.refusals == 1 {
+		if fe.refusals++; fe.refusals == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			re := outcome.NewRefusal(outcome.Overloaded, "", "come back")
 			re.RetryAfter = "1ms"
@@ -72,19 +72,19 @@
 		var req message.PullRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		step := req.Cursor.Step + 1
-		entries, _ := li.batch(step)
+		entries, _ := fe.batch(step)
 		answer(w, message.PullResponse{Batch: fmt.Sprint(step), Manifest: entries, Step: step, Whole: true}, nil)
 	})
 	ro.HandleFunc(message.BatchPath, func(w http.ResponseWriter, r *http.Request) {
 		var step int
 		_, _ = fmt.Sscan(mux.Vars(r)["batch"], &step)
-		_, body := li.batch(step)
+		_, body := fe.batch(step)
 		_, _ = w.Write(body)
 	})
 	return ro
 }
 
-func TestTrainerNoticesBrokenPromises(t *testing.T) {
+func TestTrainerDetectsBadBatches(t *testing.T) {
 	none := func(_ int, pas []message.Payload) []message.Payload { return pas }
 	for name, tc := range map[string]struct {
 		spoil func(int, []message.Payload) []message.Payload
@@ -111,8 +111,8 @@
 		}, want: TrainerSummary{Damaged: 6, Delivered: 12, Misattributed: 6}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			li := &liar{spoil: tc.spoil}
-			se := httptest.NewServer(li.handler())
+			fe := &faultyEntry{spoil: tc.spoil}
+			se := httptest.NewServer(fe.handler())
 			defer se.Close()
 			tr := NewTrainer(TrainerSettings{
 				Groups: 2, MaxTokens: 64, Members: 2, Name: "t", Steps: 3, StepsAhead: 1,
@@ -130,7 +130,7 @@
 			assert.NilError(t, os.WriteFile(tr.settings.Record, torn, 0o600))
 			again := NewTrainer(tr.settings, []string{"127.0.0.1:1"}, "", http.DefaultClient)
 			sum, err = again.Run(t.Context())
-			assert.NilError(t, err, "a restart goes on behind the record")
+			assert.NilError(t, err, "a restart continues after the last record")
 			sum.IdleRatio = 0
 			assert.DeepEqual(t, sum, tc.want)
 			left, err := os.ReadFile(tr.settings.Record)
@@ -140,21 +140,21 @@
 	}
 }
 
-func TestCallerNoticesBrokenPromises(t *testing.T) {
+func TestCallerDetectsViolations(t *testing.T) {
 	ca := NewCaller(CallerSettings{}, nil, nil, nil)
 	refusal := outcome.NewRefusal(outcome.Overloaded, "", "")
-	ca.settle(liveCall{id: "a"}, refusal, outcome.NotRun, 0)
-	ca.settle(liveCall{id: "b"}, refusal, outcome.NotRun, 0)
-	ca.settle(liveCall{id: "c"}, refusal, outcome.Unknown, 0)
-	ca.settle(liveCall{id: "d"}, nil, outcome.NotRun, 0)
-	ca.settle(liveCall{id: "e", repeatable: true}, errCrossed, outcome.Unknown, 0)
+	ca.recordResult(liveCall{id: "a"}, refusal, outcome.NotRun, 0)
+	ca.recordResult(liveCall{id: "b"}, refusal, outcome.NotRun, 0)
+	ca.recordResult(liveCall{id: "c"}, refusal, outcome.Unknown, 0)
+	ca.recordResult(liveCall{id: "d"}, nil, outcome.NotRun, 0)
+	ca.recordResult(liveCall{id: "e", repeatable: true}, errMismatchedResponse, outcome.Unknown, 0)
 	ca.compareWith(Counts{Paths: map[string]int{"/calls/a": 1, "/calls/c": 1, "/calls/d": 2, "/calls/e": 2}})
 	assert.DeepEqual(t, ca.sum, CallerSummary{
 		Calls: 5, Crossed: 1, NotRepeatableRunTwice: 1, NotRunButRan: 1, Refused: map[outcome.Code]int{outcome.Overloaded: 3}, Whole: 1,
 	})
 }
 
-func TestExamplesAreWhole(t *testing.T) {
+func TestExampleSettings(t *testing.T) {
 	for _, deployment := range []string{"baitursynov", "hathercote"} {
 		read := func(name string) (string, []byte) {
 			path := filepath.Join("..", "examples", deployment, name)
--- a/standin/weightstore.go
+++ b/standin/weightstore.go
@@ -20,7 +20,7 @@
 	faults
 	mu        sync.Mutex
 	fetched   int64
-	fetches   int // that run now
+	fetches   int // in progress
 	fetchTime time.Duration
 	latest    map[string]engine.Version
 	limit     int
@@ -74,7 +74,7 @@
 	return ws.fetched, ws.refused
 }
 
-// fetch takes as long as reading the weights, or refuses at the limit.
+// fetch takes fetchTime, or fails if limit fetches are in progress.
 func (ws *weightStore) fetch(ctx context.Context, we weightstore.Weights) error {
 	latest, err := ws.version(we.Model)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return ctx.Err()
 }
 
-// command sets a fault, takes a snapshot or goes back to it.
+// command sets a fault, takes a snapshot or restores it.
 func (ws *weightStore) command(fa Fault) error {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
