--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples holds the settings and profiles of both deployments, so
-// that the program needs no checkout to try them.
+// Package examples embeds the settings and profiles of both example deployments,
+// so that the program can run them without a checkout of the repository.
 package examples
 
 import "embed"
 
-// Files holds a directory for each deployment.
+// Files has a directory for each deployment.
 //
 //go:embed baitursynov hathercote
 var Files embed.FS
