--- a/profile/random_test.go
+++ b/profile/random_test.go
@@ -70,12 +70,12 @@
 	op.set(plainService(ma.t, name, fmt.Sprintf("%dms", 1000+ma.next)))
 	_, err := op.apply(ctx, id)
 	ma.me.SetFaults(keyvalue.Faults{})
-	var unsettled *OutcomeUnknownError
+	var unknown *OutcomeUnknownError
 	switch {
 	case err == nil:
 		ma.accepted = append(ma.accepted, id)
 		return
-	case errors.As(err, &unsettled):
+	case errors.As(err, &unknown):
 		ma.unknown = append(ma.unknown, id)
 	default:
 		ma.refused = append(ma.refused, id)
--- a/profile/replica.go
+++ b/profile/replica.go
@@ -28,9 +28,9 @@
 	TakenAt        time.Time // zero: no document yet
 }
 
-// Silent reports whether the last contact with a source is longer ago than a
+// Stale reports whether the last contact with a source is longer ago than a
 // bound, and returns the time of that contact, zero if there was none.
-func (st Status) Silent(so Source, now time.Time, bound time.Duration) (time.Time, bool) {
+func (st Status) Stale(so Source, now time.Time, bound time.Duration) (time.Time, bool) {
 	since := st.ServiceHeardAt
 	if so == FromPeer {
 		since = st.PeerHeardAt
--- a/profile/replica_test.go
+++ b/profile/replica_test.go
@@ -77,7 +77,7 @@
 		assert.Equal(t, st.Revision, uint64(7))
 		assert.Assert(t, time.Since(started) < 3*time.Second)
 		assert.Equal(t, st.Source, FromPeer)
-		_, silent := st.Silent(FromService, time.Now(), 10*time.Second)
+		_, silent := st.Stale(FromService, time.Now(), 10*time.Second)
 		assert.Assert(t, silent, "the service never answered")
 		time.Sleep(20 * time.Second)
 		since, cut := ho.Status().CutOff(time.Now(), 10*time.Second)
@@ -150,10 +150,10 @@
 				var oldCopy Document
 				for _, timeout := range []string{"1s", "2s", "3s"} {
 					ana.set(plainService(t, "a", timeout))
-					ou, err := ana.apply(t.Context(), timeout)
+					res, err := ana.apply(t.Context(), timeout)
 					assert.NilError(t, err)
 					if oldCopy.revision == 0 {
-						oldCopy = ou.Document
+						oldCopy = res.Document
 					}
 				}
 				ctx, cancel := context.WithCancel(t.Context())
--- a/profile/store_test.go
+++ b/profile/store_test.go
@@ -42,11 +42,11 @@
 }
 
 func (op *operator) apply(ctx context.Context, id string) (ApplyResult, error) {
-	ou, err := op.store.Apply(ctx, ApplyRequest{Base: op.base, By: "op", ChangeID: id, Wanted: op.wanted})
+	res, err := op.store.Apply(ctx, ApplyRequest{Base: op.base, By: "op", ChangeID: id, Wanted: op.wanted})
 	if err == nil {
-		op.base = op.base.Advance(ou.Document, op.wanted)
+		op.base = op.base.Advance(res.Document, op.wanted)
 	}
-	return ou, err
+	return res, err
 }
 
 // A fault makes one of ana's calls fail; bob's calls are not affected.
@@ -148,14 +148,14 @@
 	// Under races, lost responses and outages, a change must be applied exactly once
 	// or reported as failed or unknown. ana sets service a's timeout to 2s.
 	tests := []struct {
-		name      string
-		fault     fault
-		err       error  // sentinel error
-		errText   string // part of the error, if there is no sentinel
-		a, b      string // leave-timeouts in the service at the end
-		revision  uint64
-		settled   bool
-		unsettled bool
+		name     string
+		fault    fault
+		err      error  // sentinel error
+		errText  string // part of the error, if there is no sentinel
+		a, b     string // leave-timeouts in the service at the end
+		revision uint64
+		settled  bool
+		unknown  bool
 	}{
 		{name: "no fault", fault: noFault, a: "2s", b: "1s", revision: 2},
 		{name: "response lost", fault: loseAnswer, a: "2s", b: "1s", revision: 2, settled: true},
@@ -167,7 +167,7 @@
 		{name: "race on different profiles", fault: bobBefore("b"), a: "2s", b: "9s", revision: 3},
 		{name: "race on the same profile", fault: bobBefore("a"), errText: "changed both here and in revision 2", a: "9s", b: "1s", revision: 2},
 		{name: "outage before the write", fault: outageBefore, err: keyvalue.ErrUnavailable, a: "1s", b: "1s", revision: 1},
-		{name: "outage after the write", fault: outageAfter, err: keyvalue.ErrOutcomeUnknown, unsettled: true, a: "2s", b: "1s", revision: 2},
+		{name: "outage after the write", fault: outageAfter, err: keyvalue.ErrOutcomeUnknown, unknown: true, a: "2s", b: "1s", revision: 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -182,11 +182,11 @@
 				ana.set(plainService(t, "a", "2s"))
 				tt.fault(t, ana.store.Client, &me, &bob)
 				started := time.Now()
-				ou, err := ana.apply(t.Context(), "ana")
+				res, err := ana.apply(t.Context(), "ana")
 				assert.Assert(t, time.Since(started) < 30*time.Second)
 
-				var unsettled *OutcomeUnknownError
-				assert.Equal(t, errors.As(err, &unsettled), tt.unsettled, "%v", err)
+				var unknown *OutcomeUnknownError
+				assert.Equal(t, errors.As(err, &unknown), tt.unknown, "%v", err)
 				switch {
 				case tt.err != nil:
 					assert.Assert(t, errors.Is(err, tt.err), "%v", err)
@@ -194,7 +194,7 @@
 					assert.ErrorContains(t, err, tt.errText)
 				default:
 					assert.NilError(t, err)
-					assert.Equal(t, ou.Settled, tt.settled)
+					assert.Equal(t, res.Settled, tt.settled)
 				}
 				var conflict *Conflict
 				if errors.As(err, &conflict) {
