--- a/cmd/attendantcmd.go
+++ b/cmd/attendantcmd.go
@@ -12,7 +12,7 @@
 // An AttendantCmd runs an attendant.
 type AttendantCmd struct{ SettingsFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (ac *AttendantCmd) Run(ctx context.Context, out Output) error {
 	se, err := readSettings(ac.Settings, settings.ReadAttendant)
 	if err != nil || ac.Check {
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -1,4 +1,4 @@
-// Package cmd holds wisteriacroft's commands, a file each.
+// Package cmd implements the commands of wisteriacroft.
 package cmd
 
 import (
@@ -17,7 +17,7 @@
 	"wisteriacroft/keyvalue"
 )
 
-// programName is the name of the program in its own messages.
+// programName is the program's name in its messages.
 const programName = "wisteriacroft"
 
 // A RootCmd holds every command.
@@ -41,31 +41,31 @@
 	Version    VersionCmd    `cmd:"" help:"Show the version of the program."`
 }
 
-// SettingsFlags are the flags of a long-running role.
+// SettingsFlags are the flags of a role's command.
 type SettingsFlags struct {
 	Check    bool   `help:"Read the settings, report all findings and end without starting."`
 	Settings string `help:"Settings file (TOML)." placeholder:"FILE" required:""`
 }
 
-// An Output is where a command writes.
+// An Output holds the streams that a command writes to.
 type Output struct {
 	Stderr io.Writer
 	Stdout io.Writer
 }
 
-// Main runs the command that args name and returns the exit code. SIGINT and
-// SIGTERM end a long-running command gracefully.
+// Main runs the command in args and returns its exit code. SIGINT and SIGTERM shut a
+// long-running command down gracefully.
 func Main(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	return int(run(ctx, args, Output{Stderr: stderr, Stdout: stdout}))
 }
 
-// run runs a command until it is done or ctx ends.
+// run runs a command until it ends or ctx is done.
 func run(ctx context.Context, args []string, out Output) ExitCode {
 	parsed := parser{out: out}
 	command, err := parsed.parse(args)
-	if parsed.helped {
+	if parsed.helpPrinted {
 		return ExitOK
 	}
 	if err != nil {
@@ -87,13 +87,13 @@
 	return exitCodeOf(err)
 }
 
-// A parser reads the command line.
+// A parser parses the command line.
 type parser struct {
-	helped bool // help was asked for and printed
-	out    Output
+	helpPrinted bool // help was requested and printed
+	out         Output
 }
 
-// newKong returns the model of all commands.
+// newKong returns the kong model of all commands.
 func (pa *parser) newKong() (*kong.Kong, error) {
 	return kong.New(
 		&RootCmd{},
@@ -102,12 +102,12 @@
 		kong.Vars{"faults": faultNames()},
 		kong.Writers(pa.out.Stdout, pa.out.Stderr),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
-		// kong parses on after it has printed its help.
-		kong.Exit(func(int) { pa.helped = true }),
+		// kong continues to parse after it has printed its help.
+		kong.Exit(func(int) { pa.helpPrinted = true }),
 	)
 }
 
-// parse returns the command that args name.
+// parse returns the command in args.
 func (pa *parser) parse(args []string) (*kong.Context, error) {
 	ko, err := pa.newKong()
 	if err != nil {
@@ -116,8 +116,8 @@
 	return ko.Parse(args)
 }
 
-// report writes an error to an operator: findings a line each, any other error
-// with the program's name.
+// report writes an error for an operator: findings one per line, any other error with the
+// program's name.
 func report(stderr io.Writer, err error) {
 	var findings *finding.Error
 	switch {
@@ -132,7 +132,7 @@
 	}
 }
 
-// openKeyValue reaches the key-value service at an address.
+// openKeyValue returns a client of the key-value service at an address.
 func openKeyValue(address string) (*keyvalue.Client, error) {
 	return keyvalue.NewHTTP(address, nil), nil
 }
@@ -140,7 +140,7 @@
 // A VersionCmd shows the version of the program.
 type VersionCmd struct{}
 
-// Run prints the version that the build recorded.
+// Run prints the version from the build information.
 func (*VersionCmd) Run(out Output) error {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -21,15 +21,15 @@
 	"wisteriacroft/settings"
 )
 
-// TestMain lets the test binary stand for the program in scripts and in tests
-// that start it as a process.
+// TestMain lets the test binary run as the program, for scripts and tests that start
+// processes.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		programName: func() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) },
 	})
 }
 
-// TestScripts runs the sessions of testdata/script that need the program alone.
+// TestScripts runs the scripts of testdata/script that need no key-value service.
 // TestProfileScripts runs all, with a key-value service for each.
 func TestScripts(t *testing.T) {
 	files := slices.DeleteFunc(glob(t, filepath.Join("testdata", "script"), "*.txtar"), func(path string) bool {
@@ -38,12 +38,7 @@
 	testscript.Run(t, testscript.Params{Files: files})
 }
 
-// TestSignal
-//
-// Symptom: SIGTERM ends a process at once, and what it had begun is cut off.
-// Sequence: the entry starts and says so; SIGTERM comes; the entry ends.
-// Cause: a process that does not catch the signal dies of it, with no
-// shutdown and no exit code of its own.
+// TestSignal checks that SIGTERM shuts a process down gracefully, with exit code 0.
 func TestSignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.toml")
 	assert.NilError(t, os.WriteFile(path, golden.Get(t, "entry.toml"), 0o600))
@@ -57,8 +52,8 @@
 	lines := bufio.NewScanner(stderr)
 	started := ""
 	for !strings.Contains(started, "admin-address=") {
-		assert.Assert(t, lines.Scan(), "the entry never said that it started")
-		started = lines.Text() // warnings of the absent platform may come before
+		assert.Assert(t, lines.Scan(), "the entry did not log its start")
+		started = lines.Text() // warnings about the missing platform may precede it
 	}
 	admin := strings.Fields(started[strings.Index(started, "admin-address=")+len("admin-address="):])[0]
 	session := "GET /healthz: " + get(t, "http://"+strings.Trim(admin, `"`)+"/healthz") +
@@ -66,7 +61,7 @@
 		withoutTime(strings.ReplaceAll(started, admin, "ADDRESS"))
 	assert.NilError(t, process.Process.Signal(syscall.SIGTERM))
 	for lines.Scan() {
-		// How often the absent platform is tried, and warned of, varies.
+		// The number of warnings about the missing platform varies.
 		if !strings.Contains(lines.Text(), "level=warning") {
 			session += withoutTime(lines.Text())
 		}
@@ -76,7 +71,7 @@
 	golden.Assert(t, session, "signal.golden")
 }
 
-// withoutTime returns a log line without its first field if that is the time.
+// withoutTime returns a log line without its time field.
 func withoutTime(line string) string {
 	first, rest, _ := strings.Cut(line, " ")
 	if strings.HasPrefix(first, "time=") {
@@ -85,7 +80,7 @@
 	return line + "\n"
 }
 
-// get returns the status and the body of a page.
+// get returns the status and body of a page.
 func get(t *testing.T, url string) string {
 	answer, err := http.Get(url)
 	assert.NilError(t, err)
@@ -95,14 +90,14 @@
 	return fmt.Sprintf("%d %s", answer.StatusCode, body)
 }
 
-// TestReference compares the operators' page with the commands.
+// TestReference compares the reference for operators with the commands.
 func TestReference(t *testing.T) {
 	page, err := Reference()
 	assert.NilError(t, err)
 	golden.Assert(t, page, "../../docs/reference/commands.md")
 }
 
-// TestExitCodes runs commands that end at once.
+// TestExitCodes checks the exit codes of commands that end at once.
 func TestExitCodes(t *testing.T) {
 	t.Setenv("WISTERIACROFT_PLATFORM", "")
 	entry := filepath.Join("testdata", "entry.toml")
@@ -120,7 +115,7 @@
 		{"no command", "", ExitBadInput},
 		{"unknown command", "keep", ExitBadInput},
 		{"unknown flag", "status --addr 127.0.0.1:1", ExitBadInput},
-		{"status of nobody", "status", ExitBadInput},
+		{"status without an address", "status", ExitBadInput},
 		{"status of an unreachable process", "status --address 127.0.0.1:1", ExitFailure},
 		{"status without the instance list", "status --platform http://127.0.0.1:1", ExitUnavailable},
 		{"profile without the key-value service", "profile show --platform http://127.0.0.1:1", ExitUnavailable},
@@ -132,8 +127,8 @@
 	}
 }
 
-// TestExamples checks the settings of both deployments, alone and against each
-// other: entries that are named exist, and nothing has the place of another.
+// TestExamples checks the settings of both example deployments: all referenced entries
+// exist, and no address or endpoint is used twice.
 func TestExamples(t *testing.T) {
 	for _, deployment := range []string{"hathercote", "baitursynov"} {
 		t.Run(deployment, func(t *testing.T) {
@@ -170,7 +165,7 @@
 	}
 }
 
-// glob returns the files of a folder that match; there is one at least.
+// glob returns the matching files of a folder, at least one.
 func glob(t *testing.T, dir, pattern string) []string {
 	paths, err := filepath.Glob(filepath.Join(dir, pattern))
 	assert.NilError(t, err)
--- a/cmd/customerscmd.go
+++ b/cmd/customerscmd.go
@@ -24,7 +24,7 @@
 	List CustomersListCmd `cmd:"" help:"List the customers of the configuration in force: how many keys each holds, and what it asked for."`
 }
 
-// A CustomersListCmd lists customers. It never shows a key.
+// A CustomersListCmd lists customers, never their keys.
 type CustomersListCmd struct {
 	Metrics []string      `help:"Metrics addresses of entries, to add up what customers asked for." placeholder:"IP:PORT"`
 	Output  string        `default:"table" enum:"table,json" help:"Form of the output: table or json."`
@@ -32,16 +32,16 @@
 	Timeout time.Duration `default:"5s" help:"How long to wait for each answer."`
 }
 
-// A customerLine is what is shown of a customer.
+// A customerLine is a customer's row in the output.
 type customerLine struct {
 	Customer string `json:"customer"`
 	Keys     int    `json:"keys"`
-	Priority string `json:"priority"` // "" where the routes' own counts
-	Refusals uint64 `json:"refusals"` // requests that did not run
+	Priority string `json:"priority"` // "": the routes' priorities apply
+	Refusals uint64 `json:"refusals"` // rejected requests
 	Requests uint64 `json:"requests"`
 }
 
-// Run prints the customers by name.
+// Run prints the customers, sorted by name.
 func (cc *CustomersListCmd) Run(ctx context.Context, env *ProfileEnv) error {
 	co, err := cc.configuration(ctx)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	pr.table("CUSTOMER\tKEYS\tPRIORITY\tREQUESTS\tREFUSALS", func(tw io.Writer) {
 		for _, cl := range lines {
-			_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%d\t%d\n", cl.Customer, cl.Keys, cl.Priority, cl.Requests, cl.Refusals) // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%d\t%d\n", cl.Customer, cl.Keys, cl.Priority, cl.Requests, cl.Refusals) // writes to a buffer
 		}
 	})
 	return pr.err
@@ -78,7 +78,7 @@
 	return configuration(ctx, platform.NewStore(cc.Store, forward.NewHTTPClient()))
 }
 
-// addCounts adds what an entry's metrics say of customers.
+// addCounts adds the counts in an entry's metrics by customer.
 func (cc *CustomersListCmd) addCounts(ctx context.Context, address string, counts map[string]uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, cc.Timeout)
 	defer cancel()
@@ -109,7 +109,7 @@
 	return sc.Err()
 }
 
-// customerLines returns what is shown of each customer, by name.
+// customerLines returns the rows of the customers, sorted by name.
 func customerLines(co *directory.Configuration, counts map[string]uint64) []customerLine {
 	lines := []customerLine{}
 	for _, cu := range co.Customers {
--- a/cmd/customerscmd_test.go
+++ b/cmd/customerscmd_test.go
@@ -19,8 +19,7 @@
 	"wisteriacroft/platform/standin"
 )
 
-// TestCustomers runs an operator's session: two customers, of which one has asked for
-// something and was refused once.
+// TestCustomers lists two customers, one with requests and a rejection. No key may be shown.
 func TestCustomers(t *testing.T) {
 	store := &standin.Store{}
 	sv := httptest.NewServer(store.Handler())
--- a/cmd/entrycmd.go
+++ b/cmd/entrycmd.go
@@ -12,7 +12,7 @@
 // An EntryCmd runs an entry.
 type EntryCmd struct{ SettingsFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (ec *EntryCmd) Run(ctx context.Context, out Output) error {
 	se, err := readSettings(ec.Settings, settings.ReadEntry)
 	if err != nil || ec.Check {
--- a/cmd/exitcode.go
+++ b/cmd/exitcode.go
@@ -11,20 +11,20 @@
 	"wisteriacroft/keyvalue"
 )
 
-// An ExitCode is what a command tells the shell.
+// An ExitCode is the exit code of a command.
 type ExitCode int
 
 // The exit codes of all commands.
 const (
 	ExitOK          ExitCode = iota // done
-	ExitFailure                     // failed, differs, or a promise was broken
-	ExitBadInput                    // wrong flags or findings; nothing was done
-	ExitUnavailable                 // a service that is needed is away; nothing was done
-	ExitConflict                    // someone else changed the same; nothing was done
-	ExitUnknown                     // the outcome is unknown: look before repeating
+	ExitFailure                     // failed, a difference, or a violation
+	ExitBadInput                    // invalid flags or findings; nothing was done
+	ExitUnavailable                 // a required service is unavailable; nothing was done
+	ExitConflict                    // a concurrent change of the same data; nothing was done
+	ExitUnknown                     // unknown outcome: check before repeating
 )
 
-// exitMeanings are the lines of the reference for operators.
+// exitMeanings are the descriptions in the reference for operators.
 var exitMeanings = [...]string{
 	ExitOK:          "Done.",
 	ExitFailure:     "Failed. `profile diff`: there is a difference. `status`: a process is unreachable. `try`: a promise was broken.",
@@ -34,13 +34,13 @@
 	ExitUnknown:     "The change may or may not have taken effect: look before repeating it.",
 }
 
-// An ExitError is an error that names the exit code.
+// An ExitError is an error with an exit code.
 type ExitError struct {
 	code ExitCode
 	err  error
 }
 
-// NewExitError returns err with the exit code that it leads to.
+// NewExitError returns err with an exit code.
 func NewExitError(code ExitCode, err error) *ExitError {
 	return &ExitError{code: code, err: err}
 }
@@ -51,10 +51,10 @@
 // Error implements error.
 func (ee *ExitError) Error() string { return ee.err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (ee *ExitError) Unwrap() error { return ee.err }
 
-// exitCodeOf returns the exit code of what a command returned.
+// exitCodeOf returns the exit code for a command's error.
 func exitCodeOf(err error) ExitCode {
 	var (
 		exit     *ExitError
--- a/cmd/holdcmd.go
+++ b/cmd/holdcmd.go
@@ -17,18 +17,18 @@
 	"wisteriacroft/platform"
 )
 
-// StoreFlags name the key-value service of the users' platform.
+// StoreFlags are the flags for the key-value service of the users' platform.
 type StoreFlags struct {
 	Store   string        `env:"WISTERIACROFT_STORE" help:"Address of the key-value service of the users' platform." placeholder:"IP:PORT" required:""`
 	Timeout time.Duration `default:"5s" help:"How long to wait for the answer."`
 }
 
-// client reaches the key-value service.
+// client returns a client of the key-value service.
 func (sf StoreFlags) client() *keyvalue.Client {
 	return platform.NewStore(sf.Store, forward.NewHTTPClient())
 }
 
-// HoldFlags say what is to be held or released, by whom and why.
+// HoldFlags are the flags of hold and release.
 type HoldFlags struct {
 	StoreFlags
 	Kind    string `arg:"" enum:"customer,endpoint,service,step" help:"customer, endpoint, service or step."`
@@ -38,7 +38,7 @@
 	Message string `help:"Reason of the change, for the history." placeholder:"WHY" required:"" short:"m"`
 }
 
-// change returns the change that the flags ask for.
+// change returns the change that the flags describe.
 func (hf HoldFlags) change(ac hold.Action) hold.Change {
 	return hold.Change{Action: ac, ID: uuid.NewString(), Record: hold.Record{
 		At: time.Now().UTC().Truncate(time.Second), By: hf.By,
@@ -46,7 +46,7 @@
 	}}
 }
 
-// run makes a change, or says what it would be.
+// run applies and prints a change; with DryRun it only prints it.
 func (hf HoldFlags) run(ctx context.Context, ac hold.Action, out io.Writer) error {
 	ke := &hold.Store{Client: hf.client()}
 	ch := hf.change(ac)
@@ -68,7 +68,7 @@
 	return pr.err
 }
 
-// holdChange prints what a change makes different, and what undoes it.
+// holdChange prints the effect of a change and the command that undoes it.
 func (pr *printer) holdChange(hf HoldFlags, before *hold.Set, ch hold.Change, changed bool) {
 	if !changed {
 		pr.printf("%s is %s: nothing to change\n", ch.Target, choose(ch.Action == hold.Held, "held already", "not held"))
@@ -88,7 +88,7 @@
 	pr.printf("undo: %s %s %s %s --store %s -m WHY\n", programName, undo, ch.Kind, shellWord(ch.Name), hf.Store)
 }
 
-// shellWord returns a word as a shell takes it.
+// shellWord quotes a word for a shell if necessary.
 func shellWord(word string) string {
 	if !strings.ContainsFunc(word, func(ru rune) bool { return !strings.ContainsRune(shellSafe, ru) }) {
 		return word
@@ -96,13 +96,13 @@
 	return "'" + strings.ReplaceAll(word, "'", `'\''`) + "'"
 }
 
-// shellSafe are the characters that mean nothing to a shell.
+// shellSafe are the characters without a special meaning in a shell.
 const shellSafe = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/%+@"
 
 // A HoldCmd holds new work.
 type HoldCmd struct{ HoldFlags }
 
-// Run holds it. Repeated, it changes nothing.
+// Run holds the target. It is idempotent.
 func (hc *HoldCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, hc.Timeout)
 	defer cancel()
@@ -112,8 +112,8 @@
 	return hc.run(ctx, hold.Held, out.Stdout)
 }
 
-// check finds out whether there is what is to be held: a name that was mistyped would
-// hold nothing, and look as if it did.
+// check checks that the target exists: otherwise a mistyped name would hold nothing
+// without an error.
 func (hc *HoldCmd) check(ctx context.Context) error {
 	ta := hold.Target{Kind: hold.Kind(hc.Kind), Name: hc.Name}
 	var missing string
@@ -141,24 +141,24 @@
 	return li.Err()
 }
 
-// A ReleaseCmd lets what was held go on.
+// A ReleaseCmd releases held work.
 type ReleaseCmd struct{ HoldFlags }
 
-// Run releases it. Repeated, it changes nothing. What is held may be gone by now.
+// Run releases the target, which need not exist any more. It is idempotent.
 func (rc *ReleaseCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, rc.Timeout)
 	defer cancel()
 	return rc.run(ctx, hold.Released, out.Stdout)
 }
 
-// A HoldsCmd lists what is held.
+// A HoldsCmd lists holds.
 type HoldsCmd struct {
 	StoreFlags
 	History bool   `help:"List the changes instead, the oldest first."`
 	Output  string `default:"table" enum:"table,json" help:"Form of the output: table or json."`
 }
 
-// Run prints what is held, or the changes.
+// Run prints the holds, or the history of changes.
 func (hc *HoldsCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, hc.Timeout)
 	defer cancel()
@@ -180,7 +180,7 @@
 	return pr.err
 }
 
-// holds prints what is held.
+// holds prints the holds as a table.
 func (pr *printer) holds(res []hold.Record) {
 	if len(res) == 0 {
 		pr.printf("nothing is held\n")
@@ -188,12 +188,12 @@
 	}
 	pr.table("KIND\tNAME\tSINCE\tBY\tWHY", func(tw io.Writer) {
 		for _, re := range res {
-			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\n", re.Kind, re.Name, timeOrNone(re.At), re.By, re.Why) // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\n", re.Kind, re.Name, timeOrNone(re.At), re.By, re.Why) // writes to a buffer
 		}
 	})
 }
 
-// holdHistory prints changes.
+// holdHistory prints the changes as a table.
 func (pr *printer) holdHistory(chs []hold.Change) {
 	if len(chs) == 0 {
 		pr.printf("nothing was ever held\n")
@@ -201,7 +201,7 @@
 	}
 	pr.table("AT\tACTION\tKIND\tNAME\tBY\tWHY", func(tw io.Writer) {
 		for _, ch := range chs {
-			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\n", timeOrNone(ch.At), ch.Action, ch.Kind, ch.Name, ch.By, ch.Why) // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\n", timeOrNone(ch.At), ch.Action, ch.Kind, ch.Name, ch.By, ch.Why) // writes to a buffer
 		}
 	})
 }
--- a/cmd/holdsession_test.go
+++ b/cmd/holdsession_test.go
@@ -25,15 +25,15 @@
 	"wisteriacroft/step"
 )
 
-// A holdWorld is a small deployment of real processes on a platform that stands in: two
-// schedulers, an entry, an attendant beside an engine, and a plain endpoint.
-type holdWorld struct {
+// A holdDeployment is a small deployment of real processes on a simulated platform: two
+// schedulers, an entry, an attendant with an engine, and a plain endpoint.
+type holdDeployment struct {
 	*deployment
-	authority *standin.UsageServer
-	desk      *standin.PlainEndpoint
-	engine    *standin.Engine
-	store     *standin.Store
-	subnet    string
+	usageServer *standin.UsageServer
+	desk        *standin.PlainEndpoint
+	engine      *standin.Engine
+	store       *standin.Store
+	subnet      string
 }
 
 const (
@@ -41,12 +41,12 @@
 	holdPort = 7300
 )
 
-func (hw *holdWorld) ip(number int) string { return fmt.Sprintf("127.%s.%d", hw.subnet, number) }
+func (hw *holdDeployment) ip(number int) string { return fmt.Sprintf("127.%s.%d", hw.subnet, number) }
 
-func newHoldWorld(t *testing.T) *holdWorld {
+func newHoldDeployment(t *testing.T) *holdDeployment {
 	pid := os.Getpid()
-	hw := &holdWorld{
-		authority: &standin.UsageServer{}, desk: &standin.PlainEndpoint{ID: "i-desk"}, deployment: &deployment{T: t, ended: make(chan string, 16), processes: map[string]*process{}},
+	hw := &holdDeployment{
+		usageServer: &standin.UsageServer{}, desk: &standin.PlainEndpoint{ID: "i-desk"}, deployment: &deployment{T: t, ended: make(chan string, 16), processes: map[string]*process{}},
 		engine: &standin.Engine{
 			Gap: 5 * time.Millisecond, ID: "i-engine", Length: func(string) int { return 4 }, Load: 10 * time.Millisecond, Models: []string{"menus"}, Slots: 4,
 			Text: func(item string, event int, _ uint64) string { return fmt.Sprint(item, event) },
@@ -54,11 +54,11 @@
 		store: &standin.Store{}, subnet: fmt.Sprintf("%d.%d", 1+pid/250%250, pid%250),
 	}
 	hw.listen(hw.ip(1)+":9000", hw.store.Handler())
-	hw.listen(hw.ip(1)+":9001", hw.authority)
+	hw.listen(hw.ip(1)+":9001", hw.usageServer)
 	hw.listen(hw.ip(2)+":8000", hw.engine)
 	hw.listen(hw.ip(3)+":8000", hw.desk)
 	hw.configure()
-	hw.tell("hold", "service", "llm", "-m", "orders are looked at first")
+	hw.runCommand("hold", "service", "llm", "-m", "orders are looked at first")
 	for i, role := range []string{"scheduler", "scheduler", "entry"} {
 		hw.launch(role, 4+i, "")
 	}
@@ -66,15 +66,15 @@
 	return hw
 }
 
-func (hw *holdWorld) listen(address string, ha http.Handler) {
+func (hw *holdDeployment) listen(address string, ha http.Handler) {
 	ln, err := net.Listen("tcp", address)
 	assert.NilError(hw, err)
 	sv := &http.Server{Handler: ha}
 	hw.Cleanup(func() { _ = sv.Close() })
-	go func() { _ = sv.Serve(ln) }() // ends with the test
+	go func() { _ = sv.Serve(ln) }() // returns at the end of the test
 }
 
-func (hw *holdWorld) configure() {
+func (hw *holdDeployment) configure() {
 	ctx := hw.Context()
 	route := func(name string, kind directory.Kind, service string) directory.Route {
 		return directory.Route{
@@ -97,7 +97,7 @@
 	op.NameVersion(ctx, "menus", 1)
 }
 
-func (hw *holdWorld) launch(role string, number int, app string) {
+func (hw *holdDeployment) launch(role string, number int, app string) {
 	name := fmt.Sprint(role, number)
 	path := hw.TempDir() + "/" + name + ".toml"
 	text := standin.SettingsFile(name, hw.ip(number), "a", hw.ip(1)+":9000", app, hw.ip(1)+":9001", holdPort)
@@ -106,21 +106,21 @@
 	hw.start(name, "platform", role)
 }
 
-func (hw *holdWorld) client(customer string) *standin.Client {
+func (hw *holdDeployment) client(customer string) *standin.Client {
 	return &standin.Client{Base: fmt.Sprintf("http://%s:%d", hw.ip(6), holdPort+2), HTTP: http.DefaultClient, Host: holdHost, Key: "key-" + customer}
 }
 
-// tell runs an operator's command that must succeed.
-func (hw *holdWorld) tell(args ...string) string {
+// runCommand runs an operator's command that must succeed.
+func (hw *holdDeployment) runCommand(args ...string) string {
 	out, code := hw.operate(append(args, "--store", hw.ip(1)+":9000")...)
 	assert.Equal(hw, code, 0, out)
 	return out
 }
 
-// overview waits until the load is as an operator expects it.
-func (hw *holdWorld) overview(what string, holds func(ov overview.Overview) bool) overview.Overview {
+// overview waits until the output of load meets a condition.
+func (hw *holdDeployment) overview(what string, holds func(ov overview.Overview) bool) overview.Overview {
 	var ov overview.Overview
-	hw.until(what, func() bool {
+	hw.waitFor(what, func() bool {
 		out, code := hw.operate("load", "--output", "json", "--store", hw.ip(1)+":9000")
 		ov = overview.Overview{}
 		return code == 0 && json.Unmarshal([]byte(out), &ov) == nil && holds(ov)
@@ -128,31 +128,31 @@
 	return ov
 }
 
-// answers waits until a customer's live calls are answered with a status.
-func (hw *holdWorld) answers(customer string, status int) {
+// waitForStatus waits until a customer's live calls return a status.
+func (hw *holdDeployment) waitForStatus(customer string, status int) {
 	number := 0
-	hw.until(fmt.Sprint(customer, " to get ", status), func() bool {
+	hw.waitFor(fmt.Sprint(customer, " to get ", status), func() bool {
 		number++
 		got, _, err := hw.client(customer).Call(hw.Context(), "/safe/stock", fmt.Sprint(customer, number), strings.NewReader("flour?"), time.Second)
 		return err == nil && got == status
 	})
 }
 
-// submit hands a step of two items in.
-func (hw *holdWorld) submit(customer, id string) {
+// submit submits a step of two items.
+func (hw *holdDeployment) submit(customer, id string) {
 	st := &step.Step{Groups: 1, ID: id, MinVersion: 1, Model: "menus", Number: 1}
 	for i := range 2 {
 		st.Items = append(st.Items, step.Item{Body: []byte("{}"), Group: "g", ID: fmt.Sprint(id, "-", i), Path: "/v1/generate", Prompt: 10, Tokens: 600})
 	}
-	hw.until("the step to be taken", func() bool {
+	hw.waitFor("the step to be accepted", func() bool {
 		status, err := hw.client(customer).Submit(hw.Context(), "/steps/"+id, st)
 		return err == nil && status == http.StatusAccepted
 	})
 }
 
-// whole waits until a step's results are listed.
-func (hw *holdWorld) whole(customer, id string) {
-	hw.until("the results of "+id, func() bool {
+// waitForResults waits until a step's results are listed.
+func (hw *holdDeployment) waitForResults(customer, id string) {
+	hw.waitFor("the results of "+id, func() bool {
 		ctx, cancel := context.WithTimeout(hw.Context(), 3*time.Second)
 		defer cancel()
 		_, li, err := hw.client(customer).Read(ctx, id, 0, 500*time.Millisecond)
@@ -169,18 +169,18 @@
 	return overview.Step{}
 }
 
-// TestHoldSession has an operator hold a customer, lose the scheduler meanwhile, release
-// it, and drain an engine, on real processes.
+// TestHoldSession checks on real processes that a hold survives the loss of the scheduler,
+// and that releases, drains and held scaling orders work.
 func TestHoldSession(t *testing.T) {
-	hw := newHoldWorld(t)
-	hw.answers("bakery", http.StatusOK)
-	before := hw.overview("a scheduler that hears its engine", func(ov overview.Overview) bool {
+	hw := newHoldDeployment(t)
+	hw.waitForStatus("bakery", http.StatusOK)
+	before := hw.overview("a scheduler with a connected engine", func(ov overview.Overview) bool {
 		return len(ov.Engines) == 1 && ov.Engines[0].State == overview.Serving
 	})
 
-	hw.tell("hold", "customer", "bakery", "-m", "asks for too much")
-	hw.answers("bakery", http.StatusServiceUnavailable)
-	hw.answers("mill", http.StatusOK)
+	hw.runCommand("hold", "customer", "bakery", "-m", "asks for too much")
+	hw.waitForStatus("bakery", http.StatusServiceUnavailable)
+	hw.waitForStatus("mill", http.StatusOK)
 	hw.submit("bakery", "step-1")
 	held := func(ov overview.Overview) bool {
 		st := stepIn(ov, "bakery:step-1")
@@ -188,76 +188,77 @@
 	}
 	hw.overview("the step to be held", held)
 	hw.submit("mill", "step-2")
-	hw.whole("mill", "step-2")
+	hw.waitForResults("mill", "step-2")
 
 	hw.killLeader()
 	after := hw.overview("the next scheduler to hold it too", held)
 	assert.Assert(t, after.Epoch > before.Epoch)
 	assert.Equal(t, len(after.Holds), 2)
 	assert.Assert(t, !hw.ran("step-1"), "a held item ran")
-	hw.tell("release", "customer", "bakery", "-m", "the others are through")
-	hw.whole("bakery", "step-1")
+	hw.runCommand("release", "customer", "bakery", "-m", "the others are through")
+	hw.waitForResults("bakery", "step-1")
 	assert.Assert(t, hw.ran("step-1"))
-	hw.answers("bakery", http.StatusOK)
+	hw.waitForStatus("bakery", http.StatusOK)
 
-	hw.tell("hold", "endpoint", hw.ip(2)+":8000", "-m", "to be replaced")
+	hw.runCommand("hold", "endpoint", hw.ip(2)+":8000", "-m", "to be replaced")
 	hw.overview("the engine to be drained", func(ov overview.Overview) bool { return ov.Engines[0].State == overview.Drained })
 	hw.submit("mill", "step-3")
 	hw.overview("the step to wait for an engine", func(ov overview.Overview) bool {
 		return stepIn(ov, "mill:step-3").Reason == overview.NoneServes
 	})
-	hw.tell("release", "endpoint", hw.ip(2)+":8000", "-m", "stays")
-	hw.whole("mill", "step-3")
-	assert.Equal(t, strings.Count(hw.tell("holds", "--history"), "\n"), 6)
-	hw.orders()
+	hw.runCommand("release", "endpoint", hw.ip(2)+":8000", "-m", "stays")
+	hw.waitForResults("mill", "step-3")
+	assert.Equal(t, strings.Count(hw.runCommand("holds", "--history"), "\n"), 6)
+	hw.checkScaleOrders()
 }
 
-// orders looks at what would be ordered while it is held, releases it and sees it ordered.
-func (hw *holdWorld) orders() {
+// checkScaleOrders checks that a held service's orders are shown but not sent until the
+// release.
+func (hw *holdDeployment) checkScaleOrders() {
 	su := scale.Subject{Domain: "a", Service: "llm"}
-	hw.until("the orders to be decided on", func() bool {
+	hw.waitFor("the scaling decisions", func() bool {
 		var ov scale.Overview
-		err := json.Unmarshal([]byte(hw.tell("scale", "--output", "json")), &ov)
+		err := json.Unmarshal([]byte(hw.runCommand("scale", "--output", "json")), &ov)
 		return err == nil && slices.Equal(ov.Lines, []scale.OverviewRow{
 			{Max: 4, Min: 1, Ordered: -1, Serving: 1, Subject: scale.Subject{Domain: "a", Service: "desk"}, Wanted: 1},
 			{Held: true, Max: 4, Min: 2, Ordered: -1, Serving: 1, Subject: su, Wanted: 2},
 		})
 	})
-	assert.Equal(hw, len(hw.authority.Orders()), 0)
-	hw.tell("release", "service", "llm", "-m", "as expected")
-	hw.until("the order", func() bool { return hw.authority.Orders()[su] == 2 })
-	hw.plainOrders()
-	assert.Equal(hw, len(hw.authority.Violations()), 0, "%v", hw.authority.Violations())
+	assert.Equal(hw, len(hw.usageServer.Orders()), 0)
+	hw.runCommand("release", "service", "llm", "-m", "as expected")
+	hw.waitFor("the order", func() bool { return hw.usageServer.Orders()[su] == 2 })
+	hw.checkPlainScaleOrders()
+	assert.Equal(hw, len(hw.usageServer.Violations()), 0, "%v", hw.usageServer.Violations())
 }
 
-// plainOrders sends more than the plain endpoint has places for, and sees more ordered: the
-// entry has told the scheduler.
-func (hw *holdWorld) plainOrders() {
+// checkPlainScaleOrders checks that load beyond the plain endpoint's places, reported by the
+// entry, leads to a scaling order.
+func (hw *holdDeployment) checkPlainScaleOrders() {
 	su := scale.Subject{Domain: "a", Service: "desk"}
-	assert.Equal(hw, hw.authority.Orders()[su], 0, "nothing is ordered without load")
+	assert.Equal(hw, hw.usageServer.Orders()[su], 0, "nothing is ordered without load")
 	hw.desk.SetTime(200 * time.Millisecond)
 	ctx, cancel := context.WithCancel(hw.Context())
 	var callers sync.WaitGroup
 	for number := range 8 {
 		callers.Go(func() {
 			for call := 0; ctx.Err() == nil; call++ {
-				_, _, _ = hw.client("mill").Call(ctx, "/safe/a", fmt.Sprintf("load-%d-%d", number, call), strings.NewReader("x"), time.Second) // some are refused
+				_, _, _ = hw.client("mill").Call(ctx, "/safe/a", fmt.Sprintf("load-%d-%d", number, call), strings.NewReader("x"), time.Second) // some are rejected
 			}
 		})
 	}
-	hw.until("the order for plain endpoints", func() bool { return hw.authority.Orders()[su] >= 2 })
+	hw.waitFor("the order for plain endpoints", func() bool { return hw.usageServer.Orders()[su] >= 2 })
 	cancel()
 	callers.Wait()
 	hw.desk.SetTime(0)
 }
 
-// ran reports whether the engine has begun an item of a step.
-func (hw *holdWorld) ran(id string) bool {
+// ran reports whether the engine has started an item of a step.
+func (hw *holdDeployment) ran(id string) bool {
 	return slices.ContainsFunc(hw.engine.Notes(), func(no standin.EngineRun) bool { return strings.HasPrefix(no.ID, id) })
 }
 
-// killLeader ends the scheduler that runs the steps as a loss of power does.
-func (hw *holdWorld) killLeader() {
+// killLeader kills the active scheduler with SIGKILL.
+func (hw *holdDeployment) killLeader() {
 	rec, err := lease.Current(hw.Context(), hw.store.Memory.Client(), step.LeaseName)
 	assert.NilError(hw, err)
 	for _, number := range []int{4, 5} {
--- a/cmd/holdtarget.go
+++ b/cmd/holdtarget.go
@@ -23,7 +23,7 @@
 	return so.DecodeConfigurationFunc(it.Value)
 }
 
-// missingCustomer returns why a customer can't be held, or "".
+// missingCustomer returns why a customer can't be held, or "" if it can.
 func missingCustomer(ctx context.Context, cl *keyvalue.Client, name string) (string, error) {
 	co, err := configuration(ctx, cl)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("is none of the %d customers of the configuration in force, version %d", len(co.Customers), co.Version), nil
 }
 
-// missingService returns why a service's orders can't be held, or "".
+// missingService returns why a service's orders can't be held, or "" if they can.
 func missingService(ctx context.Context, cl *keyvalue.Client, name string) (string, error) {
 	co, err := configuration(ctx, cl)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// missingEndpoint returns why an endpoint can't be drained, or "".
+// missingEndpoint returns why an endpoint can't be drained, or "" if it can.
 func missingEndpoint(ctx context.Context, cl *keyvalue.Client, name string) (string, error) {
 	so := platform.Source()
 	ch, err := cl.Scan(ctx, so.EndpointPrefix)
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("is neither the ID nor the address of any of %d endpoints", len(ch.Items)), nil
 }
 
-// missingStep returns why a step can't be held, or "".
+// missingStep returns why a step can't be held, or "" if it can.
 func missingStep(ctx context.Context, cl *keyvalue.Client, id string) (string, error) {
 	st, err := (&step.Store{Client: cl}).Load(ctx, id)
 	switch {
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -22,21 +22,21 @@
 	errNoScheduler = errors.New("no process runs the steps")
 )
 
-// A LoadCmd shows who waits for what, who has which part, and which engine is the reason.
+// A LoadCmd shows waiting steps, the customers' shares and the engines' state.
 type LoadCmd struct {
 	StoreFlags
 	Output string `default:"table" enum:"table,json" help:"Form of the output: table or json."`
 	Rows   int    `default:"100" help:"Rows of each table at most, the most troubled first."`
 }
 
-// Run asks the scheduler that runs the steps, and prints what it answers.
+// Run requests the overview from the active scheduler and prints it.
 func (lc *LoadCmd) Run(ctx context.Context, out Output) error {
 	if lc.Rows < 1 || lc.Rows > overview.MaxRows {
 		return NewExitError(ExitBadInput, errors.Wrapf(errBadRows, "%d", lc.Rows))
 	}
 	ctx, cancel := context.WithTimeout(ctx, lc.Timeout)
 	defer cancel()
-	ov, err := askScheduler[step.OverviewRequest, overview.Overview](ctx, lc.client(), step.OverviewMethod, step.OverviewRequest{Rows: lc.Rows})
+	ov, err := callScheduler[step.OverviewRequest, overview.Overview](ctx, lc.client(), step.OverviewMethod, step.OverviewRequest{Rows: lc.Rows})
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 	return pr.err
 }
 
-// askScheduler asks the process that holds the scheduler's lease.
-func askScheduler[Req, Resp any](ctx context.Context, cl *keyvalue.Client, method string, rq Req) (Resp, error) {
+// callScheduler calls a method of the process that holds the scheduler's lease.
+func callScheduler[Req, Resp any](ctx context.Context, cl *keyvalue.Client, method string, rq Req) (Resp, error) {
 	var resp Resp
 	rec, err := lease.Current(ctx, cl, step.LeaseName)
 	if errors.Is(err, keyvalue.ErrNotFound) {
@@ -98,7 +98,7 @@
 func (pr *printer) loadSteps(ov overview.Overview) {
 	pr.table("STEP\tCUSTOMER\tMODEL\tAGE\tDUE\tEND\tLATE\tGROUPS\tWAIT\tRUN\tSCORE\tWHOLE\tLOST\tLISTED\tREASON", func(tw io.Writer) {
 		for _, st := range ov.Steps {
-			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", // writes to a buffer
 				st.ID, orNone(st.Customer), st.Model, seconds(st.Age), seconds(st.Due), choose(st.End > 0, seconds(st.End), none),
 				choose(st.Late, "late", none), st.Whole, st.Wanted, st.Items.Waiting, st.Items.Running, st.Items.Scoring,
 				st.Items.Whole, st.Items.Lost, st.Items.Listed, reasonCell(st))
@@ -107,8 +107,8 @@
 	pr.omitted("steps", ov.Omitted.Steps)
 }
 
-// reasonCell returns why a step waits or is late, the engine that is the reason and
-// whether an operator holds it.
+// reasonCell returns why a step waits or is late, the engine that causes it, and whether
+// an operator holds the step.
 func reasonCell(st overview.Step) string {
 	cell := string(st.Reason)
 	if st.Via != "" {
@@ -123,7 +123,7 @@
 func (pr *printer) loadCustomers(ov overview.Overview) {
 	pr.table("CUSTOMER\tPART\tHAD\tAHEAD\tRUN\tMEMORY\tWAIT\tSTEPS\tLATE\tOLDEST\tWAITS-FOR\tSTATE", func(tw io.Writer) {
 		for _, cu := range ov.Customers {
-			_, _ = fmt.Fprintf(tw, "%s\t%.0f%%\t%.0f%%\t%.1fs\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%.0f%%\t%.0f%%\t%.1fs\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", // writes to a buffer
 				orNone(cu.Name), percent*cu.Part, percent*cu.Had, cu.Ahead, cu.Items.Running, cu.Tokens, cu.Items.Waiting, cu.Steps, cu.Late,
 				choose(cu.Oldest.Step != "", cu.Oldest.Step+" "+seconds(cu.Oldest.Age), none),
 				orNone(string(cu.Oldest.Reason)), choose(cu.Held, "held", none))
@@ -132,13 +132,13 @@
 	pr.omitted("customers", ov.Omitted.Customers)
 }
 
-// percent is how many per cent a whole is.
+// percent converts a fraction to per cent.
 const percent = 100
 
 func (pr *printer) loadEngines(ov overview.Overview) {
 	pr.table("ENGINE\tADDRESS\tSERVICE\tSTATE\tRUNS\tOTHERS\tPLACES\tMEMORY\tPACE\tMEDIAN\tHEARD", func(tw io.Writer) {
 		for _, en := range ov.Engines {
-			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d/%d\t%s\t%s\t%s\n", // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d/%d\t%s\t%s\t%s\n", // writes to a buffer
 				en.ID, en.Address, en.Service, en.State, en.Runs, en.Others, en.Places, en.Tokens, en.Memory,
 				paceOrNone(en.Pace), paceOrNone(en.Median), choose(en.Heard < 0, "never", seconds(en.Heard)))
 		}
@@ -146,7 +146,7 @@
 	pr.omitted("engines", ov.Omitted.Engines)
 }
 
-// omitted says how many rows a table leaves out.
+// omitted prints the number of rows that a table omits.
 func (pr *printer) omitted(what string, count int) {
 	if count > 0 {
 		pr.printf("and %d other %s: see --rows\n", count, what)
--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -21,7 +21,7 @@
 	"wisteriacroft/scale"
 )
 
-// TestLoadTable prints the load of four times the room, as package overview tells it.
+// TestLoadTable prints an overview of overload, an overview without steps and an empty one.
 func TestLoadTable(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "overview", "testdata", "crowd.golden"))
 	assert.NilError(t, err)
@@ -74,7 +74,7 @@
 	return os
 }
 
-// run runs a command and returns all that it said.
+// run runs a command and returns its output and exit code.
 func (os *operatorStore) run(args ...string) string {
 	var out bytes.Buffer
 	code := run(os.Context(), append(args, "--store", os.address), Output{Stderr: &out, Stdout: &out})
@@ -82,8 +82,7 @@
 	return "$ wisteriacroft " + strings.Join(args, " ") + "\n" + text + "exit code " + string('0'+rune(code)) + "\n"
 }
 
-// TestHolds runs an operator's session: a customer is held, twice, seen and released; an
-// endpoint is drained by its address.
+// TestHolds runs an operator's session of hold, release and holds.
 func TestHolds(t *testing.T) {
 	os := newOperatorStore(t)
 	session := ""
@@ -115,8 +114,8 @@
 	}
 }
 
-// TestBadHolds asks for what can't be held. Nothing is written.
-func TestBadHolds(t *testing.T) {
+// TestInvalidHolds checks that invalid commands fail without writing anything.
+func TestInvalidHolds(t *testing.T) {
 	os := newOperatorStore(t)
 	session := ""
 	for _, args := range [][]string{
@@ -145,10 +144,9 @@
 	assert.Equal(t, sh.Version(), int64(0))
 }
 
-func TestServiceOrSchedulerAway(t *testing.T) {
-	// Symptom: a script takes a command that could not ask anyone for one that was refused.
-	// Sequence: no process holds the scheduler's lease; then the key-value service is away.
-	// Cause: the exit code was that of any other error.
+func TestExitCodeWithoutSchedulerOrService(t *testing.T) {
+	// A command that reaches no scheduler or no key-value service must have its own exit
+	// code, distinct from that of a rejected command.
 	os := newOperatorStore(t)
 	for _, command := range []string{"load", "scale"} {
 		assert.Assert(t, strings.HasSuffix(os.run(command), "wisteriacroft: no process runs the steps\nexit code 3\n"))
--- a/cmd/platformattendantcmd.go
+++ b/cmd/platformattendantcmd.go
@@ -16,12 +16,12 @@
 // A PlatformAttendantCmd runs an attendant on the platform.
 type PlatformAttendantCmd struct{ PlatformFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (pc *PlatformAttendantCmd) Run(ctx context.Context, out Output) error {
 	return pc.serve(ctx, out, "attendant", func(ho *host) fx.Option { return fx.Invoke(ho.startAttendant) })
 }
 
-// startAttendant builds an attendant.
+// startAttendant adds an attendant's parts to the app.
 func (ho *host) startAttendant(lc fx.Lifecycle) {
 	rn := &runner.Runner{
 		Engine:  platform.NewEngine(ho.settings.EngineAddress, ho.settings.Instance, forward.NewHTTPClient()),
--- a/cmd/platformcmd.go
+++ b/cmd/platformcmd.go
@@ -8,8 +8,8 @@
 	"wisteriacroft/platform"
 )
 
-// A PlatformCmd holds the roles as they run on the users' platform, which
-// writes their settings itself.
+// A PlatformCmd holds the commands of the roles on the users' platform, which writes
+// their settings files.
 type PlatformCmd struct {
 	Attendant PlatformAttendantCmd `cmd:"" help:"Run items at the engine of one instance, and give it its orders."`
 	Entry     PlatformEntryCmd     `cmd:"" help:"Serve callers and trainers."`
@@ -21,7 +21,7 @@
 	Check bool `help:"Read the settings, report all findings and end without starting."`
 }
 
-// serve runs a role until ctx ends.
+// serve runs a role until ctx is done.
 func (pf PlatformFlags) serve(ctx context.Context, out Output, role string, build func(ho *host) fx.Option) error {
 	se, err := platform.LoadSettings()
 	if err != nil || pf.Check {
--- a/cmd/platformentrycmd.go
+++ b/cmd/platformentrycmd.go
@@ -18,46 +18,44 @@
 )
 
 const (
-	// linger is how long an entry that is to stop still takes connections: the
-	// balancer asks each second and believes the second refusal.
-	linger = 3500 * time.Millisecond
-	// drainEvery is how often a stopping entry looks whether it is idle.
-	drainEvery = 50 * time.Millisecond
-	// stepRetry is when a trainer may come back whose step was refused: another
-	// entry may reach the service. Trainers come back for some 6 s; with what an
-	// entry tries by itself, their tries leave half a second of it uncovered each.
-	// After a second, two of four missed the end of an outage of 7 s.
-	stepRetry = 500 * time.Millisecond
+	// drainDelay is how long a stopping entry still accepts connections: the balancer
+	// checks readiness every second and removes an entry after the second failure.
+	drainDelay = 3500 * time.Millisecond
+	// drainPollInterval is how often a stopping entry checks whether it is idle.
+	drainPollInterval = 50 * time.Millisecond
+	// stepRetryDelay is the Retry-After of a rejected step. It is short, since another entry
+	// may reach the service and trainers retry only for a few seconds.
+	stepRetryDelay = 500 * time.Millisecond
 )
 
 // A PlatformEntryCmd runs an entry on the platform.
 type PlatformEntryCmd struct{ PlatformFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (pc *PlatformEntryCmd) Run(ctx context.Context, out Output) error {
 	return pc.serve(ctx, out, "entry", func(ho *host) fx.Option { return fx.Invoke(ho.startEntry) })
 }
 
-// startEntry builds an entry.
+// startEntry adds an entry's parts to the app.
 func (ho *host) startEntry(lc fx.Lifecycle) {
 	fo := ho.forwarder()
 	ho.recordUsage(lc, fo)
-	te := ho.teller(fo)
-	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.payer().Allow
+	te := ho.demandReporter(fo)
+	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.rateLimiter().Allow
 	background(lc, te.Run)
 	su := &platform.StepHandler{
 		Access: fo.Access, Directory: ho.directory,
 		Door: &step.Frontend{
 			CutOffFunc: func() bool { return ho.directory.CutOff(time.Now()) },
-			Keeper:     &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log, Pool: ho.pool, Scheduler: ho.finder,
+			Keeper:     &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log, Pool: ho.pool, Scheduler: ho.resolver,
 		},
 		Live:       fo,
-		RetryAfter: stepRetry,
+		RetryAfter: stepRetryDelay,
 	}
 	ga := &gateway{handler: su.Handler()}
 	background(lc, ho.follower(func() bool { return false }).Run)
 	background(lc, expire(fo))
-	background(lc, ho.keepQuarantine())
+	background(lc, ho.saveQuarantine())
 	ho.serveMetrics(lc)
 	sv := roleprocess.NewHTTPServer(roleprocess.CloseConnectionsWhile(ga.stopping.Load, ga))
 	ho.guard().Protect(sv)
@@ -67,7 +65,7 @@
 	})
 	ready := roleprocess.NewHTTPServer(
 		platform.Readiness(func() bool { return !ga.stopping.Load() && ho.directory.Ready() && !ho.directory.CutOff(time.Now()) }))
-	// Stops last, so that the balancer hears that the entry is not ready.
+	// The readiness server stops last, so that the balancer sees that the entry is not ready.
 	lc.Append(fx.Hook{OnStop: func(context.Context) error {
 		ga.stopping.Store(true)
 		return nil
@@ -75,14 +73,14 @@
 	serve(lc, ho.settings.ReadyAddress, ready, func(context.Context) error { return nil })
 }
 
-// recordUsage records what the entry's endpoints begin to run, and tells the holder of
-// the reports of use.
+// recordUsage records the requests that the entry's endpoints start, and sends the counts
+// to the usage collector.
 func (ho *host) recordUsage(lc fx.Lifecycle, fo *forward.Forwarder) {
 	if ho.settings.UsageAddress == "" {
 		return
 	}
 	fo.Usage = &usage.Recorder{}
-	pu := &usage.Pusher{Finder: ho.finder, Instance: ho.settings.Instance, Log: ho.log, Pool: ho.pool, Recorder: fo.Usage}
+	pu := &usage.Pusher{Finder: ho.resolver, Instance: ho.settings.Instance, Log: ho.log, Pool: ho.pool, Recorder: fo.Usage}
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
@@ -104,21 +102,21 @@
 	})
 }
 
-// teller returns what tells the scheduler of live requests, and learns from it how many
-// places this entry may give each customer.
-func (ho *host) teller(fo *forward.Forwarder) *allocation.DemandReporter {
+// demandReporter reports the demand of live requests to the scheduler and receives the limits
+// of this entry for each customer.
+func (ho *host) demandReporter(fo *forward.Forwarder) *allocation.DemandReporter {
 	return &allocation.DemandReporter{
-		DemandsFunc: fo.Demands, Finder: ho.finder, Instance: ho.settings.Instance, LoadsFunc: fo.Loads, Log: ho.log,
+		DemandsFunc: fo.Demands, Finder: ho.resolver, Instance: ho.settings.Instance, LoadsFunc: fo.Loads, Log: ho.log,
 		Metrics: ho.metrics, Pool: ho.pool, WeightsFunc: ho.directory.Weights,
 	}
 }
 
-// payer returns what spends the tokens of customers' quotas that the scheduler grants.
-func (ho *host) payer() *allocation.RateLimiter {
-	return &allocation.RateLimiter{Finder: ho.finder, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
+// rateLimiter enforces customers' quotas with tokens that the scheduler grants.
+func (ho *host) rateLimiter() *allocation.RateLimiter {
+	return &allocation.RateLimiter{Finder: ho.resolver, Log: ho.log, Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, Pool: ho.pool}
 }
 
-// guard returns what holds callers to the limits of the configuration in force.
+// guard enforces the limits of the configuration in force on callers.
 func (ho *host) guard() *roleprocess.Guard {
 	return &roleprocess.Guard{
 		LimitsFunc: func() roleprocess.Limits {
@@ -138,7 +136,7 @@
 	}
 }
 
-// A gateway counts the requests that run.
+// A gateway counts running requests.
 type gateway struct {
 	handler  http.Handler
 	open     atomic.Int64
@@ -152,14 +150,14 @@
 	ga.handler.ServeHTTP(rw, hr)
 }
 
-// drain waits until the balancer sends no one any longer and no request runs.
+// drain waits until the balancer has removed the entry and no request runs, or ctx is done.
 func (ga *gateway) drain(ctx context.Context) {
 	ga.stopping.Store(true)
-	end := time.Now().Add(linger)
+	end := time.Now().Add(drainDelay)
 	for ctx.Err() == nil && (time.Now().Before(end) || ga.open.Load() > 0) {
 		select {
 		case <-ctx.Done():
-		case <-time.After(drainEvery):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
--- a/cmd/platformforwarder.go
+++ b/cmd/platformforwarder.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	// expireEvery is how often what concerns endpoints that are gone is closed.
-	expireEvery = time.Second
-	// attemptRatio and attemptBurst bound attempts beyond the first: one for
-	// each five requests, so that an overload isn't doubled, and some at once
-	// when an endpoint fails under all that it serves.
+	// expireInterval is how often state of removed endpoints is released.
+	expireInterval = time.Second
+	// attemptRatio and attemptBurst bound retries: a fraction of the requests, so that
+	// retries don't amplify an overload, and a burst for all requests of a failed endpoint.
 	attemptRatio = 0.2
 	attemptBurst = 30
-	// heldPart is the part of the memory that the platform grants which may be held
-	// for callers that read or write slowly. A body exists twice while it grows.
-	heldPart = 0.25
+	// heldMemoryFraction is the fraction of the memory limit for buffered bodies of slow
+	// callers. It leaves room for the copy that a growing buffer needs.
+	heldMemoryFraction = 0.25
 )
 
-// forwarder returns what sends requests to plain endpoints: callers' at an
+// forwarder returns the forwarder of requests to plain endpoints: callers' requests at an
 // entry, reward calls at a scheduler.
 func (ho *host) forwarder() *forward.Forwarder {
 	fo := &forward.Forwarder{
 		Access:    platform.NewChecker(ho.directory, ho.metrics),
 		Budget:    retry.NewBudget(retry.Policy{Burst: attemptBurst, MaxAttempts: attemptBurst, Ratio: attemptRatio}, 1),
 		Directory: ho.directory, Domain: ho.settings.Domain, Headers: platform.Headers(), Log: ho.log, Metrics: ho.metrics,
-		Quarantine: ho.requests,
+		Quarantine: ho.quarantine,
 	}
 	ho.live.Store(fo)
-	ho.boundMemory()
+	ho.limitHeldMemory()
 	ho.metrics.NewGauge("wisteriacroft_live_held_bytes", func() float64 {
 		total, _, _ := fo.Held()
 		return float64(total)
@@ -46,23 +45,23 @@
 	return fo
 }
 
-// boundMemory bounds what is held for callers by the memory that the settings grant.
-func (ho *host) boundMemory() {
+// limitHeldMemory sets the limit of buffered bodies from the current memory limit.
+func (ho *host) limitHeldMemory() {
 	if fo := ho.live.Load(); fo != nil {
-		fo.SetMemory(int64(heldPart * float64(ho.memoryLimit.Load())))
+		fo.SetMemory(int64(heldMemoryFraction * float64(ho.memoryLimit.Load())))
 	}
 }
 
-// keepQuarantine returns what saves, until it is told to end, what the process has
-// seen of requests that end their endpoints.
-func (ho *host) keepQuarantine() func(ctx context.Context) {
-	return (&quarantine.Store{Client: ho.store, Log: ho.log, Table: ho.requests}).Run
+// saveQuarantine returns a function that saves the process's records of requests that crash
+// endpoints, until its context is done.
+func (ho *host) saveQuarantine() func(ctx context.Context) {
+	return (&quarantine.Store{Client: ho.store, Log: ho.log, Table: ho.quarantine}).Run
 }
 
-// expire returns what closes, until it is told to end, what concerns endpoints
-// that are gone.
+// expire returns a function that releases state of removed endpoints, until its context is
+// done.
 func expire(fo *forward.Forwarder) func(ctx context.Context) {
 	return (&tick.Loop{
-		Every: expireEvery, Systems: []tick.System{{Name: "expire", Run: func(time.Time) { fo.Expire() }}},
+		Every: expireInterval, Systems: []tick.System{{Name: "expire", Run: func(time.Time) { fo.Expire() }}},
 	}).Run
 }
--- a/cmd/platformhost.go
+++ b/cmd/platformhost.go
@@ -35,39 +35,37 @@
 )
 
 const (
-	// feederPatience is how long a process waits for its feeder before it asks the
-	// key-value service itself: as long as a call to a feeder that fell silent, so
-	// that what it knows is not older for it. A lost feeder is replaced after a second.
-	feederPatience = 1200 * time.Millisecond
-	// memoryPart is the part of the memory that the platform grants at which
-	// the runtime collects harder: the rest is for stacks, for the kernel's
-	// buffers and for what comes between two collections.
-	memoryPart = 0.75
-	// metricsPath and metricsPort are where the deploy file says that metrics
-	// are.
+	// feederTimeout is how long a process waits for its feeder before it reads from the
+	// key-value service itself. It equals the timeout of a call to a feeder that hangs.
+	feederTimeout = 1200 * time.Millisecond
+	// memoryLimitFraction is the fraction of the platform's memory limit that is set as the
+	// Go runtime's soft limit. The rest is for kernel buffers and allocations between two
+	// collections.
+	memoryLimitFraction = 0.75
+	// metricsPath and metricsPort must match the deploy file.
 	metricsPath = "/metrics"
 	metricsPort = "9464"
-	// shutdownPart is the part of the grace that a role may use.
-	shutdownPart = 0.85
+	// shutdownFraction is the fraction of the grace period for the shutdown of a role.
+	shutdownFraction = 0.85
 )
 
-// A host is what the roles on the platform share as processes.
+// A host holds the parts that the processes of all roles on the platform share.
 type host struct {
 	directory   *directory.Directory
-	finder      *lease.Resolver
-	live        atomic.Pointer[forward.Forwarder] // what reaches plain endpoints; nil where the role has none
+	resolver    *lease.Resolver
+	live        atomic.Pointer[forward.Forwarder] // nil if the role has none
 	log         *logrus.Entry
-	memoryLimit atomic.Int64 // bytes; settings may change it
+	memoryLimit atomic.Int64 // bytes; a reload of the settings can change it
 	metrics     *metrics.Set
 	pool        *peer.Pool
-	requests    *quarantine.Table // that end their endpoints
+	quarantine  *quarantine.Table // requests that crash endpoints
 	settings    platform.Settings
 	store       *keyvalue.Client
 }
 
-// newHost returns what a role is built of.
+// newHost returns the host of a role.
 func newHost(role string, se platform.Settings, out io.Writer) *host {
-	applyMemory(se)
+	setMemoryLimit(se)
 	writer := telemetry.NewBoundedWriter(out)
 	logger := logrus.New()
 	logger.SetOutput(writer)
@@ -79,7 +77,7 @@
 	store := platform.NewStore(se.StoreAddress, forward.NewHTTPClient())
 	ho := &host{
 		directory: &directory.Directory{},
-		finder:    &lease.Resolver{Client: store, Log: log, Name: step.LeaseName},
+		resolver:  &lease.Resolver{Client: store, Log: log, Name: step.LeaseName},
 		log:       log,
 		metrics:   set,
 		pool: &peer.Pool{
@@ -88,40 +86,39 @@
 				return forward.Dialer().DialContext(ctx, "tcp", address)
 			},
 		},
-		requests: &quarantine.Table{},
-		settings: se,
-		store:    store,
+		quarantine: &quarantine.Table{},
+		settings:   se,
+		store:      store,
 	}
 	ho.memoryLimit.Store(se.MemoryLimit)
 	return ho
 }
 
-// Bounds of connections between the system's processes, which are a few
-// milliseconds apart.
+// Timeouts of connections between the system's processes.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	silenceTimeout = 1200 * time.Millisecond
 )
 
-// codes returns the errors that cross the system's processes.
+// codes returns the errors that are preserved in calls between processes.
 func codes() []peer.Code {
 	return append(append(append(append(step.Codes(), usage.Codes()...), scale.Codes()...), allocation.Codes()...),
 		peer.Code{Err: directory.ErrNotFeeder, Name: "not-feeder"},
 		peer.Code{Err: directory.ErrOldEndpoints, Name: "old-endpoints"})
 }
 
-func applyMemory(se platform.Settings) {
+func setMemoryLimit(se platform.Settings) {
 	if se.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(se.MemoryLimit)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(se.MemoryLimit)))
 	}
 }
 
-// follower returns what keeps the host's directory up to date. It reads all
-// itself while direct is true.
+// follower returns the follower that updates the host's directory. While direct returns
+// true, it reads from the key-value service instead of a feeder.
 func (ho *host) follower(direct func() bool) *directory.Follower {
 	fo := &directory.Follower{
-		Client: ho.store, DirectFunc: direct, Directory: ho.directory, Feeder: ho.finder, Log: ho.log,
-		Patience: feederPatience, Pool: ho.pool, Quarantine: ho.requests, Source: platform.Source(),
+		Client: ho.store, DirectFunc: direct, Directory: ho.directory, Feeder: ho.resolver, Log: ho.log,
+		Patience: feederTimeout, Pool: ho.pool, Quarantine: ho.quarantine, Source: platform.Source(),
 	}
 	ho.metrics.NewGauge("wisteriacroft_unusable_entries", func() float64 { return float64(fo.Unusable()) })
 	for _, ki := range hold.Kinds {
@@ -130,8 +127,8 @@
 	return fo
 }
 
-// reload reads the settings again at each SIGHUP. Addresses stay as they were
-// at the start, since connections depend on them.
+// reload reloads the settings at each SIGHUP. It applies the memory limit only; addresses
+// stay, since connections depend on them.
 func (ho *host) reload(ctx context.Context) {
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
@@ -144,17 +141,17 @@
 		}
 		se, err := platform.LoadSettings()
 		if err != nil {
-			ho.log.WithError(err).Error("settings can't be read again, those in force stay")
+			ho.log.WithError(err).Error("reloading settings failed; keeping the current ones")
 			continue
 		}
-		applyMemory(se)
+		setMemoryLimit(se)
 		ho.memoryLimit.Store(se.MemoryLimit)
-		ho.boundMemory()
-		ho.log.WithField("memory", se.MemoryLimit).Info("settings read again")
+		ho.limitHeldMemory()
+		ho.log.WithField("memory", se.MemoryLimit).Info("settings reloaded")
 	}
 }
 
-// run runs a role's app until ctx ends, and then stops it within the grace.
+// run runs a role's app until ctx is done, and then stops it within the grace period.
 func (ho *host) run(ctx context.Context, options ...fx.Option) error {
 	app := fx.New(append(options, fx.NopLogger)...)
 	if err := app.Err(); err != nil {
@@ -167,16 +164,16 @@
 	ho.log.WithField("memory", ho.settings.MemoryLimit).Info("started")
 	<-ctx.Done()
 	ho.log.Info("stopping")
-	err := stop(ctx, app, time.Duration(shutdownPart*float64(ho.settings.Grace)))
+	err := stop(ctx, app, time.Duration(shutdownFraction*float64(ho.settings.Grace)))
 	ho.log.WithField("error", err).Info("stopped")
-	time.Sleep(flushTime)
+	time.Sleep(logFlushDelay)
 	return err
 }
 
-// flushTime is left for the last log lines.
-const flushTime = 20 * time.Millisecond
+// logFlushDelay lets the asynchronous log writer finish before the process exits.
+const logFlushDelay = 20 * time.Millisecond
 
-// serve serves handlers at an address for as long as the app runs.
+// serve runs a server at an address while the app runs.
 func serve(lc fx.Lifecycle, address string, sv *http.Server, shutdown func(context.Context) error) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
@@ -185,14 +182,14 @@
 			if err != nil {
 				return errors.Wrapf(err, "listen on %s", address)
 			}
-			go func() { _ = sv.Serve(li) }() // ends with the shutdown
+			go func() { _ = sv.Serve(li) }() // returns after the shutdown
 			return nil
 		},
 		OnStop: shutdown,
 	})
 }
 
-// background runs a function for as long as the app runs.
+// background runs a function while the app runs.
 func background(lc fx.Lifecycle, fn func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
@@ -207,7 +204,7 @@
 	})
 }
 
-// serveMetrics serves the metrics at the port that the deploy file names.
+// serveMetrics serves the metrics at metricsPort.
 func (ho *host) serveMetrics(lc fx.Lifecycle) {
 	ip, _, err := net.SplitHostPort(ho.settings.PeerAddress)
 	if err != nil {
@@ -218,7 +215,7 @@
 	serve(lc, net.JoinHostPort(ip, metricsPort), sv, sv.Shutdown)
 }
 
-// servePeers serves calls of the system's other processes.
+// servePeers serves calls from the system's other processes.
 func (ho *host) servePeers(lc fx.Lifecycle, ps *peer.Server) {
 	ps.Codes = codes()
 	mux := http.NewServeMux()
--- a/cmd/platformload.go
+++ b/cmd/platformload.go
@@ -10,18 +10,17 @@
 	"wisteriacroft/step"
 )
 
-// A loadView is what a scheduler's process knows of the load of services whose endpoints
-// may be ordered.
+// A loadView collects the load of the services that can be scaled, in a scheduler's process.
 type loadView struct {
-	census    *scale.LoadAggregator // of what entries tell
-	directory *directory.Directory
-	forwarder *forward.Forwarder // of calls of the process's own, which go to plain services
-	scheduler *step.Scheduler
+	aggregator *scale.LoadAggregator // loads reported by entries
+	directory  *directory.Directory
+	forwarder  *forward.Forwarder // of the process's own calls to plain services
+	scheduler  *step.Scheduler
 }
 
-// services returns the services whose endpoints may be ordered, with their load. It returns
-// none before the configuration is known, nor while only those of engines may be ordered
-// and the open steps are not known.
+// services returns the services that can be scaled, with their load. It returns none
+// without a configuration, nor while only engines can be scaled and the open steps are not
+// known.
 func (lv *loadView) services(now time.Time) []scale.Service {
 	co := lv.directory.Configuration()
 	if co == nil {
@@ -48,19 +47,18 @@
 	return ses
 }
 
-// loads returns what entries and this process see of plain services, and whether that is
-// known. This process makes calls of its own to them, and is no entry: what it sees counts
-// in the load, but not in the census.
+// loads returns the load of plain services, and whether it is known. It adds the load of
+// this process's own calls to that reported by entries.
 func (lv *loadView) loads(now time.Time) (map[string]scale.Load, bool) {
-	loads, known := lv.census.Loads(now)
+	loads, known := lv.aggregator.Loads(now)
 	for service, se := range lv.forwarder.Loads(now) {
 		loads[service] = loads[service].Add(se)
 	}
 	return loads, known
 }
 
-// service returns a service without its load. The configuration names the places of engines
-// only; those of plain endpoints are what they say of themselves.
+// service returns a service without its load. The number of places of an engine is in the
+// configuration; plain endpoints report their own.
 func (lv *loadView) service(se directory.Service) scale.Service {
 	out := scale.Service{Domains: map[string]int{}, Name: se.Name, Places: se.Slots}
 	if se.Scale != nil {
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -21,39 +21,38 @@
 )
 
 const (
-	// leaseTime is how long a scheduler that is gone keeps others from taking
-	// its place. Twice the least that the service grants: one renewal may be
-	// lost.
-	leaseTime = 2 * time.Second
-	// probeEvery is how often a scheduler asks for its lease while the service does
-	// not answer: by how much later than it could it learns of the service's return.
-	probeEvery = 100 * time.Millisecond
-	// releaseTime bounds giving the lease up.
-	releaseTime = time.Second
-	// markEvery is how often a mark that an instance is empty is tried again.
-	markEvery = 300 * time.Millisecond
+	// leaseTTL is the TTL of the scheduler's lease. It is twice the service's minimum, so
+	// that one renewal may fail.
+	leaseTTL = 2 * time.Second
+	// probeInterval is how often a scheduler retries the key-value service during an outage. It
+	// bounds the delay until the scheduler notices the end of the outage.
+	probeInterval = 100 * time.Millisecond
+	// releaseTimeout bounds the release of the lease.
+	releaseTimeout = time.Second
+	// markRetryInterval is the interval of attempts to mark an instance as retired.
+	markRetryInterval = 300 * time.Millisecond
 )
 
 // A PlatformSchedulerCmd runs a scheduler on the platform.
 type PlatformSchedulerCmd struct{ PlatformFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (pc *PlatformSchedulerCmd) Run(ctx context.Context, out Output) error {
 	return pc.serve(ctx, out, "scheduler", func(ho *host) fx.Option { return fx.Invoke(ho.startScheduler) })
 }
 
-// startScheduler builds a scheduler.
+// startScheduler adds a scheduler's parts to the app.
 func (ho *host) startScheduler(lc fx.Lifecycle) {
 	fw := ho.forwarder()
 	sc := &step.Scheduler{
 		CallFunc: fw.Call, Directory: ho.directory,
 		Holder: &lease.Holder{
 			Client: ho.store, Follow: true, Log: ho.log, Name: step.LeaseName, Owner: ho.settings.PeerAddress,
-			ProbeEvery: probeEvery, TTL: leaseTime,
+			ProbeEvery: probeInterval, TTL: leaseTTL,
 		},
 		Holds: &hold.Store{Client: ho.store}, Keep: ho.settings.KeepResults, Keeper: &step.Store{Client: ho.store, Log: ho.log}, Log: ho.log,
 		Metrics:  ho.metrics,
-		PeerPort: ho.settings.PeerPort, Pool: ho.pool, Quarantine: ho.requests,
+		PeerPort: ho.settings.PeerPort, Pool: ho.pool, Quarantine: ho.quarantine,
 	}
 	sc.Holder.SuspectFunc = sc.IsDead
 	var ps peer.Server
@@ -67,7 +66,7 @@
 		Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, QuotaFunc: ho.directory.Quota, StandingFunc: sc.Holder.Held,
 	}
 	gr.Register(&ps)
-	ho.orderEndpoints(lc, &ps, &loadView{census: ce, directory: ho.directory, forwarder: fw, scheduler: sc})
+	ho.orderEndpoints(lc, &ps, &loadView{aggregator: ce, directory: ho.directory, forwarder: fw, scheduler: sc})
 	fo := ho.follower(sc.IsLeader)
 	fo.Own = platform.RetireKey(ho.settings.Instance)
 	directory.RegisterFeed(&ps, fo, uuid.NewString())
@@ -79,19 +78,19 @@
 	background(lc, sc.Run)
 	background(lc, fo.Run)
 	background(lc, expire(fw))
-	background(lc, ho.keepQuarantine())
+	background(lc, ho.saveQuarantine())
 	ho.serveMetrics(lc)
 	ho.servePeers(lc, &ps)
-	// Stops first, so that another scheduler takes over while this one still
-	// answers.
+	// The scheduler stops first, so that another one takes over while this process still
+	// responds to calls.
 	lc.Append(fx.Hook{OnStop: func(ctx context.Context) error {
 		sc.StepDown()
 		return release(ctx, sc)
 	}})
 }
 
-// reportUsage gathers what entries count, and reports it while the process is the
-// scheduler: one lease for both, so that one process is looked for and one may be lost.
+// reportUsage collects the counts of entries, and reports them while the process holds the
+// scheduler's lease.
 func (ho *host) reportUsage(lc fx.Lifecycle, sc *step.Scheduler, ps *peer.Server) {
 	if ho.settings.UsageAddress == "" {
 		return
@@ -106,14 +105,14 @@
 	background(lc, uh.Run)
 }
 
-// orderEndpoints gives orders for endpoints by the load of the steps and of entries, under
-// the lease of the scheduler as the reports of use.
+// orderEndpoints sends scaling orders by the load of steps and entries while the process
+// holds the scheduler's lease.
 func (ho *host) orderEndpoints(lc fx.Lifecycle, ps *peer.Server, lv *loadView) {
 	if ho.settings.ScaleAddress == "" {
 		return
 	}
 	so := &scale.Scaler{
-		Census: lv.census,
+		Census: lv.aggregator,
 		HeldFunc: func(service string) bool {
 			_, held := ho.directory.Holds().Service(service)
 			return held
@@ -129,28 +128,28 @@
 	background(lc, so.Run)
 }
 
-// release gives the lease up, so that another takes the steps over at once.
+// release releases the lease, so that another scheduler can acquire it at once.
 func release(ctx context.Context, sc *step.Scheduler) error {
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	return sc.Holder.Release(ctx)
 }
 
-// retire empties the instance: it holds nothing but perhaps the lease, which
-// goes to another, and then marks it as empty.
+// retire drains the instance at the operator's request: it releases the lease, the only
+// state of the instance, and then marks the instance as retired.
 func (ho *host) retire(sc *step.Scheduler) {
 	ctx := context.Background()
-	ho.log.Info("instance is to be emptied")
+	ho.log.Info("retiring the instance")
 	sc.StepDown()
 	if err := release(ctx, sc); err != nil {
-		ho.log.WithError(err).Warn("lease can't be released and ends by itself")
+		ho.log.WithError(err).Warn("releasing the lease failed; it will expire")
 	}
 	for {
 		err := platform.MarkRetired(ctx, ho.store, ho.settings.Instance)
-		ho.log.WithField("error", err).Info("instance marked as empty")
+		ho.log.WithField("error", err).Info("marking the instance as retired")
 		if err == nil {
 			return
 		}
-		time.Sleep(markEvery)
+		time.Sleep(markRetryInterval)
 	}
 }
--- a/cmd/process_test.go
+++ b/cmd/process_test.go
@@ -25,21 +25,19 @@
 	"wisteriacroft/message"
 )
 
-// pollEvery is how often a condition is looked at. Only the test's own
-// deadline ends a wait.
-const pollEvery = 20 * time.Millisecond
+// pollInterval is how often a condition is checked.
+const pollInterval = 20 * time.Millisecond
 
-// waitBound is the test's own deadline for whatever it waits for. It is far
-// beyond what anything takes: a test that meets it has hung.
-const waitBound = 2 * time.Minute
+// waitTimeout bounds each wait of a test; only a test that hangs exceeds it.
+const waitTimeout = 2 * time.Minute
 
-// A deployment is a platform, endpoints, two entries and three attendants, each
-// a process of its own, and what an operator sees of them.
+// A deployment is a platform, endpoints, two entries and three attendants, each in its own
+// process, with a transcript of an operator's session.
 type deployment struct {
 	*testing.T
 	addresses map[string]string
 	dir       string
-	ended     chan string // processes that no one told to end
+	ended     chan string // processes that ended unexpectedly
 	files     map[string]string
 	processes map[string]*process
 	session   bytes.Buffer
@@ -49,8 +47,8 @@
 type process struct {
 	*exec.Cmd
 	done     chan struct{} // closed once it has ended
-	err      error         // of its end
-	expected atomic.Bool   // whether it was told to end
+	err      error         // result of Wait
+	expected atomic.Bool   // whether the test ended it
 }
 
 // newDeployment starts all processes and writes the profiles.
@@ -83,15 +81,15 @@
 	return de
 }
 
-// sessions counts the deployments of this test process.
-var sessions atomic.Int32
+// deploymentCount counts the deployments of this test process.
+var deploymentCount atomic.Int32
 
-// pickPorts picks a free port for each name. It does so at a loopback address
-// of the deployment's own: elsewhere a connection or another test could take
-// the port before the process does.
+// pickPorts picks a free port for each name, at a loopback address that only this
+// deployment uses: at a shared one, a connection or another test could take the port before
+// the process binds it.
 func (de *deployment) pickPorts(names ...string) {
 	pid := os.Getpid()
-	own := net.IPv4(127, byte(1+pid/250%250), byte(pid%250), byte(sessions.Add(1)))
+	own := net.IPv4(127, byte(1+pid/250%250), byte(pid%250), byte(deploymentCount.Add(1)))
 	for _, name := range names {
 		ln, err := net.Listen("tcp", net.JoinHostPort(own.String(), "0"))
 		assert.NilError(de, err)
@@ -107,7 +105,7 @@
 	return path
 }
 
-// write writes a settings file with its variables filled in.
+// write writes a settings file with its variables expanded.
 func (de *deployment) write(name string, values map[string]string) string {
 	text := os.Expand(de.files[name], func(key string) string {
 		if value, ok := values[key]; ok {
@@ -134,7 +132,7 @@
 	}
 	body, err := json.Marshal(in)
 	assert.NilError(de, err)
-	de.until("the platform to take "+name, func() bool {
+	de.waitFor("the platform to accept "+name, func() bool {
 		an, err := http.Post("http://"+de.addresses["platform"]+"/instances", "application/json", bytes.NewReader(body))
 		if err != nil {
 			return false
@@ -144,14 +142,14 @@
 	})
 }
 
-// program returns the program's own binary with arguments.
+// program returns a command that runs the test binary as the program.
 func (de *deployment) program(args ...string) *exec.Cmd {
 	path, err := os.Executable()
 	assert.NilError(de, err)
 	return &exec.Cmd{Path: path, Args: append([]string{programName}, args...)}
 }
 
-// start starts a process that is killed at the test's end at the latest.
+// start starts a process and kills it at the end of the test.
 func (de *deployment) start(name string, args ...string) {
 	pr := &process{Cmd: de.program(args...), done: make(chan struct{})}
 	log := &lockedBuffer{}
@@ -173,7 +171,7 @@
 	})
 }
 
-// end sends a signal that ends a process, and returns the error of its end.
+// end sends a signal that ends a process, and returns the result of Wait.
 func (pr *process) end(si syscall.Signal) error {
 	pr.expected.Store(true)
 	_ = pr.Process.Signal(si) // it may have ended already
@@ -199,21 +197,21 @@
 	return string(out) + stderr.String(), co.ProcessState.ExitCode()
 }
 
-// until waits for a condition.
-func (de *deployment) until(what string, holds func() bool) {
-	over := time.After(waitBound)
+// waitFor waits for a condition.
+func (de *deployment) waitFor(what string, holds func() bool) {
+	over := time.After(waitTimeout)
 	for !holds() {
 		select {
 		case <-over:
-			de.Fatalf("gave up waiting for %s", what)
+			de.Fatalf("timed out waiting for %s", what)
 		case name := <-de.ended:
 			de.Fatalf("%s ended while the test waited for %s", name, what)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// statuses returns what each process that answers holds.
+// statuses returns the status of each process that responds.
 func (de *deployment) statuses() []message.Status {
 	out, _ := de.operate("status", "--output", "json")
 	var re StatusReport
@@ -227,25 +225,23 @@
 	return sts
 }
 
-// allStatuses waits until all five processes answer at one look.
-//
-// A process that doesn't answer in time is shown without its status. On a busy machine one
-// of those that had just told of a revision did not answer the next look.
+// allStatuses waits until all processes respond to the same status command: on a busy machine,
+// a process can miss the timeout of one.
 func (de *deployment) allStatuses() []message.Status {
 	var sts []message.Status
-	de.until("all processes to answer", func() bool {
+	de.waitFor("all processes to respond", func() bool {
 		sts = de.statuses()
 		return len(sts) == processCount
 	})
 	return sts
 }
 
-// processCount is how many processes the deployment has.
+// processCount is the number of entries and attendants of the deployment.
 const processCount = 5
 
-// ready waits until both entries know that all endpoints serve.
+// ready waits until both entries list all endpoints as serving.
 func (de *deployment) ready() {
-	de.until("both entries to know the endpoints", func() bool {
+	de.waitFor("both entries to list the endpoints", func() bool {
 		count := 0
 		for _, st := range de.statuses() {
 			for _, es := range st.Endpoints {
@@ -258,11 +254,11 @@
 	})
 }
 
-// apply puts the profiles in force and waits until all five processes say so.
+// apply applies the profiles and waits until all processes report the revision.
 func (de *deployment) apply(revision uint64) string {
 	out, code := de.operate("profile", "apply", filepath.Join(de.dir, "profiles"))
 	assert.Equal(de, code, 0, out)
-	de.until(fmt.Sprintf("revision %d everywhere", revision), func() bool {
+	de.waitFor(fmt.Sprintf("revision %d in all processes", revision), func() bool {
 		count := 0
 		for _, st := range de.statuses() {
 			if st.Revision == revision {
@@ -276,7 +272,7 @@
 
 // owner waits until an entry owns the trainer's batches and returns it.
 func (de *deployment) owner() (name string) {
-	de.until("an owner", func() bool {
+	de.waitFor("an owner of the batches", func() bool {
 		for _, st := range de.statuses() {
 			if de.owns(st) {
 				name = strings.ReplaceAll(st.Instance, "-", "")
@@ -293,7 +289,7 @@
 	})
 }
 
-// A lockedBuffer takes the log of a process.
+// A lockedBuffer collects the log of a process.
 type lockedBuffer struct {
 	mu sync.Mutex
 	bu bytes.Buffer
--- a/cmd/profilecmd.go
+++ b/cmd/profilecmd.go
@@ -17,26 +17,26 @@
 // profileTimeout bounds a profile command as a whole.
 const profileTimeout = 30 * time.Second
 
-// Exit codes of the profile commands. Any other error leads to exitBadInput.
+// Exit codes of the profile commands. The default for an error is exitBadInput.
 const (
-	exitFailure     = int(ExitFailure)     // diff: a difference; apply: in force, but the base was not kept
+	exitFailure     = int(ExitFailure)     // diff: a difference; apply: in force, but the base file was not written
 	exitBadInput    = int(ExitBadInput)    // findings; nothing was written
-	exitUnavailable = int(ExitUnavailable) // the service is away or behind; nothing was written
+	exitUnavailable = int(ExitUnavailable) // the service is unavailable or behind; nothing was written
 	exitConflict    = int(ExitConflict)    // another operator changed the same profile; nothing was written
 	exitUnknown     = int(ExitUnknown)     // the change may or may not have taken effect
 )
 
-// errBaseNotKept means that the profiles were put in force, but that the next
-// apply can't tell what the directory was made from.
+// errBaseNotKept means that the profiles are in force but the base file was not written,
+// so that the next apply lacks its merge base.
 var errBaseNotKept = errors.New("the profiles are in force, but their base was not kept")
 
-// errDifferent is how diff reports a difference.
+// errDifferent is the error of diff for a difference.
 var errDifferent = errors.New("the directory and the profiles in force differ")
 
-// errNoProfile means that a profile of that name is not in force.
+// errNoProfile means that no profile with the name is in force.
 var errNoProfile = errors.New("no such profile is in force")
 
-// A ProfileCmd holds the commands by which operators change what is in force.
+// A ProfileCmd holds the commands to show and change profiles.
 type ProfileCmd struct {
 	Apply   ProfileApplyCmd   `cmd:"" help:"Put a directory's declarations in force."`
 	Check   ProfileCheckCmd   `cmd:"" help:"Check a directory's declarations; needs no service."`
@@ -45,19 +45,19 @@
 	Show    ProfileShowCmd    `cmd:"" help:"Show what is in force, defaults included."`
 }
 
-// A ProfileEnv is what the profile commands need from their surroundings.
+// A ProfileEnv holds the dependencies of the profile commands.
 type ProfileEnv struct {
-	// OpenFunc reaches the key-value service at an address.
+	// OpenFunc returns a client of the key-value service at an address.
 	OpenFunc func(address string) (*keyvalue.Client, error)
 	Stdout   io.Writer
 }
 
-// A PlatformFlag names the key-value service.
+// A PlatformFlag is the flag for the key-value service.
 type PlatformFlag struct {
 	Platform string `env:"WISTERIACROFT_PLATFORM" help:"Address of the key-value service, such as http://10.0.0.5:7000." required:""`
 }
 
-// store opens the store at the flag's address.
+// store returns the store at the flag's address.
 func (pf PlatformFlag) store(env *ProfileEnv) (*profile.Store, error) {
 	cl, err := env.OpenFunc(pf.Platform)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return &profile.Store{Client: cl}, nil
 }
 
-// read returns what is in force.
+// read returns the document in force.
 func (pf PlatformFlag) read(ctx context.Context, env *ProfileEnv) (profile.Document, error) {
 	st, err := pf.store(env)
 	if err != nil {
@@ -74,24 +74,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, profileTimeout)
 	defer cancel()
-	sd, err := st.Read(ctx)
-	return sd.Document, err
+	vd, err := st.Read(ctx)
+	return vd.Document, err
 }
 
-// ProfileExitCode returns the exit code of a profile command's error.
+// ProfileExitCode returns the exit code for a profile command's error.
 func ProfileExitCode(err error) int {
 	var (
-		conflict  *profile.Conflict
-		findings  *finding.Error
-		reverted  *profile.Reverted
-		unsettled *profile.OutcomeUnknownError
+		conflict *profile.Conflict
+		findings *finding.Error
+		reverted *profile.Reverted
+		unknown  *profile.OutcomeUnknownError
 	)
 	switch {
 	case err == nil:
 		return 0
 	case errors.Is(err, errDifferent), errors.Is(err, errBaseNotKept):
 		return exitFailure
-	case errors.As(err, &unsettled):
+	case errors.As(err, &unknown):
 		return exitUnknown
 	case errors.As(err, &conflict):
 		return exitConflict
@@ -121,14 +121,14 @@
 	return err
 }
 
-// A ProfileDiffCmd compares declarations with what is in force.
+// A ProfileDiffCmd compares declarations with the profiles in force.
 type ProfileDiffCmd struct {
 	PlatformFlag
 	Base uint64 `help:"Revision that the directory was made from, in place of its base file."`
 	Dir  string `arg:"" help:"Directory of the declarations." name:"dir"`
 }
 
-// Run prints the differences, sorted by who made them.
+// Run prints the differences, grouped by the side that changed.
 func (pd *ProfileDiffCmd) Run(ctx context.Context, env *ProfileEnv) error {
 	wanted, err := profile.ReadDir(pd.Dir)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return pr.err
 }
 
-// baseOf returns the base that a flag or the directory's file names.
+// baseOf returns the base at a flag's revision, or else that of the directory's base file.
 func baseOf(dir string, revision uint64, current profile.Document) (profile.Base, error) {
 	if revision > 0 {
 		return profile.BaseAt(current, revision)
@@ -174,7 +174,7 @@
 	Message  string `help:"Reason of the change, for the history." short:"m"`
 }
 
-// Run merges the directory's declarations into what is in force.
+// Run merges the directory's declarations into the profiles in force.
 func (pa *ProfileApplyCmd) Run(ctx context.Context, env *ProfileEnv) error {
 	wanted, err := profile.ReadDir(pa.Dir)
 	if err != nil {
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	ou, err := st.Apply(ctx, profile.ApplyRequest{
+	res, err := st.Apply(ctx, profile.ApplyRequest{
 		AtLeast:  pa.AtLeast,
 		Base:     base,
 		By:       pa.By,
@@ -202,28 +202,28 @@
 	if err != nil {
 		return pa.explain(env, err)
 	}
-	if err := pa.report(env, ou); err != nil || pa.DryRun {
+	if err := pa.report(env, res); err != nil || pa.DryRun {
 		return err
 	}
-	if err := base.Advance(ou.Document, wanted).Write(pa.Dir); err != nil {
+	if err := base.Advance(res.Document, wanted).Write(pa.Dir); err != nil {
 		return errors.Mark(errors.Wrap(err, errBaseNotKept.Error()), errBaseNotKept)
 	}
 	return nil
 }
 
-// base returns the base that a flag or the directory's file names.
+// base returns the base at the flag's revision, or else that of the directory's base file.
 func (pa *ProfileApplyCmd) base(ctx context.Context, st *profile.Store) (profile.Base, error) {
 	if pa.Base == 0 {
 		return profile.ReadBase(pa.Dir)
 	}
-	sd, err := st.Read(ctx)
+	vd, err := st.Read(ctx)
 	if err != nil {
 		return profile.Base{}, err
 	}
-	return profile.BaseAt(sd.Document, pa.Base)
+	return profile.BaseAt(vd.Document, pa.Base)
 }
 
-// explain shows both sides of a conflict before its error.
+// explain prints both sides of a conflict and adds a hint to its error.
 func (pa *ProfileApplyCmd) explain(env *ProfileEnv, err error) error {
 	var conflict *profile.Conflict
 	if !errors.As(err, &conflict) {
@@ -234,30 +234,30 @@
 	return errors.WithHint(err, fmt.Sprintf("compare, edit the directory, then apply with --base %d", conflict.Revision()))
 }
 
-// report prints what was done, or would be.
-func (pa *ProfileApplyCmd) report(env *ProfileEnv, ou profile.ApplyResult) error {
+// report prints what was changed, or with DryRun would be.
+func (pa *ProfileApplyCmd) report(env *ProfileEnv, res profile.ApplyResult) error {
 	pr := printer{out: env.Stdout}
-	revision := ou.Document.Revision()
+	revision := res.Document.Revision()
 	switch {
-	case !ou.Changed():
+	case !res.Changed():
 		pr.printf("revision %d is in force already: nothing to do\n", revision)
 	case pa.DryRun:
 		pr.printf("would change revision %d:\n", revision)
-	case ou.Settled:
-		pr.printf("change %s had taken effect; revision %d is in force:\n", ou.ChangeID, revision)
+	case res.Settled:
+		pr.printf("change %s had taken effect; revision %d is in force:\n", res.ChangeID, revision)
 	default:
-		pr.printf("revision %d is in force by change %s:\n", revision, ou.ChangeID)
+		pr.printf("revision %d is in force by change %s:\n", revision, res.ChangeID)
 	}
 	applied := "  applied"
 	if pa.DryRun {
 		applied = "  to be applied"
 	}
-	pr.names(applied, ou.Wishes)
-	pr.names("  changed by others, left alone", ou.Kept)
+	pr.names(applied, res.Wishes)
+	pr.names("  changed by others, left alone", res.Kept)
 	return pr.err
 }
 
-// A ProfileShowCmd shows what is in force.
+// A ProfileShowCmd shows the profiles in force.
 type ProfileShowCmd struct {
 	PlatformFlag
 	Name   string `arg:"" help:"Profile to show; without it, a table of all." optional:""`
@@ -294,7 +294,7 @@
 	Output string `default:"table" enum:"table,json" help:"Form of the output: table or json."`
 }
 
-// Run prints the recent changes, the newest first.
+// Run prints the recent changes, newest first.
 func (ph *ProfileHistoryCmd) Run(ctx context.Context, env *ProfileEnv) error {
 	do, err := ph.read(ctx, env)
 	if err != nil {
@@ -309,16 +309,16 @@
 	return pr.err
 }
 
-// touchedNames lists the profiles of a change with what became of each.
-func touchedNames(ch profile.Change) string {
+// changedNames lists the profiles of a change, each with its sign.
+func changedNames(ch profile.Change) string {
 	names := make([]string, len(ch.ChangedProfiles()))
-	for i, to := range ch.ChangedProfiles() {
-		names[i] = sign(to.Before, to.After) + to.Name
+	for i, cp := range ch.ChangedProfiles() {
+		names[i] = sign(cp.Before, cp.After) + cp.Name
 	}
 	return strings.Join(names, " ")
 }
 
-// sign marks what was added, removed or altered.
+// sign returns the mark for an added (+), removed (-) or altered (~) profile.
 func sign(before, after string) string {
 	switch {
 	case before == "":
--- a/cmd/profilecmd_test.go
+++ b/cmd/profilecmd_test.go
@@ -15,13 +15,12 @@
 	"wisteriacroft/profile"
 )
 
-// TestProfileScripts runs whole sessions of operators against one key-value
-// service each. `go test ./cmd -run ProfileScripts -update` is not offered:
-// the scripts are written by hand. In them,
+// TestProfileScripts runs scripts of operators' sessions, each with its own key-value
+// service. Commands of the scripts:
 //
-//	profile CODE ARGS...   runs a command, wants an exit code, fills "out" and "err"
+//	profile CODE ARGS...   runs a command, checks its exit code, writes "out" and "err"
 //	service FAULT          sets the service's fault: none, outage, lose-answers
-//	copy / restore         keeps the service's value / puts that value back
+//	copy / restore         saves / restores the service's value
 func TestProfileScripts(t *testing.T) {
 	scripts, err := os.ReadDir("testdata/script")
 	assert.NilError(t, err)
@@ -46,7 +45,7 @@
 
 // A scriptPlatform is the service of one script.
 type scriptPlatform struct {
-	kept   []byte
+	saved  []byte
 	memory keyvalue.Memory
 }
 
@@ -70,14 +69,14 @@
 func (sp *scriptPlatform) copy(ts *testscript.TestScript) {
 	it, err := sp.memory.Client().Get(context.Background(), profile.DefaultKey)
 	ts.Check(err)
-	sp.kept = it.Value
+	sp.saved = it.Value
 }
 
 func (sp *scriptPlatform) restore(ts *testscript.TestScript) {
 	cl := sp.memory.Client()
 	it, err := cl.Get(context.Background(), profile.DefaultKey)
 	ts.Check(err)
-	_, err = cl.Put(context.Background(), profile.DefaultKey, sp.kept, it.Version, 0)
+	_, err = cl.Put(context.Background(), profile.DefaultKey, sp.saved, it.Version, 0)
 	ts.Check(err)
 }
 
--- a/cmd/profileprinter.go
+++ b/cmd/profileprinter.go
@@ -13,22 +13,21 @@
 	"wisteriacroft/profile"
 )
 
-// A printer writes for operators. It keeps the first error and writes nothing
-// after it.
+// A printer prints for operators. After the first error, which it keeps, it prints
+// nothing.
 type printer struct {
 	err error
 	out io.Writer
 }
 
-// printf writes, unless an earlier write failed.
+// printf prints, unless an earlier write failed.
 func (pr *printer) printf(format string, args ...any) {
 	if pr.err == nil {
 		_, pr.err = fmt.Fprintf(pr.out, format, args...)
 	}
 }
 
-// differences prints profiles that two sides hold differently, from what is in
-// force to what the directory has.
+// differences prints diffs of profiles, from the text in force to the directory's.
 func (pr *printer) differences(title string, differences []profile.Difference) {
 	for _, di := range differences {
 		pr.printf("%s%s: %s\n", sign(di.Current, di.Wanted), di.Name, title)
@@ -37,7 +36,7 @@
 	}
 }
 
-// names prints the names of profiles, a line each.
+// names prints the names of profiles, one per line.
 func (pr *printer) names(title string, differences []profile.Difference) {
 	for _, di := range differences {
 		pr.printf("%s: %s\n", title, di.Name)
@@ -54,7 +53,7 @@
 	})
 }
 
-// table prints aligned columns. The rows go to a buffer that can't fail.
+// table prints aligned columns. The rows are written to a buffer, so that writes can't fail.
 func (pr *printer) table(head string, rows func(tw io.Writer)) {
 	var sb strings.Builder
 	tw := tabwriter.NewWriter(&sb, 0, 0, 2, ' ', 0)
@@ -66,7 +65,7 @@
 	}
 }
 
-// profile prints all keys of a profile, those at their defaults marked.
+// profile prints all keys of a profile and marks defaults.
 func (pr *printer) profile(p profile.Profile) {
 	for _, ke := range profile.KeysOf(p.Kind()) {
 		shown := ke.Show(p)
@@ -98,7 +97,7 @@
 	}
 }
 
-// A historyRow is one change, as history prints it.
+// A historyRow is one change in the output of history.
 type historyRow struct {
 	At       string `json:"at"`
 	By       string `json:"by"`
@@ -108,7 +107,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// historyRows returns the changes, the newest first.
+// historyRows returns the changes, newest first.
 func historyRows(do profile.Document) []historyRow {
 	changes := do.Changes()
 	rows := make([]historyRow, 0, len(changes))
@@ -119,7 +118,7 @@
 			By:       ch.By(),
 			ChangeID: ch.ID(),
 			Message:  ch.Message(),
-			Profiles: touchedNames(ch),
+			Profiles: changedNames(ch),
 			Revision: ch.Revision(),
 		})
 	}
--- a/cmd/quarantinecmd.go
+++ b/cmd/quarantinecmd.go
@@ -15,26 +15,26 @@
 	"wisteriacroft/quarantine"
 )
 
-// errNoStore means that neither service was named.
+// errNoStore means that neither flag for a key-value service was set.
 var errNoStore = errors.New("name the key-value service by --platform, or that of the users' platform by --store")
 
-// A QuarantineCmd shows and lifts what is kept from endpoints.
+// A QuarantineCmd holds the commands to list and lift quarantined requests and items.
 type QuarantineCmd struct {
 	Lift QuarantineLiftCmd `cmd:"" help:"Let a request or an item be sent to endpoints again."`
 	List QuarantineListCmd `cmd:"" help:"List requests and items under which endpoints ended."`
 }
 
-// QuarantineFlags name the service that holds the records.
+// QuarantineFlags are the flags for the service that stores the records.
 type QuarantineFlags struct {
 	Platform string        `env:"WISTERIACROFT_PLATFORM" help:"Base URL of the key-value service." placeholder:"URL"`
 	Store    string        `help:"Address of the key-value service of the users' platform, instead." placeholder:"IP:PORT"`
 	Timeout  time.Duration `default:"5s" help:"How long to wait for the service."`
 }
 
-// keeper returns what reads and writes the records.
-func (qf QuarantineFlags) keeper(env *ProfileEnv) (*quarantine.Store, error) {
+// openStore returns the store of the records.
+func (qf QuarantineFlags) openStore(env *ProfileEnv) (*quarantine.Store, error) {
 	log := logrus.New()
-	log.SetOutput(io.Discard) // what goes wrong is the command's error
+	log.SetOutput(io.Discard) // the command returns errors instead
 	ke := &quarantine.Store{Log: logrus.NewEntry(log), Table: &quarantine.Table{}}
 	switch {
 	case qf.Store != "":
@@ -50,15 +50,15 @@
 	return ke, nil
 }
 
-// A QuarantineListCmd lists what is kept from endpoints.
+// A QuarantineListCmd lists quarantined requests and items.
 type QuarantineListCmd struct {
 	QuarantineFlags
 	Output string `default:"table" enum:"table,json" help:"Form of the output: table or json."`
 }
 
-// Run prints the requests and items, the most suspect first.
+// Run prints the requests and items, those with the most crashes first.
 func (qc *QuarantineListCmd) Run(ctx context.Context, env *ProfileEnv) error {
-	ke, err := qc.keeper(env)
+	ke, err := qc.openStore(env)
 	if err != nil {
 		return err
 	}
@@ -79,22 +79,22 @@
 	}
 	pr.table("DIGEST\tSTRIKES\tHELD-FOR\tLAST-END", func(tw io.Writer) {
 		for _, en := range ens {
-			_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%s\n", en.Digest, en.Strikes, en.HeldFor.Round(time.Second), en.LastEnd.Format(time.RFC3339)) // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%s\n", en.Digest, en.Strikes, en.HeldFor.Round(time.Second), en.LastEnd.Format(time.RFC3339)) // writes to a buffer
 		}
 	})
 	return pr.err
 }
 
-// A QuarantineLiftCmd lets one request or item go to endpoints again.
+// A QuarantineLiftCmd lifts the quarantine of one request or item.
 type QuarantineLiftCmd struct {
 	QuarantineFlags
 	Digest string `arg:"" help:"Digest of the request or item, as logs and list name it."`
 	DryRun bool   `help:"Say what would be lifted, and change nothing."`
 }
 
-// Run lifts it. Repeated, it fails, as there is nothing left to lift.
+// Run lifts the quarantine. It fails if the request or item is not quarantined.
 func (qc *QuarantineLiftCmd) Run(ctx context.Context, env *ProfileEnv) error {
-	ke, err := qc.keeper(env)
+	ke, err := qc.openStore(env)
 	if err != nil {
 		return err
 	}
--- a/cmd/quarantinecmd_test.go
+++ b/cmd/quarantinecmd_test.go
@@ -18,8 +18,8 @@
 	"wisteriacroft/quarantine"
 )
 
-// TestQuarantine runs an operator's session: three endpoints ended under a request,
-// two under another; the service was mended, and the first is lifted.
+// TestQuarantine lists and lifts a quarantined request, with the records in either of the
+// key-value services.
 func TestQuarantine(t *testing.T) {
 	var me keyvalue.Memory
 	store := &standin.Store{}
@@ -32,7 +32,7 @@
 		flag   string
 	}{
 		{"own key-value service", me.Client(), "--platform=http://own"},
-		{"that of the users' platform", platform.NewStore(address, nil), "--store=" + address},
+		{"key-value service of the users' platform", platform.NewStore(address, nil), "--store=" + address},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var ta quarantine.Table
--- a/cmd/reference.go
+++ b/cmd/reference.go
@@ -21,8 +21,8 @@
 |---|---|
 `
 
-// Reference returns the page of all commands, flags and exit codes for
-// operators.
+// Reference returns the reference of all commands, flags and exit codes for operators, in
+// Markdown.
 func Reference() (string, error) {
 	ko, err := (&parser{}).newKong()
 	if err != nil {
@@ -59,8 +59,7 @@
 	}
 }
 
-// shownDefault returns the default of an argument or flag as the reference
-// shows it.
+// shownDefault returns the default of an argument or flag as shown in the reference.
 func shownDefault(va *kong.Value) string {
 	switch {
 	case va.Required:
--- a/cmd/reportcmd.go
+++ b/cmd/reportcmd.go
@@ -9,7 +9,7 @@
 	"wisteriacroft/lateness"
 )
 
-// A ReportCmd tells from log lines what steps waited for.
+// A ReportCmd reports from log lines what steps waited for.
 type ReportCmd struct {
 	Files []string `arg:"" help:"Logs of schedulers and attendants." type:"existingfile"`
 }
--- a/cmd/rolecmd.go
+++ b/cmd/rolecmd.go
@@ -12,19 +12,18 @@
 	"wisteriacroft/telemetry"
 )
 
-// errEndedItself means that a role asked for the end of its process, with an
-// exit code other than 0.
+// errEndedItself means that a role shut its process down with an exit code other than 0.
 var errEndedItself = errors.New("the process ended itself; see its log")
 
-// serveRole runs a role until ctx ends and then stops it within the grace of
-// its settings. Requests that still run then are cut off.
+// serveRole runs a role until ctx is done and then stops it within the shutdown grace of
+// its settings. Requests that still run after it are aborted.
 func serveRole(ctx context.Context, out Output, pr settings.Process, role fx.Option) error {
 	app := fx.New(
 		fx.NopLogger,
 		fx.Supply(pr),
 		telemetry.Module(out.Stderr),
 		role,
-		fx.Invoke(logLife),
+		fx.Invoke(logLifecycle),
 	)
 	if err := app.Err(); err != nil {
 		return errors.Wrap(err, "build the process")
@@ -35,7 +34,7 @@
 	var ended error
 	select {
 	case <-ctx.Done():
-	case si := <-app.Wait(): // fx catches the signals of the process too
+	case si := <-app.Wait(): // fx also handles the process's signals
 		if si.ExitCode != 0 {
 			ended = errEndedItself
 		}
@@ -43,28 +42,25 @@
 	return errors.CombineErrors(stop(ctx, app, pr.ShutdownGrace()), ended)
 }
 
-// start starts an app within its own bound.
-//
-// A signal can come while the app starts. Were the start to end with it, what
-// has started already would be left to the exit, and the process would report
-// a failure; so the start goes on, and the stop follows at once.
+// start starts an app within its start timeout. A signal does not cancel the start: the
+// app is stopped gracefully after it, instead of exiting half started with a failure.
 func start(ctx context.Context, app *fx.App) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), app.StartTimeout())
 	defer cancel()
 	return app.Start(ctx)
 }
 
-// stop stops an app within grace. ctx has ended by now, and its end must not
-// end the shutdown too.
+// stop stops an app within grace. It ignores the cancellation of ctx, which triggered the
+// shutdown.
 func stop(ctx context.Context, app *fx.App, grace time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), grace)
 	defer cancel()
 	return errors.Wrapf(app.Stop(ctx), "stop the process within %s", grace)
 }
 
-// logLife logs the start and the end of a process. It comes last in the app,
-// so that its start is logged once all else has started, and its end first.
-func logLife(li fx.Lifecycle, logger *logrus.Logger, pr settings.Process, ad *telemetry.Admin) {
+// logLifecycle logs the start and stop of a process. It must be the app's last hook, so
+// that it logs after all others have started and before any is stopped.
+func logLifecycle(li fx.Lifecycle, logger *logrus.Logger, pr settings.Process, ad *telemetry.Admin) {
 	entry := logger.WithFields(logrus.Fields{
 		"failure-domain": pr.FailureDomain(),
 		"instance":       pr.Instance(),
--- a/cmd/scalecmd.go
+++ b/cmd/scalecmd.go
@@ -11,20 +11,20 @@
 	"wisteriacroft/scale"
 )
 
-// A ScaleCmd shows the orders for endpoints: what was ordered, and what the open work asks
-// for now. It orders nothing.
+// A ScaleCmd shows the last scaling orders and the number of endpoints that the current
+// load requires. It sends no orders.
 type ScaleCmd struct {
 	StoreFlags
 	Output string `default:"table" enum:"table,json" help:"Form of the output: table or json."`
 }
 
-// Run asks the process that gives the orders, and prints what it answers.
+// Run requests the overview from the process that sends scaling orders and prints it.
 func (sc *ScaleCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, sc.Timeout)
 	defer cancel()
-	ov, err := askScheduler[scale.OverviewRequest, scale.Overview](ctx, sc.client(), scale.OverviewMethod, scale.OverviewRequest{})
+	ov, err := callScheduler[scale.OverviewRequest, scale.Overview](ctx, sc.client(), scale.OverviewMethod, scale.OverviewRequest{})
 	if errors.Is(err, peer.ErrUnknownMethod) {
-		ov, err = scale.Overview{Lines: []scale.OverviewRow{}}, nil // its settings name no one who takes orders
+		ov, err = scale.Overview{Lines: []scale.OverviewRow{}}, nil // its settings name no receiver of orders
 	}
 	if err != nil {
 		return err
@@ -38,7 +38,7 @@
 	return pr.err
 }
 
-// scale prints orders as a table: the difference stands in the last column.
+// scale prints the orders as a table, with the difference in the last column.
 func (pr *printer) scale(ov scale.Overview) {
 	if len(ov.Lines) == 0 {
 		pr.printf("no endpoints may be ordered: no service has bounds, or the settings name no one who takes orders\n")
@@ -47,7 +47,7 @@
 	pr.table("SERVICE\tFAILURE-DOMAIN\tBOUNDS\tSERVING\tORDERED\tTAKEN\tSTATE\tWANTED\tDIFFERENCE", func(tw io.Writer) {
 		for _, li := range ov.Lines {
 			from := li.Current()
-			_, _ = fmt.Fprintf(tw, "%s\t%s\t%d-%d\t%d\t%s\t%s\t%s\t%d\t%s\n", // kept by the table
+			_, _ = fmt.Fprintf(tw, "%s\t%s\t%d-%d\t%d\t%s\t%s\t%s\t%d\t%s\n", // writes to a buffer
 				li.Service, li.Domain, li.Min, li.Max, li.Serving, choose(li.Ordered < 0, none, fmt.Sprint(li.Ordered)),
 				choose(li.Ordered < 0, none, choose(li.Taken, "yes", "no")), choose(li.Held, "held", choose(li.Unknown, "unknown", none)), li.Wanted,
 				choose(li.Wanted == from, none, fmt.Sprintf("%+d", li.Wanted-from)))
--- a/cmd/session_test.go
+++ b/cmd/session_test.go
@@ -24,7 +24,7 @@
 	"wisteriacroft/standin"
 )
 
-// volatile matches what differs from run to run, by what stands for it.
+// volatile holds patterns of text that varies between runs, with their replacements.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	word    string
@@ -35,8 +35,8 @@
 	{regexp.MustCompile(`(order-desk)-\d`), "$1-N"},
 }
 
-// note adds lines to the session.
-func (de *deployment) note(format string, args ...any) {
+// record adds lines to the transcript.
+func (de *deployment) record(format string, args ...any) {
 	text := strings.ReplaceAll(fmt.Sprintf(format, args...), de.dir, "DIR")
 	for _, vo := range volatile {
 		text = vo.pattern.ReplaceAllString(text, vo.word)
@@ -60,11 +60,11 @@
 	return an.StatusCode, string(data)
 }
 
-// orderLine sends an order line with a new key until its home takes keys, and
-// returns the key and the path.
+// orderLine sends calls with new idempotency keys until one succeeds, and returns its key
+// and path.
 func (de *deployment) orderLine() (key, path string) {
 	number := 0
-	de.until("the homes to take keys", func() bool {
+	de.waitFor("the homes to accept keys", func() bool {
 		ke, err := idempotency.NewKey(time.Now())
 		assert.NilError(de, err)
 		number++
@@ -79,7 +79,7 @@
 	return map[string]string{message.IdempotencyKeyHeader: key, message.RepeatableHeader: "no"}
 }
 
-// counts returns what truly ran at the endpoints.
+// counts returns the endpoints' own counts of what they ran.
 func (de *deployment) counts() standin.Counts {
 	an, err := http.Get("http://" + de.addresses["endpoints"] + "/counts")
 	assert.NilError(de, err)
@@ -89,30 +89,30 @@
 	return co
 }
 
-// TestSession runs the product as separate processes, as an operator, a caller,
-// a clerk and a trainer see it.
+// TestSession runs a deployment of real processes with an operator, callers and a trainer,
+// and compares the transcript with its golden file.
 func TestSession(t *testing.T) {
 	t.Parallel()
 	de := newDeployment(t)
-	de.note("$ wisteriacroft profile apply DIR/profiles\n%s", de.apply(1))
+	de.record("$ wisteriacroft profile apply DIR/profiles\n%s", de.apply(1))
 
 	de.ready()
 	status, body := de.call("entry2", "/v1/services/order-desk/call/stock/flour", "stock", nil, "how much?")
-	de.note("live call: %d %s", status, body)
+	de.record("live call: %d %s", status, body)
 	status, body = de.call("entry1", "/v1/services/draft-llm/stream", "draft-preview", nil, encode(t, engine.GenerateRequest{
 		ID: "menu", MaxTokens: 400, Prompt: "a reorder for Monday", Seed: 7,
 	}))
-	de.note("stream: %d %s", status, describeStream(body))
+	de.record("stream: %d %s", status, describeStream(body))
 
 	key, path := de.orderLine()
 	_, first := de.call("entry1", "/v1/services/order-desk/call"+path, "order-line", headersOf(key), "two sacks of flour")
 	status, again := de.call("entry2", "/v1/services/order-desk/call"+path, "order-line", headersOf(key), "two sacks of flour")
-	de.note("order line, by entry2 again: %d, the same answer: %t, runs: %d", status, first == again, de.counts().Paths[path])
+	de.record("order line, by entry2 again: %d, the same answer: %t, runs: %d", status, first == again, de.counts().Paths[path])
 
 	trainer := de.program("stand-in", "trainer", "--settings", de.write("trainer.toml", map[string]string{"steps": "1"}))
 	out, err := trainer.Output()
 	assert.NilError(t, err)
-	de.note("$ wisteriacroft stand-in trainer\n%s", out)
+	de.record("$ wisteriacroft stand-in trainer\n%s", out)
 
 	de.changeProfile()
 	de.terminate("attendant1", "attendant2", "attendant3", "entry1", "entry2")
@@ -120,8 +120,7 @@
 	golden.Assert(t, de.session.String(), "session.golden")
 }
 
-// changeProfile has an operator change a profile in the files, compare, apply
-// and look.
+// changeProfile changes a profile's file and records diff, apply and the revisions.
 func (de *deployment) changeProfile() {
 	dir := filepath.Join(de.dir, "profiles")
 	file := filepath.Join(dir, "stock.toml")
@@ -129,14 +128,14 @@
 	assert.NilError(de, err)
 	assert.NilError(de, os.WriteFile(file, bytes.ReplaceAll(text, []byte(`"3s"`), []byte(`"2s"`)), 0o600))
 	out, code := de.operate("profile", "diff", dir)
-	de.note("$ wisteriacroft profile diff DIR/profiles\n%sexit code %d", out, code)
-	de.note("$ wisteriacroft profile apply DIR/profiles\n%s", de.apply(2))
+	de.record("$ wisteriacroft profile diff DIR/profiles\n%sexit code %d", out, code)
+	de.record("$ wisteriacroft profile apply DIR/profiles\n%s", de.apply(2))
 	for _, st := range de.allStatuses() {
-		de.note("%s: revision %d", st.Instance, st.Revision)
+		de.record("%s: revision %d", st.Instance, st.Revision)
 	}
 }
 
-// terminate ends processes gracefully, side by side.
+// terminate sends SIGTERM to processes concurrently and records their exit codes.
 func (de *deployment) terminate(names ...string) {
 	errs := make([]error, len(names))
 	var wg sync.WaitGroup
@@ -145,7 +144,7 @@
 	}
 	wg.Wait()
 	for i, name := range names {
-		de.note("SIGTERM to %s: exit code %d, error %v", name, de.processes[name].ProcessState.ExitCode(), errs[i])
+		de.record("SIGTERM to %s: exit code %d, error %v", name, de.processes[name].ProcessState.ExitCode(), errs[i])
 	}
 }
 
@@ -155,7 +154,7 @@
 	return string(data)
 }
 
-// describeStream says whether a stream is whole and what made it.
+// describeStream describes whether a stream is complete and generated by its named versions.
 func describeStream(body string) string {
 	var tokens []engine.Token
 	var segments []engine.Segment
--- a/cmd/sessionfaults_test.go
+++ b/cmd/sessionfaults_test.go
@@ -18,7 +18,7 @@
 	"wisteriacroft/standin"
 )
 
-// ranStep tells whether the engines have begun a step of the trainer.
+// ranStep reports whether the engines have started a prompt with a prefix.
 func (de *deployment) ranStep(prefix string) bool {
 	for prompt := range de.counts().Prompts {
 		if strings.HasPrefix(prompt, prefix) {
@@ -28,16 +28,16 @@
 	return false
 }
 
-// deliver has a trainer take its steps, strikes in the midst of the second, and
-// checks that each sample came exactly once.
-func (de *deployment) deliver(strike func()) {
+// runTrainer runs a trainer, injects a fault during its second step, and checks that each
+// sample was delivered exactly once.
+func (de *deployment) runTrainer(injectFault func()) {
 	var out, errs bytes.Buffer
 	trainer := de.program("stand-in", "trainer", "--settings", de.write("trainer.toml", map[string]string{"steps": "3"}))
 	trainer.Stdout, trainer.Stderr = &out, &errs
 	assert.NilError(de, trainer.Start())
 	de.Cleanup(func() { _ = trainer.Process.Kill() })
-	de.until("the midst of a step", func() bool { return de.ranStep("drafting-trainer-1: step 1") })
-	strike()
+	de.waitFor("a step to start", func() bool { return de.ranStep("drafting-trainer-1: step 1") })
+	injectFault()
 	assert.NilError(de, trainer.Wait(), errs.String())
 	var sum standin.ClientsSummary
 	assert.NilError(de, json.Unmarshal(out.Bytes(), &sum))
@@ -47,19 +47,16 @@
 	assert.Equal(de, got, standin.TrainerSummary{Name: "drafting-trainer", Delivered: 24, Wanted: 24})
 }
 
-// kill kills a process as the kernel does when memory runs out.
+// kill kills a process with SIGKILL.
 func (de *deployment) kill(name string) {
 	var killed *exec.ExitError
 	assert.Assert(de, errors.As(de.processes[name].end(syscall.SIGKILL), &killed))
 }
 
-// TestProcessFaults strikes real processes in the midst of a step.
-//
-// Symptom: a step is not delivered, or some of its samples come twice.
-// Sequence: a process dies, or stands still beyond its lease and goes on.
-// Cause: what it held is lost, or two processes take themselves for its holder.
+// TestProcessFaults checks that each sample is delivered exactly once although a process is
+// killed, or paused beyond its lease and resumed, during a step.
 func TestProcessFaults(t *testing.T) {
-	for name, strike := range map[string]func(de *deployment){
+	for name, injectFault := range map[string]func(de *deployment){
 		"kill-attendant": func(de *deployment) { de.kill("attendant2") },
 		"kill-entry":     func(de *deployment) { de.kill(de.owner()) },
 		"freeze-entry":   freezeOwner,
@@ -69,13 +66,13 @@
 			de := newDeployment(t)
 			de.apply(1)
 			de.ready()
-			de.deliver(func() { strike(de) })
+			de.runTrainer(func() { injectFault(de) })
 		})
 	}
 }
 
-// freezeOwner stops the entry that owns the trainer's batches until another
-// owns them, and lets it go on.
+// freezeOwner pauses the entry that owns the trainer's batches until another entry owns
+// them, and resumes it.
 func freezeOwner(de *deployment) {
 	frozen, other := de.owner(), "entry1"
 	if frozen == other {
@@ -83,8 +80,8 @@
 	}
 	de.signal(frozen, syscall.SIGSTOP)
 	asker := http.Client{Timeout: time.Second}
-	de.until("another owner", func() bool {
-		// An entry takes the lease only when it is asked for the trainer.
+	de.waitFor("another owner", func() bool {
+		// An entry acquires the lease only on a request for the trainer.
 		an, err := asker.Get("http://" + de.addresses[other] + "/v1/trainers/drafting-trainer/batches/none")
 		if err == nil {
 			an.Body.Close()
--- a/cmd/soakcmd.go
+++ b/cmd/soakcmd.go
@@ -15,10 +15,10 @@
 	"wisteriacroft/soak"
 )
 
-// errSoak means that a soak saw a broken promise.
+// errSoak means that a soak found violations.
 var errSoak = errors.New("a promise was broken; see the report and the logs")
 
-// A SoakCmd runs the real programs before stand-ins, under faults from outside.
+// A SoakCmd runs the roles as processes against stand-ins, with injected faults.
 type SoakCmd struct {
 	Bounds  bool          `help:"Check, in a quiet run, what a slow machine can break: what trainers and a small customer get."`
 	Crashes bool          `help:"Send a request that ends each plain endpoint that runs it again and again, and an item that ends engines."`
@@ -32,11 +32,11 @@
 	Seeds   int           `default:"1" help:"Seeds, one after the other."`
 }
 
-// Run runs the seeds until ctx ends, and prints a report of each.
+// Run runs the seeds until ctx is done, and prints a report for each.
 func (sc *SoakCmd) Run(ctx context.Context, stdout io.Writer) error {
 	binary, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "own program")
+		return errors.Wrap(err, "path of the executable")
 	}
 	parts, draw := sc.Parts, !sc.Quiet && len(sc.Parts) == 0
 	if slices.Equal(parts, []string{"drawn"}) {
--- a/cmd/standincmd.go
+++ b/cmd/standincmd.go
@@ -13,15 +13,14 @@
 	"wisteriacroft/standin"
 )
 
-// A StandInCmd is the command `stand-in`, with a sub-command for each system
-// that it stands in for.
+// A StandInCmd is the command `stand-in`, with a sub-command for each simulated system.
 type StandInCmd struct {
 	Endpoints StandInEndpointsCmd `cmd:"" help:"Serve model engines and plain services."`
 	Platform  StandInPlatformCmd  `cmd:"" help:"Serve the key-value service, the instance list and the weight store."`
 	Trainer   StandInTrainerCmd   `cmd:"" help:"Train on batches, or send live calls, and end with a summary."`
 }
 
-// A StandInFlags holds the flags of each stand-in.
+// StandInFlags are the flags of each stand-in.
 type StandInFlags struct {
 	Check    bool   `help:"Read the settings, report all findings and end."`
 	Settings string `help:"Settings file (TOML)."                           placeholder:"FILE" required:"" type:"existingfile"`
@@ -61,8 +60,7 @@
 	return read(path, data)
 }
 
-// listen serves on an address and prints the one that was bound, since port 0
-// means any that is free.
+// listen serves on an address and prints the bound one, which differs for port 0.
 func listen(
 	ctx context.Context, stdout io.Writer, address string, serve func(context.Context, net.Listener) error,
 ) error {
@@ -77,8 +75,8 @@
 // A StandInTrainerCmd is the command `stand-in trainer`.
 type StandInTrainerCmd struct{ StandInFlags }
 
-// Run runs the trainers and callers and prints their summary as a line of
-// JSON, also when ctx ends it early.
+// Run runs the trainers and callers and prints their summary as a line of JSON, even if
+// ctx is done early.
 func (co *StandInTrainerCmd) Run(ctx context.Context, stdout io.Writer) error {
 	se, err := readSettings(co.Settings, standin.ReadClientsSettings)
 	if err != nil || co.Check {
--- a/cmd/statuscmd.go
+++ b/cmd/statuscmd.go
@@ -15,16 +15,16 @@
 	"wisteriacroft/peer"
 )
 
-// maxAsked bounds how many processes are asked at one time.
-const maxAsked = 32
+// maxConcurrentRequests bounds concurrent status requests.
+const maxConcurrentRequests = 32
 
 // Errors of the status command.
 var (
-	errNobody      = errors.New("name processes by --address, or the instance list by --platform")
+	errNoProcess   = errors.New("name processes by --address, or the instance list by --platform")
 	errUnreachable = errors.New("processes are unreachable")
 )
 
-// A StatusCmd shows what processes hold.
+// A StatusCmd shows the status of processes.
 type StatusCmd struct {
 	Address  []string      `help:"Address (IP:port) of a process; may be repeated." placeholder:"IP:PORT"`
 	Output   string        `default:"table" enum:"table,json" help:"Form of the output: table or json."`
@@ -32,16 +32,16 @@
 	Timeout  time.Duration `default:"3s" help:"How long to wait for each process."`
 }
 
-// A StatusEnv is what the status command needs from its surroundings.
+// A StatusEnv holds the dependencies of the status command.
 type StatusEnv struct {
-	// AskFunc asks the process at an address. The role is "" if not known.
+	// AskFunc requests the status of the process at an address. The role is "" if unknown.
 	AskFunc func(ctx context.Context, address, role string) (message.Status, error)
 	// ListFunc returns the instance list at a base URL.
 	ListFunc func(ctx context.Context, baseURL string) ([]instancelist.Instance, error)
 	Stdout   io.Writer
 }
 
-// A ProcessReport is what a process answered, or why it did not.
+// A ProcessReport is the status of a process, or the error of its request.
 type ProcessReport struct {
 	Address       string             `json:"address"`
 	Error         string             `json:"error,omitempty"`
@@ -52,13 +52,12 @@
 	Status        *message.Status    `json:"status,omitempty"`
 }
 
-// A StatusReport is the status of all processes that were asked, by role and
-// instance.
+// A StatusReport holds the reports of all processes, sorted by role and instance.
 type StatusReport struct {
 	Processes []ProcessReport `json:"processes"`
 }
 
-// Run asks the processes and prints what they hold.
+// Run requests and prints the status of the processes.
 func (sc *StatusCmd) Run(ctx context.Context, env *StatusEnv) error {
 	reports, err := sc.processes(ctx, env)
 	if err != nil {
@@ -79,7 +78,7 @@
 	return pr.err
 }
 
-// processes returns a report to fill for each process to ask.
+// processes returns an empty report for each process to ask.
 func (sc *StatusCmd) processes(ctx context.Context, env *StatusEnv) ([]ProcessReport, error) {
 	reports := []ProcessReport{}
 	for _, address := range sc.Address {
@@ -89,7 +88,7 @@
 		return reports, nil
 	}
 	if sc.Platform == "" {
-		return nil, NewExitError(ExitBadInput, errNobody)
+		return nil, NewExitError(ExitBadInput, errNoProcess)
 	}
 	ctx, cancel := context.WithTimeout(ctx, sc.Timeout)
 	defer cancel()
@@ -109,20 +108,20 @@
 	return reports, nil
 }
 
-// ask fills each report with the answer of its process.
+// ask fills the reports concurrently.
 func (sc *StatusCmd) ask(ctx context.Context, env *StatusEnv, reports []ProcessReport) {
 	var eg errgroup.Group
-	eg.SetLimit(maxAsked)
+	eg.SetLimit(maxConcurrentRequests)
 	for i := range reports {
 		eg.Go(func() error {
 			sc.askOne(ctx, env, &reports[i])
 			return nil
 		})
 	}
-	_ = eg.Wait() // no process fails the others
+	_ = eg.Wait() // always nil: errors are in the reports
 }
 
-// askOne fills a report with the answer of its process.
+// askOne fills a report with the status of its process, or the error.
 func (sc *StatusCmd) askOne(ctx context.Context, env *StatusEnv, re *ProcessReport) {
 	ctx, cancel := context.WithTimeout(ctx, sc.Timeout)
 	defer cancel()
@@ -141,12 +140,12 @@
 	re.Status = &st
 }
 
-// notNil returns a list that JSON shows as a list even if it is empty.
+// notNil returns a copy that JSON encodes as a list even if it is empty.
 func notNil[Item any](items []Item) []Item {
 	return append([]Item{}, items...)
 }
 
-// unreachable counts the processes that did not answer.
+// unreachable returns the number of processes without a status.
 func (sr StatusReport) unreachable() int {
 	count := 0
 	for _, re := range sr.Processes {
@@ -166,15 +165,15 @@
 	)
 }
 
-// askProcess asks the process at an address over net/rpc.
+// askProcess requests the status of the process at an address over net/rpc.
 func askProcess(ctx context.Context, address, role string) (message.Status, error) {
 	po := &peer.Pool{}
 	defer po.Close()
 	return askThrough(ctx, po, address, role)
 }
 
-// askThrough asks over a pool's connection. A process whose role is not known
-// is asked as an entry first, then as an attendant.
+// askThrough requests a status over a pool. If the role is unknown, it tries the method of
+// entries first and then that of attendants.
 func askThrough(ctx context.Context, po *peer.Pool, address, role string) (message.Status, error) {
 	methods := []string{message.EntryStatusMethod, message.AttendantStatusMethod}
 	if role == "attendant" {
--- a/cmd/statuscmd_test.go
+++ b/cmd/statuscmd_test.go
@@ -22,8 +22,8 @@
 
 var cutOff = time.Date(2026, 3, 2, 5, 4, 0, 0, time.UTC)
 
-// fleet holds the status of each process by its address. The process at
-// 10.3.0.5:7100 is in the list and does not answer.
+// fleet holds the status of each process by its address. The process at 10.3.0.5:7100 is in
+// the instance list but unreachable.
 var fleet = map[string]message.Status{
 	"10.1.0.5:7100": {
 		Batches: []message.BatchStatus{
@@ -47,8 +47,8 @@
 	},
 }
 
-// newStatusEnv returns surroundings in which each process of the fleet answers
-// over net/rpc on a pipe.
+// newStatusEnv returns an environment in which each process of the fleet responds over
+// net/rpc on a pipe.
 func newStatusEnv(t *testing.T, out *bytes.Buffer) *StatusEnv {
 	processes := map[string]net.Conn{}
 	for address, st := range fleet {
@@ -77,8 +77,7 @@
 	}
 }
 
-// TestStatus asks one process or the whole fleet over net/rpc and shows what
-// an operator sees.
+// TestStatus compares the output for one process and for the whole fleet with golden files.
 func TestStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -98,8 +97,8 @@
 	}
 }
 
-// TestStatusOfNothing asks an empty instance list.
-func TestStatusOfNothing(t *testing.T) {
+// TestStatusOfEmptyInstanceList checks the output for an empty instance list.
+func TestStatusOfEmptyInstanceList(t *testing.T) {
 	var out bytes.Buffer
 	env := &StatusEnv{
 		ListFunc: func(context.Context, string) ([]instancelist.Instance, error) { return nil, nil },
@@ -110,7 +109,7 @@
 	assert.Equal(t, out.String(), "no process is listed\n")
 }
 
-// serveStatus returns a connection to a process that answers with a status.
+// serveStatus returns a connection to a process that responds with a status.
 func serveStatus(st message.Status) net.Conn {
 	method := message.EntryStatusMethod
 	if st.Role == "attendant" {
@@ -125,7 +124,7 @@
 	return client
 }
 
-// serveConnect answers one connection as an HTTP server does for CONNECT.
+// serveConnect serves net/rpc on one connection after an HTTP CONNECT.
 func serveConnect(sv *peer.Server, co net.Conn) {
 	if _, err := http.ReadRequest(bufio.NewReader(co)); err != nil {
 		return
--- a/cmd/statusprinter.go
+++ b/cmd/statusprinter.go
@@ -9,13 +9,13 @@
 	"wisteriacroft/message"
 )
 
-// outputJSON is the form of output for programs; the other one is a table.
+// outputJSON is the value of --output for JSON; the alternative is a table.
 const outputJSON = "json"
 
-// none stands in a table for what is not there.
+// none is the table cell for a missing value.
 const none = "-"
 
-// json prints a value as one document.
+// json prints a value as an indented JSON document.
 func (pr *printer) json(value any) {
 	if pr.err != nil {
 		return
@@ -25,7 +25,7 @@
 	pr.err = en.Encode(value)
 }
 
-// status prints a report as tables. Tables without rows are left out.
+// status prints a report as tables, without the empty ones.
 func (pr *printer) status(re StatusReport) {
 	if len(re.Processes) == 0 {
 		pr.printf("no process is listed\n")
@@ -47,8 +47,8 @@
 	}
 }
 
-// rows prints a table that has the process in its first column and a row for
-// each item of each process.
+// rows prints a table with a row for each item of each process, and the process in the
+// first column.
 func rows[Item any](
 	pr *printer, re StatusReport, head string,
 	items func(message.Status) []Item, write func(io.Writer, Item),
@@ -84,7 +84,7 @@
 
 func batchesOf(st message.Status) []message.BatchStatus { return st.Batches }
 
-// writeProcess writes the row of a process, also of one that did not answer.
+// writeProcess writes the row of a process, which may be unreachable.
 func writeProcess(tw io.Writer, re ProcessReport) {
 	if re.Status == nil {
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\tunreachable\n",
@@ -123,7 +123,7 @@
 	_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%s\n", ba.ID, ba.Trainer, ba.Step, ba.Samples, ba.Wanted, state)
 }
 
-// choose returns yes or no, as condition says.
+// choose returns yes if condition is true, or else no.
 func choose(condition bool, yes, no string) string {
 	if condition {
 		return yes
@@ -131,7 +131,7 @@
 	return no
 }
 
-// orNone returns text, or a dash for an empty one.
+// orNone returns text, or none for an empty one.
 func orNone(text string) string { return choose(text != "", text, none) }
 
 func timeOrNone(at time.Time) string {
--- a/cmd/trycmd.go
+++ b/cmd/trycmd.go
@@ -14,13 +14,13 @@
 	"wisteriacroft/trial"
 )
 
-// bothDeployments names all deployments of the examples.
+// bothDeployments is the value of --deployment for all example deployments.
 const bothDeployments = "both"
 
-// errBroken means that a trial saw a promise broken.
+// errBroken means that a trial found violations.
 var errBroken = errors.New("promises were broken")
 
-// A TryCmd tries the whole path in this process.
+// A TryCmd runs a trial of all roles in one process.
 type TryCmd struct {
 	Deployment string        `default:"both" enum:"both,hathercote,baitursynov" help:"Example to try: both, hathercote or baitursynov."`
 	Fault      []string      `enum:"${faults}" help:"Fault that strikes in the midst of a step; may be repeated. One of: ${enum}." placeholder:"NAME"`
@@ -30,7 +30,7 @@
 	Timeout    time.Duration `default:"3m" help:"How long the trainers of a deployment may take."`
 }
 
-// Validate implements kong's check of the flags.
+// Validate implements kong's validation of flags.
 func (tc *TryCmd) Validate() error {
 	switch {
 	case tc.Steps < 1:
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Run tries the deployments and prints what the stand-ins counted as a line of
-// JSON, also when a trial ends early.
+// Run runs the trials and prints the counts of the stand-ins as a line of JSON, even if a
+// trial ends early.
 func (tc *TryCmd) Run(ctx context.Context, out Output) error {
 	op := trial.Options{
 		Deployments: tc.deployments(),
@@ -88,7 +88,7 @@
 	return []string{tc.Deployment}
 }
 
-// terminal returns out if it is a terminal, or else nil.
+// terminal returns out if it is a terminal, and otherwise nil.
 func terminal(out io.Writer) io.Writer {
 	file, ok := out.(*os.File)
 	if !ok {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// faultNames returns the names of the faults that can be tried.
+// faultNames returns the comma-separated names of the faults.
 func faultNames() string {
 	var names []string
 	for _, name := range trial.FaultNames() {
