--- a/trial/deployment.go
+++ b/trial/deployment.go
@@ -19,7 +19,7 @@
 )
 
 // Deployments returns the names of the deployments, in the order in which they
-// are tried.
+// are run.
 func Deployments() []string { return []string{"hathercote", "baitursynov"} }
 
 // exampleAddress matches an address in the settings of a deployment.
@@ -36,7 +36,7 @@
 	profiles   []profile.Profile
 }
 
-// readDeployment reads a deployment, with free ports in place of its own.
+// readDeployment reads a deployment and replaces its addresses by free ones.
 func readDeployment(name string) (deployment, error) {
 	de := deployment{name: name}
 	files, err := readFiles(name, "*.toml")
@@ -63,7 +63,7 @@
 	text string
 }
 
-// readFiles returns the files of a folder that match a pattern, by name.
+// readFiles returns the files of a folder that match a pattern, sorted by name.
 func readFiles(dir, pattern string) ([]file, error) {
 	names, err := fs.Glob(examples.Files, path.Join(dir, pattern))
 	if err != nil {
@@ -80,11 +80,11 @@
 	return files, nil
 }
 
-// pickPorts puts an address with a free port in the place of each address in
-// the files. All are held until the last is picked, so that they differ.
+// pickPorts replaces each address in the files by one with a free port. All ports
+// stay bound until the last one is picked, so that they differ.
 func pickPorts(files []file) error {
 	picked := map[string]net.Listener{}
-	number := picks.Add(1)
+	number := deploymentCount.Add(1)
 	defer func() {
 		for _, ln := range picked {
 			_ = ln.Close()
@@ -95,7 +95,7 @@
 			if picked[address] != nil {
 				continue
 			}
-			ln, err := listenAnywhere(number)
+			ln, err := listenFreePort(number)
 			if err != nil {
 				return errors.Wrap(err, "pick a free port")
 			}
@@ -108,16 +108,15 @@
 	return nil
 }
 
-// picks counts the deployments of this process that were given ports.
-var picks atomic.Uint32
+// deploymentCount counts the calls of pickPorts in this process.
+var deploymentCount atomic.Uint32
 
-// listenAnywhere listens on a free port of a loopback address of this
-// process's and this deployment's own, where there is such, or else of the usual
-// one. Connections start at the usual one: one of them, or another trial, could
-// take the port of a killed process before its successor does; and a trial that
-// runs beside this one in the same process could take a port that was picked
-// here and is not bound yet.
-func listenAnywhere(number uint32) (net.Listener, error) {
+// listenFreePort listens on a free port of a loopback address that is unique to
+// this process and deployment, or of 127.0.0.1 if that fails. On 127.0.0.1, an
+// outgoing connection or another trial could take the port of a killed process
+// before its successor, and a concurrent trial in the same process could take a
+// port that was picked here but isn't bound yet.
+func listenFreePort(number uint32) (net.Listener, error) {
 	var lc net.ListenConfig
 	pid := os.Getpid()
 	own := net.IPv4(127, byte(1+pid/250%250), byte(pid%250), byte(1+number%250))
@@ -128,7 +127,7 @@
 	return ln, err
 }
 
-// read reads a settings file by what its name says that it is.
+// read reads a settings file. The prefix of its name determines its type.
 func (de *deployment) read(fi file) (err error) {
 	data := []byte(fi.text)
 	base := path.Base(fi.name)
@@ -148,12 +147,12 @@
 	case base == "stand-in-trainer.toml":
 		de.clients, err = standin.ReadClientsSettings(fi.name, data)
 	default:
-		err = errors.Newf("%s: no process reads it", fi.name)
+		err = errors.Newf("%s: unknown settings file", fi.name)
 	}
 	return err
 }
 
-// readProfiles reads the deployment's declarations.
+// readProfiles reads and checks the deployment's profiles.
 func (de *deployment) readProfiles() error {
 	files, err := readFiles(path.Join(de.name, "profiles"), "*.toml")
 	if err != nil {
--- a/trial/fault.go
+++ b/trial/fault.go
@@ -18,56 +18,56 @@
 
 // The faults.
 const (
-	CrashEngine      FaultName = "crash-engine"      // an engine dies for a while
-	DrainAttendant   FaultName = "drain-attendant"   // an attendant's instance leaves and another takes its place
-	DrainEntry       FaultName = "drain-entry"       // the entry that owns a trainer's batches leaves and is started again
-	KillAttendant    FaultName = "kill-attendant"    // an attendant is killed and started again
-	KillEntry        FaultName = "kill-entry"        // the entry that owns a trainer's batches is killed and started again
-	LoseAnswers      FaultName = "lose-answers"      // answers of the key-value service get lost, reads' and writes'
-	LoseFolder       FaultName = "lose-folder"       // a data folder loses all that it holds
-	PlatformOutage   FaultName = "platform-outage"   // the key-value service and the instance list are away
-	RaceOperators    FaultName = "race-operators"    // operators change profiles at the same time
-	SilentConnection FaultName = "silent-connection" // all open connections of an attendant go silent for good
+	CrashEngine      FaultName = "crash-engine"      // an engine crashes and restarts
+	DrainAttendant   FaultName = "drain-attendant"   // an attendant's instance shuts down and another replaces it
+	DrainEntry       FaultName = "drain-entry"       // the entry that owns a trainer's batches shuts down and restarts
+	KillAttendant    FaultName = "kill-attendant"    // an attendant is killed and restarts
+	KillEntry        FaultName = "kill-entry"        // the entry that owns a trainer's batches is killed and restarts
+	LoseAnswers      FaultName = "lose-answers"      // responses of the key-value service to reads and writes are lost
+	LoseFolder       FaultName = "lose-folder"       // a data folder loses its content
+	PlatformOutage   FaultName = "platform-outage"   // the key-value service and the instance list are unavailable
+	RaceOperators    FaultName = "race-operators"    // operators change profiles concurrently
+	SilentConnection FaultName = "silent-connection" // all open connections of an attendant stop delivering data
 	SlowPlatform     FaultName = "slow-platform"     // the key-value service and the instance list are slow
-	SwapFails        FaultName = "swap-fails"        // engines take orders and stay as they are
+	SwapFails        FaultName = "swap-fails"        // engines accept orders and don't execute them
 )
 
 const (
-	downTime     = 3 * time.Second  // until a process is started again
+	downTime     = 3 * time.Second  // until a process restarts
 	crashTime    = 3 * time.Second  // of an engine
-	lostAnswers  = 20               // of the key-value service
-	outageTime   = 15 * time.Second // longer than a lease lasts
+	lostAnswers  = 20               // responses of the key-value service
+	outageTime   = 15 * time.Second // longer than the TTL of a lease
 	slowTime     = 10 * time.Second
-	slowness     = 700 * time.Millisecond
-	failingSwaps = 2 // of each of the engines that fail
-	swapTargets  = 2 // engines that fail
+	slowDelay    = 700 * time.Millisecond
+	failingSwaps = 2 // of each engine
+	swapTargets  = 2 // number of engines
 )
 
-// errNoTarget means that there was nothing for a fault to strike.
-var errNoTarget = errors.New("nothing to strike")
+// errNoTarget means that a fault found no target.
+var errNoTarget = errors.New("no target for fault")
 
-// A fault is something that goes wrong in the midst of a step.
+// A fault is injected during a step.
 type fault struct {
-	answers answers // what callers may expect
+	answers expectation // how calls may end
 	name    FaultName
-	strike  func(ctx context.Context, ru *run) error
+	inject  func(ctx context.Context, ru *run) error
 }
 
-// allFaults returns the faults, by name.
+// allFaults returns the faults, sorted by name.
 func allFaults() []fault {
 	return []fault{
-		{name: CrashEngine, strike: crashEngine},
-		{name: DrainAttendant, strike: drainAttendant, answers: allAnswered},
-		{name: DrainEntry, strike: drainEntry, answers: allAnswered},
-		{name: KillAttendant, strike: killAttendant, answers: allAnswered},
-		{name: KillEntry, strike: killEntry, answers: someBroken},
-		{name: LoseAnswers, strike: loseAnswers},
-		{name: LoseFolder, strike: loseFolder},
-		{name: PlatformOutage, strike: platformOutage},
-		{name: RaceOperators, strike: raceOperators},
-		{name: SilentConnection, strike: silentConnection, answers: allAnswered},
-		{name: SlowPlatform, strike: slowPlatform},
-		{name: SwapFails, strike: swapFails},
+		{name: CrashEngine, inject: crashEngine},
+		{name: DrainAttendant, inject: drainAttendant, answers: allAnswered},
+		{name: DrainEntry, inject: drainEntry, answers: allAnswered},
+		{name: KillAttendant, inject: killAttendant, answers: allAnswered},
+		{name: KillEntry, inject: killEntry, answers: someBroken},
+		{name: LoseAnswers, inject: loseAnswers},
+		{name: LoseFolder, inject: loseFolder},
+		{name: PlatformOutage, inject: platformOutage},
+		{name: RaceOperators, inject: raceOperators},
+		{name: SilentConnection, inject: silentConnection, answers: allAnswered},
+		{name: SlowPlatform, inject: slowPlatform},
+		{name: SwapFails, inject: swapFails},
 	}
 }
 
@@ -90,7 +90,7 @@
 	return chosen
 }
 
-// occurrence returns how many faults before the i-th have its name.
+// occurrence returns how many earlier faults have the name of the i-th.
 func (ru *run) occurrence(i int) int {
 	count := 0
 	for _, name := range ru.options.Faults[:i] {
@@ -101,8 +101,8 @@
 	return count
 }
 
-// answers returns what callers may expect under the chosen faults.
-func (ru *run) answers() answers {
+// answers returns how calls may end under the chosen faults.
+func (ru *run) answers() expectation {
 	expected := allWhole
 	for _, fa := range ru.faults() {
 		expected = max(expected, fa.answers)
@@ -110,7 +110,7 @@
 	return expected
 }
 
-// crashEngine crashes the engine that runs the most.
+// crashEngine crashes the engine with the most running requests.
 func crashEngine(ctx context.Context, ru *run) error {
 	name, err := ru.world.busiestEngine(ctx)
 	if err != nil {
@@ -121,8 +121,8 @@
 	})
 }
 
-// drainAttendant ends the attendant that runs the most gracefully, and starts
-// another instance in its place.
+// drainAttendant gracefully shuts down the attendant with the most running
+// requests, and starts another instance in its place.
 func drainAttendant(ctx context.Context, ru *run) error {
 	pr, err := ru.world.busiestAttendant(ctx)
 	if err != nil {
@@ -139,12 +139,12 @@
 	if err := ru.world.unregister(ctx, pr); err != nil {
 		return err
 	}
-	pr.renew()
+	pr.replaceInstance()
 	return ru.world.restart(ctx, pr)
 }
 
-// drainEntry ends the entry that owns a trainer's batches gracefully, and starts
-// it again.
+// drainEntry gracefully shuts down the entry that owns the first trainer's
+// batches, and restarts it.
 func drainEntry(ctx context.Context, ru *run) error {
 	pr, err := ru.world.owner(ctx)
 	if err != nil {
@@ -156,7 +156,7 @@
 	return ru.world.restart(ctx, pr)
 }
 
-// killAttendant kills the attendant that runs the most and starts it again.
+// killAttendant kills the attendant with the most running requests and restarts it.
 func killAttendant(ctx context.Context, ru *run) error {
 	pr, err := ru.world.busiestAttendant(ctx)
 	if err != nil {
@@ -166,8 +166,7 @@
 	return ru.world.restart(ctx, pr)
 }
 
-// killEntry kills the entry that owns the first trainer's batches and starts it
-// again.
+// killEntry kills the entry that owns the first trainer's batches and restarts it.
 func killEntry(ctx context.Context, ru *run) error {
 	pr, err := ru.world.owner(ctx)
 	if err != nil {
@@ -177,14 +176,14 @@
 	return ru.world.restart(ctx, pr)
 }
 
-// loseAnswers makes the key-value service cut connections before it answers.
+// loseAnswers makes the key-value service cut connections before it responds.
 func loseAnswers(_ context.Context, ru *run) error {
 	return ru.world.platform.SetFault(standin.Fault{
 		Count: lostAnswers, Name: standin.Drop, Target: standin.KeyValueTarget,
 	})
 }
 
-// loseFolder empties the first data folder that holds something.
+// loseFolder empties the first data folder that isn't empty.
 func loseFolder(ctx context.Context, ru *run) error {
 	for {
 		for _, pr := range ru.world.attendants {
@@ -198,12 +197,13 @@
 	}
 }
 
-// platformOutage makes the platform refuse calls.
+// platformOutage makes the platform reject calls.
 func platformOutage(_ context.Context, ru *run) error {
 	return ru.world.platformFault(standin.Fault{For: unit.Duration(outageTime), Name: standin.Outage})
 }
 
-// silentConnection silences the connections of the attendant that runs the most.
+// silentConnection silences the connections of the attendant with the most
+// running requests.
 func silentConnection(ctx context.Context, ru *run) error {
 	pr, err := ru.world.busiestAttendant(ctx)
 	if err != nil {
@@ -215,14 +215,14 @@
 	return nil
 }
 
-// slowPlatform delays the platform's answers.
+// slowPlatform delays the platform's responses.
 func slowPlatform(_ context.Context, ru *run) error {
 	return ru.world.platformFault(standin.Fault{
-		Delay: unit.Duration(slowness), For: unit.Duration(slowTime), Name: standin.Slow,
+		Delay: unit.Duration(slowDelay), For: unit.Duration(slowTime), Name: standin.Slow,
 	})
 }
 
-// platformFault strikes the key-value service and the instance list.
+// platformFault activates a fault at the key-value service and the instance list.
 func (wo *world) platformFault(fa standin.Fault) error {
 	for _, target := range []string{standin.KeyValueTarget, standin.InstanceListTarget} {
 		fa.Target = target
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// restart starts the successor of a process that ended.
+// restart starts the successor of a process after downTime.
 func (wo *world) restart(ctx context.Context, pr *process) error {
 	if !sleep(ctx, downTime) {
 		return ctx.Err()
@@ -270,10 +270,10 @@
 			}
 		}
 	}
-	return nil, errors.Wrapf(errNoTarget, "no entry holds %s", name)
+	return nil, errors.Wrapf(errNoTarget, "no entry holds lease %s", name)
 }
 
-// busiestAttendant returns the attendant whose endpoints run the most.
+// busiestAttendant returns the attendant whose endpoints run the most requests.
 func (wo *world) busiestAttendant(ctx context.Context) (*process, error) {
 	var best *process
 	most := -1
@@ -293,7 +293,7 @@
 	return best, nil
 }
 
-// busiestEngine returns the engine that runs the most.
+// busiestEngine returns the engine with the most running requests.
 func (wo *world) busiestEngine(ctx context.Context) (string, error) {
 	best, most := "", -1
 	for _, pr := range wo.attendants {
--- a/trial/network.go
+++ b/trial/network.go
@@ -16,15 +16,15 @@
 
 const (
 	dialTimeout   = time.Second
-	listenTimeout = 5 * time.Second // to get a killed process's port back
+	listenTimeout = 5 * time.Second // for a killed process's port to become free
 	listenWait    = 50 * time.Millisecond
 )
 
-// errCut means that a process was killed: nothing leaves it any more.
+// errCut is the error of dialing from a killed process.
 var errCut = errors.New("process was killed")
 
-// A network holds all connections of one process, so that a trial can cut
-// them, as the end of a process does, or make them go silent.
+// A network tracks all connections of one process, so that a trial can close
+// them, as the end of a process does, or silence them.
 type network struct {
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -32,7 +32,7 @@
 	listener net.Listener
 }
 
-// dial opens a connection.
+// dial opens a tracked connection.
 func (ne *network) dial(ctx context.Context, address string) (net.Conn, error) {
 	co, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return ne.track(co)
 }
 
-// httpClient returns a client whose connections are the process's.
+// httpClient returns a client with tracked connections.
 func (ne *network) httpClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: roundtrip.Dial(func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -53,7 +53,7 @@
 	}}
 }
 
-// listen listens on an address, waiting for it while another has it.
+// listen listens on an address, and retries until listenTimeout while it is in use.
 func (ne *network) listen(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, listenTimeout)
 	defer cancel()
@@ -84,7 +84,7 @@
 // Close implements net.Listener.
 func (ne *network) Close() error { return ne.listener.Close() }
 
-// track makes a connection one of the process's.
+// track adds a connection, or closes it if the network is cut off.
 func (ne *network) track(co net.Conn) (net.Conn, error) {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -92,7 +92,7 @@
 		_ = co.Close()
 		return nil, errCut
 	}
-	tracked := &conn{Conn: co, closed: make(chan struct{}), network: ne, poked: make(chan struct{})}
+	tracked := &conn{Conn: co, closed: make(chan struct{}), network: ne, deadlineChanged: make(chan struct{})}
 	if ne.conns == nil {
 		ne.conns = map[*conn]struct{}{}
 	}
@@ -100,7 +100,7 @@
 	return tracked, nil
 }
 
-// cutOff closes the listener and all connections, and lets no more through.
+// cutOff closes the listener and all connections, and rejects new ones.
 func (ne *network) cutOff() {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -111,8 +111,8 @@
 	}
 }
 
-// silence makes the open connections go silent for good; new ones work. It
-// returns how many there were.
+// silence permanently silences the open connections; new ones work. It returns
+// their number.
 func (ne *network) silence() int {
 	ne.mu.Lock()
 	defer ne.mu.Unlock()
@@ -122,31 +122,31 @@
 	return len(ne.conns)
 }
 
-// A conn is a connection that can go silent: what is written to it gets lost,
-// and nothing is read from it, not even its end.
+// A conn is a connection that can be silenced: writes are then discarded, and
+// reads return neither data nor EOF.
 type conn struct {
 	net.Conn
 	closed  chan struct{} // by Close
 	closing sync.Once
 	network *network
 
-	mu       sync.Mutex
-	deadline time.Time     // of reads
-	poked    chan struct{} // closed when the deadline changes
-	quiet    bool
+	mu              sync.Mutex
+	deadline        time.Time     // of reads
+	deadlineChanged chan struct{} // closed when the deadline changes
+	silent          bool
 }
 
-// silence makes the connection go silent for good.
+// silence permanently silences the connection.
 func (co *conn) silence() {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	co.quiet = true
+	co.silent = true
 }
 
 func (co *conn) isSilent() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	return co.quiet
+	return co.silent
 }
 
 // Read implements net.Conn.
@@ -157,19 +157,19 @@
 		case !co.isSilent():
 			return n, err
 		case errors.Is(err, io.EOF):
-			return 0, co.waitSilently()
+			return 0, co.blockRead()
 		case err != nil:
 			return 0, err
 		}
 	}
 }
 
-// waitSilently waits like a read that never gets any data: until the deadline,
-// or until this end is closed.
-func (co *conn) waitSilently() error {
+// blockRead blocks like a read that receives no data: until the deadline, or until
+// this end is closed.
+func (co *conn) blockRead() error {
 	for {
 		co.mu.Lock()
-		deadline, poked := co.deadline, co.poked
+		deadline, changed := co.deadline, co.deadlineChanged
 		co.mu.Unlock()
 		var over <-chan time.Time
 		if !deadline.IsZero() {
@@ -180,30 +180,30 @@
 			return net.ErrClosed
 		case <-over:
 			return os.ErrDeadlineExceeded
-		case <-poked:
+		case <-changed:
 		}
 	}
 }
 
 // SetDeadline implements net.Conn.
 func (co *conn) SetDeadline(at time.Time) error {
-	co.note(at)
+	co.updateDeadline(at)
 	return co.Conn.SetDeadline(at)
 }
 
 // SetReadDeadline implements net.Conn.
 func (co *conn) SetReadDeadline(at time.Time) error {
-	co.note(at)
+	co.updateDeadline(at)
 	return co.Conn.SetReadDeadline(at)
 }
 
-// note has the reads that wait silently take up a new deadline.
-func (co *conn) note(deadline time.Time) {
+// updateDeadline passes a new deadline to blocked reads.
+func (co *conn) updateDeadline(deadline time.Time) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	co.deadline = deadline
-	close(co.poked)
-	co.poked = make(chan struct{})
+	close(co.deadlineChanged)
+	co.deadlineChanged = make(chan struct{})
 }
 
 // Write implements net.Conn.
@@ -223,7 +223,7 @@
 	return co.Conn.Close()
 }
 
-// sleep waits for a time and tells whether ctx is still on.
+// sleep waits for a duration and reports false if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/trial/operators.go
+++ b/trial/operators.go
@@ -11,12 +11,12 @@
 	"wisteriacroft/profile"
 )
 
-// maxWaiting matches the key of a declaration that racing operators change.
+// maxWaiting matches the key of a profile that racing operators change.
 var maxWaiting = regexp.MustCompile(`(?m)^max-waiting = (\d+)$`)
 
-// raceOperators has two operators change two profiles at the same time, both
-// of which must be accepted. Then two change the same one: one change must be
-// accepted and the other refused as a conflict.
+// raceOperators lets two operators concurrently change two different profiles;
+// both changes must be accepted. Then both change the same profile: one change
+// must be accepted and the other rejected as a conflict.
 func raceOperators(ctx context.Context, ru *run) error {
 	sd, err := ru.world.read(ctx)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return ru.checkChanges(ctx, names[0], names[1])
 }
 
-// race has two operators each change a profile, from the same revision, and
-// returns what each was told.
+// race lets two operators each change a profile, from the same revision, and
+// returns their errors.
 func (ru *run) race(ctx context.Context, do profile.Document, names ...string) [2]error {
 	var errs [2]error
 	var gr errgroup.Group
@@ -66,7 +66,8 @@
 	return errs
 }
 
-// changed returns the profiles of a document with one changed by an amount.
+// changed returns the profiles of a document, with max-waiting of one of them
+// raised.
 func changed(do profile.Document, name string, by int) []profile.Profile {
 	var prs []profile.Profile
 	for _, pr := range do.Profiles() {
@@ -81,8 +82,8 @@
 	return prs
 }
 
-// checkChanges checks that the platform holds what the race left: the first
-// profile changed twice, the second once.
+// checkChanges checks the stored profiles after the races: the first profile is
+// changed twice, the second once.
 func (ru *run) checkChanges(ctx context.Context, first, second string) error {
 	sd, err := ru.world.read(ctx)
 	if err != nil {
--- a/trial/process.go
+++ b/trial/process.go
@@ -22,11 +22,11 @@
 	"wisteriacroft/weightstore"
 )
 
-// replaced ends the id of an instance that took the place of another.
+// replaced is the suffix of the id and folder of an instance that replaces another.
 const replaced = "-replaced"
 
-// A process is one process of the system and its successors at the same
-// address, of which one at most runs at a time.
+// A process is one process of the system and its successors at the same address.
+// At most one of them runs at a time.
 type process struct {
 	folder   string // data folder, or ""
 	instance instancelist.Instance
@@ -34,10 +34,10 @@
 
 	mu      sync.Mutex
 	network *network
-	running *running // nil: dead
+	running *running // nil: not running
 }
 
-// A running is what a trial does with a process that runs.
+// A running holds the operations on a running process.
 type running struct {
 	abort    func()
 	serve    func(ne *network) error
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// take returns the running process and leaves it to the caller to end it; nil
-// if there is none.
-func (pr *process) take() (*running, *network) {
+// detach marks the process as not running and returns what ran, nil if nothing did.
+// The caller has to end it.
+func (pr *process) detach() (*running, *network) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	ru := pr.running
@@ -79,7 +79,7 @@
 
 // kill ends the process as SIGKILL would.
 func (pr *process) kill() {
-	ru, ne := pr.take()
+	ru, ne := pr.detach()
 	if ru == nil {
 		return
 	}
@@ -89,14 +89,14 @@
 
 // shutdown ends the process gracefully.
 func (pr *process) shutdown(ctx context.Context) error {
-	ru, _ := pr.take()
+	ru, _ := pr.detach()
 	if ru == nil {
 		return nil
 	}
 	return errors.Wrapf(ru.shutdown(ctx), "shut down %s", pr.instance.ID)
 }
 
-// status returns what the process holds; false if it is dead.
+// status requests the process's status; false if it isn't running or fails.
 func (pr *process) status(ctx context.Context) (message.Status, bool) {
 	pr.mu.Lock()
 	ru := pr.running
@@ -108,15 +108,15 @@
 	return st, err == nil
 }
 
-// silence makes the open connections of the process go silent for good.
+// silence permanently silences the open connections of the process and returns
+// their number.
 func (pr *process) silence() int {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	return pr.network.silence()
 }
 
-// loseFolder removes all that the data folder holds and tells whether there
-// was anything.
+// loseFolder empties the data folder and reports whether it held any files.
 func (pr *process) loseFolder() (bool, error) {
 	names, err := filepath.Glob(filepath.Join(pr.folder, "*"))
 	for _, name := range names {
@@ -125,9 +125,9 @@
 	return len(names) > 0, errors.Wrapf(err, "data folder of %s", pr.instance.ID)
 }
 
-// renew makes the successor a new instance, which has kept nothing. It is
-// called while none runs.
-func (pr *process) renew() {
+// replaceInstance makes the successor a new instance with an empty data folder. The
+// process must not be running.
+func (pr *process) replaceInstance() {
 	pr.instance.ID += replaced
 	pr.folder += replaced
 }
@@ -165,7 +165,7 @@
 }
 
 // newAttendantProcess returns the process of an attendant's settings, with
-// its data folder at another place.
+// another data folder.
 func newAttendantProcess(se settings.Attendant, folder string, log *logrus.Logger) *process {
 	start := func(pr *process, ne *network) (running, error) {
 		op := attendant.NewOptions(se, log, metrics.NewSet())
--- a/trial/summary.go
+++ b/trial/summary.go
@@ -4,10 +4,10 @@
 	"wisteriacroft/standin"
 )
 
-// A Summary is the line of JSON that a trial ends with.
+// A Summary is the result of a trial, printed as a line of JSON.
 type Summary struct {
 	SamplesWanted         int     `json:"samples-wanted"`
-	SamplesDelivered      int     `json:"samples-delivered"` // whole, and what was asked for
+	SamplesDelivered      int     `json:"samples-delivered"` // complete, and as requested
 	SamplesLost           int     `json:"samples-lost"`
 	SamplesDoubled        int     `json:"samples-doubled"`
 	SamplesStale          int     `json:"samples-stale"`
@@ -19,17 +19,16 @@
 	NotRunButRan          int     `json:"not-run-but-ran"`
 	TrainerIdleRatio      float64 `json:"trainer-idle-ratio"` // mean of the trainers
 	StalenessMean         float64 `json:"staleness-mean"`     // in versions, of the samples
-	ConfigRevision        uint64  `json:"config-revision"`    // the highest of the deployments
+	ConfigRevision        uint64  `json:"config-revision"`    // highest of the deployments
 
 	broken   []string
 	trainers int
 }
 
-// Broken returns the promises that were broken, a line each.
+// Broken returns the violated guarantees, a line each.
 func (su Summary) Broken() []string { return su.broken }
 
-// newSummary returns what the clients counted, with the revision that the
-// platform holds.
+// newSummary returns the summary of the clients' counts and the stored revision.
 func newSummary(counted standin.ClientsSummary, revision uint64) Summary {
 	sum := Summary{ConfigRevision: revision}
 	for _, tr := range counted.Trainers {
@@ -56,7 +55,7 @@
 	return sum
 }
 
-// plus returns the summary of both.
+// plus returns the sum of two summaries.
 func (su Summary) plus(other Summary) Summary {
 	return Summary{
 		SamplesWanted:         su.SamplesWanted + other.SamplesWanted,
@@ -78,7 +77,7 @@
 	}
 }
 
-// mean returns the mean of two means of so many values.
+// mean returns the weighted mean of two means.
 func mean(first float64, firstCount int, second float64, secondCount int) float64 {
 	if firstCount+secondCount == 0 {
 		return 0
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -1,6 +1,6 @@
 // Package trial runs a whole deployment in one process: the system's own
-// processes, and stand-ins for all that is around them, over loopback. It
-// counts what the stand-ins saw and names the promises that were broken.
+// processes, and stand-ins for the systems around them, over loopback. It
+// summarizes the counts of the stand-ins and reports violated guarantees.
 package trial
 
 import (
@@ -17,7 +17,7 @@
 )
 
 // DefaultTimeout is how long the trainers of a deployment may take for their
-// steps before a trial is given up.
+// steps before a trial is aborted.
 const DefaultTimeout = 3 * time.Minute
 
 const (
@@ -25,19 +25,19 @@
 	shutdownTimeout = 40 * time.Second
 )
 
-// Options says what is tried.
+// Options configures a trial.
 type Options struct {
-	Deployments []string      // tried one after another; see Deployments
-	Faults      []FaultName   // each strikes in the midst of a step; a repeated one strikes again a step later
-	Log         io.Writer     // of the processes' log lines; nil: none
-	Progress    io.Writer     // of a line that is written over; nil: none
+	Deployments []string      // run one after another; see Deployments
+	Faults      []FaultName   // each is injected during a step; a repeated one again a step later
+	Log         io.Writer     // for the processes' log lines; nil: none
+	Progress    io.Writer     // for a progress line that is overwritten; nil: none
 	Seed        int           // of the prompts, and so of the samples' lengths
 	Steps       int           // of each trainer
 	Timeout     time.Duration // 0: DefaultTimeout
 }
 
-// Run tries the deployments and returns what the stand-ins counted up to the
-// first error. Broken promises are no error: see Summary.Broken.
+// Run runs the deployments and returns the counts of the stand-ins up to the
+// first error. Violated guarantees are no error: see Summary.Broken.
 func Run(ctx context.Context, op Options) (Summary, error) {
 	var total Summary
 	for _, name := range op.Deployments {
@@ -50,7 +50,7 @@
 	return total, nil
 }
 
-// runDeployment tries one deployment.
+// runDeployment runs one deployment.
 func runDeployment(ctx context.Context, op Options, name string) (Summary, error) {
 	de, err := readDeployment(name)
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return Summary{}, errors.Wrap(err, "data folders")
 	}
-	defer os.RemoveAll(folder) //nolint:errcheck // what is left over is in the system's folder for temporary files
+	defer os.RemoveAll(folder) //nolint:errcheck // leftovers are in the folder for temporary files
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wo, err := newWorld(ctx, de, folder, newLog(op.Log))
@@ -104,16 +104,17 @@
 	world     *world
 }
 
-// run starts all, lets the clients work while the faults strike, and counts.
+// run starts all processes, runs the clients while faults are injected, and
+// returns the summary.
 func (ru *run) run(ctx context.Context) (Summary, error) {
 	if err := ru.start(ctx); err != nil {
 		return Summary{}, err
 	}
-	counted, err := ru.work(ctx)
+	counted, err := ru.runClients(ctx)
 	if err != nil {
 		return Summary{}, err
 	}
-	do, err := ru.inForce(ctx)
+	do, err := ru.waitInForce(ctx)
 	if err != nil {
 		return Summary{}, err
 	}
@@ -126,7 +127,7 @@
 		return Summary{}, err
 	}
 	sum := newSummary(counted, do.Revision())
-	sum.broken = append(ru.verdict.of(sum, counted, ru.answers()), ru.verdict.lines()...)
+	sum.broken = append(ru.verdict.violations(sum, counted, ru.answers()), ru.verdict.lines()...)
 	for i := range sum.broken {
 		sum.broken[i] = ru.world.deployment.name + ": " + sum.broken[i]
 	}
@@ -144,11 +145,11 @@
 			return err
 		}
 	}
-	return ru.world.ready(ctx, revision)
+	return ru.world.waitReady(ctx, revision)
 }
 
-// work runs the clients to the trainers' last step, and the faults.
-func (ru *run) work(ctx context.Context) (standin.ClientsSummary, error) {
+// runClients runs the clients to the trainers' last step, and injects the faults.
+func (ru *run) runClients(ctx context.Context) (standin.ClientsSummary, error) {
 	bounded, cancel := context.WithTimeout(ctx, ru.options.timeout())
 	defer cancel()
 	watching, stop := context.WithCancel(ctx)
@@ -157,11 +158,11 @@
 	for i, fa := range ru.faults() {
 		step := min(1+ru.occurrence(i), ru.options.Steps-1)
 		faults.Go(func() {
-			if !ru.midStep(bounded, step) {
+			if !ru.waitMidStep(bounded, step) {
 				return
 			}
-			ru.world.log.WithField("fault", fa.name).Info("fault strikes")
-			if err := fa.strike(ctx, ru); err != nil {
+			ru.world.log.WithField("fault", fa.name).Info("injecting fault")
+			if err := fa.inject(ctx, ru); err != nil {
 				ru.verdict.add("fault %s did not take its course: %v", fa.name, err)
 			}
 		})
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -14,10 +14,10 @@
 	"wisteriacroft/standin"
 )
 
-// varies matches the numbers that differ from run to run.
+// varies matches the numbers that differ between runs.
 var varies = regexp.MustCompile(`"(calls|answers-whole|trainer-idle-ratio|staleness-mean)":[0-9.e-]+`)
 
-// TestRun tries a step of each deployment while operators change profiles.
+// TestRun runs a step of each deployment while operators change profiles.
 func TestRun(t *testing.T) {
 	for _, name := range Deployments() {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestVerdict breaks each promise and wants it named.
+// TestVerdict checks that each violated guarantee is reported.
 func TestVerdict(t *testing.T) {
 	clean := standin.CallerSummary{Calls: 9, Name: "clerks", Whole: 9}
 	refused := standin.CallerSummary{Calls: 9, Name: "clerks", Whole: 7, Refused: map[outcome.Code]int{outcome.OutcomeUnknown: 2}}
@@ -44,7 +44,7 @@
 		name     string
 		trainer  standin.TrainerSummary
 		caller   standin.CallerSummary
-		expected answers
+		expected expectation
 		want     string
 	}{
 		{name: "clean", trainer: standin.TrainerSummary{Delivered: 4, Wanted: 4}, caller: clean},
@@ -85,13 +85,13 @@
 				Callers: []standin.CallerSummary{tc.caller}, Trainers: []standin.TrainerSummary{tc.trainer},
 			}
 			var ve verdict
-			got := ve.of(newSummary(counted, 1), counted, tc.expected)
+			got := ve.violations(newSummary(counted, 1), counted, tc.expected)
 			assert.Equal(t, strings.Join(got, "\n"), tc.want)
 		})
 	}
 }
 
-// TestSilence checks what a silent connection does to both of its ends.
+// TestSilence checks reads and writes at both ends of a silenced connection.
 func TestSilence(t *testing.T) {
 	ne := &network{}
 	assert.NilError(t, ne.listen(t.Context(), "127.0.0.1:0"))
@@ -111,7 +111,7 @@
 	assert.Equal(t, n, len("yes"))
 	select {
 	case err := <-read:
-		t.Fatalf("a silent connection brought something: %v", err)
+		t.Fatalf("read from a silenced connection returned: %v", err)
 	default:
 	}
 	assert.NilError(t, here.Close())
--- a/trial/verdict.go
+++ b/trial/verdict.go
@@ -7,38 +7,38 @@
 	"wisteriacroft/standin"
 )
 
-// An answers says what callers may expect while a fault strikes.
-type answers int
+// An expectation is how calls may end under a fault.
+type expectation int
 
-// What callers may expect, from the best on.
+// How calls may end, from the best on.
 const (
-	allWhole    answers = iota // every call gets its whole answer
-	allAnswered                // every call gets its whole answer or a typed refusal
-	someBroken                 // the caller's own connection may break
+	allWhole    expectation = iota // every call gets its complete response
+	allAnswered                    // every call gets its complete response or a typed refusal
+	someBroken                     // the caller's own connection may break
 )
 
-// A verdict collects the broken promises that no summary counts.
+// A verdict collects the violated guarantees that no summary counts.
 type verdict struct {
 	mu     sync.Mutex
 	broken []string
 }
 
-// add adds a broken promise.
+// add adds a violated guarantee.
 func (ve *verdict) add(format string, args ...any) {
 	ve.mu.Lock()
 	defer ve.mu.Unlock()
 	ve.broken = append(ve.broken, fmt.Sprintf(format, args...))
 }
 
-// lines returns the broken promises.
+// lines returns the violated guarantees that were added.
 func (ve *verdict) lines() []string {
 	ve.mu.Lock()
 	defer ve.mu.Unlock()
 	return ve.broken
 }
 
-// of returns the promises that a summary shows to be broken.
-func (ve *verdict) of(sum Summary, counted standin.ClientsSummary, expected answers) []string {
+// violations returns the violated guarantees according to a summary.
+func (ve *verdict) violations(sum Summary, counted standin.ClientsSummary, expected expectation) []string {
 	var broken []string
 	for _, row := range []struct {
 		name  string
@@ -57,15 +57,16 @@
 		}
 	}
 	for _, ca := range counted.Callers {
-		if text := unanswered(ca, expected); text != "" {
+		if text := callerViolation(ca, expected); text != "" {
 			broken = append(broken, text)
 		}
 	}
 	return broken
 }
 
-// unanswered tells which calls of a caller ended worse than expected.
-func unanswered(ca standin.CallerSummary, expected answers) string {
+// callerViolation describes the calls of a caller that ended worse than expected, or
+// returns "".
+func callerViolation(ca standin.CallerSummary, expected expectation) string {
 	switch {
 	case ca.Calls == 0:
 		return fmt.Sprintf("%s made no call", ca.Name)
@@ -79,7 +80,7 @@
 	}
 }
 
-// brokenBy tells how the first broken call of a caller ended, if that is known.
+// brokenBy describes how the first broken call of a caller ended, if known.
 func brokenBy(ca standin.CallerSummary) string {
 	if ca.BrokenBy == "" {
 		return ""
--- a/trial/watch.go
+++ b/trial/watch.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	forceBound = 19 * time.Second // within which a change must be in force everywhere
-	midStep    = 300 * time.Millisecond
-	pollEvery  = 50 * time.Millisecond
-	probes     = 16   // calls that an entry must answer in a row to be ready
-	probeTime  = "1s" // deadline of such a call
-	watchEvery = 200 * time.Millisecond
+	propagationTimeout = 19 * time.Second // for a change to be in force everywhere
+	midStepDelay       = 300 * time.Millisecond
+	pollEvery          = 50 * time.Millisecond
+	probeCount         = 16   // consecutive successful calls until an entry is ready
+	probeDeadline      = "1s" // deadline of such a call
+	watchEvery         = 200 * time.Millisecond
 )
 
-// errNotReady means that a process didn't serve in time.
+// errNotReady means that a process didn't become ready in time.
 var errNotReady = errors.New("not ready")
 
-// ready waits until a revision is in force everywhere and each entry that the
-// clients know answers calls, as a balancer would before it sends any.
-func (wo *world) ready(ctx context.Context, revision uint64) error {
+// waitReady waits until a revision is in force everywhere and each entry of the
+// clients serves calls, as a load balancer's health check does.
+func (wo *world) waitReady(ctx context.Context, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, pr := range wo.processes() {
@@ -60,12 +60,12 @@
 	}
 }
 
-// probe calls a caller's service through an entry until it answers several
-// times in a row. A home refuses keys for some seconds from its start, since
-// it can't know what ran before, and a few keys find all homes.
+// probe calls a caller's service through an entry until several calls in a row
+// succeed. For some seconds after its start, the entry that owns a key rejects
+// it, since the key may have run before; several keys reach all owners.
 func probe(ctx context.Context, address string, ca standin.CallerSettings) error {
 	url := "http://" + address + "/v1/services/" + ca.Service + "/call/probe"
-	for answered := 0; answered < probes; {
+	for answered := 0; answered < probeCount; {
 		err := probeOnce(ctx, url, ca)
 		if err == nil {
 			answered++
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// probeOnce makes a call as the caller would.
+// probeOnce makes a call with the caller's profile.
 func probeOnce(ctx context.Context, url string, ca standin.CallerSettings) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(nil))
 	if err != nil {
 		return err
 	}
 	req.Header.Set(message.ProfileHeader, ca.Profile)
-	req.Header.Set(message.DeadlineHeader, probeTime)
+	req.Header.Set(message.DeadlineHeader, probeDeadline)
 	if ca.NotRepeatable > 0 {
 		key, err := idempotency.NewKey(time.Now())
 		if err != nil {
@@ -106,27 +106,27 @@
 	return nil
 }
 
-// A revision is one that an incarnation of an instance was seen to hold.
+// A revision is the last one observed at an incarnation of an instance.
 type revision struct {
 	incarnation uint64
 	number      uint64
 }
 
-// watch looks at the processes and shows the progress until ctx ends.
+// watch polls the processes' status and prints the progress until ctx ends.
 func (ru *run) watch(ctx context.Context) {
 	began := time.Now()
 	for sleep(ctx, watchEvery) {
 		for _, pr := range ru.world.processes() {
 			if st, ok := pr.status(ctx); ok {
-				ru.compare(st)
+				ru.checkRevision(st)
 			}
 		}
-		ru.show(time.Since(began))
+		ru.printProgress(time.Since(began))
 	}
 }
 
-// compare checks that no process goes back to a lower revision.
-func (ru *run) compare(st message.Status) {
+// checkRevision checks that the revision of a process doesn't decrease.
+func (ru *run) checkRevision(st message.Status) {
 	if ru.revisions == nil {
 		ru.revisions = map[string]revision{}
 	}
@@ -137,8 +137,8 @@
 	ru.revisions[st.Instance] = revision{incarnation: st.Incarnation, number: st.Revision}
 }
 
-// show writes the progress line over the one before.
-func (ru *run) show(since time.Duration) {
+// printProgress overwrites the progress line.
+func (ru *run) printProgress(since time.Duration) {
 	if ru.options.Progress == nil {
 		return
 	}
@@ -147,36 +147,36 @@
 		ru.world.deployment.name, since.Round(time.Second), pr.Step+1, ru.options.Steps, pr.Samples, pr.Wanted, pr.Calls)
 }
 
-// midStep waits until the slowest trainer is in the midst of a step. It is
-// false if that doesn't come about.
-func (ru *run) midStep(ctx context.Context, step int) bool {
+// waitMidStep waits until the slowest trainer is in the middle of a step. It reports
+// false if ctx ends first.
+func (ru *run) waitMidStep(ctx context.Context, step int) bool {
 	for ru.world.clients.Progress().Step < step {
 		if !sleep(ctx, pollEvery) {
 			return false
 		}
 	}
-	return sleep(ctx, midStep)
+	return sleep(ctx, midStepDelay)
 }
 
-// inForce waits until what the platform holds is in force everywhere, and
-// returns it.
-func (ru *run) inForce(ctx context.Context) (profile.Document, error) {
+// waitInForce waits until the stored profiles are in force everywhere, and returns
+// them.
+func (ru *run) waitInForce(ctx context.Context) (profile.Document, error) {
 	sd, err := ru.world.read(ctx)
 	if err != nil {
 		return profile.Document{}, errors.Wrap(err, "read the profiles")
 	}
-	bounded, cancel := context.WithTimeout(ctx, forceBound)
+	bounded, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	for _, pr := range ru.world.processes() {
 		if !pr.waitFor(bounded, sd.Document.Revision()) {
 			ru.verdict.add("revision %d is not in force at %s within %s",
-				sd.Document.Revision(), pr.instance.ID, forceBound)
+				sd.Document.Revision(), pr.instance.ID, propagationTimeout)
 		}
 	}
 	return sd.Document, nil
 }
 
-// read reads the profiles that the platform holds, again while it is away.
+// read reads the stored profiles, with retries while the platform is unavailable.
 func (wo *world) read(ctx context.Context) (profile.VersionedDocument, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/trial/world.go
+++ b/trial/world.go
@@ -22,10 +22,10 @@
 // any fault of the platform.
 const commandTimeout = 30 * time.Second
 
-// errPlatform means that the stand-in platform did not take a command.
-var errPlatform = errors.New("stand-in platform gave no answer")
+// errPlatform means that the stand-in platform did not execute a command.
+var errPlatform = errors.New("stand-in platform did not respond")
 
-// A world is a deployment that runs.
+// A world is a running deployment and its stand-ins.
 type world struct {
 	attendants []*process
 	clients    *standin.Clients
@@ -39,8 +39,8 @@
 	store      *profile.Store
 }
 
-// newWorld returns a deployment whose stand-ins run until ctx ends. Data
-// folders are made in folder.
+// newWorld starts the stand-ins of a deployment, which run until ctx ends. Data
+// folders are created in folder.
 func newWorld(ctx context.Context, de deployment, folder string, log *logrus.Logger) (*world, error) {
 	hc := roundtrip.NewHTTPClient()
 	base := "http://" + de.platform.Listen
@@ -99,8 +99,8 @@
 	return wo.command(ctx, http.MethodDelete, "/instances/"+pr.instance.ID, nil)
 }
 
-// command sends a command to the stand-in platform.
-// command gives the stand-in platform a command, again while it is away.
+// command sends a command to the stand-in platform, with retries while it is
+// unavailable.
 func (wo *world) command(ctx context.Context, method, path string, in any) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -115,7 +115,7 @@
 	}
 }
 
-// apply puts the deployment's profiles in force and returns their revision.
+// apply stores the deployment's profiles and returns their revision.
 func (wo *world) apply(ctx context.Context) (uint64, error) {
 	ou, err := wo.store.Apply(ctx, profile.ApplyRequest{
 		By:      "trial",
@@ -125,7 +125,7 @@
 	return ou.Document.Revision(), err
 }
 
-// shutdown ends all processes gracefully, side by side.
+// shutdown shuts down all processes gracefully and concurrently.
 func (wo *world) shutdown(ctx context.Context) error {
 	var gr errgroup.Group
 	for _, pr := range wo.processes() {
@@ -134,7 +134,7 @@
 	return gr.Wait()
 }
 
-// kill ends what still runs.
+// kill kills all processes that are still running.
 func (wo *world) kill() {
 	for _, pr := range wo.processes() {
 		pr.kill()
