--- a/soak/judge_test.go
+++ b/soak/check_test.go
@@ -14,8 +14,8 @@
 	"wisteriacroft/platform/standin"
 )
 
-// newJudge returns a run that can be judged, in which endpoints ran some requests.
-func newJudge(t *testing.T, opts Options, ids ...string) *run {
+// newCheckedRun returns a run in which endpoints ran some requests, ready to be checked.
+func newCheckedRun(t *testing.T, opts Options, ids ...string) *run {
 	t.Helper()
 	de := &standin.PlainEndpoint{ID: "desk"}
 	sv := httptest.NewServer(de)
@@ -26,7 +26,7 @@
 		assert.NilError(t, err)
 	}
 	pa := &parts{bounds: opts.Bounds, names: []string{quotaPart, rivalsPart}}
-	return &run{begun: time.Now(), opts: opts, parts: pa, world: &world{desks: []*standin.PlainEndpoint{de}}}
+	return &run{begun: time.Now(), opts: opts, parts: pa, world: &world{plainEndpoints: []*standin.PlainEndpoint{de}}}
 }
 
 func metered(count int) (ids []string) {
@@ -36,18 +36,18 @@
 	return ids
 }
 
-func TestJudgeSeesAQuotaThatIsExceeded(t *testing.T) {
+func TestCheckQuotaExceeded(t *testing.T) {
 	const quota = 3
 	most := int(quota*quotaWindow.Seconds()*(1+standin.QuotaOvershoot)) + 1 + meteredCallers
 	for count, broken := range map[int]bool{most: false, most + 1: true} {
-		rn := newJudge(t, Options{}, metered(count)...)
+		rn := newCheckedRun(t, Options{}, metered(count)...)
 		rn.quotas = []quotaChange{{quota: quota}}
-		rn.judgeQuota()
+		rn.checkQuota()
 		assert.Equal(t, len(rn.report.Violations) > 0, broken, "%d: %v", count, rn.report.Violations)
 	}
 }
 
-func TestJudgeKnowsWhenAQuotaIsInForce(t *testing.T) {
+func TestHighestQuota(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
 	rn := &run{opts: Options{Quiet: true}, quotas: []quotaChange{
 		{quota: 8}, {from: at(10), quota: 20, sure: at(13)}, {from: at(30), quota: 3, sure: at(33)},
@@ -58,37 +58,37 @@
 	}{{0, 9, 8}, {0, 10, 20}, {12, 13, 20}, {14, 29, 20}, {32, 40, 20}, {33, 40, 3}} {
 		assert.Equal(t, rn.highestQuota(at(tc.from), at(tc.to)), tc.want, "%v", tc)
 	}
-	// While faults strike, a process may not hear of a quota until they have ended.
+	// While faults are injected, a quota may not reach a process until they have ended.
 	rn.opts.Quiet, rn.faultsEnd = false, at(40)
 	assert.Equal(t, rn.highestQuota(at(40), at(50)), 20.0)
 	assert.Equal(t, rn.highestQuota(at(40).Add(settleTime), at(50)), 3.0)
 }
 
-func TestJudgeSeesWhatCallersHear(t *testing.T) {
+func TestCheckResponses(t *testing.T) {
 	const id = rivalPrefix + secondCustomer + "-1"
 	calm := Options{Bounds: true, Quiet: true}
 	for _, tc := range []struct {
-		name  string
-		heard heard
-		opts  Options
-		ran   []string
-		want  string
+		name     string
+		response response
+		opts     Options
+		ran      []string
+		want     string
 	}{
-		{"served", heard{status: http.StatusOK}, calm, []string{id}, ""},
-		{"refused", heard{retryAfter: "0.1", status: http.StatusServiceUnavailable}, Options{Quiet: true}, nil, ""},
-		{"refused and ran", heard{retryAfter: "0.1", status: http.StatusTooManyRequests}, Options{}, []string{id}, "was refused and ran"},
-		{"not told when to come back", heard{status: http.StatusTooManyRequests}, Options{Quiet: true}, nil, "not told when to come back"},
-		{"ran twice", heard{status: http.StatusOK}, Options{}, []string{id, id}, "ran 2 times"},
-		{"wrong answer", heard{status: http.StatusOK, wrong: true}, Options{}, []string{id}, "answer of another"},
-		{"denied", heard{status: http.StatusUnauthorized}, Options{}, nil, "was denied"},
-		{"small customer is not served", heard{retryAfter: "0.1", status: http.StatusServiceUnavailable}, calm, nil, "0 of 1 requests of bob"},
+		{"served", response{status: http.StatusOK}, calm, []string{id}, ""},
+		{"refused", response{retryAfter: "0.1", status: http.StatusServiceUnavailable}, Options{Quiet: true}, nil, ""},
+		{"refused and ran", response{retryAfter: "0.1", status: http.StatusTooManyRequests}, Options{}, []string{id}, "was refused and ran"},
+		{"without retry delay", response{status: http.StatusTooManyRequests}, Options{Quiet: true}, nil, "not told when to come back"},
+		{"ran twice", response{status: http.StatusOK}, Options{}, []string{id, id}, "ran 2 times"},
+		{"wrong answer", response{status: http.StatusOK, wrong: true}, Options{}, []string{id}, "answer of another"},
+		{"denied", response{status: http.StatusUnauthorized}, Options{}, nil, "was denied"},
+		{"small customer is not served", response{retryAfter: "0.1", status: http.StatusServiceUnavailable}, calm, nil, "0 of 1 requests of bob"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rn := newJudge(t, tc.opts, tc.ran...)
-			he := tc.heard
-			he.at, he.customer, he.id = time.Now(), secondCustomer, id
-			rn.heard = []heard{he}
-			rn.judgeHeard()
+			rn := newCheckedRun(t, tc.opts, tc.ran...)
+			re := tc.response
+			re.at, re.customer, re.id = time.Now(), secondCustomer, id
+			rn.responses = []response{re}
+			rn.checkResponses()
 			if tc.want == "" {
 				assert.Equal(t, len(rn.report.Violations), 0, "%v", rn.report.Violations)
 				return
@@ -99,18 +99,18 @@
 	}
 }
 
-func TestJudgeSeesATrainerThatGetsNothing(t *testing.T) {
+func TestCheckStarvation(t *testing.T) {
 	begun := time.Unix(1000, 0)
-	for got, broken := range map[time.Duration]bool{longestNothing - time.Second: false, longestNothing + time.Second: true} {
-		rn := newJudge(t, Options{Bounds: true, Quiet: true})
-		rn.crowdTime = [2]time.Time{begun, begun.Add(longestNothing + 2*time.Second)}
-		rn.tasks = []*task{{id: crowdPrefix + "0-0", whole: map[string]time.Time{"g": begun.Add(got)}}}
-		rn.judgeNothing(crowdPrefix)
+	for got, broken := range map[time.Duration]bool{maxStarvation - time.Second: false, maxStarvation + time.Second: true} {
+		rn := newCheckedRun(t, Options{Bounds: true, Quiet: true})
+		rn.crowdTime = [2]time.Time{begun, begun.Add(maxStarvation + 2*time.Second)}
+		rn.tasks = []*task{{id: crowdPrefix + "0-0", completedAt: map[string]time.Time{"g": begun.Add(got)}}}
+		rn.checkStarvation(crowdPrefix)
 		assert.Equal(t, len(rn.report.Violations) > 0, broken, "%s: %v", got, rn.report.Violations)
 	}
 }
 
-func TestDeskShortOfPlaces(t *testing.T) {
+func TestPlainEndpointAtCapacity(t *testing.T) {
 	de := &standin.PlainEndpoint{ID: "desk", Places: 1, Work: 50 * time.Millisecond}
 	sv := httptest.NewServer(de)
 	defer sv.Close()
@@ -129,18 +129,18 @@
 	assert.DeepEqual(t, seen, map[int]int{http.StatusOK: 2, http.StatusServiceUnavailable: 1})
 }
 
-func TestJudgeOfStepsNeedsSome(t *testing.T) {
-	// Symptom: the judge says that none of a customer's groups were in time, though all
-	// were. Cause: all steps that it could count were near a loss of the scheduler.
+func TestInTimeWithoutCountedSteps(t *testing.T) {
+	// If all steps are near a loss of the scheduler, no step counts: the check must not
+	// report that no group was in time.
 	begun := time.Unix(1000, 0)
-	rn := newJudge(t, Options{Bounds: true, Quiet: true})
+	rn := newCheckedRun(t, Options{Bounds: true, Quiet: true})
 	rn.crowdTime = [2]time.Time{begun, begun.Add(time.Minute)}
 	rn.losses = []time.Time{begun.Add(10 * time.Second)}
-	near := &task{groups: 1, handed: begun.Add(9 * time.Second), id: "step-0", scored: true, whole: map[string]time.Time{}}
+	near := &task{groups: 1, submittedAt: begun.Add(9 * time.Second), id: "step-0", scored: true, completedAt: map[string]time.Time{}}
 	rn.tasks = []*task{near}
 	_, some := rn.inTime(true)
 	assert.Assert(t, !some)
-	late := &task{groups: 1, handed: begun.Add(30 * time.Second), id: "step-1", scored: true, whole: map[string]time.Time{}}
+	late := &task{groups: 1, submittedAt: begun.Add(30 * time.Second), id: "step-1", scored: true, completedAt: map[string]time.Time{}}
 	rn.tasks = []*task{near, late}
 	part, some := rn.inTime(true)
 	assert.Assert(t, some && part == 0)
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// crashPrefix begins the ids of the tries of the request that ends endpoints.
+	// crashPrefix is the prefix of the ids of requests that crash endpoints.
 	crashPrefix = "crash-"
-	// crashItem is the item that ends the engines that run it.
+	// crashItem is the item that crashes the engines that run it.
 	crashItem = "step-0-0-0"
-	// crashPause is between two tries of it.
+	// crashPause is the pause between two crash requests.
 	crashPause = 400 * time.Millisecond
-	// downTime is after how long an endpoint that ended starts again.
+	// downTime is the time from an endpoint's crash to its restart.
 	downTime = 700 * time.Millisecond
-	// enoughCrashes is how many endpoints may end before a request counts as their
-	// cause, learnTime how long all processes have to hear of it, and moreCrashes
-	// how many endpoints it may reach after that.
+	// enoughCrashes is how many endpoints a request may crash before it must be
+	// quarantined, learnTime how long the quarantine may take to reach all processes,
+	// and moreCrashes how many more endpoints the request may reach after that.
 	enoughCrashes = 3
 	learnTime     = 3 * time.Second
 	moreCrashes   = 3
 )
 
-// crashFunc returns what ends an endpoint, which starts again after a while.
+// crashFunc returns a function that crashes an endpoint, which restarts after downTime.
 func crashFunc(restart func(), pr *proxy) func() {
 	return func() {
 		restart()
 		pr.crash()
-		time.AfterFunc(downTime, func() { _ = pr.revive() }) // stays down if the port is taken, which the callers' check shows
+		time.AfterFunc(downTime, func() { _ = pr.revive() }) // stays down if the port is in use; then the check of calls fails
 	}
 }
 
@@ -48,10 +48,10 @@
 	return []byte(item)
 }
 
-// crashDesks sends one request that ends each plain endpoint that runs it, at one
-// entry after the other. Without other faults, half-way through all programs are
-// killed at once, and later the store goes away for a while.
-func (rn *run) crashDesks(ctx context.Context, length time.Duration) {
+// sendCrashRequests repeatedly sends a request that crashes each plain endpoint that runs it,
+// through alternating entries. In a quiet run, it kills all programs at once half-way
+// through, and later makes the store unavailable for a while.
+func (rn *run) sendCrashRequests(ctx context.Context, length time.Duration) {
 	if !rn.opts.Crashes {
 		return
 	}
@@ -64,24 +64,24 @@
 	end := time.Now().Add(length)
 	for number := 0; time.Now().Before(end) && ctx.Err() == nil; number++ {
 		body := io.MultiReader(strings.NewReader(standin.CrashBody))
-		// What becomes of it is seen at the endpoints.
+		// The result is checked at the endpoints.
 		_, _, _ = rn.client(cl, number).Call(ctx, "/safe/crash", fmt.Sprint(crashPrefix, number), body, callDeadline)
 		sleep(ctx, crashPause)
 	}
 }
 
 func (rn *run) killAll() {
-	rn.note("kill all")
+	rn.recordEvent("kill all")
 	for _, pg := range rn.world.programs {
 		pg.signal(syscall.SIGKILL)
 	}
 }
 
-// judgeCrashes checks that a request that ends its endpoints does not go on to
-// reach them. Each other fault may keep one process from hearing of it for a while.
-func (rn *run) judgeCrashes() {
+// checkCrashes checks that a request that crashes its endpoints is not sent to more of
+// them. Each other fault may delay the quarantine at one process.
+func (rn *run) checkCrashes() {
 	var requests, items []time.Time
-	for _, no := range rn.deskNotes() {
+	for _, no := range rn.plainRuns() {
 		if strings.HasPrefix(no.ID, crashPrefix) {
 			requests = append(requests, no.At)
 		}
@@ -94,12 +94,12 @@
 		}
 	}
 	rn.report.Crashes, rn.report.EngineCrashes = len(requests), len(items)
-	rn.checkCrashes("request", requests)
-	rn.checkCrashes("item", items)
+	rn.checkCrashTimes("request", requests)
+	rn.checkCrashTimes("item", items)
 }
 
-// checkCrashes checks the times at which what ends its endpoints reached them.
-func (rn *run) checkCrashes(what string, runs []time.Time) {
+// checkCrashTimes checks the times at which a crashing request or item reached endpoints.
+func (rn *run) checkCrashTimes(what string, runs []time.Time) {
 	if len(runs) < enoughCrashes {
 		return
 	}
@@ -116,6 +116,6 @@
 		allowed += len(rn.report.Faults)
 	}
 	if later > allowed {
-		rn.violate("%s under which %d endpoints had ended was sent to endpoints %d times more, %d in all", what, enoughCrashes, later, len(runs))
+		rn.addViolation("%s under which %d endpoints had ended was sent to endpoints %d times more, %d in all", what, enoughCrashes, later, len(runs))
 	}
 }
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -13,30 +13,30 @@
 	"wisteriacroft/platform/standin"
 )
 
-// Customers of the soaked deployment. The trainer is of the first; callers are of both,
-// and one of none.
+// Customers of the deployment. The trainer belongs to the first; callers belong to both,
+// and one caller to none.
 const (
 	firstCustomer  = "ada"
 	secondCustomer = "bob"
-	strangerKey    = "key-of-no-customer"
-	stranger       = callers - 1 // the caller that shows it
+	unknownKey     = "key-of-no-customer"
+	unknownCaller  = callers - 1 // the caller that sends it
 )
 
 const (
 	// forceTime is how long a configuration may take to be in force at all entries that
-	// hear of it.
+	// can reach the store.
 	forceTime = 3500 * time.Millisecond
-	// usageTime is how long after its end a window is reported at the latest.
+	// usageTime is the latest time after its end at which a window is reported.
 	usageTime = 6 * time.Second
 )
 
-// keys are the customers' keys, of which new ones come and old ones go.
+// keys holds the customers' keys, which are rotated during a run.
 type keys struct {
-	held    map[string][]string // by customer; the last one comes
+	held    map[string][]string // by customer; the last one is the newest
 	mu      sync.Mutex
 	number  int
 	quota   float64           // of the customer with one
-	shown   map[string]string // that callers show
+	shown   map[string]string // that callers send, by customer
 	version int64
 }
 
@@ -49,7 +49,7 @@
 	return ks
 }
 
-// add gives a customer one more key.
+// add adds a key for a customer.
 func (ks *keys) add(customer string) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
@@ -58,14 +58,14 @@
 	ks.version++
 }
 
-// show makes callers show a customer's newest key.
+// show makes callers send a customer's newest key.
 func (ks *keys) show(customer string) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
 	ks.shown[customer] = ks.held[customer][len(ks.held[customer])-1]
 }
 
-// drop takes all keys of a customer but the newest.
+// drop removes all keys of a customer but the newest.
 func (ks *keys) drop(customer string) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
@@ -81,7 +81,7 @@
 	ks.version++
 }
 
-// snapshot returns what customers hold, their quotas and the configuration's version.
+// snapshot returns the customers' keys and quotas, and the configuration's version.
 func (ks *keys) snapshot() (held map[string][]string, quotas map[string]float64, version int64) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
@@ -92,14 +92,14 @@
 	return held, map[string]float64{meteredCustomer: ks.quota}, ks.version
 }
 
-// of returns the key that a customer's callers show.
+// of returns the key that a customer's callers send.
 func (ks *keys) of(customer string) string {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
 	return ks.shown[customer]
 }
 
-// customerOf returns the customer of a request by its id, or "" of a stranger's.
+// customerOf returns the customer of a request by its id, or "" if it has none.
 func customerOf(id string) string {
 	if rest, ok := strings.CutPrefix(id, rivalPrefix); ok {
 		customer, _, _ := strings.Cut(rest, "-")
@@ -113,10 +113,10 @@
 	}
 	var caller, number int
 	if _, err := fmt.Sscanf(id, "call-%d-%d", &caller, &number); err != nil {
-		return firstCustomer // the trainer's, and the crashing request
+		return firstCustomer // the trainer's requests, and those that crash endpoints
 	}
 	switch {
-	case caller == stranger:
+	case caller == unknownCaller:
 		return ""
 	case caller%2 == 0:
 		return firstCustomer
@@ -125,36 +125,36 @@
 	}
 }
 
-// keyOf returns the key that a request shows.
+// keyOf returns the key that a request sends.
 func (rn *run) keyOf(id string) string {
 	if customer := customerOf(id); customer != "" {
 		return rn.world.keys.of(customer)
 	}
-	return strangerKey
+	return unknownKey
 }
 
-// changeKeys gives one customer after the other a new key, and takes the old one once
-// its callers show the new one.
+// changeKeys rotates the keys of customers: it adds a new key, and removes the old one
+// after the customer's callers send the new one.
 func (rn *run) changeKeys(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, keysStream)
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
 		customer := []string{firstCustomer, secondCustomer}[rng.IntN(2)]
-		rn.note("new key of " + customer)
+		rn.recordEvent("new key of " + customer)
 		rn.world.keys.add(customer)
 		_ = rn.world.configure(ctx) // ends with ctx
 		sleep(ctx, forceTime)
 		rn.world.keys.show(customer)
 		sleep(ctx, callTime)
-		rn.note("old key taken from " + customer)
+		rn.recordEvent("old key taken from " + customer)
 		rn.world.keys.drop(customer)
-		_ = rn.world.configure(ctx) // likewise
+		_ = rn.world.configure(ctx) // ends with ctx
 	}
 }
 
-// troubleAuthority makes who takes the reports of use slow, lose answers and refuse.
-func (rn *run) troubleAuthority(ctx context.Context, length time.Duration) {
+// faultUsageServer makes the usage server slow, lose responses and refuse reports.
+func (rn *run) faultUsageServer(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, authorityStream)
-	au := rn.world.authority
+	au := rn.world.usageServer
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
 		how, name := &au.Slow, "slow"
 		switch rng.IntN(3) {
@@ -163,7 +163,7 @@
 		case 1:
 			how, name = &au.Refuse, "refuses"
 		}
-		rn.note("who takes reports " + name)
+		rn.recordEvent("who takes reports " + name)
 		how.Store(true)
 		sleep(ctx, time.Duration(1000+rng.IntN(4000))*time.Millisecond)
 		how.Store(false)
@@ -171,58 +171,58 @@
 	}
 }
 
-// judgeCustomers checks for whom endpoints ran what, and the reports of use.
-func (rn *run) judgeCustomers() {
-	for _, no := range rn.deskNotes() {
-		rn.judgeIdentity(no.ID, no.Identity)
+// checkCustomers checks for which customer endpoints ran requests, and the usage reports.
+func (rn *run) checkCustomers() {
+	for _, no := range rn.plainRuns() {
+		rn.checkIdentity(no.ID, no.Identity)
 	}
 	for _, en := range rn.world.engines {
 		for _, no := range en.Notes() {
-			rn.judgeIdentity(no.ID, no.Identity)
+			rn.checkIdentity(no.ID, no.Identity)
 		}
 	}
-	for _, broken := range rn.world.authority.Violations() {
-		rn.violate("reports of use, or orders: %s", broken)
+	for _, broken := range rn.world.usageServer.Violations() {
+		rn.addViolation("reports of use, or orders: %s", broken)
 	}
-	rn.report.Orders = len(rn.world.authority.Orders())
+	rn.report.Orders = len(rn.world.usageServer.Orders())
 	if rn.opts.Quiet && !rn.opts.Crashes {
-		rn.judgeCounts()
+		rn.checkUsage()
 	}
 }
 
-func (rn *run) judgeIdentity(id string, who standin.Identity) {
+func (rn *run) checkIdentity(id string, who standin.Identity) {
 	if who.Key != "" {
-		rn.violate("an endpoint got the key of %s", id)
+		rn.addViolation("an endpoint got the key of %s", id)
 	}
 	if want := customerOf(id); who.Customer != want || want == "" {
-		rn.violate("an endpoint ran %s for %q, not %q", id, who.Customer, want)
+		rn.addViolation("an endpoint ran %s for %q, not %q", id, who.Customer, want)
 	}
 }
 
-// usageOff is the part of the truth by which a report of use may be off.
-const usageOff = 0.05
+// usageTolerance is the relative error that a usage report may have.
+const usageTolerance = 0.05
 
-// judgeCounts compares reports with what endpoints ran, window by window and in all.
+// checkUsage compares usage reports with the runs at endpoints, by window and in total.
 //
-// A request counts in the window in which it is sent, and endpoints note when it came. On
-// a busy machine some of those sent before a window's end come later than nearBound: they
-// stand in one report too many and are missing in the next, by no more than reports may be
-// off. So all windows together must agree as closely as one.
-func (rn *run) judgeCounts() {
-	ran, unsure := rn.countsByWindow()
-	sums, first, last := rn.judgeWindows(ran, unsure)
+// A request counts in the window in which it is sent, but endpoints record its arrival. On
+// a busy machine some requests sent before a window's end arrive later than nearBound:
+// one report has too many and the next too few, within the tolerance. So the total over all
+// windows must agree as closely as a single window.
+func (rn *run) checkUsage() {
+	ran, ambiguous := rn.countsByWindow()
+	sums, first, last := rn.checkUsageWindows(ran, ambiguous)
 	for customer, su := range sums {
-		off := unsure[first] + unsure[last] + uint64(usageOff*float64(su.last))
+		off := ambiguous[first] + ambiguous[last] + uint64(usageTolerance*float64(su.last))
 		if su.got > su.ran+off || su.got+off < su.ran {
-			rn.violate("windows %d to %d of %s were reported as %d, and %d ran", first, last, customer, su.got, su.ran)
+			rn.addViolation("windows %d to %d of %s were reported as %d, and %d ran", first, last, customer, su.got, su.ran)
 		}
 	}
 }
 
-// judgeWindows compares each report with what ran, as far as its window ended long enough
-// ago. It returns the sums by customer, and the first and the last window compared.
-func (rn *run) judgeWindows(ran map[int64]map[string]uint64, unsure map[int64]uint64) (sums map[string]*usageSum, first, last int64) {
-	reports := rn.world.authority.Reports()
+// checkUsageWindows compares each report whose window ended at least usageTime ago with the
+// runs. It returns the sums by customer, and the first and the last window compared.
+func (rn *run) checkUsageWindows(ran map[int64]map[string]uint64, ambiguous map[int64]uint64) (sums map[string]*usageSum, first, last int64) {
+	reports := rn.world.usageServer.Reports()
 	sums = map[string]*usageSum{}
 	for _, window := range slices.Sorted(maps.Keys(ran)) {
 		if time.Since(time.Unix(0, (window+1)*int64(standin.UsageWindow))) < usageTime {
@@ -241,23 +241,23 @@
 				sums[customer] = &usageSum{}
 			}
 			sums[customer].add(got, count)
-			if off := unsure[window] + uint64(usageOff*float64(count)); got > count+off || got+off < count {
-				rn.violate("window %d of %s was reported as %d, and %d ran", window, customer, got, count)
+			if off := ambiguous[window] + uint64(usageTolerance*float64(count)); got > count+off || got+off < count {
+				rn.addViolation("window %d of %s was reported as %d, and %d ran", window, customer, got, count)
 			}
 		}
 	}
 	return sums, first, last
 }
 
-// nearBound is how near to a window's bounds a request may count in its neighbour.
-const nearBound = 100 * time.Millisecond
+// boundaryMargin is the distance from a window's bounds within which a request may count in
+// the adjacent window.
+const boundaryMargin = 100 * time.Millisecond
 
-// countsByWindow returns what endpoints ran of each customer by window, and how many
-// requests came to them so near to a window's bounds that they may count in its neighbour.
-// Calls for scores are no caller's, and are left out.
-func (rn *run) countsByWindow() (ran map[int64]map[string]uint64, unsure map[int64]uint64) {
-	ran, unsure = map[int64]map[string]uint64{}, map[int64]uint64{}
-	for _, no := range rn.deskNotes() {
+// countsByWindow returns the number of requests that endpoints ran by window and customer,
+// and by window the number that may count in the adjacent window. Reward calls are left out.
+func (rn *run) countsByWindow() (ran map[int64]map[string]uint64, ambiguous map[int64]uint64) {
+	ran, ambiguous = map[int64]map[string]uint64{}, map[int64]uint64{}
+	for _, no := range rn.plainRuns() {
 		if strings.HasPrefix(no.ID, rewardPrefix) {
 			continue
 		}
@@ -266,17 +266,17 @@
 			ran[window] = map[string]uint64{}
 		}
 		ran[window][no.Identity.Customer]++
-		for _, near := range []time.Duration{-nearBound, nearBound} {
+		for _, near := range []time.Duration{-boundaryMargin, boundaryMargin} {
 			if other := no.At.Add(near).UnixNano() / int64(standin.UsageWindow); other != window {
-				unsure[window]++
-				unsure[other]++
+				ambiguous[window]++
+				ambiguous[other]++
 			}
 		}
 	}
-	return ran, unsure
+	return ran, ambiguous
 }
 
-// A usageSum is what was reported of a customer, and what ran.
+// A usageSum is the reported and the actual number of requests of a customer.
 type usageSum struct {
 	got, ran uint64
 	last     uint64 // ran in the last window
@@ -288,5 +288,5 @@
 	su.last = ran
 }
 
-// deniedStatus reports whether a status denies a request for its key.
+// deniedStatus reports whether a status rejects a request's key.
 func deniedStatus(status int) bool { return status == http.StatusUnauthorized }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -10,20 +10,20 @@
 	"wisteriacroft/platform/standin"
 )
 
-// A fault does something and undoes it after a time.
+// A fault is an action and, if it isn't instantaneous, the action that ends it.
 type fault struct {
 	name string
 	do   func()
 	undo func() // nil if there is nothing to undo
 }
 
-// injectAll injects faults for a time; they come in series and overlap.
+// injectAll injects random, overlapping faults for a duration.
 func (rn *run) injectAll(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
 	var undos []func()
 	for !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil {
 		fa := rn.draw()
-		rn.note(fa.name)
+		rn.recordEvent(fa.name)
 		fa.do()
 		if fa.undo != nil {
 			timer := time.AfterFunc(time.Duration(rn.rng.IntN(5000))*time.Millisecond, fa.undo)
@@ -42,12 +42,12 @@
 	}
 }
 
-// troubleDesks makes one plain endpoint after the other misbehave for a time.
-func (rn *run) troubleDesks(ctx context.Context, length time.Duration) {
+// faultPlainEndpoints sets random faults at random plain endpoints, one at a time.
+func (rn *run) faultPlainEndpoints(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, desksStream)
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
-		de, tr := rn.world.desks[rng.IntN(desks)], standin.Fault(1+rng.IntN(int(standin.FaultCount)-1))
-		rn.note(fmt.Sprint(tr, " ", de.ID))
+		de, tr := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)], standin.Fault(1+rng.IntN(int(standin.FaultCount)-1))
+		rn.recordEvent(fmt.Sprint(tr, " ", de.ID))
 		de.SetFault(tr)
 		sleep(ctx, time.Duration(200+rng.IntN(2000))*time.Millisecond)
 		de.SetFault(standin.NoFault)
@@ -55,8 +55,8 @@
 	}
 }
 
-// restartEndpoints crashes one endpoint after the other, which starts again under its
-// ID, and has another writer put entries beside those of endpoints.
+// restartEndpoints restarts random endpoints under the same ID, and writes malformed
+// endpoint entries to the store.
 func (rn *run) restartEndpoints(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, restartsStream)
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
@@ -64,22 +64,22 @@
 		switch rng.IntN(3) {
 		case 0:
 			en := rn.world.engines[rng.IntN(len(rn.world.engines))]
-			rn.note("restart " + en.ID)
+			rn.recordEvent("restart " + en.ID)
 			en.Restart()
 			continue
 		case 1:
-			de := rn.world.desks[rng.IntN(desks)]
-			rn.note("restart " + de.ID)
+			de := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)]
+			rn.recordEvent("restart " + de.ID)
 			de.Restart()
 			continue
 		}
 		entry := foreignEntries[rng.IntN(len(foreignEntries))]
-		rn.note(fmt.Sprint("entry of another writer ", entry))
+		rn.recordEvent(fmt.Sprint("entry of another writer ", entry))
 		rn.world.operator().WriteMalformed(ctx, fmt.Sprint("foreign-", rng.IntN(3)), entry)
 	}
 }
 
-// foreignEntries name no endpoint.
+// foreignEntries are invalid or unknown endpoint entries.
 var foreignEntries = []any{
 	nil, "text",
 	[]int{1},
@@ -89,13 +89,13 @@
 	map[string]any{"service": "none", "address": "127.0.0.1:1", "zone": domain, "slots": slots, "state": "ready"},
 }
 
-func (rn *run) note(name string) {
+func (rn *run) recordEvent(name string) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	rn.report.Faults = append(rn.report.Faults, fmt.Sprintf("%.1f %s", time.Since(rn.begun).Seconds(), name))
 }
 
-// draw draws a fault.
+// draw returns a random fault.
 func (rn *run) draw() fault {
 	pg := rn.world.programs[rn.rng.IntN(len(rn.world.programs))]
 	switch rn.rng.IntN(10) {
@@ -111,10 +111,10 @@
 			do:   func() { pg.signal(syscall.SIGSTOP) }, undo: func() { pg.signal(syscall.SIGCONT) },
 		}
 	case 4:
-		return spoil("store of "+pg.name, pg.store, rn.rng.IntN(int(modes)))
+		return proxyFault("store of "+pg.name, pg.store, rn.rng.IntN(int(modes)))
 	case 5:
 		at := rn.rng.IntN(len(rn.world.proxies))
-		return spoil(fmt.Sprint("endpoint ", at), rn.world.proxies[at], rn.rng.IntN(int(modes)))
+		return proxyFault(fmt.Sprint("endpoint ", at), rn.world.proxies[at], rn.rng.IntN(int(modes)))
 	case 6:
 		return rn.outage()
 	case 7:
@@ -128,9 +128,8 @@
 	}
 }
 
-// spoil makes a proxy misbehave; in the mode that passes, it resets what is
-// open.
-func spoil(name string, pr *proxy, how int) fault {
+// proxyFault sets a proxy's mode; for the mode pass, it resets the open connections.
+func proxyFault(name string, pr *proxy, how int) fault {
 	mo := mode(how)
 	if mo == pass {
 		return fault{name: "reset " + name, do: pr.reset}
@@ -138,12 +137,12 @@
 	return fault{
 		name: modeNames[mo] + " " + name, do: func() { pr.set(mo) }, undo: func() {
 			pr.set(pass)
-			pr.reset() // what was held back is lost
+			pr.reset() // drops the bytes that were held back
 		},
 	}
 }
 
-// outage takes the whole store away or makes it slow.
+// outage makes the whole store unavailable or slow.
 func (rn *run) outage() fault {
 	me := &rn.world.store.Memory
 	set := func(fa keyvalue.Faults) func() { return func() { me.SetFaults(fa) } }
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -8,12 +8,11 @@
 	"wisteriacroft/hold"
 )
 
-// storeRetry is the pause before a call of the key-value service is made again.
+// storeRetry is the pause before a call of the key-value service is retried.
 const storeRetry = 100 * time.Millisecond
 
-// holdAndDrain has an operator drain an engine or hold a customer for a while, and release
-// it, whatever faults the key-value service has. What is held waits, and what is refused
-// has not run: no promise may break for it.
+// holdAndDrain repeatedly drains an engine or holds a customer for a while, and releases
+// it, also while the key-value service has faults. No guarantee may be violated meanwhile.
 func (rn *run) holdAndDrain(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, operatorStream)
 	calm := rn.opts.Quiet && rn.parts.has(holdsPart)
@@ -23,9 +22,9 @@
 		if rng.IntN(2) == 0 {
 			ta = hold.Target{Kind: hold.Customer, Name: firstCustomer}
 		}
-		rn.note("operator holds " + ta.String())
+		rn.recordEvent("operator holds " + ta.String())
 		rn.operate(ctx, hold.Held, ta)
-		ht := heldTime{from: time.Now().Add(forceTime), target: ta}
+		ht := holdPeriod{from: time.Now().Add(forceTime), target: ta}
 		if calm {
 			sleep(ctx, forceTime)
 		}
@@ -36,16 +35,17 @@
 	}
 }
 
-// A heldTime is from when until when an operator's word is surely in force, in calm.
-type heldTime struct {
+// A holdPeriod is a time in which a hold is certainly in force in a quiet run.
+type holdPeriod struct {
 	from, to time.Time
 	target   hold.Target
 }
 
-func (ht heldTime) covers(at time.Time) bool { return at.After(ht.from) && at.Before(ht.to) }
+func (ht holdPeriod) covers(at time.Time) bool { return at.After(ht.from) && at.Before(ht.to) }
 
-// judgeHolds checks that in calm nothing began that was held, nor at an engine that drained.
-func (rn *run) judgeHolds() {
+// checkHolds checks that in a quiet run nothing of a held customer began, and nothing at a
+// draining engine.
+func (rn *run) checkHolds() {
 	if !rn.opts.Quiet {
 		return
 	}
@@ -53,16 +53,16 @@
 	for _, ht := range rn.holds {
 		switch ht.target.Kind {
 		case hold.Customer:
-			rn.judgeHeld(ht, begun)
+			rn.checkHeldCustomer(ht, begun)
 		case hold.Endpoint:
-			rn.judgeDrained(ht)
+			rn.checkDrainedEngine(ht)
 		}
 	}
 }
 
-// firstRuns returns when the engines first began each item.
-func (rn *run) firstRuns() firsts {
-	begun := firsts{}
+// firstRuns returns when each item first began at an engine.
+func (rn *run) firstRuns() firstTimes {
+	begun := firstTimes{}
 	for _, en := range rn.world.engines {
 		for _, no := range en.Notes() {
 			begun.note(no.ID, no.At)
@@ -71,36 +71,36 @@
 	return begun
 }
 
-// firsts say when something first happened, by the ID that it happened to.
-type firsts map[string]time.Time
+// firstTimes holds the time of the first event of each ID.
+type firstTimes map[string]time.Time
 
-func (fi firsts) note(id string, at time.Time) {
+func (fi firstTimes) note(id string, at time.Time) {
 	if first, ok := fi[id]; !ok || at.Before(first) {
 		fi[id] = at
 	}
 }
 
-// judgeHeld checks that no item of a customer began while the customer was held.
-func (rn *run) judgeHeld(ht heldTime, begun firsts) {
+// checkHeldCustomer checks that no item of a customer began while the customer was on hold.
+func (rn *run) checkHeldCustomer(ht holdPeriod, begun firstTimes) {
 	for id, at := range begun {
 		if customerOf(id) == ht.target.Name && ht.covers(at) {
-			rn.violate("%s began %s before its customer was released", id, ht.to.Sub(at))
+			rn.addViolation("%s began %s before its customer was released", id, ht.to.Sub(at))
 		}
 	}
 }
 
-// judgeDrained checks that nothing began at an engine while it drained.
-func (rn *run) judgeDrained(ht heldTime) {
+// checkDrainedEngine checks that nothing began at an engine while it drained.
+func (rn *run) checkDrainedEngine(ht holdPeriod) {
 	for _, en := range rn.world.engines {
 		for _, no := range en.Notes() {
 			if en.ID == ht.target.Name && ht.covers(no.At) {
-				rn.violate("%s began at %s, which drains", no.ID, en.ID)
+				rn.addViolation("%s began at %s, which drains", no.ID, en.ID)
 			}
 		}
 	}
 }
 
-// operate makes a change, again until it is made.
+// operate makes a change of holds, with retries until it succeeds or ctx ends.
 func (rn *run) operate(ctx context.Context, ac hold.Action, ta hold.Target) {
 	ke := hold.Store{Client: rn.world.store.Memory.Client()}
 	ch := hold.Change{
--- a/soak/parts.go
+++ b/soak/parts.go
@@ -15,21 +15,21 @@
 	"wisteriacroft/step"
 )
 
-// Parts of a soak that not every seed has.
+// Optional parts of a soak, which depend on the seed.
 const (
-	crowdPart  = "crowd"  // steps beyond the room
-	rivalsPart = "rivals" // customers of live calls beside endpoints short of places
+	crowdPart  = "crowd"  // steps that exceed the capacity
+	rivalsPart = "rivals" // customers whose live calls compete for scarce endpoints
 	quotaPart  = "quota"  // a quota that changes
-	holdsPart  = "holds"  // operators' holds in a quiet run; the others have them always
+	holdsPart  = "holds"  // operators' holds in a quiet run; other runs always have them
 )
 
-// parts are those that a seed has.
+// parts holds the parts of a run.
 type parts struct {
-	bounds bool // that a slow machine can break are checked
+	bounds bool // check bounds that a slow machine can exceed
 	names  []string
 }
 
-// newParts returns the parts that are named, or draws them.
+// newParts returns the named parts and, with DrawParts, random ones.
 func newParts(opts Options) (*parts, error) {
 	pa := &parts{bounds: opts.Bounds, names: opts.Parts}
 	rng := newStream(opts.Seed, partsStream)
@@ -41,7 +41,7 @@
 	}
 	for _, name := range pa.names {
 		if !slices.Contains(known, name) {
-			return nil, errors.Newf("no part of a soak is called %q", name)
+			return nil, errors.Newf("unknown part of a soak: %q", name)
 		}
 	}
 	return pa, nil
@@ -49,14 +49,14 @@
 
 func (pa *parts) has(name string) bool { return slices.Contains(pa.names, name) }
 
-// between draws a time between two parts of a length.
+// between returns a random duration between two fractions of a length.
 func between(rng *rand.Rand, length time.Duration, from, to float64) time.Duration {
 	return time.Duration((from + (to-from)*rng.Float64()) * float64(length))
 }
 
-// lossTime is how long after the loss of the scheduler the bounds of what trainers and
-// callers get don't count: its lease runs out, another one takes over, reads what is kept
-// and hears of all engines.
+// lossTime is how long after the loss of the scheduler the bounds for trainers and callers
+// don't apply: its lease expires, and another scheduler takes over, loads the stored state
+// and receives reports of all engines.
 const lossTime = 8 * time.Second
 
 // loseScheduler kills the scheduler that holds the lease.
@@ -73,11 +73,12 @@
 	}
 }
 
-// kill kills the program that others reach at an address, and notes when.
+// kill kills the program with an address, and records the time. It reports false if there
+// is none.
 func (rn *run) kill(address, why string) bool {
 	for _, pg := range rn.world.programs {
 		if ip, _, err := net.SplitHostPort(address); err == nil && ip == pg.ip {
-			rn.note(fmt.Sprintf("kill %s, which holds the lease, %s", pg.name, why))
+			rn.recordEvent(fmt.Sprintf("kill %s, which holds the lease, %s", pg.name, why))
 			pg.signal(syscall.SIGKILL)
 			rn.mu.Lock()
 			rn.losses = append(rn.losses, time.Now())
@@ -88,14 +89,14 @@
 	return false
 }
 
-// nearLoss reports whether the scheduler was lost in a time, or shortly before it.
+// nearLoss reports whether the scheduler was lost in a period, or up to lossTime before it.
 func (rn *run) nearLoss(from, to time.Time) bool {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	return slices.ContainsFunc(rn.losses, func(at time.Time) bool { return at.Before(to) && at.Add(lossTime).After(from) })
 }
 
-// lostTime returns how much of a time was near a loss of the scheduler.
+// lostTime returns how much of a period was within lossTime after a loss of the scheduler.
 func (rn *run) lostTime(from, to time.Time) time.Duration {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
@@ -121,5 +122,5 @@
 	return b
 }
 
-// checksBounds reports whether bounds are checked that a slow machine can break.
+// checksBounds reports whether to check bounds that a slow machine can exceed.
 func (rn *run) checksBounds() bool { return rn.opts.Quiet && rn.parts.bounds }
--- a/soak/program.go
+++ b/soak/program.go
@@ -14,34 +14,34 @@
 	"wisteriacroft/platform"
 )
 
-// A program is one real process of the system, which is started again whenever
-// it ends.
+// A program is one real process of the system, which is restarted whenever it
+// exits.
 type program struct {
 	dir      string
 	ip       string
 	name     string
 	role     string
 	settings string
-	store    *proxy // its path to the store
+	store    *proxy // between it and the store
 
 	cmd     *exec.Cmd
-	ended   chan struct{} // closed when the process has ended
+	ended   chan struct{} // closed when the process has exited
 	mu      sync.Mutex
 	resumed time.Time // last
-	stopped bool      // for good
+	stopped bool      // permanently
 }
 
 // programName is the name under which the program is started.
 const programName = "wisteriacroft"
 
-// restartPause is how long the platform takes to start a process again.
+// restartPause is how long the platform takes to restart a process.
 const restartPause = 300 * time.Millisecond
 
-// run keeps a process running until stop.
+// run starts the process and restarts it until stop.
 func (pg *program) run(binary string) error {
 	path := filepath.Join(pg.dir, pg.name+".toml")
 	if err := os.WriteFile(path, []byte(pg.settings), 0o600); err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "write settings")
 	}
 	if err := pg.start(binary, path); err != nil {
 		return err
@@ -68,18 +68,18 @@
 	pg.mu.Lock()
 	defer pg.mu.Unlock()
 	if pg.stopped {
-		return errors.New("stopped")
+		return errors.New("program is stopped")
 	}
 	log, err := os.OpenFile(filepath.Join(pg.dir, pg.name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "open log")
 	}
 	cmd := exec.CommandContext(context.Background(), binary, "platform", pg.role)
-	cmd.Args[0] = programName // a test's binary stands for the program under its name
+	cmd.Args[0] = programName // a test binary runs as the program under this name
 	cmd.Env = []string{platform.SettingsVariable + "=" + settings, "GOMAXPROCS=1"}
 	cmd.Stdout, cmd.Stderr = log, log
-	// A soak that is killed would leave its programs behind, which answer the callers
-	// of the next one on the same addresses: all calls served, no step ever whole.
+	// The programs of a killed soak must end with it, or they serve the callers of the
+	// next soak on the same addresses.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		_ = log.Close()
@@ -88,19 +88,19 @@
 	ended := make(chan struct{})
 	pg.cmd, pg.ended = cmd, ended
 	go func() {
-		_ = cmd.Wait() // how it ended stands in its log
+		_ = cmd.Wait() // the log has its last messages
 		_ = log.Close()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process, by its own id.
+// signal sends a signal to the process, unless it has exited.
 func (pg *program) signal(sig syscall.Signal) {
 	pg.mu.Lock()
 	defer pg.mu.Unlock()
 	select {
-	case <-pg.ended: // the id may be another's by now
+	case <-pg.ended: // the id may belong to another process
 	default:
 		_ = pg.cmd.Process.Signal(sig)
 	}
@@ -109,17 +109,17 @@
 	}
 }
 
-// thawTime is for how long after a program was resumed what it had been about to do may
-// still show.
-const thawTime = 500 * time.Millisecond
+// resumeGrace is how long after a program was resumed its delayed actions may still have an
+// effect.
+const resumeGrace = 500 * time.Millisecond
 
 func (pg *program) justResumed() bool {
 	pg.mu.Lock()
 	defer pg.mu.Unlock()
-	return time.Since(pg.resumed) < thawTime
+	return time.Since(pg.resumed) < resumeGrace
 }
 
-// stop ends the process for good.
+// stop kills the process without a restart.
 func (pg *program) stop() {
 	pg.mu.Lock()
 	pg.stopped = true
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// A mode is what a proxy does to the bytes that pass it.
+// A mode is how a proxy treats connections and bytes.
 type mode int32
 
 // The modes of a proxy.
 const (
 	pass    mode = iota
-	delay        // bytes come late
-	silence      // bytes are held back both ways, connections stay open
-	oneWay       // answers are held back
+	delay        // bytes are delayed
+	silence      // bytes are held back in both directions, connections stay open
+	oneWay       // responses are held back
 	refuse       // new connections are reset
 	modes        // their number
 )
 
 var modeNames = [...]string{pass: "pass", delay: "delay", silence: "silence", oneWay: "one-way", refuse: "refuse"}
 
-// proxyDelay is by how much a proxy delays bytes: some 50 times the way between
-// failure domains.
+// proxyDelay is the delay of the mode delay: much longer than between failure
+// domains.
 const proxyDelay = 60 * time.Millisecond
 
-// A proxy passes connections on to a target, and spoils them as told.
+// A proxy forwards connections to a target, disturbed according to its mode.
 type proxy struct {
 	conns    map[net.Conn]bool
 	listener net.Listener
@@ -66,7 +66,7 @@
 	}
 }
 
-// crash ends what listens, so that connections are refused until revive.
+// crash closes the listener and all connections. New ones are refused until revive.
 func (pr *proxy) crash() {
 	pr.mu.Lock()
 	li := pr.listener
@@ -95,7 +95,7 @@
 
 func resetConn(co net.Conn) {
 	if tc, ok := co.(*net.TCPConn); ok {
-		_ = tc.SetLinger(0) // so that the close is a reset
+		_ = tc.SetLinger(0) // close sends a reset
 	}
 	_ = co.Close()
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// copy passes bytes on one way; answers tells which.
+// copy forwards bytes in one direction; answers is true for that of responses.
 func (pr *proxy) copy(to io.Writer, from io.Reader, answers bool) {
 	buf := make([]byte, 16<<10)
 	for {
--- a/soak/quota.go
+++ b/soak/quota.go
@@ -13,33 +13,33 @@
 	"wisteriacroft/platform/standin"
 )
 
-// A customer whose quota changes, and whose callers ask for more.
+// A customer whose quota changes, and whose callers exceed it.
 const (
 	meteredCustomer = "dan"
 	meteredRoute    = "metered"
 	meteredPrefix   = "metered-" // of the ids of requests
 	meteredCallers  = 6
-	// meteredPause is between two requests of a caller.
+	// meteredPause is the pause between two requests of a caller.
 	meteredPause = 60 * time.Millisecond
 	// quotaWindow is the time over which a quota may be exceeded by its overshoot.
 	quotaWindow = 10 * time.Second
-	// quotaTail is for how much longer than without a quota a run lasts, so that there
-	// is a time in which all surely know the last one.
+	// quotaTail is how much longer a run with a quota lasts, so that the last quota is
+	// certainly in force for some time.
 	quotaTail = 3 * time.Second
-	// cutTime is for how long an entry is cut off.
+	// cutTime is how long an entry is cut off from the store.
 	cutTime = 3 * time.Second
-	// firstQuota is that of the first configuration.
+	// firstQuota is the quota in the first configuration, in requests a second.
 	firstQuota = 8.0
 )
 
-// A quotaChange is a quota that was written.
+// A quotaChange is a quota and the time of its write.
 type quotaChange struct {
-	from  time.Time // of the write: some may know it
+	from  time.Time // of the write: from then on it may be in force
 	quota float64
-	sure  time.Time // all know it, in calm
+	sure  time.Time // from then on it is in force everywhere in a quiet run
 }
 
-// meter has a customer ask for more than its quota at all entries, until ctx ends.
+// meter sends requests of a customer above its quota to all entries, until ctx ends.
 func (rn *run) meter(ctx context.Context) {
 	if !rn.parts.has(quotaPart) {
 		return
@@ -51,7 +51,7 @@
 			defer cl.CloseIdleConnections()
 			for number := 0; ctx.Err() == nil; number++ {
 				id := fmt.Sprintf("%s%d-%d", meteredPrefix, caller, number)
-				rn.askOnce(context.WithoutCancel(ctx), cl, caller+number, meteredCustomer, "/"+meteredRoute+"/"+id, id)
+				rn.sendAtMostOnce(context.WithoutCancel(ctx), cl, caller+number, meteredCustomer, "/"+meteredRoute+"/"+id, id)
 				sleep(ctx, meteredPause)
 			}
 		})
@@ -59,8 +59,8 @@
 	all.Wait()
 }
 
-// changeQuota changes the quota up and far down, cuts an entry off and kills the scheduler,
-// which grants what may begin.
+// changeQuota raises the quota, cuts an entry off, kills the scheduler, which grants quota,
+// and lowers the quota far.
 func (rn *run) changeQuota(ctx context.Context, length time.Duration) {
 	if !rn.parts.has(quotaPart) {
 		return
@@ -78,37 +78,37 @@
 	rn.writeQuota(ctx, float64(2+rng.IntN(3)))
 }
 
-// writeQuota writes another quota.
+// writeQuota writes and records another quota.
 func (rn *run) writeQuota(ctx context.Context, quota float64) {
-	rn.note(fmt.Sprintf("quota of %s is %g", meteredCustomer, quota))
+	rn.recordEvent(fmt.Sprintf("quota of %s is %g", meteredCustomer, quota))
 	from := time.Now()
 	rn.world.keys.setQuota(quota)
 	_ = rn.world.configure(ctx) // ends with ctx
 	rn.quotas = append(rn.quotas, quotaChange{quota: quota, from: from, sure: time.Now().Add(forceTime)})
 }
 
-// cutOff cuts an entry off from the store, so that it can't hear of another holder or
-// another quota.
+// cutOff cuts an entry off from the store for cutTime, so that it learns of neither another
+// lease holder nor another quota.
 func (rn *run) cutOff(entry int) {
 	name := fmt.Sprint("entry-", entry)
 	for _, pg := range rn.world.programs {
 		if pg.name != name {
 			continue
 		}
-		rn.note("silence store of " + name + ", beside a quota")
+		rn.recordEvent("silence store of " + name + ", beside a quota")
 		pg.store.set(silence)
 		time.AfterFunc(cutTime, func() {
 			pg.store.set(pass)
 			pg.store.reset()
-			rn.note("store of " + name + " is back")
+			rn.recordEvent("store of " + name + " is back")
 		})
 	}
 }
 
-// judgeQuota checks that within no ten seconds more requests began at endpoints than the
-// quota and its overshoot allow, by the highest quota that may have been known then. While
-// faults strike, that is the highest of all before.
-func (rn *run) judgeQuota() {
+// checkQuota checks that within any quotaWindow no more requests began at endpoints than the
+// quota and its overshoot allow, by the highest quota that may have been in force then. While
+// faults are injected, that is the highest so far.
+func (rn *run) checkQuota() {
 	if !rn.parts.has(quotaPart) {
 		return
 	}
@@ -124,7 +124,7 @@
 			quota := rn.highestQuota(starts[from], at)
 			allowed := quota*quotaWindow.Seconds()*(1+standin.QuotaOvershoot) + 1 + meteredCallers
 			if count := float64(i - from + 1); count > allowed {
-				rn.violate("%g requests of %s began within %s to %.1f, with a quota of %g", count, meteredCustomer,
+				rn.addViolation("%g requests of %s began within %s to %.1f, with a quota of %g", count, meteredCustomer,
 					at.Sub(starts[from]), at.Sub(rn.begun).Seconds(), quota)
 				return
 			}
@@ -132,10 +132,10 @@
 	}
 }
 
-// firstStarts returns when the requests of the customer with a quota first began.
+// firstStarts returns when each request of the customer with a quota first began, sorted.
 func (rn *run) firstStarts() []time.Time {
-	began := firsts{}
-	for _, no := range rn.deskNotes() {
+	began := firstTimes{}
+	for _, no := range rn.plainRuns() {
 		if strings.HasPrefix(no.ID, meteredPrefix) {
 			began.note(no.ID, no.At)
 		}
@@ -143,7 +143,7 @@
 	return slices.SortedFunc(maps.Values(began), time.Time.Compare)
 }
 
-// highestQuota returns the highest quota that a process may have known in a time.
+// highestQuota returns the highest quota that may have been in force anywhere in a period.
 func (rn *run) highestQuota(from, to time.Time) float64 {
 	highest := 0.0
 	for i, qc := range rn.quotas {
@@ -155,7 +155,7 @@
 	return highest
 }
 
-// sureOf returns from when on all know a quota.
+// sureOf returns the time from which a quota is in force everywhere.
 func (rn *run) sureOf(qc quotaChange) time.Time {
 	if calm := rn.faultsEnd.Add(settleTime); !rn.opts.Quiet && qc.sure.Before(calm) {
 		return calm
--- a/soak/rivals.go
+++ b/soak/rivals.go
@@ -11,45 +11,45 @@
 	"wisteriacroft/platform/standin"
 )
 
-// Customers that compete for endpoints short of places: crowdCustomer asks for ten times its
-// part, secondCustomer for a quarter of its own.
+// Customers that compete for endpoints with few slots: crowdCustomer sends ten times its
+// share of requests, secondCustomer a quarter of its own.
 const (
 	rivalService = "counter"
 	rivalRoute   = "rival"
-	rivalPrefix  = "rival-" // of the ids of requests; the customer's follows
+	rivalPrefix  = "rival-" // of the ids of requests; the customer's name follows
 	rivalDesks   = 2
 	rivalPlaces  = 4 // of each
 	rivalWork    = 200 * time.Millisecond
 	rivalGoal    = 6 * rivalWork
-	// rivalPart is how many requests a second are each customer's part.
+	// rivalPart is each customer's share of the capacity, in requests a second.
 	rivalPart = rivalDesks * rivalPlaces * int(time.Second/rivalWork) / 2
-	// manyOpen is how many requests each has open at most.
+	// manyOpen is how many requests a customer has open at most.
 	manyOpen = 60
-	// learnBounds is how long entries may take to learn the customers' bounds: endpoints
-	// refuse, entries tell, and who divides waits until all have.
+	// learnBounds is how long entries may take to learn the customers' limits: endpoints
+	// reject requests, entries report demand, and the allocator waits for all reports.
 	learnBounds = 3 * time.Second
-	// leastServed is which part of its requests the small customer has served in calm.
-	leastServed = 0.9
+	// minServedRatio is the part of the small customer's requests that must succeed in a quiet run.
+	minServedRatio = 0.9
 )
 
-// A heard is what a caller heard of a request to which an answer may be a refusal.
-type heard struct {
+// A response is the result of a request that may be refused.
+type response struct {
 	at         time.Time
 	customer   string
 	id         string
 	retryAfter string
-	status     int // 0: no answer
+	status     int // 0: no response
 	wrong      bool
 }
 
-// buildRivals registers the endpoints that are short of places.
+// buildRivals registers the endpoints with few slots, if the run has this part.
 func (wo *world) buildRivals(ctx context.Context) error {
 	for i := range rivalDesks {
 		if !wo.parts.has(rivalsPart) {
 			return nil
 		}
 		de := &standin.PlainEndpoint{ID: fmt.Sprint("counter-", i), Places: rivalPlaces, Work: rivalWork}
-		wo.desks = append(wo.desks, de)
+		wo.plainEndpoints = append(wo.plainEndpoints, de)
 		if err := wo.register(ctx, de.ID, rivalService, wo.ip(5, i), de, de.StartedAt, nil); err != nil {
 			return err
 		}
@@ -57,23 +57,23 @@
 	return nil
 }
 
-// compete makes requests of two customers for a time.
+// compete sends requests of two customers for a duration.
 func (rn *run) compete(ctx context.Context, length time.Duration) {
 	if !rn.parts.has(rivalsPart) {
 		return
 	}
-	rn.note("customers compete")
+	rn.recordEvent("customers compete")
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	rn.rivalsBegun = time.Now()
 	var both sync.WaitGroup
-	both.Go(func() { rn.press(ctx, crowdCustomer, time.Second/time.Duration(10*rivalPart)) })
-	both.Go(func() { rn.press(ctx, secondCustomer, 4*time.Second/time.Duration(rivalPart)) })
+	both.Go(func() { rn.sendSteadily(ctx, crowdCustomer, time.Second/time.Duration(10*rivalPart)) })
+	both.Go(func() { rn.sendSteadily(ctx, secondCustomer, 4*time.Second/time.Duration(rivalPart)) })
 	both.Wait()
 }
 
-// press makes a customer's requests at a steady rate, whether those before are answered or not.
-func (rn *run) press(ctx context.Context, customer string, every time.Duration) {
+// sendSteadily sends a customer's requests at a constant rate, without waiting for responses.
+func (rn *run) sendSteadily(ctx context.Context, customer string, every time.Duration) {
 	cl := &http.Client{Timeout: callTime, Transport: &http.Transport{MaxIdleConnsPerHost: manyOpen}}
 	defer cl.CloseIdleConnections()
 	var open sync.WaitGroup
@@ -84,84 +84,84 @@
 			open.Go(func() {
 				defer func() { <-places }()
 				id := fmt.Sprintf("%s%s-%d", rivalPrefix, customer, number)
-				rn.askOnce(context.WithoutCancel(ctx), cl, number, customer, "/"+rivalRoute+"/"+id, id)
+				rn.sendAtMostOnce(context.WithoutCancel(ctx), cl, number, customer, "/"+rivalRoute+"/"+id, id)
 			})
-		default: // it has no more callers
+		default: // manyOpen requests are open
 		}
 		sleep(ctx, every)
 	}
 	open.Wait()
 }
 
-// askOnce makes a request that may run once, and notes what its caller hears.
-func (rn *run) askOnce(ctx context.Context, cl *http.Client, entry int, customer, path, id string) {
+// sendAtMostOnce sends a request that may run at most once, and records the response.
+func (rn *run) sendAtMostOnce(ctx context.Context, cl *http.Client, entry int, customer, path, id string) {
 	text := "body of " + id
-	// A reader of its own type can't be read again, so that net/http sends once.
+	// net/http can't rewind a reader of this type, so it doesn't retry the request.
 	body := struct{ *strings.Reader }{strings.NewReader(text)}
-	he := heard{at: time.Now(), customer: customer, id: id}
+	re := response{at: time.Now(), customer: customer, id: id}
 	an, err := rn.clientOf(cl, entry, customer).Ask(ctx, path, id, body, callDeadline)
 	if err == nil {
-		he.status, he.retryAfter = an.Status, an.RetryAfter
-		he.wrong = an.Status == http.StatusOK && string(an.Body) != id+" "+text
+		re.status, re.retryAfter = an.Status, an.RetryAfter
+		re.wrong = an.Status == http.StatusOK && string(an.Body) != id+" "+text
 	}
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	rn.heard = append(rn.heard, he)
+	rn.responses = append(rn.responses, re)
 }
 
-// refused reports whether a status says that a request was not run and may come again.
+// refused reports whether a status means that a request did not run and may be retried.
 func refused(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// judgeHeard checks what callers of competing customers and of one with a quota heard
-// against what endpoints ran.
-func (rn *run) judgeHeard() {
-	ran := rn.deskRuns()
-	for _, he := range rn.heard {
+// checkResponses compares the responses to competing customers and to the one with a quota
+// with the runs at endpoints.
+func (rn *run) checkResponses() {
+	ran := rn.plainRunCounts()
+	for _, re := range rn.responses {
 		switch {
-		case he.wrong:
-			rn.violate("request %s got the answer of another", he.id)
-		case deniedStatus(he.status):
-			rn.violate("request %s was denied, and its customer holds its key", he.id)
-		case refused(he.status) && ran[he.id] > 0:
-			rn.violate("request %s was refused and ran", he.id)
-		case ran[he.id] > 1:
-			rn.violate("request %s may run once and ran %d times", he.id, ran[he.id])
-		case rn.opts.Quiet && refused(he.status) && he.retryAfter == "":
-			rn.violate("request %s was refused with %d and not told when to come back", he.id, he.status)
+		case re.wrong:
+			rn.addViolation("request %s got the answer of another", re.id)
+		case deniedStatus(re.status):
+			rn.addViolation("request %s was denied, and its customer holds its key", re.id)
+		case refused(re.status) && ran[re.id] > 0:
+			rn.addViolation("request %s was refused and ran", re.id)
+		case ran[re.id] > 1:
+			rn.addViolation("request %s may run once and ran %d times", re.id, ran[re.id])
+		case rn.opts.Quiet && refused(re.status) && re.retryAfter == "":
+			rn.addViolation("request %s was refused with %d and not told when to come back", re.id, re.status)
 		}
-		rn.countHeard(he)
+		rn.countResponse(re)
 	}
-	rn.judgeSmall()
+	rn.checkSmallCustomer()
 }
 
-// countHeard counts what a caller heard in the report.
-func (rn *run) countHeard(he heard) {
+// countResponse counts a response in the report.
+func (rn *run) countResponse(re response) {
 	if rn.report.Heard == nil {
 		rn.report.Heard = map[string]map[int]int{}
 	}
-	if rn.report.Heard[he.customer] == nil {
-		rn.report.Heard[he.customer] = map[int]int{}
+	if rn.report.Heard[re.customer] == nil {
+		rn.report.Heard[re.customer] = map[int]int{}
 	}
-	rn.report.Heard[he.customer][he.status]++
+	rn.report.Heard[re.customer][re.status]++
 }
 
-// judgeSmall checks that the customer that asks for little is served.
-func (rn *run) judgeSmall() {
+// checkSmallCustomer checks that the customer within its share is served.
+func (rn *run) checkSmallCustomer() {
 	served, all := 0, 0
-	for _, he := range rn.heard {
-		settled := he.at.After(rn.rivalsBegun.Add(learnBounds)) && !rn.nearLoss(he.at, he.at.Add(callDeadline))
-		if !settled || he.customer != secondCustomer || !strings.HasPrefix(he.id, rivalPrefix) {
+	for _, re := range rn.responses {
+		settled := re.at.After(rn.rivalsBegun.Add(learnBounds)) && !rn.nearLoss(re.at, re.at.Add(callDeadline))
+		if !settled || re.customer != secondCustomer || !strings.HasPrefix(re.id, rivalPrefix) {
 			continue
 		}
 		all++
-		if he.status == http.StatusOK {
+		if re.status == http.StatusOK {
 			served++
 		}
 	}
 	rn.report.Small = [2]int{served, all}
-	if rn.checksBounds() && float64(served) < leastServed*float64(all) {
-		rn.violate("%d of %d requests of %s were served beside a customer that asks for ten times its part", served, all, secondCustomer)
+	if rn.checksBounds() && float64(served) < minServedRatio*float64(all) {
+		rn.addViolation("%d of %d requests of %s were served beside a customer that asks for ten times its part", served, all, secondCustomer)
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs as separate processes before stand-ins of
-// the platform, injects faults from outside, and checks the promises meanwhile
-// by what callers, trainers and endpoints see.
+// Package soak runs the real programs as separate processes with stand-ins of the
+// platform, injects faults from outside, and checks the system's guarantees by
+// what callers, trainers and endpoints observe.
 package soak
 
 import (
@@ -15,70 +15,70 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options say what a soak does.
+// Options configures a soak.
 type Options struct {
 	Binary    string // the program
-	Bounds    bool   // in a quiet run, bounds are checked that a slow machine can break
-	Crashes   bool   // a request that ends each plain endpoint that runs it comes again and again, and an item that ends engines
+	Bounds    bool   // in a quiet run, check bounds that a slow machine can exceed
+	Crashes   bool   // send requests that crash plain endpoints, and an item that crashes engines
 	Dir       string // for settings and logs
-	DrawParts bool   // besides those of Parts
-	Engines   int    // with an attendant each
+	DrawParts bool   // random parts, besides Parts
+	Engines   int    // each with an attendant
 	Entries   int
-	Length    time.Duration // of the faults
+	Length    time.Duration // of the fault injection
 	Parts     []string      // see newParts
 	Quiet     bool          // no faults
 	Seed      uint64
 }
 
-// A Report is what a soak saw.
+// A Report is the result of a soak.
 type Report struct {
-	Calls         int      `json:"calls"`                    // that callers made
-	Served        int      `json:"served"`                   // of them
-	Crashes       int      `json:"crashes,omitempty"`        // endpoints that ended under one request
-	EngineCrashes int      `json:"engine_crashes,omitempty"` // engines that ended under one item
+	Calls         int      `json:"calls"`                    // by callers
+	Served        int      `json:"served"`                   // of Calls
+	Crashes       int      `json:"crashes,omitempty"`        // of endpoints by one request
+	EngineCrashes int      `json:"engine_crashes,omitempty"` // of engines by one item
 	Faults        []string `json:"faults"`                   // with their times
-	Items         int      `json:"items"`                    // results that were read
-	Orders        int      `json:"orders,omitempty"`         // failure domains for which endpoints were ordered
-	Steps         int      `json:"steps"`                    // that were whole
-	Windows       int      `json:"windows,omitempty"`        // whose reports of use were compared with what ran
+	Items         int      `json:"items"`                    // results read
+	Orders        int      `json:"orders,omitempty"`         // orders of endpoints, by failure domain
+	Steps         int      `json:"steps"`                    // completed
+	Windows       int      `json:"windows,omitempty"`        // whose usage reports were compared with the runs
 	Violations    []string `json:"violations"`
 
 	Parts       []string               `json:"parts,omitempty"`
-	CrowdGroups int                    `json:"crowd_groups,omitempty"` // that were whole, of steps beyond the room
-	Heard       map[string]map[int]int `json:"heard,omitempty"`        // statuses, by customer that competes or has a quota
-	InTime      [2]float64             `json:"in_time"`                // part of the groups beside steps beyond the room, and without
-	Metered     int                    `json:"metered,omitempty"`      // requests of the customer with a quota that began
-	Nothing     float64                `json:"nothing,omitempty"`      // seconds for which a trainer got nothing beside steps beyond the room, at most
-	Small       [2]int                 `json:"small"`                  // requests of the small customer that were served, and all
+	CrowdGroups int                    `json:"crowd_groups,omitempty"` // completed, of steps that exceed the capacity
+	Heard       map[string]map[int]int `json:"heard,omitempty"`        // responses by customer and status
+	InTime      [2]float64             `json:"in_time"`                // part of groups in time, under overload and otherwise
+	Metered     int                    `json:"metered,omitempty"`      // requests that began, of the customer with a quota
+	Nothing     float64                `json:"nothing,omitempty"`      // longest time without a group under overload, in s
+	Small       [2]int                 `json:"small"`                  // requests of the small customer: served, and all
 }
 
-// A run is one soak under way.
+// A run is the state of a running soak.
 type run struct {
-	begun  time.Time
-	calls  outcomes
-	heard  []heard
-	later  []func()    // checks that are made at the end
-	losses []time.Time // of the scheduler, for parts of the soak
-	mu     sync.Mutex
-	opts   Options
-	parts  *parts
-	report Report
-	rng    *rand.Rand
-	tasks  []*task // that were read
-	world  *world
+	begun     time.Time
+	calls     outcomes
+	responses []response
+	later     []func()    // checks to run at the end
+	losses    []time.Time // of the scheduler, for parts of the soak
+	mu        sync.Mutex
+	opts      Options
+	parts     *parts
+	report    Report
+	rng       *rand.Rand
+	tasks     []*task // finished
+	world     *world
 
-	crowdTime   [2]time.Time // from when until when steps go beyond the room
+	crowdTime   [2]time.Time // begin and end of the overload by steps
 	faultsEnd   time.Time
-	holds       []heldTime
+	holds       []holdPeriod
 	quotas      []quotaChange
 	rivalsBegun time.Time
 }
 
-// settleTime is how long the processes have to find each other, and after the
-// last fault to serve again.
+// settleTime is how long the processes may take to discover each other, and to
+// recover after the last fault.
 const settleTime = 4 * time.Second
 
-// Run runs a soak and returns what it saw.
+// Run runs a soak. Violated guarantees are no error: see Report.Violations.
 func Run(ctx context.Context, opts Options) (Report, error) {
 	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return Report{}, errors.Wrap(err, "soak")
@@ -120,16 +120,16 @@
 	cancel()
 	clients.Wait()
 	<-trained
-	rn.judgeAll()
+	rn.checkAll()
 	return rn.report, nil
 }
 
-// disturb runs what goes on beside the callers and the trainer: faults, operators and the
-// parts of the seed. It returns when all have come to their end.
+// disturb runs the faults, the operators and the run's parts, and returns when all have
+// ended.
 func (rn *run) disturb(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, part := range []func(ctx context.Context, length time.Duration){
-		rn.troubleDesks, rn.restartEndpoints, rn.crashDesks, rn.changeKeys, rn.troubleAuthority,
+		rn.faultPlainEndpoints, rn.restartEndpoints, rn.sendCrashRequests, rn.changeKeys, rn.faultUsageServer,
 		rn.holdAndDrain, rn.crowd, rn.compete, rn.changeQuota,
 	} {
 		all.Go(func() { part(ctx, rn.opts.Length) })
@@ -138,32 +138,32 @@
 	all.Wait()
 }
 
-// judgeAll checks the promises by what was seen in the run.
-func (rn *run) judgeAll() {
+// checkAll runs all checks and completes the report.
+func (rn *run) checkAll() {
 	for _, check := range rn.later {
 		check()
 	}
-	rn.judge()
-	rn.judgeCrashes()
-	rn.judgeCustomers()
-	rn.judgeCrowd()
-	rn.judgeHeard()
-	rn.judgeQuota()
-	rn.judgeHolds()
+	rn.checkCalls()
+	rn.checkCrashes()
+	rn.checkCustomers()
+	rn.checkCrowd()
+	rn.checkResponses()
+	rn.checkQuota()
+	rn.checkHolds()
 	slices.Sort(rn.report.Violations)
 }
 
-// violate notes a broken promise.
-func (rn *run) violate(format string, args ...any) {
+// addViolation records a violated guarantee.
+func (rn *run) addViolation(format string, args ...any) {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	rn.report.Violations = append(rn.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// recoverTime is how long after the last fault a step must become whole.
+// recoverTime is how long after the last fault a step must complete at the latest.
 const recoverTime = 20 * time.Second
 
-// awaitStep waits until a step has become whole after the last fault.
+// awaitStep waits until a step completes after the last fault.
 func (rn *run) awaitStep(ctx context.Context) {
 	steps := func() int {
 		rn.mu.Lock()
@@ -173,7 +173,7 @@
 	before, end := steps(), time.Now().Add(recoverTime)
 	for ctx.Err() == nil && steps() == before {
 		if time.Now().After(end) {
-			rn.violate("no step became whole within %s of the last fault", recoverTime)
+			rn.addViolation("no step became whole within %s of the last fault", recoverTime)
 			return
 		}
 		sleep(ctx, 50*time.Millisecond)
--- a/soak/streams.go
+++ b/soak/streams.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Random streams. Each user of chance draws from its own, so that a change of one leaves
-// the other faults of a seed as they are.
+// Random streams. Each part draws from its own, so that a change of one part doesn't change
+// the random choices of the others for the same seed.
 const (
 	faultsStream    = 7
 	desksStream     = 11
@@ -16,5 +16,5 @@
 	quotaStream     = 37
 )
 
-// newStream returns a stream of a seed from its beginning.
+// newStream returns a random source for a seed and a stream.
 func newStream(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
--- a/soak/world.go
+++ b/soak/world.go
@@ -18,55 +18,55 @@
 	"wisteriacroft/platform/standin"
 )
 
-// Names and sizes of the soaked deployment.
+// Names and sizes of the deployment.
 const (
-	deskService   = "desk"
-	engineService = "engines"
-	host          = "soak.example"
-	model         = "model"
-	peerPort      = 7300
-	enginePort    = 8000
-	schedulers    = 3
-	desks         = 3
-	slots         = 8
-	heartbeat     = time.Second
-	maxOrdered    = 50  // engines; none comes or goes for an order
-	domain        = "a" // failure domain of all
+	deskService        = "desk"
+	engineService      = "engines"
+	host               = "soak.example"
+	model              = "model"
+	peerPort           = 7300
+	enginePort         = 8000
+	schedulers         = 3
+	plainEndpointCount = 3
+	slots              = 8
+	heartbeat          = time.Second
+	maxOrdered         = 50  // engines; orders add or remove none
+	domain             = "a" // failure domain of all
 )
 
-// A world is everything that the soaked programs meet, and the programs.
+// A world is the programs under test and all systems around them.
 type world struct {
-	authority *standin.UsageServer
-	desks     []*standin.PlainEndpoint
-	engines   []*standin.Engine
-	inForce   sync.Mutex // held while a configuration is written
-	keys      *keys
-	parts     *parts
-	programs  []*program
-	proxies   []*proxy // to engines and desks, before which faults strike
-	others    []*proxy // to endpoints that only some runs have
-	servers   []*http.Server
-	store     *standin.Store
-	subnet    string
+	usageServer    *standin.UsageServer
+	plainEndpoints []*standin.PlainEndpoint
+	engines        []*standin.Engine
+	inForce        sync.Mutex // held while a configuration is written
+	keys           *keys
+	parts          *parts
+	programs       []*program
+	proxies        []*proxy // before engines and plain endpoints, with injected faults
+	others         []*proxy // before the endpoints of optional parts
+	servers        []*http.Server
+	store          *standin.Store
+	subnet         string
 
-	cancel context.CancelFunc
-	beats  sync.WaitGroup
-	silent sync.Map // endpoints that don't register
+	cancel     context.CancelFunc
+	heartbeats sync.WaitGroup
+	silent     sync.Map // ids of endpoints that don't register
 }
 
-// ip returns the loopback address of an instance; each has its own, as the
-// ports are the same on all.
+// ip returns the loopback address of an instance. Each has its own, since all use
+// the same ports.
 func (wo *world) ip(kind, number int) string {
 	return fmt.Sprintf("127.%s.%d.%d", wo.subnet, kind, number+1)
 }
 
 func newWorld(opts Options, pa *parts) (*world, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	wo := &world{authority: &standin.UsageServer{}, cancel: cancel, keys: newKeys(), parts: pa, store: &standin.Store{}}
-	wo.authority.Excused = wo.resumed
+	wo := &world{usageServer: &standin.UsageServer{}, cancel: cancel, keys: newKeys(), parts: pa, store: &standin.Store{}}
+	wo.usageServer.Excused = wo.resumed
 	address, err := wo.claim(opts.Seed)
 	if err == nil {
-		_, err = wo.serve(wo.usageAddress(), wo.authority)
+		_, err = wo.serve(wo.usageAddress(), wo.usageServer)
 	}
 	if err == nil {
 		err = wo.build(ctx, opts, address)
@@ -78,14 +78,14 @@
 	return wo, nil
 }
 
-// Subnets of loopback addresses, of which each soak has its own.
+// Subnets of loopback addresses. Each soak has its own.
 const (
 	firstSubnet = 40
 	subnets     = 200
 )
 
-// claim takes a subnet by serving the store there, and returns the store's address. Soaks
-// that run beside each other, with one seed, each find another.
+// claim reserves a free subnet by serving the store there, and returns the store's address.
+// Concurrent soaks with the same seed get different subnets.
 func (wo *world) claim(seed uint64) (address string, err error) {
 	for try := range uint64(subnets) {
 		wo.subnet = fmt.Sprint(firstSubnet + (seed+try)%subnets)
@@ -99,7 +99,7 @@
 
 // build starts the endpoints, writes the configuration and launches the programs.
 func (wo *world) build(ctx context.Context, opts Options, store string) error {
-	if err := wo.buildDesks(ctx); err != nil {
+	if err := wo.buildPlainEndpoints(ctx); err != nil {
 		return err
 	}
 	if err := wo.buildEngines(ctx, opts.Engines); err != nil {
@@ -114,10 +114,10 @@
 	return wo.launchAll(opts, store)
 }
 
-func (wo *world) buildDesks(ctx context.Context) error {
-	for i := range desks {
+func (wo *world) buildPlainEndpoints(ctx context.Context) error {
+	for i := range plainEndpointCount {
 		de := &standin.PlainEndpoint{ID: fmt.Sprint("desk-", i)}
-		wo.desks = append(wo.desks, de)
+		wo.plainEndpoints = append(wo.plainEndpoints, de)
 		if err := wo.register(ctx, de.ID, deskService, wo.ip(1, i), de, de.StartedAt, nil); err != nil {
 			return err
 		}
@@ -140,12 +140,12 @@
 		if err := wo.register(ctx, en.ID, engineService, wo.ip(2, i), en, en.StartedAt, en); err != nil {
 			return err
 		}
-		en.CrashFunc = crashFunc(en.Restart, wo.proxies[desks+i])
+		en.CrashFunc = crashFunc(en.Restart, wo.proxies[plainEndpointCount+i])
 	}
 	return nil
 }
 
-// launchAll launches the programs: schedulers first, then entries and attendants.
+// launchAll starts the programs: schedulers first, then entries and attendants.
 func (wo *world) launchAll(opts Options, store string) error {
 	for i := range schedulers {
 		if err := wo.launch(opts, "scheduler", i, wo.ip(3, i), store, ""); err != nil {
@@ -175,11 +175,11 @@
 	}
 	sv := &http.Server{Handler: ha, ReadHeaderTimeout: time.Minute}
 	wo.servers = append(wo.servers, sv)
-	go func() { _ = sv.Serve(li) }() // ends with the world
+	go func() { _ = sv.Serve(li) }() // ends when the world is closed
 	return li.Addr().String(), nil
 }
 
-// register serves an endpoint behind a proxy, and keeps its entry in the store.
+// register serves an endpoint behind a proxy, and renews its entry in the store.
 func (wo *world) register(ctx context.Context, id, service, ip string, ha http.Handler, born func() int64, en *standin.Engine) error {
 	target, err := wo.serve(ip+":0", ha)
 	if err != nil {
@@ -194,10 +194,10 @@
 	} else {
 		wo.proxies = append(wo.proxies, pr)
 	}
-	wo.beats.Go(func() {
+	wo.heartbeats.Go(func() {
 		for ctx.Err() == nil {
 			if _, hidden := wo.silent.Load(id); !hidden {
-				wo.beat(ctx, id, service, pr.address(), born(), en)
+				wo.sendHeartbeat(ctx, id, service, pr.address(), born(), en)
 			}
 			sleep(ctx, heartbeat)
 		}
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func (wo *world) beat(ctx context.Context, id, service, address string, born int64, en *standin.Engine) {
+func (wo *world) sendHeartbeat(ctx context.Context, id, service, address string, born int64, en *standin.Engine) {
 	endpoint := directory.Endpoint{
 		Address: address, Domain: domain, ID: id, Incarnation: incarnation.Number(born), Service: service, Slots: slots,
 	}
@@ -220,14 +220,14 @@
 	wo.operator().Register(ctx, endpoint)
 }
 
-// operator returns who writes the platform's own keys.
+// operator returns a writer of the platform's own keys.
 func (wo *world) operator() *standin.Operator { return &standin.Operator{Store: wo.store} }
 
-// usageAddress returns where reports of use are taken.
+// usageAddress returns the address of the usage server.
 func (wo *world) usageAddress() string { return wo.ip(9, 1) + ":9000" }
 
-// resumed reports whether a program has just been resumed: a call that it was about to
-// make comes then, whoever holds the reports by now.
+// resumed reports whether a program has just been resumed. It may then send a delayed
+// report, although another program holds the lease for reports by now.
 func (wo *world) resumed(name string) bool {
 	for _, pg := range wo.programs {
 		if pg.name == name {
@@ -237,7 +237,7 @@
 	return false
 }
 
-// configure writes the configuration as the keys and quotas are now.
+// configure writes the configuration with the current keys and quotas.
 func (wo *world) configure(ctx context.Context) error {
 	wo.inForce.Lock()
 	defer wo.inForce.Unlock()
@@ -247,8 +247,8 @@
 	return ctx.Err()
 }
 
-// configuration returns the routes and services of the world, with those that only some
-// parts have.
+// configuration returns the routes and services of the world, including those of its
+// optional parts.
 func (wo *world) configuration(version int64) directory.Configuration {
 	route := func(name string, kind directory.Kind, service string) directory.Route {
 		return directory.Route{
@@ -303,7 +303,7 @@
 	return pg.run(opts.Binary)
 }
 
-// close ends all that the world started.
+// close stops all programs, proxies and servers.
 func (wo *world) close() {
 	wo.cancel()
 	for _, pg := range wo.programs {
@@ -318,10 +318,10 @@
 	for _, sv := range wo.servers {
 		_ = sv.Close()
 	}
-	wo.beats.Wait()
+	wo.heartbeats.Wait()
 }
 
-// lengthOf returns how many events an item has: most a few, some many.
+// lengthOf returns the number of events of an item: few for most, many for some.
 func lengthOf(item string) int {
 	if strings.HasPrefix(item, crowdPrefix) {
 		return crowdEvents
@@ -335,15 +335,15 @@
 	return 3 + sum%20
 }
 
-// hintOf returns how many tokens an item is said to need, 30 an event: for a third of the
-// items half of what it does, for another third twice as many.
+// hintOf returns the length hint of an item in tokens, at 30 an event: too low by half for
+// a third of the items, and twice the actual number for another third.
 func hintOf(item string) int {
 	ha := fnv.New32a()
 	_, _ = ha.Write([]byte(item))
 	return 15 << (ha.Sum32() / 7 % 3) * lengthOf(item)
 }
 
-// textOf returns the data of an event, from which everything can be checked.
+// textOf returns the data of an event: the item, the event's number and the version.
 func textOf(item string, event int, version uint64) string {
 	return fmt.Sprintf("%s/%d/%d", item, event, version)
 }
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -8,9 +8,8 @@
 	"wisteriacroft/platform/standin"
 )
 
-// Symptom: a soak ends at once with an address that is in use. Events: another one runs on
-// the same machine with the same seed. Cause: the addresses were the seed's.
-func TestSoaksBesideEachOther(t *testing.T) {
+// Concurrent soaks with the same seed must not fail because an address is in use.
+func TestConcurrentSoaksClaimDifferentAddresses(t *testing.T) {
 	seen := map[string]bool{}
 	for range 3 {
 		wo := &world{cancel: func() {}, store: &standin.Store{}}
