--- a/measure/answer_test.go
+++ b/measure/answer_test.go
@@ -2,17 +2,17 @@
 
 import "testing/synctest"
 
-// An answer is what a call that may block will return.
-type answer[T any] struct {
+// An asyncCall is a call in progress, and its result when it has ended.
+type asyncCall[T any] struct {
 	err   error
 	ready chan struct{} // closed when the call has ended
 	value T
 }
 
-// ask runs a call in a goroutine of its own until it ends or blocks. So calls
-// run one after another, and the same seed gives the same run.
-func ask[T any](call func() (T, error)) *answer[T] {
-	an := &answer[T]{ready: make(chan struct{})}
+// startCall runs a call in a new goroutine, and returns when it has ended or blocks.
+// So calls run one after another, and runs with the same seed are identical.
+func startCall[T any](call func() (T, error)) *asyncCall[T] {
+	an := &asyncCall[T]{ready: make(chan struct{})}
 	go func() {
 		defer close(an.ready)
 		an.value, an.err = call()
@@ -21,9 +21,8 @@
 	return an
 }
 
-// ended reports whether the call has ended, once all calls that could go on
-// have done so.
-func (an *answer[T]) ended() bool {
+// ended reports whether the call has ended, after all goroutines have blocked.
+func (an *asyncCall[T]) ended() bool {
 	if an == nil {
 		return false
 	}
--- a/measure/attendant_test.go
+++ b/measure/attendant_test.go
@@ -7,10 +7,10 @@
 	"wisteriacroft/outcome"
 )
 
-// An Attendant stands before one engine with the gate's table that serves.
+// An Attendant queues the requests of one engine in a gate.Table.
 type Attendant struct {
 	engine  *Engine
-	pending map[string]*Work // that waits in the table or runs, by request
+	pending map[string]*Work // waiting in the table or running, by request
 	table   *gate.Table
 }
 
@@ -19,8 +19,8 @@
 	return &Attendant{engine: en, pending: map[string]*Work{}, table: gate.NewTable(po)}
 }
 
-// Enter puts a request into the gate's table.
-func (at *Attendant) Enter(now time.Time, req gate.Request, wo *Work) *outcome.Refusal {
+// Enqueue adds a request to the gate's table, or returns its refusal.
+func (at *Attendant) Enqueue(now time.Time, req gate.Request, wo *Work) *outcome.Refusal {
 	if re := at.table.Add(now, req); re != nil {
 		return re
 	}
@@ -28,14 +28,14 @@
 	return nil
 }
 
-// Leave takes a request out.
-func (at *Attendant) Leave(now time.Time, id string, out gate.Result) {
+// Remove removes a request from the gate's table.
+func (at *Attendant) Remove(now time.Time, id string, out gate.Result) {
 	delete(at.pending, id)
 	at.table.Remove(now, id, out)
 }
 
-// Run lets the gate decide. refused is told of each request that the gate or
-// the engine turns away; it did not run.
+// Run dispatches requests to the engine. It calls refused for each request that
+// the gate or the engine rejects, which did not run.
 func (at *Attendant) Run(now time.Time, refused func(id string, re *outcome.Refusal)) {
 	for _, de := range at.table.Dispatch(now) {
 		wo := at.pending[de.ID]
@@ -44,7 +44,7 @@
 			delete(at.pending, de.ID)
 			refused(de.ID, de.Refusal)
 		case !at.engine.Up(now):
-			at.Leave(now, de.ID, gate.NotSent)
+			at.Remove(now, de.ID, gate.NotSent)
 			refused(de.ID, outcome.NewRefusal(outcome.Refused, de.ID, "engine is down"))
 		default:
 			at.engine.Admit(wo)
--- a/measure/case_test.go
+++ b/measure/case_test.go
@@ -12,12 +12,12 @@
 	"wisteriacroft/unit"
 )
 
-// A Case is a load to measure policies under, as a TOML file declares it.
+// A Case is a workload to measure policies under, declared in a TOML file.
 type Case struct {
 	Name string `toml:"-"` // of its file, without ".toml"
 
 	Duration       unit.Duration `toml:"duration"`
-	FailureDomains []string      `toml:"failure-domains"` // the engines' own, in turn
+	FailureDomains []string      `toml:"failure-domains"` // assigned to the engines in turn
 	Service        string        `toml:"service"`
 
 	Engines  EngineRow    `toml:"engines"`
@@ -28,21 +28,21 @@
 	Trainers []TrainerRow `toml:"trainers"`
 }
 
-// An EngineRow declares the engines, which are all alike.
+// An EngineRow configures the engines, which are identical.
 type EngineRow struct {
-	CachePrefixes  int           `toml:"cache-prefixes"` // prompts that the prefix cache holds
+	CachePrefixes  int           `toml:"cache-prefixes"` // capacity of the prefix cache, in prompts
 	Count          int           `toml:"count"`
-	LoadTime       unit.Duration `toml:"load-time"` // of a version; nothing is made meanwhile
+	LoadTime       unit.Duration `toml:"load-time"` // of a version; the engine generates nothing meanwhile
 	MaxRunning     int           `toml:"max-running"`
 	PrefillPerStep int           `toml:"prefill-per-step"` // tokens
 	ReportLag      unit.Duration `toml:"report-lag"`
-	ServingFloor   float64       `toml:"serving-floor"` // part of the engines that serve while versions load
-	StepGrowth     float64       `toml:"step-growth"`   // part that each request running beside others adds to a step
+	ServingFloor   float64       `toml:"serving-floor"` // part of the engines that must serve while others load
+	StepGrowth     float64       `toml:"step-growth"`   // relative growth of the step time for each further running request
 	StepTime       unit.Duration `toml:"step-time"`
-	TokensPerStep  int           `toml:"tokens-per-step"` // for each request that runs
+	TokensPerStep  int           `toml:"tokens-per-step"` // for each running request
 }
 
-// A FaultRow declares a fault.
+// A FaultRow configures a fault.
 type FaultRow struct {
 	At     unit.Duration `toml:"at"`
 	Engine int           `toml:"engine"` // index
@@ -55,15 +55,15 @@
 
 // The kinds of faults.
 const (
-	EngineCrash    FaultKind = "engine-crash"     // loses all that runs, then restarts
-	EngineStall    FaultKind = "engine-stall"     // keeps what runs, makes nothing
+	EngineCrash    FaultKind = "engine-crash"     // loses all requests, then restarts
+	EngineStall    FaultKind = "engine-stall"     // keeps its requests, generates nothing
 	KeyValueOutage FaultKind = "key-value-outage" // each call fails
 )
 
-// A LengthRow declares how long samples get: log-normal over groups and over
+// A LengthRow configures the lengths of samples: log-normal over groups and over
 // the members of a group, with stragglers.
 type LengthRow struct {
-	GroupSpread     float64 `toml:"group-spread"` // deviation of the logarithm
+	GroupSpread     float64 `toml:"group-spread"` // standard deviation of the logarithm
 	MaxTokens       int     `toml:"max-tokens"`
 	Median          float64 `toml:"median"` // tokens
 	MemberSpread    float64 `toml:"member-spread"`
@@ -72,7 +72,7 @@
 	StragglerPart   float64 `toml:"straggler-part"`
 }
 
-// A LiveRow declares the live calls to the engines.
+// A LiveRow configures the live calls to the engines.
 type LiveRow struct {
 	Deadline   unit.Duration `toml:"deadline"`
 	PromptSize int           `toml:"prompt-size"` // tokens
@@ -80,25 +80,25 @@
 	Tokens     int           `toml:"tokens"`      // mean
 }
 
-// A SampleRow declares what the profile of the samples says.
+// A SampleRow is the profile of the samples.
 type SampleRow struct {
 	FreshnessWeight float64 `toml:"freshness-weight"`
 	StalenessBound  int     `toml:"staleness-bound"`
 	WholeSteps      bool    `toml:"whole-steps"`
 }
 
-// A TrainerRow declares a trainer.
+// A TrainerRow configures a trainer.
 type TrainerRow struct {
 	Groups     int           `toml:"groups"`
 	Members    int           `toml:"members"`
 	Name       string        `toml:"name"`
 	Publishes  bool          `toml:"publishes"` // new weights after each step
 	Share      float64       `toml:"share"`
-	StepsAhead int           `toml:"steps-ahead"` // asked for before they can be taken
+	StepsAhead int           `toml:"steps-ahead"` // submitted before they can be pulled
 	TrainTime  unit.Duration `toml:"train-time"`  // of a whole step
 }
 
-// ReadCase reads a case strictly.
+// ReadCase reads and validates a case.
 func ReadCase(path string) (Case, error) {
 	var li finding.List
 	data, err := os.ReadFile(path)
@@ -112,7 +112,7 @@
 	return ca, li.Err()
 }
 
-// check adds a finding for each value that can't be measured.
+// check adds a finding for each invalid value.
 func (ca *Case) check(do *document.Document) {
 	atLeast := func(key string, value, least float64) {
 		if value < least {
--- a/measure/doc.go
+++ b/measure/doc.go
@@ -1,4 +1,4 @@
-// Package measure measures the decisions of batch, gate and route: its tests
-// drive the packages that serve, on declared cases with small fakes of engines
-// and trainers, and keep the outcomes in golden tables.
+// Package measure measures the policies of batch, gate and route: its tests run
+// these packages on declared cases, with fake engines and trainers, and compare
+// the results with golden tables.
 package measure
--- a/measure/engine_test.go
+++ b/measure/engine_test.go
@@ -8,20 +8,20 @@
 	"wisteriacroft/engine"
 )
 
-// A Work is a request inside an engine.
+// A Work is a request at an engine.
 type Work struct {
 	id       string
 	length   int
-	made     int // tokens, with those that were made elsewhere
-	prefill  int // steps that are left before the next token
+	made     int // tokens, including those generated elsewhere
+	prefill  int // steps before the next token
 	prefix   string
 	prompt   int              // tokens
-	resumed  int              // tokens that were made elsewhere
+	resumed  int              // tokens generated elsewhere
 	cached   engine.Version   // of an imported KV cache; 0 means none
-	segments []engine.Segment // of all tokens made
+	segments []engine.Segment // of all tokens
 }
 
-// add counts tokens to the segment of a version.
+// add adds tokens to the segment of a version.
 func (wo *Work) add(tokens int, ve engine.Version) {
 	wo.made += tokens
 	if last := len(wo.segments) - 1; last >= 0 && wo.segments[last].Version == ve {
@@ -31,11 +31,11 @@
 	wo.segments = append(wo.segments, engine.Segment{Tokens: tokens, Version: ve})
 }
 
-// An Engine is a fake of a model engine. It admits requests as they arrive,
-// batches them continuously and caches prompts in limited memory.
+// An Engine is a fake model engine. It admits requests in arrival order, batches
+// them continuously and caches a limited number of prompts.
 type Engine struct {
-	credit  float64    // part of a step that has passed
-	cache   *list.List // prompts, the last used in front
+	credit  float64    // fraction of a step that has passed
+	cache   *list.List // prompts, most recently used first
 	down    time.Time  // crashed until then
 	id      string
 	loading engine.Version // 0 means none
@@ -43,22 +43,22 @@
 	row     EndpointView
 	running []*Work
 	se      EngineRow
-	stalled time.Time // makes nothing until then
+	stalled time.Time // generates nothing until then
 	tally   EngineTally
 	version engine.Version
 	waiting []*Work
 }
 
-// An EndpointView is what is reported of an engine, with a lag.
+// An EndpointView is the last report of an engine's load.
 type EndpointView struct {
 	at      time.Time
 	running int
 	waiting int
 }
 
-// An EngineTally counts what an engine did for samples.
+// An EngineTally counts an engine's prefix cache lookups.
 type EngineTally struct {
-	hits    int // prompts that the cache held
+	hits    int // prompts found in the cache
 	lookups int
 }
 
@@ -67,20 +67,20 @@
 	return &Engine{cache: list.New(), id: id, se: row, version: 1}
 }
 
-// Up reports whether the engine takes requests.
+// Up reports whether the engine accepts requests.
 func (en *Engine) Up(now time.Time) bool { return !now.Before(en.down) }
 
-// Admit takes a request.
+// Admit enqueues a request.
 func (en *Engine) Admit(wo *Work) { en.waiting = append(en.waiting, wo) }
 
-// Cancel drops a request.
+// Cancel removes a request.
 func (en *Engine) Cancel(id string) {
 	drop := func(wo *Work) bool { return wo.id == id }
 	en.running = slices.DeleteFunc(en.running, drop)
 	en.waiting = slices.DeleteFunc(en.waiting, drop)
 }
 
-// Crash loses all that the engine holds and returns the requests.
+// Crash clears the engine's state and returns the lost requests.
 func (en *Engine) Crash(until time.Time) []*Work {
 	lost := slices.Concat(en.running, en.waiting)
 	en.running, en.waiting, en.loading = nil, nil, 0
@@ -89,12 +89,12 @@
 	return lost
 }
 
-// Load orders a version.
+// Load starts to load a version.
 func (en *Engine) Load(now time.Time, ve engine.Version) {
 	en.loading, en.loaded = ve, now.Add(time.Duration(en.se.LoadTime))
 }
 
-// Advance lets time pass and returns the requests that are done.
+// Advance advances the engine by a tick and returns the completed requests.
 func (en *Engine) Advance(now time.Time) []*Work {
 	en.report(now)
 	if !en.Up(now) || now.Before(en.stalled) {
@@ -116,7 +116,7 @@
 	return en.step()
 }
 
-// step admits what fits and makes the next tokens of each request.
+// step admits waiting requests and generates the next tokens of each running one.
 func (en *Engine) step() []*Work {
 	for len(en.waiting) > 0 && len(en.running) < en.se.MaxRunning {
 		wo := en.waiting[0]
@@ -142,7 +142,7 @@
 // prefill returns how many steps a request takes before its first token.
 func (en *Engine) prefill(wo *Work) int {
 	size := wo.prompt + wo.made
-	hit := en.use(wo.prefix)
+	hit := en.touchPrefix(wo.prefix)
 	if wo.prefix != "" {
 		en.tally.lookups++
 	}
@@ -156,8 +156,8 @@
 	return size / en.se.PrefillPerStep
 }
 
-// use puts a prompt in front of the cache and tells whether it was held.
-func (en *Engine) use(prefix string) bool {
+// touchPrefix moves a prompt to the front of the cache and reports whether it was cached.
+func (en *Engine) touchPrefix(prefix string) bool {
 	if prefix == "" {
 		return false
 	}
@@ -174,7 +174,7 @@
 	return false
 }
 
-// report renews what is reported, once each lag.
+// report updates the reported load, once each report lag.
 func (en *Engine) report(now time.Time) {
 	if now.Sub(en.row.at) >= time.Duration(en.se.ReportLag) {
 		en.row = EndpointView{at: now, running: len(en.running), waiting: len(en.waiting)}
--- a/measure/ledger_test.go
+++ b/measure/ledger_test.go
@@ -9,12 +9,12 @@
 	"wisteriacroft/message"
 )
 
-// A Slot is what became of a wanted sample.
+// A Slot counts the attempts and deliveries of a requested sample.
 type Slot struct {
 	delivered int // tokens, of the last delivery
 	made      int // tokens, in all attempts
 	taken     int // times delivered
-	wanted    int // tokens of the first attempt's whole answer
+	wanted    int // tokens of the first attempt's complete response
 }
 
 // A stepID names a step of a trainer.
@@ -23,29 +23,29 @@
 	step    int
 }
 
-// A Ledger counts what trainers asked for and what they took.
+// A Ledger counts the samples that trainers requested and received.
 type Ledger struct {
-	asked     map[stepID]time.Time
-	batchTime *hdrhistogram.Histogram // milliseconds from request to hand-over of a whole step
-	bound     int64
-	delivered map[string]int // samples, by trainer
-	order     []batch.SlotID // of slots
-	over      int            // samples over the staleness bound
-	slots     map[batch.SlotID]*Slot
-	staleness *hdrhistogram.Histogram // thousandths of a version
-	whole     map[stepID]bool
+	requestedAt map[stepID]time.Time
+	batchTime   *hdrhistogram.Histogram // milliseconds from request to delivery of a whole step
+	bound       int64
+	delivered   map[string]int // samples, by trainer
+	order       []batch.SlotID // of slots
+	overBound   int            // samples over the staleness bound
+	slots       map[batch.SlotID]*Slot
+	staleness   *hdrhistogram.Histogram // thousandths of a version
+	whole       map[stepID]bool
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(bound int) *Ledger {
 	return &Ledger{
-		asked:     map[stepID]time.Time{},
-		batchTime: hdrhistogram.New(1, int64(24*time.Hour/time.Millisecond), 3),
-		bound:     int64(bound),
-		delivered: map[string]int{},
-		slots:     map[batch.SlotID]*Slot{},
-		staleness: hdrhistogram.New(1, 1_000_000, 3),
-		whole:     map[stepID]bool{},
+		requestedAt: map[stepID]time.Time{},
+		batchTime:   hdrhistogram.New(1, int64(24*time.Hour/time.Millisecond), 3),
+		bound:       int64(bound),
+		delivered:   map[string]int{},
+		slots:       map[batch.SlotID]*Slot{},
+		staleness:   hdrhistogram.New(1, 1_000_000, 3),
+		whole:       map[stepID]bool{},
 	}
 }
 
@@ -60,13 +60,13 @@
 	return sl
 }
 
-// Ask notes that a step was asked for.
-func (le *Ledger) Ask(row TrainerRow, step int, now time.Time) {
-	le.asked[stepID{row.Name, step}] = now
+// RecordRequest records the time at which a step was requested.
+func (le *Ledger) RecordRequest(row TrainerRow, step int, now time.Time) {
+	le.requestedAt[stepID{row.Name, step}] = now
 }
 
-// Take notes a batch that a trainer took.
-func (le *Ledger) Take(tr *Trainer, pa message.PullResponse, now time.Time) {
+// RecordBatch records a batch that a trainer received.
+func (le *Ledger) RecordBatch(tr *Trainer, pa message.PullResponse, now time.Time) {
 	id := stepID{tr.row.Name, pa.Step}
 	for _, en := range pa.Manifest {
 		sl := le.Slot(batch.SlotID{Trainer: tr.row.Name, Step: pa.Step, Group: en.Group, Member: en.Member})
@@ -75,20 +75,20 @@
 		for _, se := range en.Segments {
 			sl.delivered += se.Tokens
 		}
-		late := behind(tr.cursor.Version, en.Segments)
+		late := versionsBehind(tr.cursor.Version, en.Segments)
 		le.staleness.RecordValue(milli * late)
 		if late > le.bound {
-			le.over++
+			le.overBound++
 		}
 		le.delivered[tr.row.Name]++
 	}
 	if pa.Whole {
 		le.whole[id] = true
-		le.batchTime.RecordValue(now.Sub(le.asked[id]).Milliseconds())
+		le.batchTime.RecordValue(now.Sub(le.requestedAt[id]).Milliseconds())
 	}
 }
 
-// Totals sums up the slots of the steps that were taken whole.
+// Totals sums up the slots of the steps that were received completely.
 func (le *Ledger) Totals() (to Totals) {
 	for _, id := range le.order {
 		if !le.whole[stepID{id.Trainer, id.Step}] {
@@ -115,7 +115,7 @@
 	wanted    int // tokens
 }
 
-// Wasted returns the part of the tokens made that no trainer got.
+// Wasted returns the part of the generated tokens that no trainer received.
 func (to Totals) Wasted() float64 {
 	if to.made == 0 {
 		return 0
@@ -123,7 +123,7 @@
 	return 1 - float64(to.delivered)/float64(to.made)
 }
 
-// LengthBias returns the mean delivered length by the mean wanted length.
+// LengthBias returns the ratio of the mean delivered to the mean wanted length.
 func (to Totals) LengthBias() float64 {
 	if to.wanted == 0 {
 		return 1
--- a/measure/live_test.go
+++ b/measure/live_test.go
@@ -13,7 +13,7 @@
 	"wisteriacroft/route"
 )
 
-// A LiveCall is a caller's request.
+// A LiveCall is a live request of a caller.
 type LiveCall struct {
 	arrived  time.Time
 	deadline time.Time
@@ -24,7 +24,7 @@
 	tried    []string
 }
 
-// A Caller makes live calls at a rate and takes the answers.
+// A Caller makes live calls at a rate and records the responses.
 type Caller struct {
 	answered int
 	answers  *hdrhistogram.Histogram // milliseconds
@@ -37,14 +37,14 @@
 	row      LiveRow
 }
 
-// NewCaller returns a caller whose first call comes at the start.
+// NewCaller returns a caller whose first call is at start.
 func NewCaller(row LiveRow, seed uint64, start time.Time) *Caller {
 	return &Caller{
 		answers: hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3),
 		budget:  retry.NewBudget(retry.Policy{}, seed),
 		calls:   map[string]*LiveCall{},
 		next:    start,
-		rand:    source(seed, "live calls"),
+		rand:    newRand(seed, "live calls"),
 		row:     row,
 	}
 }
@@ -71,32 +71,32 @@
 	lc.number++
 	en, ok := wo.routes.Pick(now, route.Need{Service: wo.ca.Service, Exclude: lc.tried})
 	if !ok {
-		cr.give(lc)
+		cr.dropCall(lc)
 		return
 	}
 	lc.endpoint = en.ID
 	lc.tried = append(lc.tried, en.ID)
 	req := gate.Request{Class: gate.Live, Deadline: lc.deadline, ID: lc.id, Profile: "live"}
-	re := wo.attendants[en.ID].Enter(now, req, &Work{id: lc.id, length: lc.length, prompt: cr.row.PromptSize})
+	re := wo.attendants[en.ID].Enqueue(now, req, &Work{id: lc.id, length: lc.length, prompt: cr.row.PromptSize})
 	if re != nil {
-		cr.Refused(wo, now, lc, re)
+		cr.HandleRefusal(wo, now, lc, re)
 	}
 }
 
-// Refused takes the word that a call did not run.
-func (cr *Caller) Refused(wo *World, now time.Time, lc *LiveCall, re *outcome.Refusal) {
+// HandleRefusal retries or drops a call that did not run.
+func (cr *Caller) HandleRefusal(wo *World, now time.Time, lc *LiveCall, re *outcome.Refusal) {
 	wo.routes.Refused(now, lc.endpoint, re.RetryDelay())
-	cr.again(wo, now, lc, outcome.NotRun)
+	cr.retryCall(wo, now, lc, outcome.NotRun)
 }
 
-// Broken takes the word that a call's answer broke off.
-func (cr *Caller) Broken(wo *World, now time.Time, lc *LiveCall) {
+// HandleBroken retries or drops a call whose response broke off.
+func (cr *Caller) HandleBroken(wo *World, now time.Time, lc *LiveCall) {
 	wo.routes.Failed(now, lc.endpoint)
-	cr.again(wo, now, lc, outcome.Unknown)
+	cr.retryCall(wo, now, lc, outcome.Unknown)
 }
 
-// again tries a call once more where the retry budget allows it.
-func (cr *Caller) again(wo *World, now time.Time, lc *LiveCall, fa outcome.Outcome) {
+// retryCall retries a call if the retry budget allows it, or drops it.
+func (cr *Caller) retryCall(wo *World, now time.Time, lc *LiveCall, fa outcome.Outcome) {
 	wait, ok := cr.budget.Retry(now, retry.Attempt{
 		Deadline:   lc.deadline,
 		Fate:       fa,
@@ -104,20 +104,20 @@
 		Repeatable: true,
 	})
 	if !ok {
-		cr.give(lc)
+		cr.dropCall(lc)
 		return
 	}
-	wo.later(now.Add(wait), func(now time.Time) { cr.try(wo, now, lc) })
+	wo.schedule(now.Add(wait), func(now time.Time) { cr.try(wo, now, lc) })
 }
 
-// give gives up on a call.
-func (cr *Caller) give(lc *LiveCall) {
+// dropCall counts a call as refused.
+func (cr *Caller) dropCall(lc *LiveCall) {
 	cr.refused++
 	delete(cr.calls, lc.id)
 }
 
-// Done takes an answer.
-func (cr *Caller) Done(wo *World, now time.Time, lc *LiveCall) {
+// HandleResponse records a call's response.
+func (cr *Caller) HandleResponse(wo *World, now time.Time, lc *LiveCall) {
 	wo.routes.Succeeded(now, lc.endpoint)
 	delete(cr.calls, lc.id)
 	cr.answers.RecordValue(now.Sub(lc.arrived).Milliseconds())
@@ -126,7 +126,7 @@
 	}
 }
 
-// Goodput returns the part of the calls that were answered in time.
+// Goodput returns the part of the calls that completed within their deadline.
 func (cr *Caller) Goodput() float64 {
 	ended := cr.made - len(cr.calls)
 	if ended == 0 {
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// seeds is a flag for rounds: with more than one seed the tables are printed,
-// with the means over the seeds, and compared with nothing.
+// seeds is the number of seeds. With more than one, the tables and the means over
+// the seeds are printed, and not compared with the golden tables.
 var seeds = flag.Uint64("seeds", 1, "measure with each seed from 1 to this")
 
 // TestMeasure measures each policy on each case and compares the tables with
@@ -35,8 +35,8 @@
 	}
 }
 
-// measureAll measures the policies that cover a case, side by side. Policies
-// that -run leaves out are missing from the results.
+// measureAll measures the policies that cover a case, in parallel. Policies that
+// -run excludes are missing from the results.
 func measureAll(t *testing.T, ca Case, pos []Policy) []Result {
 	var all []Result
 	t.Run("policy", func(t *testing.T) {
@@ -60,7 +60,7 @@
 	return res
 }
 
-// TestReadCase shows that all that is wrong with a case is reported together.
+// TestReadCase checks that all errors in a case are reported together.
 func TestReadCase(t *testing.T) {
 	_, err := ReadCase(filepath.Join("testdata", "faulty.toml"))
 	golden.Assert(t, err.Error(), "faulty.golden")
--- a/measure/policy_test.go
+++ b/measure/policy_test.go
@@ -12,32 +12,31 @@
 	"wisteriacroft/route"
 )
 
-// Policies are the policies to measure, as testdata/policies.toml declares
-// them.
+// Policies is the content of testdata/policies.toml.
 type Policies struct {
 	Rows []Policy `toml:"policies"`
 }
 
-// A Policy sets each decision that a round may change. Keys that are left out
-// are the policy that serves.
+// A Policy is a set of policy options to measure. Omitted keys have the default
+// of production.
 type Policy struct {
 	Cases           []string        `toml:"cases"`            // that it is measured on; none means all
 	Delivery        string          `toml:"delivery"`         // "whole-steps" or "groups"; none means the case's
 	FreshnessWeight *float64        `toml:"freshness-weight"` // none means the case's
 	Gate            string          `toml:"gate"`             // "fresh-at-hand-over" or "start-at-once"
 	GateOrder       gate.Discipline `toml:"gate-order"`
-	LiveReserve     int             `toml:"live-reserve"` // places that samples may not take; 0 means the gate's default
+	LiveReserve     int             `toml:"live-reserve"` // slots reserved for live calls; 0 means the gate's default
 	LiveOnly        bool            `toml:"live-only"`    // no samples run
 	Name            string          `toml:"name"`
-	NoAffinity      bool            `toml:"no-affinity"` // prefixes are not told to the router
-	NoRoom          bool            `toml:"no-room"`     // samples are sent to endpoints that are full
-	NoShares        bool            `toml:"no-shares"`   // all trainers weigh the same
+	NoAffinity      bool            `toml:"no-affinity"` // the router doesn't get prefixes
+	NoRoom          bool            `toml:"no-room"`     // samples are also sent to full endpoints
+	NoShares        bool            `toml:"no-shares"`   // all trainers have the same weight
 	Order           string          `toml:"order"`       // "longest-first" or "first-in-first-out"
 	Route           route.Policy    `toml:"route"`
 	Straggling      string          `toml:"straggling"` // "resume", "restart" or "keep"
 }
 
-// ReadPolicies reads the policies strictly.
+// ReadPolicies reads and validates the policies.
 func ReadPolicies(path string) ([]Policy, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +51,7 @@
 	return pos.Rows, li.Err()
 }
 
-// check adds a finding for each choice that does not exist.
+// check adds a finding for each invalid choice.
 func (po Policy) check(do *document.Document) {
 	oneOf := func(key, value string, choices ...string) {
 		for _, ch := range choices {
--- a/measure/result_test.go
+++ b/measure/result_test.go
@@ -8,39 +8,39 @@
 	"text/tabwriter"
 )
 
-// A Result is what came of a case under a policy.
+// A Result holds the metrics of a case under a policy.
 type Result struct {
 	policy string
 	seed   uint64
 	values [columns]float64
 }
 
-// A column is a figure of a Result. Durations are in seconds.
+// A column is a metric of a Result. Durations are in seconds.
 type column int
 
 // The columns of a table.
 const (
-	idle        column = iota // part of their time that trainers wait, mean
-	idleWorst                 // of one trainer
-	stalenessOf               // versions at hand-over, mean
+	idle        column = iota // part of their time that trainers wait, mean over trainers
+	idleWorst                 // maximum over trainers
+	stalenessOf               // versions at delivery, mean
 	stalenessP99
 	batchP50
 	batchP99
 	liveP50
 	liveP99
-	goodput // part of the live calls that were answered in time
-	wasted  // part of the tokens made that no trainer got
+	goodput // part of the live calls that completed in time
+	wasted  // part of the generated tokens that no trainer received
 	prefixHits
-	lengthBias // mean delivered length by mean wanted length
+	lengthBias // ratio of the mean delivered to the mean wanted length
 	samples    // delivered
 	overBound  // samples over the staleness bound
-	lost       // samples missing from steps that were taken whole
+	lost       // samples missing from completed steps
 	doubled    // samples
 	columns
 )
 
-// heads names the columns, with the decimals that they get.
-var heads = [columns]struct {
+// columnHeads holds the columns' names and numbers of decimals.
+var columnHeads = [columns]struct {
 	name     string
 	decimals int
 }{
@@ -62,7 +62,7 @@
 	doubled:      {"doubled", 0},
 }
 
-// Result returns what has come of the run so far.
+// Result returns the metrics of the run so far.
 func (wo *World) Result() Result {
 	wo.sampler.Count()
 	le, to := wo.ledger, wo.ledger.Totals()
@@ -82,13 +82,13 @@
 	re.values[wasted] = to.Wasted()
 	re.values[prefixHits] = wo.prefixHits()
 	re.values[lengthBias] = to.LengthBias()
-	re.values[overBound] = float64(le.over)
+	re.values[overBound] = float64(le.overBound)
 	re.values[lost] = float64(to.lost)
 	re.values[doubled] = float64(to.doubled)
 	return re
 }
 
-// milli turns what the histograms count into seconds and versions.
+// milli converts the histograms' values into seconds and versions.
 const milli = 1000
 
 func (wo *World) prefixHits() float64 {
@@ -100,17 +100,17 @@
 	return float64(hits) / float64(max(1, lookups))
 }
 
-// Table returns results as a table, a line each.
+// Table formats results as a table, a line each.
 func Table(res []Result) string {
 	var sb strings.Builder
 	tw := tabwriter.NewWriter(&sb, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(tw, "policy\tseed\t")
-	for _, he := range heads {
+	for _, he := range columnHeads {
 		fmt.Fprintf(tw, "%s\t", he.name)
 	}
 	for _, re := range res {
 		fmt.Fprintf(tw, "\n%s\t%s\t", re.policy, seedName(re.seed))
-		for co, he := range heads {
+		for co, he := range columnHeads {
 			fmt.Fprintf(tw, "%.*f\t", he.decimals, re.values[co])
 		}
 	}
--- a/measure/sample_test.go
+++ b/measure/sample_test.go
@@ -18,10 +18,10 @@
 
 const (
 	overloadWait   = 250 * time.Millisecond // as entry.overloadWait
-	sampleDeadline = 15 * time.Minute       // of an attempt
+	sampleDeadline = 15 * time.Minute       // of an attempt at a sample
 )
 
-// bytesPerToken is what a payload keeps of a token.
+// bytesPerToken is the size of a token in a payload.
 const bytesPerToken = 8
 
 // An Attempt is an attempt at a sample, at its endpoint.
@@ -29,15 +29,15 @@
 	attempt  batch.Attempt
 	endpoint string
 	ended    bool
-	told     int // tokens, in the last report of progress
+	reported int // tokens, in the last report of progress
 	work     *Work
 }
 
-// A Sampler carries the attempts of a batch owner to endpoints, as an entry
-// does, and reports back in a later tick.
+// A Sampler sends the attempts of a batch owner to endpoints, as an entry does,
+// and reports the results in a later tick.
 type Sampler struct {
 	attempts map[string]*Attempt
-	order    []string // of attempts, by start
+	order    []string // of attempts, in the order of their start
 	world    *World
 }
 
@@ -61,12 +61,12 @@
 	at := &Attempt{attempt: ba, endpoint: en.ID, work: sa.work(ba)}
 	sa.attempts[ba.ID] = at
 	sa.order = append(sa.order, ba.ID)
-	wo.later(now, func(now time.Time) { sa.enter(now, at) })
+	wo.schedule(now, func(now time.Time) { sa.enqueue(now, at) })
 	return true
 }
 
-// work returns what an attempt asks of its engine. One that resumes another
-// brings the tokens made so far and, if a version still fits, their KV cache.
+// work returns the engine request of an attempt. If it resumes another attempt, it
+// includes that one's tokens and, if its engine is up, the KV cache.
 func (sa *Sampler) work(ba batch.Attempt) *Work {
 	wo := &Work{
 		id:     ba.ID,
@@ -94,8 +94,8 @@
 	return wo
 }
 
-// enter brings an attempt to its attendant.
-func (sa *Sampler) enter(now time.Time, at *Attempt) {
+// enqueue sends an attempt to its attendant.
+func (sa *Sampler) enqueue(now time.Time, at *Attempt) {
 	if at.ended {
 		return
 	}
@@ -103,7 +103,7 @@
 	ten := sa.world.attendants[at.endpoint]
 	sa.world.owner.Started(ba.ID, at.endpoint, at.endpoint)
 	if ten.engine.version < ba.MinVersion {
-		sa.Refused(now, at, outcome.NewRefusal(outcome.Refused, ba.ID, "weights are too old"))
+		sa.HandleRefusal(now, at, outcome.NewRefusal(outcome.Refused, ba.ID, "weights are too old"))
 		return
 	}
 	req := gate.Request{
@@ -113,8 +113,8 @@
 		Profile:  ba.Profile,
 		Trainer:  ba.Slot.Trainer,
 	}
-	if re := ten.Enter(now, req, at.work); re != nil {
-		sa.Refused(now, at, re)
+	if re := ten.Enqueue(now, req, at.work); re != nil {
+		sa.HandleRefusal(now, at, re)
 	}
 }
 
@@ -127,12 +127,12 @@
 	at.ended = true
 	ten := sa.world.attendants[at.endpoint]
 	ten.engine.Cancel(id)
-	ten.Leave(time.Now(), id, gate.Canceled)
+	ten.Remove(time.Now(), id, gate.Canceled)
 	sa.world.routes.Succeeded(time.Now(), at.endpoint)
 }
 
-// Refused takes the word that an attempt did not run.
-func (sa *Sampler) Refused(now time.Time, at *Attempt, re *outcome.Refusal) {
+// HandleRefusal reports to the owner that an attempt did not run.
+func (sa *Sampler) HandleRefusal(now time.Time, at *Attempt, re *outcome.Refusal) {
 	at.ended = true
 	wait := re.RetryDelay()
 	if wait == 0 {
@@ -142,15 +142,15 @@
 	sa.world.owner.Failed(at.attempt.ID, re)
 }
 
-// Broken takes the word that an attempt's answer broke off.
-func (sa *Sampler) Broken(now time.Time, at *Attempt) {
+// HandleBroken reports to the owner that an attempt's response broke off.
+func (sa *Sampler) HandleBroken(now time.Time, at *Attempt) {
 	at.ended = true
 	sa.world.routes.Failed(now, at.endpoint)
 	sa.world.owner.Failed(at.attempt.ID, engine.ErrBroken)
 }
 
-// Done takes a whole answer.
-func (sa *Sampler) Done(now time.Time, at *Attempt) {
+// HandleResponse reports a complete response to the owner.
+func (sa *Sampler) HandleResponse(now time.Time, at *Attempt) {
 	at.ended = true
 	sa.world.routes.Succeeded(now, at.endpoint)
 	data := fmt.Append(nil, at.attempt.Slot, at.work.segments)
@@ -164,7 +164,7 @@
 	})
 }
 
-// Progress reports the tokens that were made since the last report.
+// Progress reports the tokens of attempts with progress since the last report.
 func (sa *Sampler) Progress() {
 	kept := sa.order[:0:0]
 	for _, id := range sa.order {
@@ -173,8 +173,8 @@
 			continue
 		}
 		kept = append(kept, id)
-		if at.work.made > at.told {
-			at.told = at.work.made
+		if at.work.made > at.reported {
+			at.reported = at.work.made
 			ve := at.work.segments[len(at.work.segments)-1].Version
 			sa.world.owner.Progress(id, at.work.made, ve)
 		}
@@ -182,29 +182,29 @@
 	sa.order = kept
 }
 
-// Count adds the tokens that attempts made to their slots.
+// Count adds the tokens that attempts generated to their slots.
 func (sa *Sampler) Count() {
 	for _, at := range sa.attempts {
 		sa.world.ledger.Slot(at.attempt.Slot).made += at.work.made - at.work.resumed
 	}
 }
 
-// A Folder keeps what is replicated, in memory.
-type Folder struct {
+// A PayloadStore keeps replicated payloads in memory.
+type PayloadStore struct {
 	payloads map[string][]byte
 	places   []message.BlobLocation
 }
 
 // Replicate is the owner's ReplicateFunc.
-func (fo *Folder) Replicate(_ context.Context, data []byte) ([]message.BlobLocation, error) {
-	fo.payloads[blob.Digest(data)] = data
-	return fo.places, nil
+func (ps *PayloadStore) Replicate(_ context.Context, data []byte) ([]message.BlobLocation, error) {
+	ps.payloads[blob.Digest(data)] = data
+	return ps.places, nil
 }
 
-// Fetch is the owner's FetchFunc. The payloads of samples are not kept: they
-// are there, and nothing reads them.
-func (fo *Folder) Fetch(_ context.Context, _ []message.BlobLocation, digest string) ([]byte, error) {
-	data, ok := fo.payloads[digest]
+// Fetch is the owner's FetchFunc. The payloads of samples are not stored,
+// since nothing reads them.
+func (ps *PayloadStore) Fetch(_ context.Context, _ []message.BlobLocation, digest string) ([]byte, error) {
+	data, ok := ps.payloads[digest]
 	if !ok {
 		return nil, errors.Wrap(blob.ErrMissing, digest)
 	}
--- a/measure/trainer_test.go
+++ b/measure/trainer_test.go
@@ -11,28 +11,28 @@
 	"wisteriacroft/outcome"
 )
 
-// pullWait is how long a trainer lets the owner wait for a batch.
+// pullWait is how long the owner may delay the response to a pull.
 const pullWait = 30 * time.Second
 
-// A Trainer is a fake of a trainer: it asks for steps ahead, pulls batches,
-// trains on each for its part of the train time and publishes new weights.
+// A Trainer is a fake trainer: it submits steps ahead, pulls batches, trains on
+// each for a proportional part of the train time and publishes new weights.
 type Trainer struct {
-	askAgain  time.Time
-	asked     int // steps accepted
-	asking    *answer[message.StepResponse]
-	began     bool // has taken a batch
-	cursor    message.Cursor
-	idle      time.Duration
-	pullAgain time.Time
-	pulling   *answer[message.PullResponse]
-	row       TrainerRow
-	step      int // to be taken
-	trained   time.Duration
-	training  time.Time // until then
-	whole     bool      // the batch in training ends its step
+	submitAt   time.Time
+	submitted  int // steps accepted
+	submitting *asyncCall[message.StepResponse]
+	began      bool // has received a batch
+	cursor     message.Cursor
+	idle       time.Duration
+	pullAt     time.Time
+	pulling    *asyncCall[message.PullResponse]
+	row        TrainerRow
+	step       int // being pulled
+	trained    time.Duration
+	training   time.Time // until then
+	whole      bool      // the batch in training completes its step
 }
 
-// NewTrainer returns a trainer that has taken nothing.
+// NewTrainer returns a trainer without batches.
 func NewTrainer(row TrainerRow) *Trainer {
 	return &Trainer{
 		cursor: message.Cursor{Incarnation: 1, Step: -1, Version: 1},
@@ -40,7 +40,7 @@
 	}
 }
 
-// Run does what the trainer does in a tick.
+// Run runs one tick of the trainer.
 func (tr *Trainer) Run(ctx context.Context, wo *World, now time.Time) {
 	if now.Before(tr.training) {
 		tr.trained += Tick
@@ -49,7 +49,7 @@
 		tr.pull(ctx, wo, now)
 	}
 	if !wo.policy.LiveOnly {
-		tr.ask(ctx, wo, now)
+		tr.submit(ctx, wo, now)
 	}
 }
 
@@ -66,18 +66,18 @@
 	tr.cursor.Version = wo.published
 }
 
-// ask requests the steps ahead, in order.
-func (tr *Trainer) ask(ctx context.Context, wo *World, now time.Time) {
-	if tr.asking.ended() {
-		err := tr.asking.err
-		tr.asking = nil
+// submit submits the steps ahead, in order.
+func (tr *Trainer) submit(ctx context.Context, wo *World, now time.Time) {
+	if tr.submitting.ended() {
+		err := tr.submitting.err
+		tr.submitting = nil
 		if err != nil {
-			tr.askAgain = now.Add(waitOf(err))
+			tr.submitAt = now.Add(retryDelay(err))
 			return
 		}
-		tr.asked++
+		tr.submitted++
 	}
-	if tr.asking != nil || now.Before(tr.askAgain) || tr.asked > tr.step+tr.row.StepsAhead {
+	if tr.submitting != nil || now.Before(tr.submitAt) || tr.submitted > tr.step+tr.row.StepsAhead {
 		return
 	}
 	req := message.StepRequest{Profile: wo.ca.Name}
@@ -85,24 +85,24 @@
 		req.Groups = append(req.Groups, message.Group{
 			MaxTokens: wo.ca.Lengths.MaxTokens,
 			Members:   tr.row.Members,
-			Prompt:    promptOf(tr.row.Name, tr.asked, gr),
+			Prompt:    promptOf(tr.row.Name, tr.submitted, gr),
 		})
 	}
-	wo.ledger.Ask(tr.row, tr.asked, now)
-	tr.asking = ask(func() (message.StepResponse, error) {
-		return wo.owner.Submit(ctx, tr.row.Name, tr.asked, req)
+	wo.ledger.RecordRequest(tr.row, tr.submitted, now)
+	tr.submitting = startCall(func() (message.StepResponse, error) {
+		return wo.owner.Submit(ctx, tr.row.Name, tr.submitted, req)
 	})
 }
 
-// pull takes the next batch if there is one.
+// pull pulls the next batch, and starts to train on it if there is one.
 func (tr *Trainer) pull(ctx context.Context, wo *World, now time.Time) {
 	switch {
 	case wo.policy.LiveOnly:
 		tr.whole = true
 		tr.training = now.Add(time.Duration(tr.row.TrainTime))
-	case tr.pulling == nil && !now.Before(tr.pullAgain):
+	case tr.pulling == nil && !now.Before(tr.pullAt):
 		req := message.PullRequest{Cursor: tr.cursor, Wait: pullWait.String()}
-		tr.pulling = ask(func() (message.PullResponse, error) {
+		tr.pulling = startCall(func() (message.PullResponse, error) {
 			return wo.owner.Pull(ctx, tr.row.Name, req)
 		})
 	}
@@ -110,7 +110,7 @@
 		pa, err := tr.pulling.value, tr.pulling.err
 		tr.pulling = nil
 		if err != nil {
-			tr.pullAgain = now.Add(waitOf(err))
+			tr.pullAt = now.Add(retryDelay(err))
 		} else if pa.Batch != "" {
 			tr.take(wo, now, pa)
 			return
@@ -123,7 +123,7 @@
 
 // take starts to train on a batch.
 func (tr *Trainer) take(wo *World, now time.Time, pa message.PullResponse) {
-	wo.ledger.Take(tr, pa, now)
+	wo.ledger.RecordBatch(tr, pa, now)
 	tr.began = true
 	tr.whole = pa.Whole
 	tr.cursor.Batch, tr.cursor.Digest, tr.cursor.Step = pa.Batch, pa.Digest, pa.Step
@@ -141,8 +141,8 @@
 	return tr.idle.Seconds() / (tr.idle + tr.trained).Seconds()
 }
 
-// waitOf returns how long a refusal says to wait, at least a second.
-func waitOf(err error) time.Duration {
+// retryDelay returns the retry delay of a refusal, at least a second.
+func retryDelay(err error) time.Duration {
 	var re *outcome.Refusal
 	if errors.As(err, &re) {
 		return max(re.RetryDelay(), time.Second)
@@ -150,8 +150,8 @@
 	return time.Second
 }
 
-// behind returns how many versions the oldest segment lies behind.
-func behind(trainer engine.Version, segments []engine.Segment) int64 {
+// versionsBehind returns how many versions the oldest segment is behind the trainer's.
+func versionsBehind(trainer engine.Version, segments []engine.Segment) int64 {
 	oldest := segments[0].Version
 	for _, se := range segments {
 		oldest = min(oldest, se.Version)
--- a/measure/world_test.go
+++ b/measure/world_test.go
@@ -19,22 +19,22 @@
 	"wisteriacroft/tick"
 )
 
-// Tick is the time between two runs of everything.
+// Tick is the simulated time between two steps of the World.
 const Tick = 100 * time.Millisecond
 
-// beat is the time between two reports of attendants to the entry.
-const beat = time.Second
+// heartbeatInterval is the interval of the attendants' reports to the entry.
+const heartbeatInterval = time.Second
 
 // leaseTTL is the time to live of the leases of trainers.
 const leaseTTL = 15 * time.Second
 
-// A World is one entry before the engines, trainers and callers of a case.
-// Everything runs in one goroutine, so that the same seed gives the same run.
+// A World is one entry with the engines, trainers and callers of a case. It runs
+// one goroutine at a time, so that runs with the same seed are identical.
 type World struct {
 	attendants map[string]*Attendant
 	ca         Case
 	caller     *Caller
-	due        []event
+	events     []event
 	endpoints  []route.Endpoint
 	holders    map[string]*lease.Holder
 	ledger     *Ledger
@@ -43,7 +43,7 @@
 	places     []message.BlobLocation
 	policy     Policy
 	published  engine.Version
-	queue      []func(ctx context.Context) // I/O that the owner asked for
+	queue      []func(ctx context.Context) // the owner's pending I/O
 	routes     *route.Table
 	sampler    *Sampler
 	seed       uint64
@@ -51,13 +51,13 @@
 	trainers   []*Trainer
 }
 
-// An event is something to be done at a time.
+// An event is a function to run at a time.
 type event struct {
 	at  time.Time
 	run func(now time.Time)
 }
 
-// Measure runs a case under a policy and returns what came of it.
+// Measure runs a case under a policy and returns the result.
 func Measure(t *testing.T, ca Case, po Policy, seed uint64) (re Result) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -113,16 +113,16 @@
 }
 
 func (wo *World) addOwner() {
-	fo := &Folder{payloads: map[string][]byte{}, places: wo.places}
+	ps := &PayloadStore{payloads: map[string][]byte{}, places: wo.places}
 	wo.owner = &batch.Owner{
 		CancelFunc: wo.sampler.Cancel,
 		Client:     wo.service.Client(),
-		FetchFunc:  fo.Fetch,
+		FetchFunc:  ps.Fetch,
 		GoFunc:     func(run func(ctx context.Context)) { wo.queue = append(wo.queue, run) },
 		LeaseFunc: func(trainer string, now time.Time) (uint64, lease.State) {
 			return wo.holders[trainer].State(now)
 		},
-		ReplicateFunc: fo.Replicate,
+		ReplicateFunc: ps.Replicate,
 		StartFunc:     wo.sampler.Start,
 	}
 	for _, tr := range wo.ca.Trainers {
@@ -135,27 +135,27 @@
 	for _, sy := range wo.owner.Systems() {
 		wo.loop.Systems = append(wo.loop.Systems, tick.System{Name: sy.Name, Run: func(now time.Time) {
 			sy.Run(now)
-			synctest.Wait() // pulls that the system wakes go on before the next
+			synctest.Wait() // pulls that the system unblocks run before the next system
 		}})
 	}
 }
 
-// later runs a function in a tick at or after a time.
-func (wo *World) later(at time.Time, run func(now time.Time)) {
-	wo.due = append(wo.due, event{at: at, run: run})
+// schedule runs a function in the first tick at or after a time.
+func (wo *World) schedule(at time.Time, run func(now time.Time)) {
+	wo.events = append(wo.events, event{at: at, run: run})
 }
 
-// Step runs everything once.
+// Step runs one tick.
 func (wo *World) Step(ctx context.Context, start, now time.Time) {
 	elapsed := now.Sub(start)
-	wo.strike(elapsed, now)
+	wo.applyFaults(elapsed, now)
 	if elapsed%(leaseTTL/3) == 0 {
 		for _, tr := range wo.trainers {
 			wo.holders[tr.row.Name].Step(ctx)
 		}
 	}
 	wo.rollOut(now)
-	if elapsed%beat == 0 {
+	if elapsed%heartbeatInterval == 0 {
 		wo.report(now)
 	}
 	wo.advance(now)
@@ -172,8 +172,8 @@
 	}
 }
 
-// strike begins and ends the faults that are due.
-func (wo *World) strike(elapsed time.Duration, now time.Time) {
+// applyFaults starts and ends the faults that are due.
+func (wo *World) applyFaults(elapsed time.Duration, now time.Time) {
 	for _, fa := range wo.ca.Faults {
 		begins := elapsed == time.Duration(fa.At)
 		ends := elapsed == time.Duration(fa.At+fa.Lasts)
@@ -192,26 +192,26 @@
 	}
 }
 
-// broken ends a request that its engine lost.
+// broken reports a request that its engine lost.
 func (wo *World) broken(now time.Time, at *Attendant, lost *Work) {
-	at.Leave(now, lost.id, gate.Broken)
+	at.Remove(now, lost.id, gate.Broken)
 	if lc := wo.caller.calls[lost.id]; lc != nil {
-		wo.caller.Broken(wo, now, lc)
+		wo.caller.HandleBroken(wo, now, lc)
 		return
 	}
-	wo.sampler.Broken(now, wo.sampler.attempts[lost.id])
+	wo.sampler.HandleBroken(now, wo.sampler.attempts[lost.id])
 }
 
-// refused ends a request that did not run.
+// refused reports a request that did not run.
 func (wo *World) refused(now time.Time, id string, re *outcome.Refusal) {
 	if lc := wo.caller.calls[id]; lc != nil {
-		wo.caller.Refused(wo, now, lc, re)
+		wo.caller.HandleRefusal(wo, now, lc, re)
 		return
 	}
-	wo.sampler.Refused(now, wo.sampler.attempts[id], re)
+	wo.sampler.HandleRefusal(now, wo.sampler.attempts[id], re)
 }
 
-// rollOut orders the newest version, as far as the serving floor allows.
+// rollOut starts loads of the newest version, as far as the serving floor allows.
 func (wo *World) rollOut(now time.Time) {
 	floor := int(wo.ca.Engines.ServingFloor * float64(len(wo.endpoints)))
 	loading := 0
@@ -232,7 +232,7 @@
 	}
 }
 
-// report tells the router and the gates what engines say, once each beat.
+// report updates the router and the gates with the engines' reports.
 func (wo *World) report(now time.Time) {
 	for _, en := range wo.endpoints {
 		at := wo.attendants[en.ID]
@@ -245,40 +245,40 @@
 	wo.sampler.Progress()
 }
 
-// advance lets the engines work and hands on what they answer.
+// advance advances the engines by a tick and reports the completed requests.
 func (wo *World) advance(now time.Time) {
 	for _, en := range wo.endpoints {
 		at := wo.attendants[en.ID]
 		for _, done := range at.engine.Advance(now) {
-			at.Leave(now, done.id, gate.Whole)
+			at.Remove(now, done.id, gate.Whole)
 			if lc := wo.caller.calls[done.id]; lc != nil {
-				wo.caller.Done(wo, now, lc)
+				wo.caller.HandleResponse(wo, now, lc)
 				continue
 			}
-			wo.sampler.Done(now, wo.sampler.attempts[done.id])
+			wo.sampler.HandleResponse(now, wo.sampler.attempts[done.id])
 		}
 	}
 }
 
 // runDue runs the events that are due.
 func (wo *World) runDue(now time.Time) {
-	due := wo.due
-	wo.due = nil
+	due := wo.events
+	wo.events = nil
 	for _, ev := range due {
 		if ev.at.After(now) {
-			wo.due = append(wo.due, ev)
+			wo.events = append(wo.events, ev)
 			continue
 		}
 		ev.run(now)
 	}
 }
 
-// runQueue does the owner's I/O, in the order in which it was asked for.
+// runQueue runs the owner's pending I/O, in order.
 func (wo *World) runQueue(ctx context.Context) {
 	for len(wo.queue) > 0 {
 		run := wo.queue[0]
 		wo.queue = slices.Delete(wo.queue, 0, 1)
-		ask(func() (struct{}, error) {
+		startCall(func() (struct{}, error) {
 			run(ctx)
 			return struct{}{}, nil
 		})
