--- a/capacity/document_test.go
+++ b/capacity/document_test.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	changes      = 128 // that a document keeps
-	classes      = 3   // calls profiles of a service
-	serviceSize  = 100 // endpoints
+	changes      = 128 // retained by a document
+	classes      = 3   // calls profiles for each service
+	serviceSize  = 100 // endpoints for each service
 	documentSize = 1100
 )
 
-// declareAll returns profiles for so many endpoints, as the declarations of a
-// deployment are written, with comments, after so many changes to one profile
-// after the other.
+// declareAll returns profiles for a number of endpoints, with comments as in a real
+// deployment, after a number of changes, each to the next profile.
 func declareAll(t testing.TB, endpoints, changed int) []profile.Profile {
 	var all []profile.Profile
 	add := func(name, text string) {
@@ -46,9 +45,8 @@
 	return all
 }
 
-// BenchmarkDocument measures the configuration's size in the key-value service
-// and between processes, and what reading and writing it costs, once it keeps
-// as many changes as it may.
+// BenchmarkDocument measures the encoded size of the configuration, and the time
+// to encode and decode it, when it retains the maximum number of changes.
 func BenchmarkDocument(b *testing.B) {
 	for _, endpoints := range []int{30, 300, documentSize} {
 		var me keyvalue.Memory
--- a/capacity/entry_test.go
+++ b/capacity/entry_test.go
@@ -29,47 +29,47 @@
 	"wisteriacroft/weightstore"
 )
 
-// A site is one entry and, behind one listener, a stand-in of all attendants,
-// which takes payloads and lets each attempt run until the end.
+// A site is one entry and, behind one listener, a stand-in for all attendants,
+// which accepts payloads and keeps each attempt running.
 type site struct {
-	address  string // of the stand-in
-	closers  []func()
-	client   *http.Client
-	entry    *entry.Entry
-	lines    []chan struct{} // one for each attempt
-	mu       sync.Mutex
-	network  network
-	received atomic.Int64 // bytes that came to the entry from attendants
-	sent     atomic.Int64 // bytes that went from the entry to attendants
+	address          string // of the stand-in
+	closers          []func()
+	client           *http.Client
+	entry            *entry.Entry
+	progressRequests []chan struct{} // for each attempt, requests a line of progress
+	mu               sync.Mutex
+	network          network
+	received         atomic.Int64 // bytes from attendants to the entry
+	sent             atomic.Int64 // bytes from the entry to attendants
 }
 
-// A meter counts the bytes of a connection.
-type meter struct {
+// A countingConn is a connection that counts its bytes.
+type countingConn struct {
 	net.Conn
 	site *site
 }
 
 // Read implements net.Conn.
-func (me meter) Read(data []byte) (int, error) {
-	n, err := me.Conn.Read(data)
-	me.site.received.Add(int64(n))
+func (cc countingConn) Read(data []byte) (int, error) {
+	n, err := cc.Conn.Read(data)
+	cc.site.received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (me meter) Write(data []byte) (int, error) {
-	n, err := me.Conn.Write(data)
-	me.site.sent.Add(int64(n))
+func (cc countingConn) Write(data []byte) (int, error) {
+	n, err := cc.Conn.Write(data)
+	cc.site.sent.Add(int64(n))
 	return n, err
 }
 
 func (si *site) dial(ctx context.Context, _ string) (net.Conn, error) {
 	co, err := (&net.Dialer{}).DialContext(ctx, "tcp", si.address)
-	return meter{Conn: co, site: si}, err
+	return countingConn{Conn: co, site: si}, err
 }
 
-// newSite returns a site whose entry has heard of so many endpoints, three at
-// each attendant. Its systems run only when tick is called.
+// newSite returns a site whose entry has received reports of a number of
+// endpoints, three at each attendant. Its systems run only when tick is called.
 func newSite(b *testing.B, endpoints int) *site {
 	si := &site{}
 	si.serve(b)
@@ -92,14 +92,14 @@
 	return si
 }
 
-// close ends all of the site, the entry first.
+// close closes everything in reverse order of creation.
 func (si *site) close() {
 	for i := len(si.closers) - 1; i >= 0; i-- {
 		si.closers[i]()
 	}
 }
 
-// serve starts the stand-in of the attendants.
+// serve starts the stand-in for the attendants.
 func (si *site) serve(b *testing.B) {
 	ln, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -124,8 +124,8 @@
 	si.closers = append(si.closers, func() { hs.Close() })
 }
 
-// attempt answers a sample request with a line of progress each time that one
-// is asked for.
+// attempt responds to a sample request with a line of progress whenever one is
+// requested through its channel.
 func (si *site) attempt(rw http.ResponseWriter, rq *http.Request) {
 	attempt, err := readAttempt(rq.Body)
 	if err != nil {
@@ -136,7 +136,7 @@
 	control := http.NewResponseController(rw)
 	_ = control.Flush()
 	si.mu.Lock()
-	si.lines = append(si.lines, line)
+	si.progressRequests = append(si.progressRequests, line)
 	si.mu.Unlock()
 	encoder := json.NewEncoder(rw)
 	for progress := 10_000; ; progress += 10 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// readAttempt returns the attempt's id in a request, and keeps nothing else.
+// readAttempt returns the attempt's id in a request, and discards the rest.
 func readAttempt(body io.Reader) (string, error) {
 	var req struct {
 		Attempt string `json:"attempt"`
@@ -162,14 +162,14 @@
 	return req.Attempt, err
 }
 
-// running returns how many attempts run.
+// running returns the number of running attempts.
 func (si *site) running() int {
 	si.mu.Lock()
 	defer si.mu.Unlock()
-	return len(si.lines)
+	return len(si.progressRequests)
 }
 
-// report tells the entry of the endpoints.
+// report reports the endpoints to the entry.
 func (si *site) report(b *testing.B, endpoints int) {
 	po := &peer.Pool{DialFunc: si.network.dial}
 	defer po.Close()
@@ -195,7 +195,7 @@
 	}
 }
 
-// submit has so many trainers ask for a step, and waits until all of it runs.
+// submit submits a step for each of the trainers, and waits until all samples run.
 func (si *site) submit(b *testing.B, owned, samples int) {
 	req := message.StepRequest{Profile: "samples"}
 	for range samples / groupSize {
@@ -203,7 +203,7 @@
 	}
 	body, err := json.Marshal(req)
 	assert.NilError(b, err)
-	si.tick() // takes the trainers from the profiles
+	si.tick() // adds the trainers of the profiles
 	answers := make(chan int, owned)
 	for i := range owned {
 		url := fmt.Sprintf("http://%s/v1/trainers/%s/steps/0", entryName(0), trainerName(i))
@@ -231,7 +231,7 @@
 	}
 }
 
-// settle ticks until the rollout of the entry has asked each endpoint.
+// settle ticks until the rollout of the entry has probed each endpoint.
 func (si *site) settle() {
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(entry.DefaultTickEvery) {
 		si.tick()
@@ -241,7 +241,7 @@
 // memory returns the bytes of live objects and of stacks.
 func memory() int64 {
 	runtime.GC()
-	runtime.GC() // what finalizers let go of
+	runtime.GC() // frees what finalizers released
 	var ms runtime.MemStats
 	runtime.ReadMemStats(&ms)
 	return int64(ms.HeapAlloc + ms.StackInuse)
@@ -250,7 +250,7 @@
 // processorTime returns the processor time that the process has used.
 func processorTime() time.Duration {
 	var us syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &us) // it fails for bad arguments only
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &us) // it fails only for invalid arguments
 	return time.Duration(us.Utime.Nano() + us.Stime.Nano())
 }
 
@@ -271,7 +271,7 @@
 	}
 }
 
-// BenchmarkEntryRoster measures the memory that endpoints take in an entry.
+// BenchmarkEntryRoster measures the memory that an entry uses for endpoints.
 func BenchmarkEntryRoster(b *testing.B) {
 	for _, endpoints := range []int{30, 300, 1100} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -286,10 +286,10 @@
 	}
 }
 
-// BenchmarkEntryStep measures what the running attempts of a step take in the
+// BenchmarkEntryStep measures the cost of the running attempts of a step at the
 // entry that owns it: memory, and for each line of progress bytes and processor
-// time. What the stand-in of the attendants takes is measured with bare
-// connections to it, and taken off.
+// time. The cost of the stand-in for the attendants is measured with plain
+// connections to it, and subtracted.
 func BenchmarkEntryStep(b *testing.B) {
 	for _, samples := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("samples=%d", samples), func(b *testing.B) {
@@ -316,7 +316,7 @@
 	}
 }
 
-// connect makes bare requests to the stand-in.
+// connect sends requests to the stand-in over plain connections.
 func (si *site) connect(b *testing.B, count int) {
 	body := `{"attempt":"0190163d-8694-739b-aea5-966c26f8ad90-1"}`
 	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -340,19 +340,20 @@
 	}
 }
 
-// progress asks each attempt for some lines and returns what a line costs.
+// progress requests some lines from each attempt, and returns the processor time
+// and the received bytes for each line.
 func (si *site) progress(b *testing.B) (cpu time.Duration, received float64) {
 	const rounds = 20
 	time.Sleep(100 * time.Millisecond)
 	bytes, start := si.received.Load(), processorTime()
 	for range rounds {
-		for _, line := range si.lines {
+		for _, line := range si.progressRequests {
 			line <- struct{}{}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond)
-	count := rounds * len(si.lines)
+	count := rounds * len(si.progressRequests)
 	assert.Assert(b, count > 0)
 	return (processorTime() - start) / time.Duration(count), float64(si.received.Load()-bytes) / float64(count)
 }
--- a/capacity/fleet_test.go
+++ b/capacity/fleet_test.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	answerTime = 5 * time.Millisecond // of the key-value service
+	answerTime = 5 * time.Millisecond // of a call of the key-value service
 	fetchLimit = 20
 	pullWait   = 30 * time.Second
 	trainers   = 16
 )
 
-// A fleet is entries, the key-value service that they share, and trainers that
-// pull through a balancer. Attendants are left out: they have no client of the
+// A fleet is entries, their shared key-value service, and trainers that pull
+// through a load balancer. It has no attendants, since they don't use the
 // key-value service.
 type fleet struct {
 	cancel   context.CancelFunc
@@ -43,8 +43,8 @@
 	work     sync.WaitGroup
 }
 
-// declare returns the profiles of so many services with engines, and of the
-// trainers, whose samples the first service makes.
+// declare returns the profiles of a number of services with engines, and of the
+// trainers, whose samples the first service generates.
 func declare(t testing.TB, services int) []profile.Profile {
 	var all []profile.Profile
 	add := func(name, text string) {
@@ -108,13 +108,13 @@
 	return ins, nil
 }
 
-// abort ends an entry as a kill would.
+// abort terminates an entry abruptly, as a kill does.
 func (fl *fleet) abort(i int) {
 	fl.entries[i].Abort()
 	fl.entries[i] = nil
 }
 
-// pull lets each trainer pull again and again, from one entry after the other.
+// pull lets each trainer pull repeatedly, from one entry after the other.
 func (fl *fleet) pull(ctx context.Context) {
 	ctx, fl.cancel = context.WithCancel(ctx)
 	for i := range trainers {
@@ -123,7 +123,7 @@
 				if en := turn % len(fl.entries); fl.entries[en] != nil {
 					fl.pullOnce(ctx, en, trainerName(i))
 				}
-				sleep(ctx, time.Second) // as a refusal says
+				sleep(ctx, time.Second) // the retry delay of a refusal
 			}
 		})
 	}
@@ -144,7 +144,7 @@
 	_, _ = io.Copy(io.Discard, an.Body)
 }
 
-// stop ends all of the fleet.
+// stop stops the trainers and all entries.
 func (fl *fleet) stop() {
 	fl.cancel()
 	for i := range fl.entries {
--- a/capacity/keyvalue_test.go
+++ b/capacity/keyvalue_test.go
@@ -15,10 +15,10 @@
 	"wisteriacroft/keyvalue"
 )
 
-// readBudget is how many reads the service takes each second.
+// readBudget is the maximum number of reads a second at the key-value service.
 const readBudget = 2000
 
-// pipeDialer makes a network the dialer of an http.Transport.
+// pipeDialer returns a dial function for an http.Transport.
 func pipeDialer(ne *network) func(ctx context.Context, _, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		host, _, _ := strings.Cut(address, ":")
@@ -26,11 +26,11 @@
 	}
 }
 
-// A usage is the calls of some time, by second.
+// A usage holds the number of calls in each second.
 type usage []keyvalue.Calls
 
-// watch lets some seconds pass and counts the calls in each.
-func (fl *fleet) watch(seconds int) usage {
+// countCalls waits for some seconds and counts the calls in each.
+func (fl *fleet) countCalls(seconds int) usage {
 	var us usage
 	for range seconds {
 		before := fl.me.Calls()
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%8.1f %8.1f %8.1f %8.1f", per(all.Reads), per(all.Writes), per(all.Leases), per(all.Watches))
 }
 
-// peak returns the most calls in a second, by kind.
+// peak returns the maximum number of calls in a second, by kind.
 func (us usage) peak() keyvalue.Calls {
 	var most keyvalue.Calls
 	for _, ca := range us {
@@ -69,15 +69,13 @@
 	return most
 }
 
-// TestKeyValueCalls counts the calls that the key-value service takes each
-// second: of all entries that start at once, in a steady state, when a third of
-// the entries dies at once and returns at once, and around an outage. What is
-// steady is in the golden table. Peaks depend a little on which of two entries
-// comes first, so they are bounded, and shown with -v.
+// TestKeyValueCalls counts the calls of the key-value service each second: while
+// all entries start, in a steady state, while a third of the entries is down and
+// restarts, and around an outage. The golden table has the steady state. Peaks
+// depend on the order of entries, so they are only bounded, and shown with -v.
 func TestKeyValueCalls(t *testing.T) {
-	// Symptom: the service is overrun the moment it comes back.
-	// Sequence: all leases end in an outage; it ends; 16 entries want each name.
-	// Cause: they step in the same moment, and all find the name free.
+	// Guards against overload of the key-value service after an outage: all leases
+	// have expired, and all entries compete for each of them at once.
 	var table strings.Builder
 	fmt.Fprintf(&table, "%7s %8s %8s %8s %8s %8s\n", "entries", "services", "reads", "writes", "leases", "watches")
 	for _, ca := range []struct{ entries, services int }{{4, 2}, {8, 2}, {16, 2}, {16, 6}, {16, 12}} {
@@ -92,23 +90,23 @@
 				fl.start(i, 1)
 			}
 			fl.pull(context.WithoutCancel(t.Context()))
-			check("all start", fl.watch(20), 700)
-			fl.watch(30)
-			steady := fl.watch(60)
+			check("all start", fl.countCalls(20), 700)
+			fl.countCalls(30)
+			steady := fl.countCalls(60)
 			check("steady", steady, 30)
 			fmt.Fprintf(&table, "%7d %8d %s\n", ca.entries, ca.services, steady.mean())
 			for i := range ca.entries / 3 {
 				fl.abort(i)
 			}
-			check("a third dies", fl.watch(30), 60)
+			check("a third down", fl.countCalls(30), 60)
 			for i := range ca.entries / 3 {
 				fl.start(i, 2)
 			}
-			check("a third returns", fl.watch(20), 60)
+			check("a third restarts", fl.countCalls(20), 60)
 			fl.me.SetFaults(keyvalue.Faults{Delay: answerTime, Outage: true})
-			check("outage", fl.watch(30), 60)
+			check("outage", fl.countCalls(30), 60)
 			fl.me.SetFaults(keyvalue.Faults{Delay: answerTime})
-			check("outage ends", fl.watch(20), 200)
+			check("outage ends", fl.countCalls(20), 200)
 			fl.stop()
 		})
 	}
--- a/capacity/ledger_test.go
+++ b/capacity/ledger_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	groupSize = 8
-	lapTime   = 2 * time.Second
-	stepTime  = 24 * time.Minute
+	groupSize    = 8
+	tickInterval = 2 * time.Second
+	stepTime     = 24 * time.Minute
 )
 
 var places = []message.BlobLocation{
@@ -33,9 +33,9 @@
 	{Address: "10.0.27.104:7400", FailureDomain: "derby-hall", Instance: "marker-19"},
 }
 
-// A maker is an owner whose samples are made evenly over the time of a step,
-// and the trainer that takes them.
-type maker struct {
+// A sampleOwner is an owner whose samples are generated evenly over the time of a
+// step, and the trainer that pulls them.
+type sampleOwner struct {
 	attempts []batch.Attempt
 	bytes    int // written to the key-value service
 	cursor   message.Cursor
@@ -49,107 +49,107 @@
 	taken    int // steps
 }
 
-func newMaker(samples, segments int, whole bool) *maker {
-	ma := &maker{cursor: message.Cursor{Incarnation: 1, Step: -1}, samples: samples, segments: segments}
-	ma.random = rand.New(rand.NewPCG(1, 2))
-	cl := ma.me.Client()
+func newSampleOwner(samples, segments int, whole bool) *sampleOwner {
+	so := &sampleOwner{cursor: message.Cursor{Incarnation: 1, Step: -1}, samples: samples, segments: segments}
+	so.random = rand.New(rand.NewPCG(1, 2))
+	cl := so.me.Client()
 	put := cl.PutFunc
 	cl.PutFunc = func(ctx context.Context, key string, value []byte, expected int64, id keyvalue.LeaseID) (int64, error) {
-		ma.bytes += len(value)
-		ma.largest = max(ma.largest, len(value))
+		so.bytes += len(value)
+		so.largest = max(so.largest, len(value))
 		return put(ctx, key, value, expected, id)
 	}
-	ma.owner = &batch.Owner{
+	so.owner = &batch.Owner{
 		CancelFunc:    func(string) {},
 		Client:        cl,
 		FetchFunc:     func(context.Context, []message.BlobLocation, string) ([]byte, error) { return nil, nil },
 		LeaseFunc:     func(string, time.Time) (uint64, lease.State) { return 1, lease.Held },
 		ReplicateFunc: func(context.Context, []byte) ([]message.BlobLocation, error) { return places, nil },
 		StartFunc: func(at batch.Attempt) bool {
-			ma.attempts = append(ma.attempts, at)
+			so.attempts = append(so.attempts, at)
 			return true
 		},
 	}
-	ma.owner.Add("a", batch.Policy{StalenessBound: 4, StragglerAfter: time.Hour, WholeSteps: whole})
-	return ma
+	so.owner.Add("a", batch.Policy{StalenessBound: 4, StragglerAfter: time.Hour, WholeSteps: whole})
+	return so
 }
 
-// submit keeps two steps open.
-func (ma *maker) submit(ctx context.Context) {
-	if ma.next > ma.taken+1 {
+// submit submits the next step, unless two are open.
+func (so *sampleOwner) submit(ctx context.Context) {
+	if so.next > so.taken+1 {
 		return
 	}
-	step, req := ma.next, message.StepRequest{Profile: "samples"}
-	ma.next++
-	for range ma.samples / groupSize {
+	step, req := so.next, message.StepRequest{Profile: "samples"}
+	so.next++
+	for range so.samples / groupSize {
 		req.Groups = append(req.Groups, message.Group{MaxTokens: 20_000, Members: groupSize, Prompt: "a"})
 	}
 	go func() {
-		if _, err := ma.owner.Submit(ctx, "a", step, req); err != nil {
-			panic(err) // it waits for nothing but the ledger
+		if _, err := so.owner.Submit(ctx, "a", step, req); err != nil {
+			panic(err) // it depends only on the ledger
 		}
 	}()
 }
 
-// generate makes the samples that are due in one lap, first started first.
-func (ma *maker) generate(lap int) {
-	laps := int(stepTime / lapTime)
-	due := ma.samples*(lap+1)/laps - ma.samples*lap/laps
-	for ; due > 0 && len(ma.attempts) > 0; due-- {
-		at := ma.attempts[0]
-		ma.attempts = ma.attempts[1:]
-		ma.owner.Started(at.ID, "marker-llm-1", places[0].Address)
-		ma.owner.Finished(at.ID, ma.result())
+// generate finishes the samples that are due in one tick, first started first.
+func (so *sampleOwner) generate(tick int) {
+	ticks := int(stepTime / tickInterval)
+	due := so.samples*(tick+1)/ticks - so.samples*tick/ticks
+	for ; due > 0 && len(so.attempts) > 0; due-- {
+		at := so.attempts[0]
+		so.attempts = so.attempts[1:]
+		so.owner.Started(at.ID, "marker-llm-1", places[0].Address)
+		so.owner.Finished(at.ID, so.result())
 	}
 }
 
-func (ma *maker) result() message.SampleResult {
-	sr := message.SampleResult{Digest: ma.digest(), Endpoint: "marker-llm-1", Places: places, Size: 160_000 + ma.random.IntN(9_999)}
-	for i := range ma.segments {
+func (so *sampleOwner) result() message.SampleResult {
+	sr := message.SampleResult{Digest: so.digest(), Endpoint: "marker-llm-1", Places: places, Size: 160_000 + so.random.IntN(9_999)}
+	for i := range so.segments {
 		sr.Segments = append(sr.Segments, engine.Segment{Tokens: 4_000, Version: engine.Version(70_000 + i)})
 		sr.Tokens += 4_000
 	}
 	return sr
 }
 
-func (ma *maker) digest() string {
+func (so *sampleOwner) digest() string {
 	data := make([]byte, 32)
 	for i := range data {
-		data[i] = byte(ma.random.Uint32())
+		data[i] = byte(so.random.Uint32())
 	}
 	return hex.EncodeToString(data)
 }
 
-// pull takes the next batch, if there is one.
-func (ma *maker) pull(ctx context.Context) {
-	an, err := ma.owner.Pull(ctx, "a", message.PullRequest{Cursor: ma.cursor})
+// pull pulls the next batch, if there is one.
+func (so *sampleOwner) pull(ctx context.Context) {
+	an, err := so.owner.Pull(ctx, "a", message.PullRequest{Cursor: so.cursor})
 	if err != nil || an.Batch == "" {
 		return
 	}
-	ma.cursor = message.Cursor{Batch: an.Batch, Digest: an.Digest, Incarnation: 1, Step: an.Step}
+	so.cursor = message.Cursor{Batch: an.Batch, Digest: an.Digest, Incarnation: 1, Step: an.Step}
 	if an.Whole {
-		ma.taken++
+		so.taken++
 	}
 }
 
-// run makes and takes steps until so many are taken.
-func (ma *maker) run(t *testing.T, steps int) {
-	for lap := 0; ma.taken < steps; lap++ {
-		assert.Assert(t, lap < 20*int(stepTime/lapTime), "no progress")
-		time.Sleep(lapTime)
-		ma.submit(t.Context())
+// run generates and pulls steps until a number of them are taken.
+func (so *sampleOwner) run(t *testing.T, steps int) {
+	for tick := 0; so.taken < steps; tick++ {
+		assert.Assert(t, tick < 20*int(stepTime/tickInterval), "no progress")
+		time.Sleep(tickInterval)
+		so.submit(t.Context())
 		synctest.Wait()
-		for _, sy := range ma.owner.Systems() {
+		for _, sy := range so.owner.Systems() {
 			sy.Run(time.Now())
 			synctest.Wait()
 		}
-		ma.generate(lap)
-		ma.pull(t.Context())
+		so.generate(tick)
+		so.pull(t.Context())
 	}
 }
 
-// TestLedgerTraffic counts what one trainer's steps write to the key-value
-// service, once steps are kept and open beside the one at hand.
+// TestLedgerTraffic counts the writes of one trainer's steps to the key-value
+// service, when the ledger also holds the previous and further open steps.
 func TestLedgerTraffic(t *testing.T) {
 	var table strings.Builder
 	fmt.Fprintf(&table, "%7s %8s %6s %12s %10s %10s %13s %6s\n",
@@ -159,41 +159,41 @@
 		whole             bool
 	}{{64, 2, true}, {256, 2, true}, {1024, 2, true}, {1024, 5, true}, {64, 2, false}, {256, 2, false}, {1024, 2, false}, {1024, 5, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			ma := newMaker(ca.samples, ca.segments, ca.whole)
+			so := newSampleOwner(ca.samples, ca.segments, ca.whole)
 			const warm, measured = 2, 2
-			ma.run(t, warm)
-			before, bytes := ma.me.Calls(), ma.bytes
-			ma.run(t, warm+measured)
-			after := ma.me.Calls()
-			written := ma.bytes - bytes
+			so.run(t, warm)
+			before, bytes := so.me.Calls(), so.bytes
+			so.run(t, warm+measured)
+			after := so.me.Calls()
+			written := so.bytes - bytes
 			fmt.Fprintf(&table, "%7d %8d %6v %12.1f %10.1f %10.0f %13d %6.0f\n",
 				ca.samples, ca.segments, ca.whole,
 				float64(after.Writes-before.Writes)/measured, float64(after.Reads-before.Reads)/measured,
-				float64(written)/measured/1024, ma.largest, float64(written)/measured/stepTime.Seconds())
+				float64(written)/measured/1024, so.largest, float64(written)/measured/stepTime.Seconds())
 		})
 	}
 	golden.Assert(t, table.String(), "ledger-traffic.golden")
 }
 
-// record returns a ledger with so many batches, each of a whole step.
+// record returns a ledger record with a number of batches, each of a whole step.
 func record(batches, samples, segments int) ledger.Record {
-	ma := newMaker(samples, segments, true)
+	so := newSampleOwner(samples, segments, true)
 	rec := ledger.Record{Epoch: 1, Seals: batches}
 	for i := range batches {
-		ba := ledger.Batch{Digest: ma.digest(), Seal: 70_000 + i, Step: 70_000 + i, Whole: true}
+		ba := ledger.Batch{Digest: so.digest(), Seal: 70_000 + i, Step: 70_000 + i, Whole: true}
 		for j := range samples {
-			sr := ma.result()
+			sr := so.result()
 			ba.Entries = append(ba.Entries, message.SampleEntry{
 				Digest: sr.Digest, Group: j / groupSize, Member: j % groupSize, Places: places, Segments: sr.Segments, Size: sr.Size,
 			})
 		}
 		rec.Batches = append(rec.Batches, ba)
-		rec.Steps = append(rec.Steps, ledger.Step{Digest: ma.digest(), Number: 70_000 + i, Places: places, Profile: "samples", Samples: samples})
+		rec.Steps = append(rec.Steps, ledger.Step{Digest: so.digest(), Number: 70_000 + i, Places: places, Profile: "samples", Samples: samples})
 	}
 	return rec
 }
 
-// write returns the size of a record in the key-value service, or its refusal.
+// write stores a record in a key-value service and returns its size there.
 func write(t *testing.T, rec ledger.Record) (int, error) {
 	var me keyvalue.Memory
 	bo := &ledger.Writer{Client: me.Client(), Trainer: "a"}
@@ -207,9 +207,9 @@
 	return len(its[0].Value), nil
 }
 
-// TestLedgerSize measures a ledger that holds as many manifests as it may: one
-// kept, one sealed and two open steps that are sealed too. It looks for the
-// largest step that the service's bound on values allows.
+// TestLedgerSize measures a ledger with the maximum number of manifests: one
+// retained, one sealed and two open steps that are sealed too. It searches for the
+// largest step that fits into the service's limit on values.
 func TestLedgerSize(t *testing.T) {
 	const manifests = 4
 	var table strings.Builder
--- a/capacity/list_test.go
+++ b/capacity/list_test.go
@@ -10,8 +10,8 @@
 	"wisteriacroft/instancelist"
 )
 
-// BenchmarkList measures the platform's list of instances, which each process
-// reads again and again.
+// BenchmarkList measures the size and the decoding time of the platform's list of
+// instances, which each process reads periodically.
 func BenchmarkList(b *testing.B) {
 	for _, nodes := range []int{10, 100, 380} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
--- a/capacity/message_test.go
+++ b/capacity/message_test.go
@@ -14,7 +14,7 @@
 )
 
 // BenchmarkOrder measures the bytes between the owner of a rollout and an
-// attendant, for one engine: a probe, an order, and the word that it is settled.
+// attendant, for one engine: a probe, an order, and the report of its completion.
 func BenchmarkOrder(b *testing.B) {
 	var ne network
 	answer := rollout.Status{Endpoint: "marker-llm-07-042", Epoch: 70_000, Incarnation: 1_700_000_000, Ordered: 70_000, Sequence: 70_000, Token: 1 << 62, Version: 70_000}
--- a/capacity/network_test.go
+++ b/capacity/network_test.go
@@ -1,5 +1,5 @@
-// Package capacity measures what the system costs at the size of the target,
-// by slopes over smaller ones, for docs/CAPACITY.md. Its golden tables are
+// Package capacity measures the resource usage of the system at several sizes, to
+// extrapolate it to the target size in docs/CAPACITY.md. Its golden tables are
 // counts; times and memory are benchmarks: run them with go test -bench.
 package capacity
 
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errNowhere means that nothing listens at an address.
-var errNowhere = errors.New("nothing listens there")
+// errNoListener means that an address has no listener.
+var errNoListener = errors.New("no listener at address")
 
-// A network connects processes by pipes. The zero network is ready to use.
+// A network connects processes by pipes. The zero value is ready to use.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -38,20 +38,20 @@
 	li := ne.listeners[address]
 	ne.mu.Unlock()
 	if li == nil {
-		return nil, errors.Wrap(errNowhere, address)
+		return nil, errors.Wrap(errNoListener, address)
 	}
 	near, far := net.Pipe()
 	select {
 	case li.conns <- far:
 		return near, nil
 	case <-li.closed:
-		return nil, errors.Wrap(errNowhere, address)
+		return nil, errors.Wrap(errNoListener, address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// A listener is one process's end of a network.
+// A listener accepts the connections to an address of a network.
 type listener struct {
 	address string
 	closed  chan struct{}
--- a/capacity/payload_test.go
+++ b/capacity/payload_test.go
@@ -12,14 +12,14 @@
 	"wisteriacroft/message"
 )
 
-// BenchmarkPayload measures a sample's payload: its size, what encoding it
-// costs an attendant, and what keeping and giving it costs a data folder.
+// BenchmarkPayload measures the size of a sample's payload, and the time to encode
+// it, to store it and to read it.
 func BenchmarkPayload(b *testing.B) {
 	for _, tokens := range []int{1_000, 5_000, 20_000} {
-		ma := newMaker(1, 1, true)
+		so := newSampleOwner(1, 1, true)
 		pl := message.Payload{Prompt: "mark", Segments: []engine.Segment{{Tokens: tokens, Version: 7}}, Step: 7, Trainer: "a"}
 		for range tokens {
-			pl.Tokens = append(pl.Tokens, engine.Token{ID: int32(ma.random.IntN(128_000)), LogProb: -ma.random.Float32()})
+			pl.Tokens = append(pl.Tokens, engine.Token{ID: int32(so.random.IntN(128_000)), LogProb: -so.random.Float32()})
 		}
 		data, err := json.Marshal(pl)
 		assert.NilError(b, err)
