--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// slices is how often direct calls and calls through the system take turns.
-	// What else the machine does then weighs on both alike.
-	slices  = 10
-	longest = 60 * 1000 * 1000 // microseconds
-	digits  = 3
+	// rounds is how often direct calls and calls through the system alternate, so that
+	// other load on the machine affects both equally.
+	rounds             = 10
+	maxMicroseconds    = 60 * 1000 * 1000
+	significantFigures = 3
 )
 
-// A statusError is an answer that is no 200.
+// A statusError is a response with a status other than 200.
 type statusError struct {
 	status int
 	text   string
@@ -37,16 +37,16 @@
 // Error implements error.
 func (er *statusError) Error() string { return fmt.Sprintf("status %d: %s", er.status, er.text) }
 
-// A tally holds what one caller measured, in microseconds.
+// A tally holds the times that one caller measured, in microseconds.
 type tally struct {
 	call, first, line *hdrhistogram.Histogram
 }
 
 func newTally() *tally {
 	return &tally{
-		call:  hdrhistogram.New(1, longest, digits),
-		first: hdrhistogram.New(1, longest, digits),
-		line:  hdrhistogram.New(1, longest, digits),
+		call:  hdrhistogram.New(1, maxMicroseconds, significantFigures),
+		first: hdrhistogram.New(1, maxMicroseconds, significantFigures),
+		line:  hdrhistogram.New(1, maxMicroseconds, significantFigures),
 	}
 }
 
@@ -56,18 +56,18 @@
 	ta.line.Merge(other.line)
 }
 
-// note records a time. A nil histogram records nothing.
-func note(hi *hdrhistogram.Histogram, took time.Duration) {
-	_ = hi.RecordValue(max(1, took.Microseconds())) // beyond a minute it is lost
+// recordTime records a duration in microseconds.
+func recordTime(hi *hdrhistogram.Histogram, took time.Duration) {
+	_ = hi.RecordValue(max(1, took.Microseconds())) // values over a minute are dropped
 }
 
-// A kind is a kind of call, which can be made both ways.
+// A kind is a kind of call, which can be made directly or through the system.
 type kind struct {
 	name            string
 	direct, through func(wo *world, ta *tally) error
 }
 
-// kinds are the calls that are measured.
+// kinds are the kinds of calls to measure.
 var kinds = []kind{
 	{
 		name: "lookup",
@@ -122,7 +122,8 @@
 	return err
 }
 
-// stream reads a stream and notes how old each line was when it came.
+// stream reads a stream and records the time from the writing to the reading of
+// each line.
 func (wo *world) stream(url string, ta *tally) error {
 	id := uuid.NewString()
 	body := fmt.Sprintf(`{"id":%q,"max-tokens":%d,"prompt":"draft","seed":1}`, id, lines)
@@ -141,10 +142,10 @@
 			}
 			if ta != nil && len(ch.Tokens) > 0 {
 				if next == 0 {
-					note(ta.first, time.Since(start))
+					recordTime(ta.first, time.Since(start))
 				}
 				made := wo.since.Add(time.Duration(ch.Tokens[0].ID) * time.Microsecond)
-				note(ta.line, time.Since(made))
+				recordTime(ta.line, time.Since(made))
 			}
 			next += len(ch.Tokens)
 			if ch.Done {
@@ -154,16 +155,16 @@
 	})
 }
 
-// A side is what was measured of one of the two ways.
-type side struct {
+// A measurement holds the measurements of either the direct or the system's path.
+type measurement struct {
 	*tally
 	allocs uint64
 	calls  int
 	cpu    time.Duration // of the whole process
 }
 
-// run makes calls with so many callers and adds what it measures.
-func (si *side) run(b *testing.B, wo *world, callers, calls int, try func(*world, *tally) error) {
+// run makes calls with a number of callers and adds the measurements.
+func (si *measurement) run(b *testing.B, wo *world, callers, calls int, try func(*world, *tally) error) {
 	var group sync.WaitGroup
 	tallies := []*tally{}
 	var before, after runtime.MemStats
@@ -183,7 +184,7 @@
 					b.Error(err)
 					return
 				}
-				note(ta.call, time.Since(begin))
+				recordTime(ta.call, time.Since(begin))
 			}
 		})
 	}
@@ -200,15 +201,15 @@
 // processorTime returns the processor time that the process has used.
 func processorTime() time.Duration {
 	var us syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &us) // it fails for bad arguments only
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &us) // it fails only for invalid arguments
 	return time.Duration(us.Utime.Nano() + us.Stime.Nano())
 }
 
-// BenchmarkPath measures what entry and attendant add to a direct call of the
-// same endpoint in the same run. An operation is one call each way.
+// BenchmarkPath measures the overhead of entry and attendant over a direct call of
+// the same endpoint in the same run. An operation is one call each way.
 //
-// All processes are in this one, so that the processor time of the system is
-// that of calls through it, less that of direct ones.
+// Everything runs in this process, so the processor time of the system is that of
+// calls through it minus that of direct calls.
 func BenchmarkPath(b *testing.B) {
 	for _, ki := range kinds {
 		for _, callers := range []int{1, 16, 64} {
@@ -221,18 +222,18 @@
 
 func measure(b *testing.B, ki kind, callers int) {
 	wo := newWorld(b)
-	direct, through := &side{tally: newTally()}, &side{tally: newTally()}
+	direct, through := &measurement{tally: newTally()}, &measurement{tally: newTally()}
 	for range 2 * callers { // opens the connections
 		assert.NilError(b, ki.direct(wo, nil))
 	}
-	warm := &side{tally: newTally()}
+	warm := &measurement{tally: newTally()}
 	warm.run(b, wo, callers, 2*callers, ki.direct)
 	warm.run(b, wo, callers, 2*callers, ki.through)
 	conns := wo.conns.Load()
 	b.ResetTimer()
-	for i := range slices {
-		calls := b.N * (i + 1) / slices
-		calls -= b.N * i / slices
+	for i := range rounds {
+		calls := b.N * (i + 1) / rounds
+		calls -= b.N * i / rounds
 		if calls == 0 {
 			continue
 		}
@@ -244,8 +245,8 @@
 	b.ReportMetric(float64(wo.conns.Load()-conns)/float64(b.N), "conns/call")
 }
 
-// report reports what the system adds: times in microseconds.
-func report(b *testing.B, ki kind, direct, through *side) {
+// report reports the overhead of the system, with times in microseconds.
+func report(b *testing.B, ki kind, direct, through *measurement) {
 	quantiles := func(name string, from, to *hdrhistogram.Histogram) {
 		for _, q := range []float64{50, 99} {
 			base, all := from.ValueAtQuantile(q), to.ValueAtQuantile(q)
--- a/bench/world_test.go
+++ b/bench/world_test.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	maxRunning   = 128 // places at each endpoint: more than there are callers
+	maxRunning   = 128 // slots at each endpoint: more than the number of callers
 	readyTimeout = 20 * time.Second
 	lineEvery    = 5 * time.Millisecond
 	lines        = 20 // token lines of a stream
@@ -43,10 +43,10 @@
 	"draft":       "kind = 'calls'\nservice = 'draft-llm'\nrepeatable = true\nmax-running = 128\nmax-waiting = 128\n",
 }
 
-// A world is an entry, an attendant and what is around them, over loopback.
+// A world is an entry, an attendant and the systems around them, over loopback.
 type world struct {
 	client *http.Client
-	conns  atomic.Int64 // that the attendant accepted
+	conns  atomic.Int64 // accepted by the attendant
 	engine string       // address of the engine
 	entry  string       // address
 	plain  string       // base URL of the plain services
@@ -79,7 +79,7 @@
 	return wo
 }
 
-// listen listens on a free port of the loopback.
+// listen listens on a free loopback port.
 func listen(b *testing.B) net.Listener {
 	ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -98,7 +98,7 @@
 	return li.Listener.Accept()
 }
 
-// apply puts the declarations in force.
+// apply stores the profiles.
 func (wo *world) apply(b *testing.B, platform string) {
 	var profiles []profile.Profile
 	for name, text := range declarations {
@@ -161,7 +161,7 @@
 	assert.Equal(b, an.StatusCode, http.StatusOK)
 }
 
-// awaitReady waits until each service answers, also with a new key.
+// awaitReady waits until a call of each kind succeeds.
 func (wo *world) awaitReady(b *testing.B) {
 	end := time.Now().Add(readyTimeout)
 	for _, ca := range kinds {
@@ -176,9 +176,9 @@
 	}
 }
 
-// serveEngine serves an engine whose tokens tell when they were written: their
-// ids are microseconds since the world began. The stand-in's engine makes
-// tokens in steps, which would hide what a hop adds.
+// serveEngine serves an engine whose token ids are their write times, in
+// microseconds since wo.since. The stand-in's engine generates tokens in steps,
+// which would hide the latency of a hop.
 func (wo *world) serveEngine(b *testing.B) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", func(rw http.ResponseWriter, rq *http.Request) {
@@ -213,7 +213,7 @@
 	return "http://" + ln.Addr().String()
 }
 
-// call makes a call and reads its answer to the end.
+// call makes a call and reads its response to the end.
 func (wo *world) call(rq *http.Request, read func(io.Reader) error) error {
 	an, err := wo.client.Do(rq)
 	if err != nil {
@@ -227,7 +227,7 @@
 	return read(an.Body)
 }
 
-// newKey returns a key that is minted now.
+// newKey returns a new idempotency key.
 func newKey() string {
 	ke, err := idempotency.NewKey(time.Now())
 	if err != nil {
