--- a/soak/caller.go
+++ b/soak/caller.go
@@ -45,9 +45,9 @@
 	ou.seen[id] = out
 }
 
-// call makes requests one by one until ctx ends, and switches to another entry
+// runCaller makes requests one by one until ctx ends, and switches to another entry
 // after an error or a status of 503.
-func (rn *run) call(ctx context.Context, caller int) {
+func (rn *run) runCaller(ctx context.Context, caller int) {
 	entry := caller
 	cl := newClient()
 	for number := 0; ctx.Err() == nil; number++ {
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -50,7 +50,7 @@
 func TestHighestQuota(t *testing.T) {
 	at := func(second int) time.Time { return time.Unix(int64(second), 0) }
 	rn := &run{opts: Options{Quiet: true}, quotas: []quotaChange{
-		{quota: 8}, {from: at(10), quota: 20, sure: at(13)}, {from: at(30), quota: 3, sure: at(33)},
+		{quota: 8}, {writtenAt: at(10), quota: 20, inForceAt: at(13)}, {writtenAt: at(30), quota: 3, inForceAt: at(33)},
 	}}
 	for _, tc := range []struct {
 		from, to int
@@ -79,7 +79,7 @@
 		{"refused and ran", response{retryAfter: "0.1", status: http.StatusTooManyRequests}, Options{}, []string{id}, "was refused and ran"},
 		{"without retry delay", response{status: http.StatusTooManyRequests}, Options{Quiet: true}, nil, "not told when to come back"},
 		{"ran twice", response{status: http.StatusOK}, Options{}, []string{id, id}, "ran 2 times"},
-		{"wrong answer", response{status: http.StatusOK, wrong: true}, Options{}, []string{id}, "answer of another"},
+		{"wrong answer", response{status: http.StatusOK, mismatched: true}, Options{}, []string{id}, "answer of another"},
 		{"denied", response{status: http.StatusUnauthorized}, Options{}, nil, "was denied"},
 		{"small customer is not served", response{retryAfter: "0.1", status: http.StatusServiceUnavailable}, calm, nil, "0 of 1 requests of bob"},
 	} {
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -23,12 +23,12 @@
 	crashPause = 400 * time.Millisecond
 	// downTime is the time from an endpoint's crash to its restart.
 	downTime = 700 * time.Millisecond
-	// enoughCrashes is how many endpoints a request may crash before it must be
-	// quarantined, learnTime how long the quarantine may take to reach all processes,
-	// and moreCrashes how many more endpoints the request may reach after that.
-	enoughCrashes = 3
-	learnTime     = 3 * time.Second
-	moreCrashes   = 3
+	// crashLimit is how many endpoints a request may crash before it must be
+	// quarantined, propagationTime how long the quarantine may take to reach all processes,
+	// and extraCrashes how many more endpoints the request may reach after that.
+	crashLimit      = 3
+	propagationTime = 3 * time.Second
+	extraCrashes    = 3
 )
 
 // crashFunc returns a function that crashes an endpoint, which restarts after downTime.
@@ -100,22 +100,22 @@
 
 // checkCrashTimes checks the times at which a crashing request or item reached endpoints.
 func (rn *run) checkCrashTimes(what string, runs []time.Time) {
-	if len(runs) < enoughCrashes {
+	if len(runs) < crashLimit {
 		return
 	}
 	slices.SortFunc(runs, time.Time.Compare)
-	known := runs[enoughCrashes-1].Add(learnTime)
+	known := runs[crashLimit-1].Add(propagationTime)
 	later := 0
 	for _, at := range runs {
 		if at.After(known) {
 			later++
 		}
 	}
-	allowed := moreCrashes
+	allowed := extraCrashes
 	if !rn.opts.Quiet {
 		allowed += len(rn.report.Faults)
 	}
 	if later > allowed {
-		rn.addViolation("%s under which %d endpoints had ended was sent to endpoints %d times more, %d in all", what, enoughCrashes, later, len(runs))
+		rn.addViolation("%s under which %d endpoints had ended was sent to endpoints %d times more, %d in all", what, crashLimit, later, len(runs))
 	}
 }
--- a/soak/crowd.go
+++ b/soak/crowd.go
@@ -31,9 +31,9 @@
 	crowdGroups = 3
 )
 
-// crowd runs a trainer that exceeds the capacity for a part of the run, and kills the
+// runCrowd runs a trainer that exceeds the capacity for a part of the run, and kills the
 // scheduler in that time.
-func (rn *run) crowd(ctx context.Context, length time.Duration) {
+func (rn *run) runCrowd(ctx context.Context, length time.Duration) {
 	if !rn.parts.has(crowdPart) {
 		return
 	}
@@ -123,7 +123,7 @@
 	good, all := 0, 0
 	for _, ta := range rn.tasks {
 		due := ta.submittedAt.Add(stepDue)
-		if !ta.scored || rn.nearLoss(ta.submittedAt, ta.doneBy(due)) {
+		if !ta.scored || rn.nearLoss(ta.submittedAt, ta.completedBy(due)) {
 			continue
 		}
 		if crowded := ta.submittedAt.After(rn.crowdTime[0]) && ta.submittedAt.Before(rn.crowdTime[1]); crowded != beside {
@@ -139,8 +139,8 @@
 	return float64(good) / float64(max(all, 1)), all > 0
 }
 
-// doneBy returns when the step was complete, or due if it was not complete by then.
-func (ta *task) doneBy(due time.Time) time.Time {
+// completedBy returns when the step was complete, or due if it was not complete by then.
+func (ta *task) completedBy(due time.Time) time.Time {
 	var last time.Time
 	for _, at := range ta.completedAt {
 		last = maxTime(last, at)
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -23,28 +23,28 @@
 )
 
 const (
-	// forceTime is how long a configuration may take to be in force at all entries that
+	// applyTime is how long a configuration may take to be in force at all entries that
 	// can reach the store.
-	forceTime = 3500 * time.Millisecond
-	// usageTime is the latest time after its end at which a window is reported.
-	usageTime = 6 * time.Second
+	applyTime = 3500 * time.Millisecond
+	// usageReportTime is the latest time after its end at which a window is reported.
+	usageReportTime = 6 * time.Second
 )
 
 // keys holds the customers' keys, which are rotated during a run.
 type keys struct {
-	held    map[string][]string // by customer; the last one is the newest
+	valid   map[string][]string // by customer; the last one is the newest
 	mu      sync.Mutex
 	number  int
 	quota   float64           // of the customer with one
-	shown   map[string]string // that callers send, by customer
+	sent    map[string]string // by customer
 	version int64
 }
 
 func newKeys() *keys {
-	ks := &keys{held: map[string][]string{}, quota: firstQuota, shown: map[string]string{}, version: 1}
+	ks := &keys{valid: map[string][]string{}, quota: firstQuota, sent: map[string]string{}, version: 1}
 	for _, customer := range []string{firstCustomer, secondCustomer, crowdCustomer, meteredCustomer} {
 		ks.add(customer)
-		ks.show(customer)
+		ks.sendNewest(customer)
 	}
 	return ks
 }
@@ -54,22 +54,22 @@
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
 	ks.number++
-	ks.held[customer] = append(ks.held[customer], fmt.Sprintf("key-%d-of-%s", ks.number, customer))
+	ks.valid[customer] = append(ks.valid[customer], fmt.Sprintf("key-%d-of-%s", ks.number, customer))
 	ks.version++
 }
 
-// show makes callers send a customer's newest key.
-func (ks *keys) show(customer string) {
+// sendNewest makes callers send a customer's newest key.
+func (ks *keys) sendNewest(customer string) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	ks.shown[customer] = ks.held[customer][len(ks.held[customer])-1]
+	ks.sent[customer] = ks.valid[customer][len(ks.valid[customer])-1]
 }
 
-// drop removes all keys of a customer but the newest.
-func (ks *keys) drop(customer string) {
+// removeOld removes all keys of a customer but the newest.
+func (ks *keys) removeOld(customer string) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	ks.held[customer] = ks.held[customer][len(ks.held[customer])-1:]
+	ks.valid[customer] = ks.valid[customer][len(ks.valid[customer])-1:]
 	ks.version++
 }
 
@@ -86,7 +86,7 @@
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
 	held = map[string][]string{}
-	for customer, all := range ks.held {
+	for customer, all := range ks.valid {
 		held[customer] = slices.Clone(all)
 	}
 	return held, map[string]float64{meteredCustomer: ks.quota}, ks.version
@@ -96,7 +96,7 @@
 func (ks *keys) of(customer string) string {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	return ks.shown[customer]
+	return ks.sent[customer]
 }
 
 // customerOf returns the customer of a request by its id, or "" if it has none.
@@ -142,18 +142,18 @@
 		rn.recordEvent("new key of " + customer)
 		rn.world.keys.add(customer)
 		_ = rn.world.configure(ctx) // ends with ctx
-		sleep(ctx, forceTime)
-		rn.world.keys.show(customer)
+		sleep(ctx, applyTime)
+		rn.world.keys.sendNewest(customer)
 		sleep(ctx, callTime)
 		rn.recordEvent("old key taken from " + customer)
-		rn.world.keys.drop(customer)
+		rn.world.keys.removeOld(customer)
 		_ = rn.world.configure(ctx) // ends with ctx
 	}
 }
 
 // faultUsageServer makes the usage server slow, lose responses and refuse reports.
 func (rn *run) faultUsageServer(ctx context.Context, length time.Duration) {
-	rng := newStream(rn.opts.Seed, authorityStream)
+	rng := newStream(rn.opts.Seed, usageStream)
 	au := rn.world.usageServer
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
 		how, name := &au.Slow, "slow"
@@ -205,7 +205,7 @@
 // checkUsage compares usage reports with the runs at endpoints, by window and in total.
 //
 // A request counts in the window in which it is sent, but endpoints record its arrival. On
-// a busy machine some requests sent before a window's end arrive later than nearBound:
+// a busy machine some requests sent before a window's end arrive later than boundaryMargin:
 // one report has too many and the next too few, within the tolerance. So the total over all
 // windows must agree as closely as a single window.
 func (rn *run) checkUsage() {
@@ -219,13 +219,13 @@
 	}
 }
 
-// checkUsageWindows compares each report whose window ended at least usageTime ago with the
+// checkUsageWindows compares each report whose window ended at least usageReportTime ago with the
 // runs. It returns the sums by customer, and the first and the last window compared.
 func (rn *run) checkUsageWindows(ran map[int64]map[string]uint64, ambiguous map[int64]uint64) (sums map[string]*usageSum, first, last int64) {
 	reports := rn.world.usageServer.Reports()
 	sums = map[string]*usageSum{}
 	for _, window := range slices.Sorted(maps.Keys(ran)) {
-		if time.Since(time.Unix(0, (window+1)*int64(standin.UsageWindow))) < usageTime {
+		if time.Since(time.Unix(0, (window+1)*int64(standin.UsageWindow))) < usageReportTime {
 			continue
 		}
 		if last == 0 {
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -17,12 +17,12 @@
 	undo func() // nil if there is nothing to undo
 }
 
-// injectAll injects random, overlapping faults for a duration.
-func (rn *run) injectAll(ctx context.Context, length time.Duration) {
+// injectFaults injects random, overlapping faults for a duration.
+func (rn *run) injectFaults(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
 	var undos []func()
 	for !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil {
-		fa := rn.draw()
+		fa := rn.randomFault()
 		rn.recordEvent(fa.name)
 		fa.do()
 		if fa.undo != nil {
@@ -44,7 +44,7 @@
 
 // faultPlainEndpoints sets random faults at random plain endpoints, one at a time.
 func (rn *run) faultPlainEndpoints(ctx context.Context, length time.Duration) {
-	rng := newStream(rn.opts.Seed, desksStream)
+	rng := newStream(rn.opts.Seed, plainStream)
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
 		de, tr := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)], standin.Fault(1+rng.IntN(int(standin.FaultCount)-1))
 		rn.recordEvent(fmt.Sprint(tr, " ", de.ID))
@@ -73,18 +73,18 @@
 			de.Restart()
 			continue
 		}
-		entry := foreignEntries[rng.IntN(len(foreignEntries))]
+		entry := malformedEntries[rng.IntN(len(malformedEntries))]
 		rn.recordEvent(fmt.Sprint("entry of another writer ", entry))
 		rn.world.operator().WriteMalformed(ctx, fmt.Sprint("foreign-", rng.IntN(3)), entry)
 	}
 }
 
-// foreignEntries are invalid or unknown endpoint entries.
-var foreignEntries = []any{
+// malformedEntries are invalid or unknown endpoint entries.
+var malformedEntries = []any{
 	nil, "text",
 	[]int{1},
-	map[string]any{"service": deskService, "state": "ready"},
-	map[string]any{"service": deskService, "address": 80, "zone": domain, "slots": slots, "state": "ready"},
+	map[string]any{"service": plainService, "state": "ready"},
+	map[string]any{"service": plainService, "address": 80, "zone": domain, "slots": slots, "state": "ready"},
 	map[string]any{"service": engineService, "address": "127.0.0.1:1", "zone": domain, "slots": slots, "state": "warming"},
 	map[string]any{"service": "none", "address": "127.0.0.1:1", "zone": domain, "slots": slots, "state": "ready"},
 }
@@ -95,8 +95,8 @@
 	rn.report.Faults = append(rn.report.Faults, fmt.Sprintf("%.1f %s", time.Since(rn.begun).Seconds(), name))
 }
 
-// draw returns a random fault.
-func (rn *run) draw() fault {
+// randomFault returns a random fault.
+func (rn *run) randomFault() fault {
 	pg := rn.world.programs[rn.rng.IntN(len(rn.world.programs))]
 	switch rn.rng.IntN(10) {
 	case 0:
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -11,9 +11,9 @@
 // storeRetry is the pause before a call of the key-value service is retried.
 const storeRetry = 100 * time.Millisecond
 
-// holdAndDrain repeatedly drains an engine or holds a customer for a while, and releases
+// runOperator repeatedly drains an engine or holds a customer for a while, and releases
 // it, also while the key-value service has faults. No guarantee may be violated meanwhile.
-func (rn *run) holdAndDrain(ctx context.Context, length time.Duration) {
+func (rn *run) runOperator(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, operatorStream)
 	calm := rn.opts.Quiet && rn.parts.has(holdsPart)
 	for end := time.Now().Add(length); (!rn.opts.Quiet || calm) && time.Now().Before(end) && ctx.Err() == nil; {
@@ -24,9 +24,9 @@
 		}
 		rn.recordEvent("operator holds " + ta.String())
 		rn.operate(ctx, hold.Held, ta)
-		ht := holdPeriod{from: time.Now().Add(forceTime), target: ta}
+		ht := holdPeriod{from: time.Now().Add(applyTime), target: ta}
 		if calm {
-			sleep(ctx, forceTime)
+			sleep(ctx, applyTime)
 		}
 		sleep(ctx, time.Duration(500+rng.IntN(2500))*time.Millisecond)
 		ht.to = time.Now()
--- a/soak/parts.go
+++ b/soak/parts.go
@@ -54,15 +54,15 @@
 	return time.Duration((from + (to-from)*rng.Float64()) * float64(length))
 }
 
-// lossTime is how long after the loss of the scheduler the bounds for trainers and callers
+// failoverTime is how long after the loss of the scheduler the bounds for trainers and callers
 // don't apply: its lease expires, and another scheduler takes over, loads the stored state
 // and receives reports of all engines.
-const lossTime = 8 * time.Second
+const failoverTime = 8 * time.Second
 
 // loseScheduler kills the scheduler that holds the lease.
 func (rn *run) loseScheduler(ctx context.Context, why string) {
 	cl := rn.world.store.Memory.Client()
-	ctx, cancel := context.WithTimeout(ctx, lossTime)
+	ctx, cancel := context.WithTimeout(ctx, failoverTime)
 	defer cancel()
 	for ctx.Err() == nil {
 		re, err := lease.Current(ctx, cl, step.LeaseName)
@@ -89,20 +89,20 @@
 	return false
 }
 
-// nearLoss reports whether the scheduler was lost in a period, or up to lossTime before it.
+// nearLoss reports whether the scheduler was lost in a period, or up to failoverTime before it.
 func (rn *run) nearLoss(from, to time.Time) bool {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	return slices.ContainsFunc(rn.losses, func(at time.Time) bool { return at.Before(to) && at.Add(lossTime).After(from) })
+	return slices.ContainsFunc(rn.losses, func(at time.Time) bool { return at.Before(to) && at.Add(failoverTime).After(from) })
 }
 
-// lostTime returns how much of a period was within lossTime after a loss of the scheduler.
+// lostTime returns how much of a period was within failoverTime after a loss of the scheduler.
 func (rn *run) lostTime(from, to time.Time) time.Duration {
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
 	var lost time.Duration
 	for _, at := range rn.losses {
-		begun, ended := maxTime(at, from), at.Add(lossTime)
+		begun, ended := maxTime(at, from), at.Add(failoverTime)
 		if ended.After(to) {
 			ended = to
 		}
--- a/soak/quota.go
+++ b/soak/quota.go
@@ -34,13 +34,13 @@
 
 // A quotaChange is a quota and the time of its write.
 type quotaChange struct {
-	from  time.Time // of the write: from then on it may be in force
-	quota float64
-	sure  time.Time // from then on it is in force everywhere in a quiet run
+	writtenAt time.Time // may be in force from then on
+	quota     float64
+	inForceAt time.Time // in force everywhere from then on, in a quiet run
 }
 
-// meter sends requests of a customer above its quota to all entries, until ctx ends.
-func (rn *run) meter(ctx context.Context) {
+// sendMetered sends requests of a customer above its quota to all entries, until ctx ends.
+func (rn *run) sendMetered(ctx context.Context) {
 	if !rn.parts.has(quotaPart) {
 		return
 	}
@@ -84,7 +84,7 @@
 	from := time.Now()
 	rn.world.keys.setQuota(quota)
 	_ = rn.world.configure(ctx) // ends with ctx
-	rn.quotas = append(rn.quotas, quotaChange{quota: quota, from: from, sure: time.Now().Add(forceTime)})
+	rn.quotas = append(rn.quotas, quotaChange{quota: quota, writtenAt: from, inForceAt: time.Now().Add(applyTime)})
 }
 
 // cutOff cuts an entry off from the store for cutTime, so that it learns of neither another
@@ -147,7 +147,7 @@
 func (rn *run) highestQuota(from, to time.Time) float64 {
 	highest := 0.0
 	for i, qc := range rn.quotas {
-		if i+1 < len(rn.quotas) && !from.Before(rn.sureOf(rn.quotas[i+1])) || qc.from.After(to) {
+		if i+1 < len(rn.quotas) && !from.Before(rn.inForceTime(rn.quotas[i+1])) || qc.writtenAt.After(to) {
 			continue
 		}
 		highest = max(highest, qc.quota)
@@ -155,10 +155,10 @@
 	return highest
 }
 
-// sureOf returns the time from which a quota is in force everywhere.
-func (rn *run) sureOf(qc quotaChange) time.Time {
-	if calm := rn.faultsEnd.Add(settleTime); !rn.opts.Quiet && qc.sure.Before(calm) {
+// inForceTime returns the time from which a quota is in force everywhere.
+func (rn *run) inForceTime(qc quotaChange) time.Time {
+	if calm := rn.faultsEnd.Add(settleTime); !rn.opts.Quiet && qc.inForceAt.Before(calm) {
 		return calm
 	}
-	return qc.sure
+	return qc.inForceAt
 }
--- a/soak/reward.go
+++ b/soak/reward.go
@@ -40,9 +40,9 @@
 	return ran
 }
 
-// checkLost checks that an item was dropped only after its reward call failed
+// checkDropped checks that an item was dropped only after its reward call failed
 // maxAttempts times.
-func (rn *run) checkLost(item string) {
+func (rn *run) checkDropped(item string) {
 	failed := 0
 	for _, no := range rn.plainRuns() {
 		if no.ID == rewardPrefix+item && no.Failed {
--- a/soak/rivals.go
+++ b/soak/rivals.go
@@ -14,20 +14,20 @@
 // Customers that compete for endpoints with few slots: crowdCustomer sends ten times its
 // share of requests, secondCustomer a quarter of its own.
 const (
-	rivalService = "counter"
-	rivalRoute   = "rival"
-	rivalPrefix  = "rival-" // of the ids of requests; the customer's name follows
-	rivalDesks   = 2
-	rivalPlaces  = 4 // of each
-	rivalWork    = 200 * time.Millisecond
-	rivalGoal    = 6 * rivalWork
-	// rivalPart is each customer's share of the capacity, in requests a second.
-	rivalPart = rivalDesks * rivalPlaces * int(time.Second/rivalWork) / 2
-	// manyOpen is how many requests a customer has open at most.
-	manyOpen = 60
-	// learnBounds is how long entries may take to learn the customers' limits: endpoints
+	rivalService     = "counter"
+	rivalRoute       = "rival"
+	rivalPrefix      = "rival-" // of the ids of requests; the customer's name follows
+	rivalEndpoints   = 2
+	rivalSlots       = 4 // of each
+	rivalWork        = 200 * time.Millisecond
+	rivalLatencyGoal = 6 * rivalWork
+	// rivalShare is each customer's share of the capacity, in requests a second.
+	rivalShare = rivalEndpoints * rivalSlots * int(time.Second/rivalWork) / 2
+	// maxOpen is how many requests a customer has open at most.
+	maxOpen = 60
+	// learnLimits is how long entries may take to learn the customers' limits: endpoints
 	// reject requests, entries report demand, and the allocator waits for all reports.
-	learnBounds = 3 * time.Second
+	learnLimits = 3 * time.Second
 	// minServedRatio is the part of the small customer's requests that must succeed in a quiet run.
 	minServedRatio = 0.9
 )
@@ -39,16 +39,16 @@
 	id         string
 	retryAfter string
 	status     int // 0: no response
-	wrong      bool
+	mismatched bool
 }
 
 // buildRivals registers the endpoints with few slots, if the run has this part.
 func (wo *world) buildRivals(ctx context.Context) error {
-	for i := range rivalDesks {
+	for i := range rivalEndpoints {
 		if !wo.parts.has(rivalsPart) {
 			return nil
 		}
-		de := &standin.PlainEndpoint{ID: fmt.Sprint("counter-", i), Places: rivalPlaces, Work: rivalWork}
+		de := &standin.PlainEndpoint{ID: fmt.Sprint("counter-", i), Places: rivalSlots, Work: rivalWork}
 		wo.plainEndpoints = append(wo.plainEndpoints, de)
 		if err := wo.register(ctx, de.ID, rivalService, wo.ip(5, i), de, de.StartedAt, nil); err != nil {
 			return err
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// compete sends requests of two customers for a duration.
-func (rn *run) compete(ctx context.Context, length time.Duration) {
+// runRivals sends requests of two customers for a duration.
+func (rn *run) runRivals(ctx context.Context, length time.Duration) {
 	if !rn.parts.has(rivalsPart) {
 		return
 	}
@@ -67,17 +67,17 @@
 	defer cancel()
 	rn.rivalsBegun = time.Now()
 	var both sync.WaitGroup
-	both.Go(func() { rn.sendSteadily(ctx, crowdCustomer, time.Second/time.Duration(10*rivalPart)) })
-	both.Go(func() { rn.sendSteadily(ctx, secondCustomer, 4*time.Second/time.Duration(rivalPart)) })
+	both.Go(func() { rn.sendSteadily(ctx, crowdCustomer, time.Second/time.Duration(10*rivalShare)) })
+	both.Go(func() { rn.sendSteadily(ctx, secondCustomer, 4*time.Second/time.Duration(rivalShare)) })
 	both.Wait()
 }
 
 // sendSteadily sends a customer's requests at a constant rate, without waiting for responses.
 func (rn *run) sendSteadily(ctx context.Context, customer string, every time.Duration) {
-	cl := &http.Client{Timeout: callTime, Transport: &http.Transport{MaxIdleConnsPerHost: manyOpen}}
+	cl := &http.Client{Timeout: callTime, Transport: &http.Transport{MaxIdleConnsPerHost: maxOpen}}
 	defer cl.CloseIdleConnections()
 	var open sync.WaitGroup
-	places := make(chan struct{}, manyOpen)
+	places := make(chan struct{}, maxOpen)
 	for number := 0; ctx.Err() == nil; number++ {
 		select {
 		case places <- struct{}{}:
@@ -86,7 +86,7 @@
 				id := fmt.Sprintf("%s%s-%d", rivalPrefix, customer, number)
 				rn.sendAtMostOnce(context.WithoutCancel(ctx), cl, number, customer, "/"+rivalRoute+"/"+id, id)
 			})
-		default: // manyOpen requests are open
+		default: // maxOpen requests are open
 		}
 		sleep(ctx, every)
 	}
@@ -102,7 +102,7 @@
 	an, err := rn.clientOf(cl, entry, customer).Ask(ctx, path, id, body, callDeadline)
 	if err == nil {
 		re.status, re.retryAfter = an.Status, an.RetryAfter
-		re.wrong = an.Status == http.StatusOK && string(an.Body) != id+" "+text
+		re.mismatched = an.Status == http.StatusOK && string(an.Body) != id+" "+text
 	}
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
@@ -120,7 +120,7 @@
 	ran := rn.plainRunCounts()
 	for _, re := range rn.responses {
 		switch {
-		case re.wrong:
+		case re.mismatched:
 			rn.addViolation("request %s got the answer of another", re.id)
 		case deniedStatus(re.status):
 			rn.addViolation("request %s was denied, and its customer holds its key", re.id)
@@ -151,7 +151,7 @@
 func (rn *run) checkSmallCustomer() {
 	served, all := 0, 0
 	for _, re := range rn.responses {
-		settled := re.at.After(rn.rivalsBegun.Add(learnBounds)) && !rn.nearLoss(re.at, re.at.Add(callDeadline))
+		settled := re.at.After(rn.rivalsBegun.Add(learnLimits)) && !rn.nearLoss(re.at, re.at.Add(callDeadline))
 		if !settled || re.customer != secondCustomer || !strings.HasPrefix(re.id, rivalPrefix) {
 			continue
 		}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -54,18 +54,18 @@
 
 // A run is the state of a running soak.
 type run struct {
-	begun     time.Time
-	calls     outcomes
-	responses []response
-	later     []func()    // checks to run at the end
-	losses    []time.Time // of the scheduler, for parts of the soak
-	mu        sync.Mutex
-	opts      Options
-	parts     *parts
-	report    Report
-	rng       *rand.Rand
-	tasks     []*task // finished
-	world     *world
+	begun       time.Time
+	calls       outcomes
+	responses   []response
+	finalChecks []func()    // checks to run at the end
+	losses      []time.Time // of the scheduler, for parts of the soak
+	mu          sync.Mutex
+	opts        Options
+	parts       *parts
+	report      Report
+	rng         *rand.Rand
+	tasks       []*task // finished
+	world       *world
 
 	crowdTime   [2]time.Time // begin and end of the overload by steps
 	faultsEnd   time.Time
@@ -102,9 +102,9 @@
 	defer cancel()
 	var clients sync.WaitGroup
 	for i := range callers {
-		clients.Go(func() { rn.call(ctx, i) })
+		clients.Go(func() { rn.runCaller(ctx, i) })
 	}
-	clients.Go(func() { rn.meter(ctx) })
+	clients.Go(func() { rn.sendMetered(ctx) })
 	trained := make(chan struct{})
 	go func() {
 		defer close(trained)
@@ -130,17 +130,17 @@
 	var all sync.WaitGroup
 	for _, part := range []func(ctx context.Context, length time.Duration){
 		rn.faultPlainEndpoints, rn.restartEndpoints, rn.sendCrashRequests, rn.changeKeys, rn.faultUsageServer,
-		rn.holdAndDrain, rn.crowd, rn.compete, rn.changeQuota,
+		rn.runOperator, rn.runCrowd, rn.runRivals, rn.changeQuota,
 	} {
 		all.Go(func() { part(ctx, rn.opts.Length) })
 	}
-	rn.injectAll(ctx, rn.opts.Length)
+	rn.injectFaults(ctx, rn.opts.Length)
 	all.Wait()
 }
 
 // checkAll runs all checks and completes the report.
 func (rn *run) checkAll() {
-	for _, check := range rn.later {
+	for _, check := range rn.finalChecks {
 		check()
 	}
 	rn.checkCalls()
--- a/soak/trainer.go
+++ b/soak/trainer.go
@@ -159,7 +159,7 @@
 		return
 	}
 	if re.Lost {
-		rn.checkLost(re.Item)
+		rn.checkDropped(re.Item)
 		return
 	}
 	if ta.scored {
@@ -230,7 +230,7 @@
 	ended := time.Now()
 	rn.mu.Lock()
 	defer rn.mu.Unlock()
-	rn.later = append(rn.later, func() { rn.checkEnd(id, ended) })
+	rn.finalChecks = append(rn.finalChecks, func() { rn.checkEnd(id, ended) })
 }
 
 // checkEnd checks that no item or reward call of a step began more than endSlack after its end.
--- a/soak/world.go
+++ b/soak/world.go
@@ -20,7 +20,7 @@
 
 // Names and sizes of the deployment.
 const (
-	deskService        = "desk"
+	plainService       = "desk"
 	engineService      = "engines"
 	host               = "soak.example"
 	model              = "model"
@@ -39,19 +39,19 @@
 	usageServer    *standin.UsageServer
 	plainEndpoints []*standin.PlainEndpoint
 	engines        []*standin.Engine
-	inForce        sync.Mutex // held while a configuration is written
+	configMu       sync.Mutex // held while a configuration is written
 	keys           *keys
 	parts          *parts
 	programs       []*program
 	proxies        []*proxy // before engines and plain endpoints, with injected faults
-	others         []*proxy // before the endpoints of optional parts
+	partProxies    []*proxy // before the endpoints of optional parts
 	servers        []*http.Server
 	store          *standin.Store
 	subnet         string
 
-	cancel     context.CancelFunc
-	heartbeats sync.WaitGroup
-	silent     sync.Map // ids of endpoints that don't register
+	cancel       context.CancelFunc
+	heartbeats   sync.WaitGroup
+	unregistered sync.Map // ids of endpoints that don't register
 }
 
 // ip returns the loopback address of an instance. Each has its own, since all use
@@ -118,7 +118,7 @@
 	for i := range plainEndpointCount {
 		de := &standin.PlainEndpoint{ID: fmt.Sprint("desk-", i)}
 		wo.plainEndpoints = append(wo.plainEndpoints, de)
-		if err := wo.register(ctx, de.ID, deskService, wo.ip(1, i), de, de.StartedAt, nil); err != nil {
+		if err := wo.register(ctx, de.ID, plainService, wo.ip(1, i), de, de.StartedAt, nil); err != nil {
 			return err
 		}
 		de.CrashFunc = crashFunc(de.Restart, wo.proxies[i])
@@ -190,13 +190,13 @@
 		return errors.Wrap(err, "soak")
 	}
 	if service == rivalService {
-		wo.others = append(wo.others, pr)
+		wo.partProxies = append(wo.partProxies, pr)
 	} else {
 		wo.proxies = append(wo.proxies, pr)
 	}
 	wo.heartbeats.Go(func() {
 		for ctx.Err() == nil {
-			if _, hidden := wo.silent.Load(id); !hidden {
+			if _, hidden := wo.unregistered.Load(id); !hidden {
 				wo.sendHeartbeat(ctx, id, service, pr.address(), born(), en)
 			}
 			sleep(ctx, heartbeat)
@@ -210,7 +210,7 @@
 		Address: address, Domain: domain, ID: id, Incarnation: incarnation.Number(born), Service: service, Slots: slots,
 	}
 	if service == rivalService {
-		endpoint.Slots = rivalPlaces
+		endpoint.Slots = rivalSlots
 	}
 	if en != nil {
 		for _, name := range en.Models {
@@ -239,8 +239,8 @@
 
 // configure writes the configuration with the current keys and quotas.
 func (wo *world) configure(ctx context.Context) error {
-	wo.inForce.Lock()
-	defer wo.inForce.Unlock()
+	wo.configMu.Lock()
+	defer wo.configMu.Unlock()
 	held, quotas, version := wo.keys.snapshot()
 	op := &standin.Operator{Keys: held, Quotas: quotas, Store: wo.store}
 	op.Configure(ctx, wo.configuration(version))
@@ -260,11 +260,11 @@
 	co := directory.Configuration{
 		Limits: directory.Limits{BodySize: 1 << 20},
 		Routes: []directory.Route{
-			route("safe", directory.Repeatable, deskService), route("once", directory.AtMostOnce, deskService),
+			route("safe", directory.Repeatable, plainService), route("once", directory.AtMostOnce, plainService),
 			route("steps", directory.Steps, engineService),
 		},
 		Services: []directory.Service{
-			{Name: deskService}, {
+			{Name: plainService}, {
 				Models: []directory.Model{{Name: model}}, Name: engineService, Slots: slots,
 				Scale: &directory.Scale{Startup: time.Second, Max: maxOrdered, Min: 1},
 			},
@@ -279,12 +279,12 @@
 	}
 	if wo.parts.has(rivalsPart) {
 		rival := route(rivalRoute, directory.AtMostOnce, rivalService)
-		rival.Goal = rivalGoal
+		rival.Goal = rivalLatencyGoal
 		co.Routes = append(co.Routes, rival)
 		co.Services = append(co.Services, directory.Service{Name: rivalService})
 	}
 	if wo.parts.has(quotaPart) {
-		co.Routes = append(co.Routes, route(meteredRoute, directory.AtMostOnce, deskService))
+		co.Routes = append(co.Routes, route(meteredRoute, directory.AtMostOnce, plainService))
 	}
 	return co
 }
@@ -312,7 +312,7 @@
 		}
 		pg.store.close()
 	}
-	for _, pr := range append(wo.proxies, wo.others...) {
+	for _, pr := range append(wo.proxies, wo.partProxies...) {
 		pr.close()
 	}
 	for _, sv := range wo.servers {
