--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -164,7 +164,7 @@
 }
 
 // run makes calls with a number of callers and adds the measurements.
-func (si *measurement) run(b *testing.B, wo *world, callers, calls int, try func(*world, *tally) error) {
+func (me *measurement) run(b *testing.B, wo *world, callers, calls int, try func(*world, *tally) error) {
 	var group sync.WaitGroup
 	tallies := []*tally{}
 	var before, after runtime.MemStats
@@ -189,12 +189,12 @@
 		})
 	}
 	group.Wait()
-	si.cpu += processorTime() - cpu
+	me.cpu += processorTime() - cpu
 	runtime.ReadMemStats(&after)
-	si.allocs += after.Mallocs - before.Mallocs
-	si.calls += calls
+	me.allocs += after.Mallocs - before.Mallocs
+	me.calls += calls
 	for _, ta := range tallies {
-		si.add(ta)
+		me.add(ta)
 	}
 }
 
--- a/trial/network.go
+++ b/trial/network.go
@@ -20,8 +20,8 @@
 	listenWait    = 50 * time.Millisecond
 )
 
-// errCut is the error of dialing from a killed process.
-var errCut = errors.New("process was killed")
+// errKilled is the error of dialing from a killed process.
+var errKilled = errors.New("process was killed")
 
 // A network tracks all connections of one process, so that a trial can close
 // them, as the end of a process does, or silence them.
@@ -90,7 +90,7 @@
 	defer ne.mu.Unlock()
 	if ne.cut {
 		_ = co.Close()
-		return nil, errCut
+		return nil, errKilled
 	}
 	tracked := &conn{Conn: co, closed: make(chan struct{}), network: ne, deadlineChanged: make(chan struct{})}
 	if ne.conns == nil {
