--- a/soak/reward.go
+++ b/soak/reward.go
@@ -69,7 +69,7 @@
 	rn.addViolation("%s has the score %q, which is no answer to its call", re.Item, re.Score)
 }
 
-// lastEvent returns when an engine first made the last event of a result's text.
+// lastEvent returns when an engine first generated the last event of a result's text.
 func (rn *run) lastEvent(re step.Result) time.Time {
 	version, _ := strconv.ParseUint(string(re.Text[strings.LastIndex(string(re.Text), "/")+1:]), 10, 64) // 0 matches no version
 	var first time.Time
--- a/standin/endpoints.go
+++ b/standin/endpoints.go
@@ -29,7 +29,7 @@
 type EndpointsSettings struct {
 	Endpoints   []EndpointRow `toml:"endpoint"`
 	Listen      string        `toml:"listen"`
-	WeightStore string        `toml:"weight-store"` // base URL; "": loading takes load-time alone
+	WeightStore string        `toml:"weight-store"` // base URL; "": loading takes only load-time
 }
 
 // An EndpointRow holds the settings of identical endpoints. The first group of
