--- a/overload/overload.go
+++ b/overload/overload.go
@@ -19,13 +19,13 @@
 	overloadFraction = 0.55
 	clearFraction    = 0.4
 	// idleFraction is the load below which there is no overload, even if groups have no capacity.
-	// Those have an item that can't be in time anyway.
+	// Such groups have an item that is too long to be in time.
 	idleFraction = 0.25
 	// reservableFraction is the fraction of the capacity that is reserved. The rest is lost between
 	// runs and to weight loads.
 	reservableFraction = 0.75
-	// starvationFactor is the multiple of a step's allowed time without any group in time after
-	// which a trainer's steps go first.
+	// starvationFactor times a step's allowed time is how long a trainer may have no group in time
+	// before its steps go first.
 	starvationFactor = 2
 )
 
@@ -156,7 +156,7 @@
 	planned  tier = iota // capacity is reserved
 	possible             // could be in time, but the capacity is reserved for others
 	late                 // can be complete before its trainer ends the step
-	hopeless
+	hopeless             // can't be complete before its trainer ends the step
 )
 
 // tierOf returns the tier of a group without reserved capacity.
--- a/overload/sort.go
+++ b/overload/sort.go
@@ -26,8 +26,8 @@
 		tiers[cd.tier] = append(tiers[cd.tier], cd)
 	}
 	ordered := make([]candidate, 0, len(cds))
-	for ch, some := range tiers {
-		if tier(ch) >= late {
+	for number, some := range tiers {
+		if tier(number) >= late {
 			slices.SortFunc(some, func(a, b candidate) int {
 				return cmp.Or(cmp.Compare(a.step.Rank, b.step.Rank), cmp.Compare(a.group.Work, b.group.Work), cmp.Compare(a.order, b.order))
 			})
