--- a/fairshare/account.go
+++ b/fairshare/account.go
@@ -33,7 +33,7 @@
 // A Usage is the current usage of a customer, in fractions of the total.
 type Usage struct {
 	Memory float64 // of the engines
-	Places float64
+	Places float64 // slots in use
 	Waits  bool    // the customer has waiting work
 	Wants  float64 // slots in use and waited for; may exceed 1
 }
--- a/fairshare/account_test.go
+++ b/fairshare/account_test.go
@@ -224,7 +224,7 @@
 					if wants[customer] == 0 || si.held(customer) > 0 || si.served[customer] > before[customer] {
 						waitedSince[customer] = si.at
 					}
-					// The claims of the others, in slot time, and the items that run meanwhile.
+					// The time for the others to use their leads, and for running items to end.
 					bound := time.Duration((maxLag+chargeAhead+1)*total/weights[customer]*float64(time.Second)) + 4*length
 					if waited := si.at - waitedSince[customer]; waited > bound {
 						rt.Fatalf("%s waited for %s", customer, waited)
--- a/fairshare/maxmin_test.go
+++ b/fairshare/maxmin_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Fill never gives more than the whole or the wants, leaves nothing that is wanted, and gives
-// each customer at least the lesser of its share and its wants.
+// For random wants, MaxMinShares never gives more than the whole or the wants, leaves nothing that
+// is wanted, and gives each customer at least the lesser of its share and its wants.
 func TestMaxMinSharesProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole := rapid.Float64Range(0, 100).Draw(rt, "whole")
