--- a/listing/listing.go
+++ b/listing/listing.go
@@ -1,11 +1,11 @@
 // Package listing decides when the results of a step are listed, that is, made visible to its trainer. It does no
 // I/O.
 //
-// A step's results may have some megabytes, and one answer holds 0.8 MB. A trainer starts a read half a second after
-// the start of the previous one, or when that is answered, if later; a read without results waits for up to a second.
-// If results are listed while no read waits, or answer a read that has just started, the end of the step may be
-// delayed by up to 0.7 s. So results before the end are listed when a read would otherwise end empty. At the end, a
-// read is then waiting and little is left to transfer.
+// A step's results may be larger than one answer. A trainer starts a read half a second after the start of the
+// previous one, or when that is answered, if later; a read without results waits for up to a second. Results that are
+// listed while no read waits, or that answer a read that has just started, may delay the end of the step by the time
+// until the next read. So results before the end are listed when a read would otherwise end empty. At the end, a read
+// is then waiting and little is left to transfer.
 package listing
 
 import "time"
@@ -15,13 +15,13 @@
 
 // Reasons for listing; Wait means that results are not listed yet.
 const (
-	Wait     Reason = ""
-	Final    Reason = "the trainer waits for no more"
-	LastCall Reason = "groups are due"
-	ReadEnds Reason = "a read ends"
-	Full     Reason = "an answer is full"
-	Renew    Reason = "the read at the end would be young"
-	Unread   Reason = "no one reads"
+	Wait      Reason = ""
+	Final     Reason = "the trainer waits for no more"
+	GroupsDue Reason = "groups are due"
+	ReadEnds  Reason = "a read ends"
+	Full      Reason = "an answer is full"
+	Renew     Reason = "the read at the end would be young"
+	Unread    Reason = "no one reads"
 )
 
 // Limits of listing.
@@ -53,11 +53,11 @@
 	endMargin = 400 * time.Millisecond
 	// dueWindow is how long before its groups are late a step's reads are answered with any complete group.
 	dueWindow = 2 * time.Second
-	// minLastCallShare is the share of the wanted groups that must be complete and unlisted to be listed shortly
+	// minDueShare is the share of the wanted groups that must be complete and unlisted to be listed shortly
 	// before they are late, although no read is about to end. Fewer are not worth a delay of the step's end.
-	minLastCallShare = 0.2
+	minDueShare = 0.2
 	// deliveryTime is the time from a listing decision until the trainer has the results, with a margin for the time
-	// until the scheduler learned of the step.
+	// until the scheduler received the step.
 	deliveryTime = 400 * time.Millisecond
 )
 
@@ -91,8 +91,8 @@
 		return Wait
 	case st.Satisfied && st.Groups > 0 && !st.Served:
 		return Final
-	case st.lastCall():
-		return LastCall
+	case st.groupsDue():
+		return GroupsDue
 	case st.Size >= readSize:
 		return Full
 	case len(st.Reads) == 0:
@@ -112,9 +112,9 @@
 	return st.Due > 0 && st.Groups > 0 && left > 0 && left <= bound
 }
 
-// lastCall reports whether enough groups are complete that are in time only if they are listed now.
-func (st *State) lastCall() bool {
-	return st.dueWithin(deliveryTime) && st.EndsIn >= endMargin && float64(st.Groups) >= minLastCallShare*float64(st.Target)
+// groupsDue reports whether enough groups are complete that are in time only if they are listed now.
+func (st *State) groupsDue() bool {
+	return st.dueWithin(deliveryTime) && st.EndsIn >= endMargin && float64(st.Groups) >= minDueShare*float64(st.Target)
 }
 
 // readEnds reports whether a read is about to end empty and there is enough to list: enough text, groups that are due
--- a/listing/listing_test.go
+++ b/listing/listing_test.go
@@ -29,7 +29,7 @@
 		{"little text that has waited long", State{Results: 1, Size: 1, PendingAge: unreadInterval, Reads: read(time.Second)}, ReadEnds},
 		{"one of two reads is about to end", State{Results: 9, Size: minReadSize, Reads: append(read(0), read(time.Second)...)}, ReadEnds},
 		{"an answer is full", State{Results: 9, Size: readSize, Reads: read(0)}, Full},
-		{"complete and due", State{Results: 1, Groups: 2, Target: 10, Age: due + dueTolerance - deliveryTime, Due: due, Reads: read(0)}, LastCall},
+		{"complete and due", State{Results: 1, Groups: 2, Target: 10, Age: due + dueTolerance - deliveryTime, Due: due, Reads: read(0)}, GroupsDue},
 		{"few are complete and due", State{Results: 1, Groups: 1, Target: 10, Age: due + dueTolerance - deliveryTime, Due: due, Reads: read(0)}, Wait},
 		{"a read is about to end, and a group is due soon", State{Results: 1, Groups: 1, Target: 10, Age: due, Due: due, Reads: read(time.Second)}, ReadEnds},
 		{"a read is about to end, and a group is late", State{Results: 1, Groups: 1, Target: 10, Age: due + dueTolerance, Due: due, Reads: read(time.Second)}, Wait},
