--- a/overview/predict.go
+++ b/overview/predict.go
@@ -16,11 +16,11 @@
 }
 
 // later reports whether an item ends after another. An unknown end is later than any known one.
-func (en prediction) later(other prediction) bool {
-	if en.known != other.known {
-		return !en.known
+func (pr prediction) later(other prediction) bool {
+	if pr.known != other.known {
+		return !pr.known
 	}
-	return en.after > other.after
+	return pr.after > other.after
 }
 
 // slotTimes is a min-heap of the times at which slots become free.
@@ -95,29 +95,29 @@
 	}
 	heap.Init(st)
 	slices.SortStableFunc(queue, func(a, b queuedItem) int { return cmp.Compare(a.item.Turn, b.item.Turn) })
-	for _, qu := range queue {
-		qu.prediction.after, qu.prediction.known = (*st)[0]+qu.item.Left, true
-		(*st)[0] = qu.prediction.after
+	for _, qi := range queue {
+		qi.prediction.after, qi.prediction.known = (*st)[0]+qi.item.Left, true
+		(*st)[0] = qi.prediction.after
 		heap.Fix(st, 0)
 	}
 }
 
 // deciding returns the prediction for the last item of the group that completes the wanted number of groups. open is
 // false if enough groups are complete, or can't be.
-func (sr *StepRow) deciding(ens []prediction) (en prediction, open bool) {
-	last := map[string]prediction{}
-	for _, e := range ens {
-		if was, ok := last[e.item.Group]; !ok || e.later(was) {
-			last[e.item.Group] = e
+func (sr *StepRow) deciding(prs []prediction) (last prediction, open bool) {
+	byGroup := map[string]prediction{}
+	for _, pr := range prs {
+		if was, ok := byGroup[pr.item.Group]; !ok || pr.later(was) {
+			byGroup[pr.item.Group] = pr
 		}
 	}
 	missing := sr.Wanted - sr.Whole
-	if missing <= 0 || missing > len(last) {
+	if missing <= 0 || missing > len(byGroup) {
 		return prediction{}, false
 	}
-	groups := make([]prediction, 0, len(last))
-	for _, e := range last {
-		groups = append(groups, e)
+	groups := make([]prediction, 0, len(byGroup))
+	for _, pr := range byGroup {
+		groups = append(groups, pr)
 	}
 	slices.SortFunc(groups, func(a, b prediction) int {
 		switch {
--- a/overview/summarize.go
+++ b/overview/summarize.go
@@ -31,9 +31,9 @@
 	for _, en := range sn.Engines {
 		states[en.ID] = en.State
 	}
-	endings := predict(sn)
+	predictions := predict(sn)
 	for i := range sn.Steps {
-		sn.Steps[i].assess(endings[i], states)
+		sn.Steps[i].assess(predictions[i], states)
 		ov.Steps = append(ov.Steps, sn.Steps[i].Step)
 	}
 	ov.Customers = customers(sn)
@@ -57,9 +57,9 @@
 
 // assess sets a step's expected end, whether it is late, and why. A step whose end can't be predicted is late once it
 // is overdue.
-func (sr *StepRow) assess(ens []prediction, engines map[string]State) {
-	sr.Reason, sr.Via, sr.wait = "", "", commonWait(ens)
-	en, open := sr.deciding(ens)
+func (sr *StepRow) assess(prs []prediction, engines map[string]State) {
+	sr.Reason, sr.Via, sr.wait = "", "", commonWait(prs)
+	last, open := sr.deciding(prs)
 	switch {
 	case !open && sr.Whole >= sr.Wanted:
 		sr.End, sr.Late = sr.Age, sr.Age > sr.Due
@@ -71,42 +71,42 @@
 		sr.Late, sr.Reason = true, ItemsLost
 		return
 	}
-	if en.known {
-		sr.End = sr.Age + en.after
+	if last.known {
+		sr.End = sr.Age + last.after
 	}
 	sr.Late = sr.End > sr.Due || sr.Age > sr.Due
-	sr.Reason, sr.Via = reasonOf(en, engines)
-	if !sr.Late && !en.waiting {
+	sr.Reason, sr.Via = reasonOf(last, engines)
+	if !sr.Late && !last.waiting {
 		sr.Reason, sr.Via = sr.wait, ""
 	}
 }
 
 // reasonOf returns why the deciding item of a step ends when it does, and the engine that is the cause, if any.
-func reasonOf(en prediction, engines map[string]State) (Reason, string) {
+func reasonOf(pr prediction, engines map[string]State) (Reason, string) {
 	switch {
-	case en.waiting:
-		return en.item.Wait, ""
-	case en.item.Stand == ItemScoring:
+	case pr.waiting:
+		return pr.item.Wait, ""
+	case pr.item.Stand == ItemScoring:
 		return Scoring, ""
 	}
-	switch engines[en.item.Engine] {
+	switch engines[pr.item.Engine] {
 	case Slow, Sick:
-		return EngineSlow, en.item.Engine
+		return EngineSlow, pr.item.Engine
 	case Silent, Gone:
-		return AttendantSilent, en.item.Engine
+		return AttendantSilent, pr.item.Engine
 	default:
-		return OwnLength, en.item.Engine
+		return OwnLength, pr.item.Engine
 	}
 }
 
 // commonWait returns the most frequent reason of a step's waiting items, or "".
-func commonWait(ens []prediction) Reason {
+func commonWait(prs []prediction) Reason {
 	counts, most := map[Reason]int{}, Reason("")
-	for _, en := range ens {
-		if !en.waiting {
+	for _, pr := range prs {
+		if !pr.waiting {
 			continue
 		}
-		wait := en.item.Wait
+		wait := pr.item.Wait
 		counts[wait]++
 		if counts[wait] > counts[most] || counts[wait] == counts[most] && wait < most {
 			most = wait
