--- a/step/accountstore.go
+++ b/step/accountstore.go
@@ -32,11 +32,11 @@
 	if now.Sub(cu.savedAt) < accountInterval {
 		return nil
 	}
-	me := cu.account.Snapshot()
-	if len(me.Ahead) == 0 && len(cu.saved) == 0 {
+	sn := cu.account.Snapshot()
+	if len(sn.Ahead) == 0 && len(cu.saved) == 0 {
 		return nil
 	}
-	data, err := accountMode.Marshal(me)
+	data, err := accountMode.Marshal(sn)
 	if err != nil || bytes.Equal(data, cu.saved) {
 		return nil // encoding numbers and strings never fails
 	}
@@ -65,16 +65,16 @@
 	if err != nil {
 		return err
 	}
-	var me fairshare.Snapshot
-	if errDecode := cbor.Unmarshal(data, &me); len(data) > 0 && errDecode != nil {
+	var sn fairshare.Snapshot
+	if errDecode := cbor.Unmarshal(data, &sn); len(data) > 0 && errDecode != nil {
 		sc.Log.WithError(errDecode).Warn("can't decode the customers' usage accounts; starting with empty ones")
-		me = fairshare.Snapshot{}
+		sn = fairshare.Snapshot{}
 	}
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	te.table.usage.account.Restore(me)
+	te.table.usage.account.Restore(sn)
 	te.table.usage.saved = data
-	sc.Log.WithField("customers", len(me.Ahead)).Info("customers' usage accounts restored")
+	sc.Log.WithField("customers", len(sn.Ahead)).Info("customers' usage accounts restored")
 	return nil
 }
 
--- a/step/commit_test.go
+++ b/step/commit_test.go
@@ -127,7 +127,7 @@
 	assert.Assert(t, err == nil || errors.Is(err, keyvalue.ErrConflict), "%v", err)
 }
 
-// mustWrite applies an update and fails the test unless it succeeds.
+// mustWrite applies a write set and fails the test unless it succeeds.
 func mustWrite(t *testing.T, sto *Store, up WriteSet) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), resultsWriteTimeout)
--- a/step/competing_test.go
+++ b/step/competing_test.go
@@ -29,12 +29,12 @@
 	away := map[*simTrainer]func(at time.Duration) bool{}
 	for _, cu := range customers {
 		for i := range cu.trainers {
-			tr := newTrainer(smallSheet, fmt.Sprintf("%s-%d", cu.name, i), 10, 4, 500*time.Millisecond, seed+uint64(10*len(trainers)))
+			tr := newTrainer(smallDeployment, fmt.Sprintf("%s-%d", cu.name, i), 10, 4, 500*time.Millisecond, seed+uint64(10*len(trainers)))
 			tr.customer, away[tr] = cu.name, cu.away
 			trainers = append(trainers, tr)
 		}
 	}
-	re := newReplay(smallSheet, factors(engines), trainers)
+	re := newReplay(smallDeployment, factors(engines), trainers)
 	re.run(replayTime, func(at time.Duration) {
 		for _, tr := range trainers {
 			if stays := away[tr]; stays != nil && stays(at) {
--- a/step/engines.go
+++ b/step/engines.go
@@ -139,8 +139,7 @@
 // awaitTime returns how long an attendant should delay its response until a run ends.
 //
 // It does so for runs that block progress: the last items of a step, and moving runs, which
-// are resumed only after they have stopped. For all runs, the load on the scheduler would be too
-// high.
+// are resumed only after they have stopped. Doing so for all runs would overload the scheduler.
 func (en *engineRow) awaitTime() time.Duration {
 	for _, ir := range en.items {
 		if ir.run.stopping || ir.isLast() {
--- a/step/exchange.go
+++ b/step/exchange.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// exchangeLoop runs the exchange loop with an attendant until its engine is removed or the
-// term ends.
+// exchangeLoop exchanges requests and responses with an attendant until its engine is removed or
+// the term ends.
 func (sc *Scheduler) exchangeLoop(te *term, id string, kick chan struct{}) {
 	failed := false
 	for {
--- a/step/follow.go
+++ b/step/follow.go
@@ -19,7 +19,7 @@
 	var after int64
 	scan, lost := true, false
 	for ctx.Err() == nil {
-		back := te.revival.recovered()
+		recovered := te.recovery.recovered()
 		ch, err := sc.nextIntake(ctx, te, after, scan, lost)
 		switch {
 		case errors.Is(err, keyvalue.ErrHistoryGone):
@@ -28,15 +28,15 @@
 		case err != nil:
 			sc.Log.WithError(err).Warn("steps can't be followed")
 			lost = true
-			te.revival.pause(ctx, back)
+			te.recovery.pause(ctx, recovered)
 			continue
 		}
 		if lost {
-			te.revival.notify()
+			te.recovery.notify()
 		}
 		lost = false
 		accepted, ended := in.apply(ch.Items, scan)
-		kept, err := sc.loadKept(ctx, te, &in, accepted)
+		stored, err := sc.loadStored(ctx, te, &in, accepted)
 		if err == nil {
 			err = sc.restoreAccount(ctx, te, accepted)
 		}
@@ -47,7 +47,7 @@
 			retryPause(ctx)
 			continue
 		}
-		sc.applyIntake(te, &in, accepted, ended, kept)
+		sc.applyIntake(te, &in, accepted, ended, stored)
 		after, scan = max(after, ch.Version), false
 	}
 }
@@ -57,7 +57,7 @@
 // Calls that the service received before it stopped responding get no answer after it recovers. After a lost call,
 // the next one doesn't wait for changes: its own loss would hide steps that are accepted right after an outage.
 func (sc *Scheduler) nextIntake(ctx context.Context, te *term, after int64, scan, lost bool) (keyvalue.Changes, error) {
-	ctx, cancel := te.revival.callContext(ctx)
+	ctx, cancel := te.recovery.callContext(ctx)
 	defer cancel()
 	if scan {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -73,9 +73,9 @@
 	return sc.Keeper.Client.Follow(ctx, intakePrefix, after, wait)
 }
 
-// loadKept loads what earlier schedulers stored of open steps, and for a new term the holds of operators. Results of
+// loadStored loads what earlier schedulers stored of open steps, and for a new term the holds of operators. Results of
 // ended steps are loaded on request.
-func (sc *Scheduler) loadKept(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
+func (sc *Scheduler) loadStored(ctx context.Context, te *term, in *intake, accepted []*Step) (map[string]StoredStep, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	stored := map[string]StoredStep{}
@@ -122,13 +122,13 @@
 }
 
 func (sc *Scheduler) applyIntake(
-	te *term, in *intake, accepted []*Step, ended []string, kept map[string]StoredStep,
+	te *term, in *intake, accepted []*Step, ended []string, stored map[string]StoredStep,
 ) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	now := time.Now()
 	for _, st := range accepted {
-		te.table.Accept(st, kept[st.ID], in.ended[st.ID], now)
+		te.table.Accept(st, stored[st.ID], in.ended[st.ID], now)
 	}
 	for _, id := range ended {
 		te.table.End(id)
--- a/step/frontend.go
+++ b/step/frontend.go
@@ -18,7 +18,7 @@
 	writeTimeout = 800 * time.Millisecond
 	// acceptTimeout is how long an entry retries to store a step before it answers that it is unavailable or that the
 	// outcome is unknown. Trainers retry only once. Two attempts of this length and the pause between them outlast
-	// the usual outage of the key-value service, 4 to 7 s.
+	// a usual outage of the key-value service.
 	acceptTimeout = 3500 * time.Millisecond
 	// cutOffTimeout is acceptTimeout for an entry that is cut off. It is shorter than the 1.1 s after which trainers
 	// try another entry.
@@ -86,7 +86,8 @@
 }
 
 // writeOrForward calls direct, which writes to the key-value service. If that fails, it forwards the request to the
-// scheduler, which holds a lease: the service sometimes refuses single instances.
+// scheduler: the service may be unreachable from this instance only, and the scheduler, which holds a lease, has
+// reached it recently.
 func (fr *Frontend) writeOrForward(ctx context.Context, method string, rq any, direct func(context.Context) error) error {
 	cx, cancel := context.WithTimeout(ctx, writeTimeout)
 	err := direct(cx)
--- a/step/groupsummary.go
+++ b/step/groupsummary.go
@@ -16,7 +16,7 @@
 	movingCount  int           // waiting items with a reserved slot
 	needsScore   bool          // a waiting item needs a score
 	running      []*itemRow
-	scoringCount int           // number of items
+	scoringCount int           // items that wait for their score
 	shortest     time.Duration // expected time of the shortest waiting item
 	waiting      []*itemRow    // in the order of the step
 	work         time.Duration // total expected time of the waiting items
--- a/step/hold.go
+++ b/step/hold.go
@@ -7,7 +7,7 @@
 	"wisteriacroft/hold"
 )
 
-// SetHolds sets the holds of operators, unless sh is not newer than the current sheet. It logs the steps whose hold
+// SetHolds sets the holds of operators, unless hs is not newer than the current set. It logs the steps whose hold
 // changes.
 func (ta *Table) SetHolds(hs *hold.Set, now time.Time) {
 	if !hs.Newer(ta.holds) {
--- a/step/hold_test.go
+++ b/step/hold_test.go
@@ -10,16 +10,16 @@
 	"wisteriacroft/runner"
 )
 
-// holdsOf returns a sheet with holds on the targets, one version newer than after.
+// holdsOf returns a set of holds on the targets, one version newer than after.
 func holdsOf(t *testing.T, after *hold.Set, targets ...hold.Target) *hold.Set {
 	t.Helper()
-	var sh *hold.Set
+	var hs *hold.Set
 	for _, ta := range targets {
 		var err error
-		sh, _, err = sh.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: ta, Why: "test"}})
+		hs, _, err = hs.Apply(hold.Change{Action: hold.Held, Record: hold.Record{By: "ada", Target: ta, Why: "test"}})
 		assert.NilError(t, err)
 	}
-	return sh.WithVersion(after.Version() + 1)
+	return hs.WithVersion(after.Version() + 1)
 }
 
 func TestHeldStep(t *testing.T) {
@@ -27,8 +27,8 @@
 	ta := tableOf(t, 1, "a")
 	first, second := stepOf("s", 2), stepOf("t", 2)
 	first.Customer, second.Customer = "bakery", "mill"
-	sh := holdsOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
-	ta.SetHolds(sh, begin)
+	hs := holdsOf(t, nil, hold.Target{Kind: hold.Customer, Name: "bakery"})
+	ta.SetHolds(hs, begin)
 	ta.Accept(first, StoredStep{}, false, begin)
 	ta.Accept(second, StoredStep{}, false, begin)
 	ta.Place(begin)
@@ -39,10 +39,10 @@
 	}
 	ta.Place(begin)
 	assert.Equal(t, ta.heldItemCount(), 2)
-	ta.SetHolds(holdsOf(t, sh), begin)
+	ta.SetHolds(holdsOf(t, hs), begin)
 	ta.Place(begin)
 	assert.Equal(t, ta.steps["s"].items[0].state, running)
-	ta.SetHolds(sh, begin) // an outdated sheet
+	ta.SetHolds(hs, begin) // an outdated set
 	assert.Equal(t, ta.heldItemCount(), 0)
 }
 
--- a/step/listing.go
+++ b/step/listing.go
@@ -92,12 +92,12 @@
 
 // groupTime returns the expected time until all open items of a group end.
 func (ta *Table) groupTime(gr *groupRow, now time.Time) time.Duration {
-	gw := &gr.summary
-	longest := gw.longest
-	if gw.scoringCount > 0 {
+	gs := &gr.summary
+	longest := gs.longest
+	if gs.scoringCount > 0 {
 		longest = max(longest, gr.step.rewards.expected())
 	}
-	for _, ir := range gw.running {
+	for _, ir := range gs.running {
 		longest = max(longest, ta.remainingTimeCached(ir, now))
 	}
 	return longest
--- a/step/load_test.go
+++ b/step/load_test.go
@@ -13,16 +13,16 @@
 
 // A pattern is a workload and the engine failures during it.
 type pattern struct {
-	name     string
-	factors  []float64 // time per event of each engine, relative to the usual
-	groups   int
-	size     int
-	trainers int // 0 means one
-	sheet    simDeployment
-	training time.Duration // training time between steps; 0 means half a second
-	short    int           // groups of an additional trainer with short items
-	wide     int           // groups, of 16 items each, of another additional trainer
-	each     func(re *replay, at time.Duration)
+	name       string
+	factors    []float64 // time per event of each engine, relative to the usual
+	groups     int
+	size       int
+	trainers   int // 0 means one
+	deployment simDeployment
+	training   time.Duration // training time between steps; 0 means half a second
+	short      int           // groups of an additional trainer with short items
+	wide       int           // groups, of 16 items each, of another additional trainer
+	each       func(re *replay, at time.Duration)
 }
 
 // mixedFactors returns the factors of engines of which every third is 1.3 times slower.
@@ -38,15 +38,15 @@
 func (pa *pattern) newReplay(seed uint64) *replay {
 	var trainers []*simTrainer
 	if pa.short > 0 {
-		trainers = append(trainers, newTrainer(shortSheet, "short", pa.short, 16, 500*time.Millisecond, seed+50))
+		trainers = append(trainers, newTrainer(shortDeployment, "short", pa.short, 16, 500*time.Millisecond, seed+50))
 	}
 	for i := range max(pa.trainers, 1) {
-		trainers = append(trainers, newTrainer(pa.sheet, fmt.Sprintf("model-%d", i), pa.groups, pa.size, max(pa.training, 500*time.Millisecond), seed+uint64(100*i)))
+		trainers = append(trainers, newTrainer(pa.deployment, fmt.Sprintf("model-%d", i), pa.groups, pa.size, max(pa.training, 500*time.Millisecond), seed+uint64(100*i)))
 	}
 	if pa.wide > 0 {
-		trainers = append(trainers, newTrainer(pa.sheet, "wide", pa.wide, 16, 500*time.Millisecond, seed+70))
+		trainers = append(trainers, newTrainer(pa.deployment, "wide", pa.wide, 16, 500*time.Millisecond, seed+70))
 	}
-	return newReplay(pa.sheet, pa.factors, trainers)
+	return newReplay(pa.deployment, pa.factors, trainers)
 }
 
 // thirdSlower returns the factors of engines of which the last third is 1.27 times slower.
@@ -85,10 +85,10 @@
 	even := factors(12)
 	mixed := mixedFactors(11)
 	return []pattern{
-		{name: "engines of one pace", factors: even, groups: 26, size: 8, sheet: smallSheet},
-		{name: "a third of the engines 1.3 times slower", factors: mixed, groups: 45, size: 4, sheet: smallSheet},
+		{name: "engines of one pace", factors: even, groups: 26, size: 8, deployment: smallDeployment},
+		{name: "a third of the engines 1.3 times slower", factors: mixed, groups: 45, size: 4, deployment: smallDeployment},
 		{
-			name: "two engines turn 3 times slower for 8 s", factors: mixed, groups: 45, size: 4, sheet: smallSheet,
+			name: "two engines turn 3 times slower for 8 s", factors: mixed, groups: 45, size: 4, deployment: smallDeployment,
 			each: func(re *replay, at time.Duration) {
 				for _, se := range re.engines[:2] {
 					se.factor = 1
@@ -99,16 +99,16 @@
 			},
 		},
 		{
-			name: "two engines fall silent for 5 s", factors: even, groups: 26, size: 8, sheet: smallSheet,
+			name: "two engines fall silent for 5 s", factors: even, groups: 26, size: 8, deployment: smallDeployment,
 			each: func(re *replay, at time.Duration) {
 				for _, se := range re.engines[:2] {
 					se.dead = at > 6*time.Second && at < 11*time.Second
 				}
 			},
 		},
-		{name: "long and short items before 62 engines", factors: factors(62), groups: 38, size: 8, short: 22, sheet: largeSheet},
+		{name: "long and short items before 62 engines", factors: factors(62), groups: 38, size: 8, short: 22, deployment: largeDeployment},
 		{
-			name: "long and short items, a fifth turn 4 times slower", factors: factors(62), groups: 38, size: 8, short: 22, sheet: largeSheet,
+			name: "long and short items, a fifth turn 4 times slower", factors: factors(62), groups: 38, size: 8, short: 22, deployment: largeDeployment,
 			each: func(re *replay, at time.Duration) {
 				for _, se := range re.engines[:12] {
 					se.factor = 1
@@ -118,18 +118,18 @@
 				}
 			},
 		},
-		{name: "four trainers share 46 engines", factors: factors(46), groups: 9, size: 16, trainers: 4, training: time.Second, sheet: grownSheet},
+		{name: "four trainers share 46 engines", factors: factors(46), groups: 9, size: 16, trainers: 4, training: time.Second, deployment: grownDeployment},
 		{
 			name: "four trainers, little memory, slow engines", factors: mixedFactors(50), groups: 22, size: 8, trainers: 4,
-			sheet: tightSheet,
+			deployment: tightDeployment,
 		},
 		{
 			name: "four trainers, a third of the engines slower", factors: thirdSlower(38), groups: 22, size: 8, trainers: 2,
-			short: 12, wide: 12, sheet: mixedSheet,
+			short: 12, wide: 12, deployment: mixedDeployment,
 		},
 		{
 			name: "four trainers, nine engines turn 3.6 times slower", factors: factors(46), groups: 9, size: 16, trainers: 4,
-			training: time.Second, sheet: grownSheet,
+			training: time.Second, deployment: grownDeployment,
 			each: func(re *replay, at time.Duration) {
 				for _, se := range re.engines[:9] {
 					se.factor = 1
--- a/step/loadlog.go
+++ b/step/loadlog.go
@@ -20,8 +20,8 @@
 	steps  int
 }
 
-// LogLoad logs the share of the engines and the waiting items of each customer, if any items wait. It shows later why
-// a step was late. The key-value service last answered storeHeard ago.
+// LogLoad logs the share of the engines and the waiting items of each customer, if any items wait. The entries
+// explain afterwards why a step was late. The key-value service last answered storeHeard ago.
 func (ta *Table) LogLoad(storeHeard time.Duration, now time.Time) {
 	loads, total := ta.customerLoads()
 	if total.Waiting == 0 {
--- a/step/manifest_test.go
+++ b/step/manifest_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestNewSchedulerPlacesBeforeItReadsTexts(t *testing.T) {
-	// A new scheduler reads only the names of listed items before it places the others, not
+	// A new scheduler reads only the IDs of listed items before it places the others, not
 	// megabytes of result texts.
 	var me keyvalue.Memory
 	writeListed(t, &Store{Client: me.Client()}, testChunks(2, 1))
--- a/step/memory.go
+++ b/step/memory.go
@@ -5,7 +5,7 @@
 type memoryMemo struct {
 	coming, comingEnd int     // tokens of items that move here
 	endsSoon          bool    // a run is expected to end soon
-	gauges            int     // value of estimateChanges at the time of the computation
+	changes           int     // value of estimateChanges at the time of the computation
 	now, end          int     // tokens of the engine's runs
 	rate              float64 // expected ends of runs per second
 	valid             bool
@@ -33,10 +33,10 @@
 // refreshMemo recomputes the memo unless it is valid.
 func (en *engineRow) refreshMemo() {
 	changes := en.estimateChanges.count()
-	if en.memo.valid && en.memo.gauges == changes {
+	if en.memo.valid && en.memo.changes == changes {
 		return
 	}
-	me := memoryMemo{gauges: changes, valid: true}
+	me := memoryMemo{changes: changes, valid: true}
 	for _, ir := range en.items {
 		me.add(ir, 1)
 	}
@@ -52,12 +52,12 @@
 	now, end := ir.tokenUse()
 	me.now, me.end = me.now+sign*now, me.end+sign*end
 	me.rate += float64(sign) * ir.endRate()
-	me.endsSoon = expectedEnd(me.rate) <= sendAheadTime
+	me.endsSoon = expectedEnd(me.rate) <= prequeueTime
 }
 
 // adjustMemo adds or subtracts one of the engine's runs, see memoryMemo.add, if the memo is valid.
 func (en *engineRow) adjustMemo(ir *itemRow, sign int) {
-	if en.memo.valid && en.memo.gauges == en.estimateChanges.count() {
+	if en.memo.valid && en.memo.changes == en.estimateChanges.count() {
 		en.memo.add(ir, sign)
 	}
 }
--- a/step/message.go
+++ b/step/message.go
@@ -10,7 +10,7 @@
 	readMethod   = "step.Read"
 )
 
-// OverviewMethod is the RPC method that returns a overview.Overview.
+// OverviewMethod is the RPC method that returns an overview.Overview.
 const OverviewMethod = "step.Overview"
 
 // LeaseName is the name of the lease that the active scheduler holds.
--- a/step/metrics.go
+++ b/step/metrics.go
@@ -5,18 +5,18 @@
 // updateCapacityMetrics sets the gauges of each service's load. It removes the gauges of services that no longer have
 // open steps.
 func (sc *Scheduler) updateCapacityMetrics(ta *Table) {
-	rooms := ta.ServiceLoads()
-	for service, rl := range rooms {
-		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(rl.Load)
-		sc.Metrics.GetOrCreateGauge(serviceGauge(overloadedGauge, service), nil).Set(float64(boolInt(rl.Crowded)))
+	loads := ta.ServiceLoads()
+	for service, sl := range loads {
+		sc.Metrics.GetOrCreateGauge(serviceGauge(loadGauge, service), nil).Set(sl.Load)
+		sc.Metrics.GetOrCreateGauge(serviceGauge(overloadedGauge, service), nil).Set(float64(boolInt(sl.Crowded)))
 	}
 	for service := range sc.measuredServices {
-		if _, ok := rooms[service]; !ok {
+		if _, ok := loads[service]; !ok {
 			sc.Metrics.UnregisterMetric(serviceGauge(loadGauge, service))
 			sc.Metrics.UnregisterMetric(serviceGauge(overloadedGauge, service))
 		}
 	}
-	sc.measuredServices = rooms
+	sc.measuredServices = loads
 }
 
 // Gauges by service.
--- a/step/modelclaim.go
+++ b/step/modelclaim.go
@@ -11,8 +11,8 @@
 // modelClaims returns the claims of models, or nil unless several customers have open steps and
 // slots are scarce.
 //
-// Divided by work alone, few engines would load the weights of a small customer, and last. So
-// each model may claim the engines that all items of one of its steps need, within its
+// If engines were divided by work alone, few would load the weights of a small customer, and only
+// after those of others. So each model may claim the engines that all items of one of its steps need, within its
 // customer's share, and models load in the order of their customers' ranks.
 func (ta *Table) modelClaims(ens []*engineRow) map[string]modelClaim {
 	items, customers := map[string]int{}, map[string]string{}
--- a/step/overload_test.go
+++ b/step/overload_test.go
@@ -17,10 +17,10 @@
 
 // An overloadCase describes trainers that ask for more than their engines can do.
 type overloadCase struct {
-	name    string
-	factors []float64 // of the engines' time per event
-	sheet   simDeployment
-	shapes  []shape
+	name       string
+	factors    []float64 // of the engines' time per event
+	deployment simDeployment
+	shapes     []shape
 }
 
 // A shape is the size of a trainer's steps at a load factor of 1.
@@ -39,7 +39,7 @@
 		{"even engines", factors(47), even, []shape{{24, 8, 156, second}, {24, 8, 156, second}, {10, 16, 121, second / 2}}},
 		{"uneven engines", unevenFactors(46), tight, []shape{{22, 8, 152, second / 2}, {22, 8, 80, second}, {11, 16, 152, second}}},
 		{
-			"a third slower", thirdSlower(38), mixedSheet,
+			"a third slower", thirdSlower(38), mixedDeployment,
 			[]shape{{22, 8, 156, second / 2}, {12, 16, 94, second / 2}, {23, 8, 156, second / 2}, {12, 16, 156, second / 2}},
 		},
 	}
@@ -58,12 +58,12 @@
 func (oc *overloadCase) newReplay(times float64, way overload.Discipline) *replay {
 	var trainers []*simTrainer
 	for i, sh := range oc.shapes {
-		sheet := oc.sheet
-		sheet.maxEvents = sh.maxEvents
+		deployment := oc.deployment
+		deployment.maxEvents = sh.maxEvents
 		groups := int(times*float64(sh.groups) + 0.5)
-		trainers = append(trainers, newTrainer(sheet, fmt.Sprintf("model-%d", i), groups, sh.size, sh.trainingTime, uint64(100*i)))
+		trainers = append(trainers, newTrainer(deployment, fmt.Sprintf("model-%d", i), groups, sh.size, sh.trainingTime, uint64(100*i)))
 	}
-	re := newReplay(oc.sheet, oc.factors, trainers)
+	re := newReplay(oc.deployment, oc.factors, trainers)
 	re.table.policy = way
 	return re
 }
@@ -173,7 +173,7 @@
 
 // largeLoad returns six trainers whose step sizes are proportional to the number of engines.
 func largeLoad(engines int) *overloadCase {
-	oc := &overloadCase{factors: factors(engines), sheet: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
+	oc := &overloadCase{factors: factors(engines), deployment: simDeployment{eventTokens: 77, maxEvents: 156, prompt: 276, slots: 8, tokens: 39215}}
 	for range 6 {
 		oc.shapes = append(oc.shapes, shape{groups: 280 * engines / 1100, size: 8, maxEvents: 156, trainingTime: time.Second})
 	}
@@ -229,8 +229,8 @@
 // Engines that take three times the default time per token, under overload. With the default
 // time, work would be underestimated and the overload detected too late.
 func TestEnginesOfAnotherType(t *testing.T) {
-	sheet := simDeployment{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
-	oc := overloadCase{factors: factors(47), sheet: sheet, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
+	deployment := simDeployment{eventTokens: 77, maxEvents: 44, prompt: 276, slots: 8, tokens: 39215}
+	oc := overloadCase{factors: factors(47), deployment: deployment, shapes: []shape{{24, 8, 44, time.Second}, {24, 8, 44, time.Second}, {10, 16, 40, time.Second / 2}}}
 	for i := range oc.factors {
 		oc.factors[i] *= 3
 	}
--- a/step/overview_test.go
+++ b/step/overview_test.go
@@ -67,8 +67,8 @@
 	assert.Equal(t, sn.Steps[0].Open[0].Wait, overview.HeldBack)
 }
 
-// TestSituation checks the overview of a step with listed, running and waiting items.
-func TestSituation(t *testing.T) {
+// TestStepOverview checks the overview of a step with listed, running and waiting items.
+func TestStepOverview(t *testing.T) {
 	ta := tableOf(t, 7, "a", "b")
 	st := stepOf("s", 2, 2, 2)
 	st.Customer, st.Groups = "bakery", 2
@@ -137,9 +137,9 @@
 	}
 }
 
-// BenchmarkSituation measures copying the data of an overview, during which placement waits, with all slots in use
+// BenchmarkSnapshot measures copying the data of an overview, during which placement waits, with all slots in use
 // and as many items waiting.
-func BenchmarkSituation(b *testing.B) {
+func BenchmarkSnapshot(b *testing.B) {
 	ta := loadedTable(1100, 6)
 	now := begin.Add(time.Second)
 	for b.Loop() {
@@ -147,7 +147,7 @@
 	}
 }
 
-// BenchmarkOverview measures summarizing the data that BenchmarkSituation copies.
+// BenchmarkOverview measures summarizing the data that BenchmarkSnapshot copies.
 func BenchmarkOverview(b *testing.B) {
 	sn := loadedTable(1100, 6).Snapshot(0, begin.Add(time.Second))
 	for b.Loop() {
--- a/step/pace.go
+++ b/step/pace.go
@@ -76,12 +76,12 @@
 
 // setTokenTime sets the time per token of a step, unless the change is small: each change
 // invalidates everything computed from it.
-func (ta *Table) setTokenTime(sr *stepRow, each time.Duration) {
-	if off := each - sr.tokenTime; each > 0 && off.Abs() <= sr.tokenTime/tokenTimeToleranceDivisor {
+func (ta *Table) setTokenTime(sr *stepRow, tokenTime time.Duration) {
+	if off := tokenTime - sr.tokenTime; tokenTime > 0 && off.Abs() <= sr.tokenTime/tokenTimeToleranceDivisor {
 		return
 	}
-	if each != sr.tokenTime {
-		sr.tokenTime = each
+	if tokenTime != sr.tokenTime {
+		sr.tokenTime = tokenTime
 		ta.estimateChanges.counted++
 	}
 }
--- a/step/place.go
+++ b/step/place.go
@@ -83,8 +83,8 @@
 	return float64(now+added) <= maxMemoryFraction*float64(en.tokens)
 }
 
-// overfillCost returns the cost, in slots, of an engine whose runs would hold end tokens in total
-// at their ends.
+// overfillCost returns the cost, in slots, of the memory that an engine's runs are expected to
+// need: end is the sum of the tokens that each holds at its end.
 //
 // Runs don't all end at once, so the total may exceed the memory. As a hard limit, it would
 // let short items overtake a long one indefinitely.
--- a/step/place_property_test.go
+++ b/step/place_property_test.go
@@ -19,7 +19,7 @@
 // other by the reference implementation.
 type tablePair struct {
 	engines []EngineInfo
-	holds   int64 // versions of what is held
+	holds   int64 // version of the current holds
 	light   bool  // most slots are free, so that runs can move
 	now     time.Time
 	serial  int
@@ -144,8 +144,8 @@
 	})
 }
 
-// drawGauge changes the observed number of tokens per event of a model.
-func (tp *tablePair) drawGauge(t *rapid.T) {
+// drawEventTokens changes the observed number of tokens per event of a model.
+func (tp *tablePair) drawEventTokens(t *rapid.T) {
 	model, tokens := rapid.SampledFrom(pairModels).Draw(t, "gauge"), rapid.IntRange(20, 120).Draw(t, "tokens per event")
 	tp.both(func(ta *Table) {
 		for range estimatorMaxRatios {
@@ -263,7 +263,7 @@
 		})
 		events := []func(*rapid.T){
 			tp.drawStep, tp.drawStep, tp.drawEngines, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers, tp.drawAnswers,
-			tp.drawScores, tp.drawHold, tp.drawEnd, tp.drawGauge, tp.skipTime, tp.skipTime,
+			tp.drawScores, tp.drawHold, tp.drawEnd, tp.drawEventTokens, tp.skipTime, tp.skipTime,
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			rapid.SampledFrom(events).Draw(t, "event")(t)
--- a/step/placement.go
+++ b/step/placement.go
@@ -93,8 +93,8 @@
 	pl.refresh(i)
 }
 
-// mayFit reports whether an item of a step may get a slot: one with held tokens may fit some
-// engine, or moving items may release reserved slots.
+// mayFit reports whether an item of a step may get a slot: one that holds the given tokens may fit
+// some engine, or moving items may release reserved slots.
 func (pl *placement) mayFit(sr *stepRow, tokens, moving int) bool {
 	return moving > 0 || pl.listOf(sr).maxTokens >= tokens
 }
--- a/step/recovery.go
+++ b/step/recovery.go
@@ -43,11 +43,11 @@
 // recovered.
 func (rs *recoverySignal) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	begun, back := time.Now(), rs.recovered()
+	begun, recovered := time.Now(), rs.recovered()
 	go func() {
 		for {
 			select {
-			case <-back:
+			case <-recovered:
 			case <-ctx.Done():
 				return
 			}
@@ -55,17 +55,17 @@
 				cancel()
 				return
 			}
-			back = rs.recovered()
+			recovered = rs.recovered()
 		}
 	}()
 	return ctx, cancel
 }
 
-// pause waits for the pause after a lost call, or until back is closed.
-func (rs *recoverySignal) pause(ctx context.Context, back <-chan struct{}) {
+// pause waits for the pause after a lost call, or until recovered is closed.
+func (rs *recoverySignal) pause(ctx context.Context, recovered <-chan struct{}) {
 	select {
 	case <-ctx.Done():
-	case <-back:
+	case <-recovered:
 	case <-time.After(retryDelay):
 	}
 }
--- a/step/referenceplace_test.go
+++ b/step/referenceplace_test.go
@@ -22,7 +22,7 @@
 	}
 	rp := &referencePlacement{released: map[*engineRow]bool{}, soon: map[*engineRow]bool{}}
 	for _, en := range ta.sortedEngines {
-		rp.soon[en] = referenceEnd(en) <= sendAheadTime
+		rp.soon[en] = referenceEnd(en) <= prequeueTime
 	}
 	full := func(en *engineRow) bool { return rp.open(ta, en) <= 0 && len(en.incoming) == 0 }
 	open := slices.DeleteFunc(slices.Clone(ta.sortedEngines), full)
@@ -64,7 +64,7 @@
 func (rp *referencePlacement) start(ta *Table, ir *itemRow, en *engineRow, now time.Time) {
 	ta.startRun(ir, en, now)
 	if !rp.released[en] {
-		rp.soon[en] = referenceEnd(en) <= sendAheadTime
+		rp.soon[en] = referenceEnd(en) <= prequeueTime
 	}
 }
 
@@ -205,7 +205,7 @@
 func referenceEnd(en *engineRow) time.Duration {
 	rate := 0.0
 	for _, ir := range en.items {
-		rate += 1 / max(ir.expectedTime(), sendAheadTime).Seconds()
+		rate += 1 / max(ir.expectedTime(), prequeueTime).Seconds()
 	}
 	return expectedEnd(rate)
 }
--- a/step/replay_test.go
+++ b/step/replay_test.go
@@ -14,7 +14,7 @@
 	exactPaces bool // the table gets the exact pace of each engine
 	engines    []*simEngine
 	now        time.Time
-	sheet      simDeployment
+	deployment simDeployment
 	table      *Table
 	trainers   []*simTrainer
 }
@@ -30,20 +30,20 @@
 
 // The deployments to simulate, from a dozen to 62 engines.
 var (
-	smallSheet = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 271, slots: 12, tokens: 46422}
-	grownSheet = simDeployment{eventTokens: 80, maxEvents: 149, prompt: 1016, slots: 8, tokens: 43562}
-	largeSheet = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 276, slots: 6, tokens: 27652}
-	shortSheet = simDeployment{eventTokens: 64, maxEvents: 91, prompt: 276, slots: 6, tokens: 27652}
-	mixedSheet = simDeployment{eventTokens: 80, maxEvents: 156, prompt: 276, slots: 12, tokens: 39466}
-	tightSheet = simDeployment{eventTokens: 80, maxEvents: 154, prompt: 276, slots: 8, tokens: 31632}
+	smallDeployment = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 271, slots: 12, tokens: 46422}
+	grownDeployment = simDeployment{eventTokens: 80, maxEvents: 149, prompt: 1016, slots: 8, tokens: 43562}
+	largeDeployment = simDeployment{eventTokens: 64, maxEvents: 195, prompt: 276, slots: 6, tokens: 27652}
+	shortDeployment = simDeployment{eventTokens: 64, maxEvents: 91, prompt: 276, slots: 6, tokens: 27652}
+	mixedDeployment = simDeployment{eventTokens: 80, maxEvents: 156, prompt: 276, slots: 12, tokens: 39466}
+	tightDeployment = simDeployment{eventTokens: 80, maxEvents: 154, prompt: 276, slots: 8, tokens: 31632}
 )
 
 // newReplay returns a replay with an engine for each factor.
-func newReplay(sheet simDeployment, factors []float64, trainers []*simTrainer) *replay {
-	re := &replay{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), sheet: sheet, table: NewTable(1, nil), trainers: trainers}
+func newReplay(deployment simDeployment, factors []float64, trainers []*simTrainer) *replay {
+	re := &replay{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), deployment: deployment, table: NewTable(1, nil), trainers: trainers}
 	for i, factor := range factors {
 		se := &simEngine{
-			factor: factor, id: fmt.Sprintf("engine-%02d", i), runs: map[runner.Key]*simRun{}, sheet: sheet,
+			factor: factor, id: fmt.Sprintf("engine-%02d", i), runs: map[runner.Key]*simRun{}, deployment: deployment,
 			versions: map[string]uint64{},
 		}
 		for _, tr := range trainers {
@@ -99,7 +99,7 @@
 	var infos []EngineInfo
 	for _, se := range re.engines {
 		se.advance(re.now)
-		infos = append(infos, EngineInfo{ID: se.id, Service: "service", Slots: re.sheet.slots, Tokens: re.sheet.tokens})
+		infos = append(infos, EngineInfo{ID: se.id, Service: "service", Slots: re.deployment.slots, Tokens: re.deployment.tokens})
 	}
 	ta := re.table
 	ta.SetEngines(infos, re.now)
@@ -149,7 +149,7 @@
 	bases := map[string][]time.Duration{}
 	for _, se := range re.engines {
 		en := re.table.engines[se.id]
-		en.basePace = time.Duration(0.592 * float64(re.sheet.eventTokens) * se.factor * float64(time.Millisecond))
+		en.basePace = time.Duration(0.592 * float64(re.deployment.eventTokens) * se.factor * float64(time.Millisecond))
 		bases[en.service] = append(bases[en.service], en.basePace)
 	}
 	for service, all := range bases {
--- a/step/response.go
+++ b/step/response.go
@@ -35,12 +35,12 @@
 
 // recordAcks records that the attendant has received the acknowledgements of runs in a request.
 func (en *engineRow) recordAcks(acks []runner.Ack) {
-	for _, se := range acks {
-		if ir, ok := en.items[se.Key]; ok {
-			ir.run.acked = max(ir.run.acked, se.Events+1)
+	for _, ac := range acks {
+		if ir, ok := en.items[ac.Key]; ok {
+			ir.run.acked = max(ir.run.acked, ac.Events+1)
 		}
-		if ir, ok := en.retained[se.Key]; ok && se.Ended {
-			ir.run.ackedEnd, ir.run.storedScore = true, se.Score
+		if ir, ok := en.retained[ac.Key]; ok && ac.Ended {
+			ir.run.ackedEnd, ir.run.storedScore = true, ac.Score
 		}
 	}
 }
--- a/step/reuse.go
+++ b/step/reuse.go
@@ -65,8 +65,8 @@
 			delete(ta.reusableItems, id)
 		}
 	}
-	for id, le := range ta.knownLengths {
-		if le.step.age(now) > reuseRetention {
+	for id, ml := range ta.knownLengths {
+		if ml.step.age(now) > reuseRetention {
 			delete(ta.knownLengths, id)
 		}
 	}
--- a/step/row.go
+++ b/step/row.go
@@ -118,8 +118,8 @@
 // An engineRow is an engine with its attendant.
 type engineRow struct {
 	id              string
-	address         string // of the attendant
-	boot            string
+	address         string             // of the attendant
+	boot            string             // changes with each start of the attendant
 	endpoint        string             // address of the engine
 	incarnation     incarnation.Number // of the engine that the row describes
 	toForget        map[runner.Key]bool
--- a/step/scheduler.go
+++ b/step/scheduler.go
@@ -25,14 +25,14 @@
 
 // Intervals and timeouts of a scheduler.
 const (
-	// tickInterval is the interval of the systems while steps are open.
+	// tickInterval is the interval at which a scheduler makes its decisions, see Scheduler.tick.
 	tickInterval = 50 * time.Millisecond
 	// exchangeInterval is the pause between exchanges with an attendant while steps are open.
 	exchangeInterval = 100 * time.Millisecond
 	// idleExchangeInterval is the pause between exchanges while no step is open.
 	idleExchangeInterval = 400 * time.Millisecond
-	// idleIntervalPerEngine is the pause that each engine adds for idle engines. Its inverse limits
-	// the rate of exchanges with them.
+	// idleIntervalPerEngine is the pause between exchanges with an idle engine for each engine of the
+	// table. Its inverse limits the total rate of these exchanges.
 	idleIntervalPerEngine = 200 * time.Microsecond
 	// pauseAfterAwait is the pause after an exchange whose response waited for the end of a run.
 	pauseAfterAwait = 10 * time.Millisecond
@@ -93,7 +93,7 @@
 
 	archive          archive
 	cancelHolder     context.CancelFunc
-	stepAccepted     chan struct{} // wakes the systems after a step was accepted
+	stepAccepted     chan struct{} // wakes Run after a step was accepted
 	measuredServices map[string]ServiceLoad
 	mu               sync.Mutex
 	termEndedAt      time.Time // when the last term ended
@@ -110,7 +110,7 @@
 	epoch         uint64
 	exchangeKicks map[string]chan struct{} // wake the exchange loops, by engine
 	polledAt      time.Time                // last response to the intake poll
-	revival       recoverySignal
+	recovery      recoverySignal
 	ready         bool // the state of earlier schedulers is loaded
 	table         *Table
 	writeKick     chan struct{} // wakes the writer
@@ -189,7 +189,7 @@
 	}
 }
 
-// round begins or ends a term and runs the systems. It must be called from one goroutine only:
+// round updates the term and runs one tick. It must be called from one goroutine only:
 // a concurrent call could act on an outdated lease state and end a term just continued.
 func (sc *Scheduler) round(ctx context.Context, now time.Time) {
 	epoch, st := sc.Holder.State(now)
@@ -255,12 +255,12 @@
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.term != nil {
-		sc.term.revival.notify()
+		sc.term.recovery.notify()
 		notify(sc.term.writeKick)
 	}
 }
 
-// tick runs the systems.
+// tick updates the table and makes the decisions of one tick.
 func (sc *Scheduler) tick(now time.Time) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
--- a/step/sendahead.go
+++ b/step/sendahead.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// sendAheadTime is how soon a run must be expected to end for another item to be sent to its full engine: the time
+// prequeueTime is how soon a run must be expected to end for another item to be sent to its full engine: the time
 // between the end of a run and the start of the next one in its slot.
-const sendAheadTime = 150 * time.Millisecond
+const prequeueTime = 150 * time.Millisecond
 
 // endRate returns the rate of a run's end per second, as the inverse of its expected remaining time.
-func (ir *itemRow) endRate() float64 { return 1 / max(ir.expectedTime(), sendAheadTime).Seconds() }
+func (ir *itemRow) endRate() float64 { return 1 / max(ir.expectedTime(), prequeueTime).Seconds() }
 
 // expectedEnd returns the expected time until the first of an engine's runs ends, given the sum of their end rates.
 func expectedEnd(rate float64) time.Duration {
--- a/step/share_test.go
+++ b/step/share_test.go
@@ -11,9 +11,9 @@
 // replayShares replays a small customer with one trainer beside a large one with ten. It returns
 // the fraction of groups in time of the small customer, and of both together.
 func replayShares(seed uint64, anyShare bool) (small, all float64) {
-	trainers := []*simTrainer{newTrainer(smallSheet, "small", 10, 4, 500*time.Millisecond, seed)}
+	trainers := []*simTrainer{newTrainer(smallDeployment, "small", 10, 4, 500*time.Millisecond, seed)}
 	for i := range 10 {
-		trainers = append(trainers, newTrainer(smallSheet, fmt.Sprintf("large-%d", i), 10, 4, 500*time.Millisecond, seed+uint64(10*i+10)))
+		trainers = append(trainers, newTrainer(smallDeployment, fmt.Sprintf("large-%d", i), 10, 4, 500*time.Millisecond, seed+uint64(10*i+10)))
 	}
 	for i, tr := range trainers {
 		tr.customer = "large"
@@ -21,7 +21,7 @@
 			tr.customer = "small"
 		}
 	}
-	re := newReplay(smallSheet, factors(5), trainers)
+	re := newReplay(smallDeployment, factors(5), trainers)
 	re.table.ignoreShares = anyShare
 	re.run(replayTime, nil)
 	inTime, requested := 0, 0
--- a/step/simengine_test.go
+++ b/step/simengine_test.go
@@ -12,16 +12,16 @@
 // A simEngine simulates an engine: a decoding step of all runs takes 0.592 ms, 1.72 us for
 // each run and 1.63 us for each thousand tokens of context.
 type simEngine struct {
-	id       string
-	factor   float64 // slower by
-	loading  time.Time
-	model    string // that it loads
-	target   uint64
-	order    []*simRun // by launch
-	runs     map[runner.Key]*simRun
-	sheet    simDeployment
-	versions map[string]uint64
-	dead     bool
+	id         string
+	factor     float64 // slower by
+	loading    time.Time
+	model      string // that it loads
+	target     uint64
+	order      []*simRun // by launch
+	runs       map[runner.Key]*simRun
+	deployment simDeployment
+	versions   map[string]uint64
+	dead       bool
 }
 
 type simRun struct {
@@ -53,7 +53,7 @@
 
 // tokens returns how many tokens a run holds.
 func (se *simEngine) tokens(ru *simRun) float64 {
-	return float64(se.sheet.prompt) + (float64(len(ru.launch.Prior))+ru.made)*float64(se.sheet.eventTokens)
+	return float64(se.deployment.prompt) + (float64(len(ru.launch.Prior))+ru.made)*float64(se.deployment.eventTokens)
 }
 
 func (se *simEngine) running() int {
@@ -69,7 +69,7 @@
 // pace returns the time per event.
 func (se *simEngine) pace() time.Duration {
 	step := 0.592 + 0.00172*float64(se.running()) + 0.00163*se.context()/1000
-	return time.Duration(step * float64(se.sheet.eventTokens) * se.factor * float64(time.Millisecond))
+	return time.Duration(step * float64(se.deployment.eventTokens) * se.factor * float64(time.Millisecond))
 }
 
 func (se *simEngine) advance(now time.Time) {
@@ -86,11 +86,11 @@
 			continue
 		}
 		// Runs beyond the slots wait for another run to end.
-		if active++; active > se.sheet.slots {
+		if active++; active > se.deployment.slots {
 			break
 		}
 		// Without memory, the newest runs wait until older ones have ended.
-		if held += se.tokens(ru); held > float64(se.sheet.tokens) {
+		if held += se.tokens(ru); held > float64(se.deployment.tokens) {
 			continue
 		}
 		ru.made += events
@@ -119,9 +119,9 @@
 			}
 		}
 		// Prefill of the prompt and of the prior events takes time.
-		read := float64(se.sheet.prompt + len(la.Prior)*se.sheet.eventTokens)
+		read := float64(se.deployment.prompt + len(la.Prior)*se.deployment.eventTokens)
 		ru.made = -read / 307 / (float64(se.pace()) / float64(time.Millisecond))
-		if !se.loading.IsZero() && se.model == ru.model || se.running() > se.sheet.slots {
+		if !se.loading.IsZero() && se.model == ru.model || se.running() > se.deployment.slots {
 			ru.state = runner.NotRun
 		}
 		se.runs[la.Key] = ru
--- a/step/simtrainer_test.go
+++ b/step/simtrainer_test.go
@@ -26,7 +26,7 @@
 	publishedVersion uint64
 	open             []*simStep
 	rng              *rand.Rand
-	sheet            simDeployment
+	deployment       simDeployment
 	size             int
 	start            time.Time
 	target           int
@@ -60,7 +60,7 @@
 	arriveAt  time.Time
 }
 
-// How trainers read.
+// Parameters of a trainer's reads.
 const (
 	readEvery = 500 * time.Millisecond
 	readWait  = time.Second
@@ -104,11 +104,11 @@
 
 func (tr *simTrainer) length() int {
 	// Lognormal with a mean of 27 events; 8 percent are five times as long.
-	events := float64(tr.sheet.maxEvents) / 195 * 20 * math.Exp(0.78*tr.rng.NormFloat64())
+	events := float64(tr.deployment.maxEvents) / 195 * 20 * math.Exp(0.78*tr.rng.NormFloat64())
 	if tr.rng.Float64() < 0.08 {
 		events *= 5
 	}
-	return int(min(max(events, 2), float64(tr.sheet.maxEvents)))
+	return int(min(max(events, 2), float64(tr.deployment.maxEvents)))
 }
 
 func (tr *simTrainer) newGroup(name string) []Item {
@@ -121,10 +121,10 @@
 		if tr.exact {
 			noise = 1
 		}
-		hint := float64(length*tr.sheet.eventTokens) * noise
+		hint := float64(length*tr.deployment.eventTokens) * noise
 		its = append(its, Item{
-			ID: id, Group: name, Hint: int(hint), Prompt: tr.sheet.prompt,
-			Tokens: tr.sheet.prompt + tr.sheet.maxEvents*tr.sheet.eventTokens,
+			ID: id, Group: name, Hint: int(hint), Prompt: tr.deployment.prompt,
+			Tokens: tr.deployment.prompt + tr.deployment.maxEvents*tr.deployment.eventTokens,
 		})
 	}
 	return its
@@ -254,10 +254,10 @@
 }
 
 // newTrainer returns a trainer that waits for 90 percent of its groups, rounded up.
-func newTrainer(sheet simDeployment, model string, groups, size int, lesson time.Duration, seed uint64) *simTrainer {
+func newTrainer(deployment simDeployment, model string, groups, size int, trainingTime time.Duration, seed uint64) *simTrainer {
 	return &simTrainer{
 		due: 7500 * time.Millisecond, every: 4 * time.Second, groups: groups, lengths: map[string]int{},
-		trainingTime: lesson, model: model, publishedVersion: 1,
-		names: map[string][]Item{}, rng: rand.New(rand.NewPCG(seed, 1)), sheet: sheet, size: size, target: (groups*9 + 9) / 10,
+		trainingTime: trainingTime, model: model, publishedVersion: 1,
+		names: map[string][]Item{}, rng: rand.New(rand.NewPCG(seed, 1)), deployment: deployment, size: size, target: (groups*9 + 9) / 10,
 	}
 }
--- a/step/step.go
+++ b/step/step.go
@@ -33,7 +33,7 @@
 
 // A Step is a trainer's request for samples.
 type Step struct {
-	Accepted      time.Time     // by the wall clock of the accepting entry, which may be off; only orders steps
+	Accepted      time.Time     // by the wall clock of the accepting entry, which may be off; only used to order steps
 	Cut           bool          `cbor:",omitempty"` // the step has ended, and its items were removed
 	Count         int           `cbor:",omitempty"` // number of items, if Cut
 	Customer      string        `cbor:",omitempty"` // empty where no API key is required
--- a/step/store.go
+++ b/step/store.go
@@ -19,7 +19,7 @@
 	endPrefix    = intakePrefix + "end/"   // then ID
 	listedPrefix = "wisteriacroft/listed/" // then ID/CHUNK
 
-	checkpointPrefix = "wisteriacroft/checkpoint/" // then ID/NUMBER, or ID/listed/CHUNK: a mark
+	checkpointPrefix = "wisteriacroft/checkpoint/" // then ID/NUMBER, or ID/listed/CHUNK: a manifest
 
 	accountKey = "wisteriacroft/fair-share" // the fair-share account of customers
 )
@@ -218,7 +218,7 @@
 		}
 		data, err := cbor.Marshal(manifestOf(ch))
 		if err != nil {
-			return tx, errors.Wrapf(err, "encode the mark of %s", listedKey(ch.Step, ch.Number))
+			return tx, errors.Wrapf(err, "encode the manifest of %s", listedKey(ch.Step, ch.Number))
 		}
 		tx.Writes = append(tx.Writes, keyvalue.Write{Key: manifestKey(ch.Step, ch.Number), Value: data})
 	}
--- a/step/store_test.go
+++ b/step/store_test.go
@@ -267,7 +267,7 @@
 }
 
 func TestUpdateFitsOneTransaction(t *testing.T) {
-	// Guards against an update with more entries than a transaction may have: it would be retried unchanged forever,
+	// Guards against a write set with more entries than a transaction may have: it would be retried unchanged forever,
 	// and nothing more would be listed.
 	var me keyvalue.Memory
 	ta := tableOf(t, 1, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
--- a/step/table.go
+++ b/step/table.go
@@ -18,7 +18,7 @@
 	engines       map[string]*engineRow
 	formerEngines map[string]time.Time     // when engines left, by ID
 	sortedEngines []*engineRow             // engines by ID, for deterministic decisions
-	abandonAges   map[string]time.Duration // age at which a trainer ended an incomplete step
+	abandonAges   map[string]time.Duration // age at which a trainer ended an incomplete step, by trainer
 	plannedAt     time.Time
 	servicePlans  map[string]*servicePlan // by service
 	policy        overload.Discipline     // of all services
@@ -48,15 +48,15 @@
 	openSteps      []*stepRow        // open steps by acceptance
 	newestVersions map[string]uint64 // newest version of each model
 	log            func(event string, fields map[string]any)
-	demand         map[string]float64         // tokens of a step, by model
+	demand         map[string]float64         // moving average of the tokens of a step, by model
 	garbageKeys    []string                   // keys to delete
 	endedSteps     []*Step                    // ended steps, to be stored without their items
 	estimators     map[string]*tokenEstimator // by model
 	// estimateChanges counts changes of the estimates of all models.
 	estimateChanges estimateChanges
 	savedAt         time.Time                // when checkpoints were last made
-	medianBases     map[string]time.Duration // median base, by service
-	bestBases       map[string]time.Duration // base of the fastest engine, by service
+	medianBases     map[string]time.Duration // median base pace, by service
+	bestBases       map[string]time.Duration // base pace of the fastest engine, by service
 	medianPaces     map[string]time.Duration // median pace, by service
 }
 
@@ -108,11 +108,11 @@
 type StoredStep struct {
 	Checkpoints []Checkpoint
 	Listed      [][]Result // by chunk; nil if Marked is set
-	Marked      [][]string // item IDs by chunk
+	Marked      [][]string // item IDs by chunk, from the manifests
 }
 
 // Accept adds a step with its stored progress. It ignores a step that is there already.
-func (ta *Table) Accept(st *Step, ke StoredStep, ended bool, now time.Time) {
+func (ta *Table) Accept(st *Step, ss StoredStep, ended bool, now time.Time) {
 	if _, ok := ta.steps[st.ID]; ok {
 		return
 	}
@@ -126,7 +126,7 @@
 		seenAt: now, step: st,
 	}
 	ta.steps[st.ID] = sr
-	listed := sr.restoreListed(ke)
+	listed := sr.restoreListed(ss)
 	if ended {
 		ta.dropItems(sr)
 		return
@@ -158,7 +158,7 @@
 		}
 		ta.reuseText(ir, now)
 	}
-	sr.restore(ke.Checkpoints)
+	sr.restore(ss.Checkpoints)
 	ta.observeDemand(st)
 	ta.openSteps = append(ta.openSteps, sr)
 	ta.markPlanStale(st.Service)
--- a/step/trial.go
+++ b/step/trial.go
@@ -11,7 +11,7 @@
 
 // Parameters of finding items that crash engines.
 const (
-	// youngTime is how long a run is young. Items that crash their engine do so during
+	// youngTime is the age up to which a run is young. Items that crash their engine do so during
 	// prefill or the first events, so young runs are suspected first.
 	youngTime = time.Second
 	// trialEvents is the number of events after which a trial has passed.
@@ -25,7 +25,7 @@
 	// enginesPerTrial is the number of engines per concurrent trial.
 	enginesPerTrial = 8
 	// trialStrikes is the number of strikes for an item whose engine ended during its trial.
-	// It bars the item at once.
+	// It quarantines the item at once.
 	trialStrikes = 6
 	// minCrashWave and the fraction 1/crashWaveDivisor of all engines are the numbers of other engines
 	// that end within crashWaveTime from which on a common cause is assumed.
--- a/step/update.go
+++ b/step/update.go
@@ -10,12 +10,12 @@
 
 // NextWrites returns what to write now, as far as it fits into one transaction. Results take precedence.
 //
-// A scheduler repeats a write set unchanged until its outcome is known. One that is larger than a transaction may be
+// A scheduler repeats a write set unchanged until its outcome is known. One that exceeds the limit of a transaction
 // would be repeated forever and block all listing.
 func (ta *Table) NextWrites(now time.Time) WriteSet {
 	free := keyvalue.MaxTransaction - fenceEntries - accountEntries
 	ws := WriteSet{Chunks: ta.DueChunks(now)}
-	free -= (valueEntries + markEntries) * len(ws.Chunks)
+	free -= (valueEntries + manifestEntries) * len(ws.Chunks)
 	if !ta.hasFinal(ws.Chunks) {
 		cps := ta.Checkpoints(now)
 		ws.Checkpoints = cps[:min(len(cps), free/valueEntries)]
@@ -50,10 +50,10 @@
 
 // Numbers of entries in a transaction.
 const (
-	fenceEntries   = 1 // expectation of the lease
-	accountEntries = 2 // value, and expectation of the previous one
-	markEntries    = 1 // mark of a chunk
-	valueEntries   = 2 // value of a chunk or checkpoint, and expectation that there is none
+	fenceEntries    = 1 // expectation of the lease
+	accountEntries  = 2 // value, and expectation of the previous one
+	manifestEntries = 1 // manifest of a chunk
+	valueEntries    = 2 // value of a chunk or checkpoint, and expectation that there is none
 )
 
 // WritesApplied records that a write set has been applied.
