--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -122,7 +122,7 @@
 		li.raise(headroom, re)
 		return
 	}
-	// A limit that is not reached says nothing about the capacity; start from what is in flight.
+	// The limit may be far above the requests in flight, and then has no effect; lower those instead.
 	limit := float64(re.InFlight)
 	if li.limit > 0 {
 		limit = min(li.limit, limit+1)
@@ -258,7 +258,8 @@
 // Limit returns how many requests the sender may have in flight at the endpoint, or 0 for no limit.
 func (li *Limiter) Limit() float64 { return li.limit }
 
-// loadFactor returns the duration of a request beside busy others as a multiple of its duration alone.
+// loadFactor returns the duration of a request that runs concurrently with busy others, as a multiple of its
+// duration without them.
 func loadFactor(busy, slots int) float64 {
 	return max(1, float64(busy+1)/float64(max(slots, 1)))
 }
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -38,7 +38,7 @@
 	target = 60 * time.Millisecond
 )
 
-// answers passes count copies of a response, 10 ms apart, and returns the time of the last one.
+// observe passes count copies of a response, 10 ms apart, and returns the time of the last one.
 func observe(li *Limiter, from time.Time, count int, re Response) time.Time {
 	for range count {
 		from = from.Add(10 * time.Millisecond)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,7 +8,7 @@
 
 const (
 	// arrivalSpan and burstSpan are the time constants of the arrival rates: the short one detects
-	// the start of a burst quickly, the long one keeps it in view for a while.
+	// the start of a burst quickly, the long one falls slowly after its end.
 	arrivalSpan = time.Second
 	burstSpan   = 200 * time.Millisecond
 	// standingSpan is how long the minimum queueing delay must exceed its limit until the queue
