--- a/forward/memory_test.go
+++ b/forward/memory_test.go
@@ -70,7 +70,7 @@
 }
 
 // Of two concurrent bodies, each larger than half of the memory limit, one must be accepted: read
-// side by side, each would be rejected because of the other.
+// concurrently, each would be rejected because of the other.
 func TestConcurrentLargeBodies(t *testing.T) {
 	const bound = 64 << 10
 	de := deployWithMemory(t, bound)
--- a/forward/overload_test.go
+++ b/forward/overload_test.go
@@ -242,9 +242,9 @@
 }
 
 // run simulates arrivals for a period, and then runs until the last deadline.
-func (cl *cluster) run(day time.Duration) {
-	for ; cl.now < day+clusterDeadline; cl.now += simStep {
-		if cl.now < day {
+func (cl *cluster) run(period time.Duration) {
+	for ; cl.now < period+clusterDeadline; cl.now += simStep {
+		if cl.now < period {
 			cl.arrive()
 		}
 		for _, de := range cl.endpoints {
--- a/forward/table.go
+++ b/forward/table.go
@@ -21,7 +21,7 @@
 	firstPenalty = 500 * time.Millisecond
 	maxPenalty   = 4 * time.Second
 	// localPreference is the factor by which an endpoint in the same failure domain may be slower than one
-	// in another and still be preferred: traffic between domains takes longer and is paid for.
+	// in another and still be preferred: traffic between domains is slower and costs money.
 	localPreference = 1.15
 	// callerLocalPreference is the same for callers' requests. It is higher, since an entry has few latency
 	// samples of them; internal calls come in bulk and would overload the endpoints of one domain.
@@ -89,14 +89,14 @@
 	return ta.choose(ens, tried, preference{domain, localPreference}, now, func(directory.Endpoint, *row) bool { return true })
 }
 
-// A preference is the local failure domain and the factor by which its endpoints are preferred.
+// A preference is the local failure domain and the factor by which the cost of its endpoints is divided.
 type preference struct {
 	domain string
 	factor float64
 }
 
 // choose picks the endpoint with the lowest cost among those that fitFunc accepts.
-func (ta *Table) choose(ens []directory.Endpoint, tried map[string]bool, ho preference, now time.Time,
+func (ta *Table) choose(ens []directory.Endpoint, tried map[string]bool, pr preference, now time.Time,
 	fitFunc func(en directory.Endpoint, ro *row) bool,
 ) (directory.Endpoint, bool) {
 	best, bestCost, found := directory.Endpoint{}, 0.0, false
@@ -114,8 +114,8 @@
 			continue
 		}
 		cost := ro.cost(en, now)
-		if en.Domain == ho.domain {
-			cost /= ho.factor
+		if en.Domain == pr.domain {
+			cost /= pr.factor
 		}
 		if !found || cost < bestCost {
 			best, bestCost, found = en, cost, true
