--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -132,7 +132,7 @@
 				sy.ask(at, li, cut[at])
 			}
 		}
-		// Tokens live at least leastLife, and a bucket holds at least one token.
+		// Tokens are valid for at least minTTL, and a bucket holds at least one token.
 		slack := li.Rate*max(minTTL.Seconds(), overshoot*window.Seconds()/2) + max(li.Rate*overshoot*window.Seconds()/2, 1)
 		if most := float64(sy.most(changed)); most > li.Rate*window.Seconds()+slack+1 {
 			rt.Fatalf("%f requests in %s at %f a second", most, window, li.Rate)
