--- a/route/row.go
+++ b/route/row.go
@@ -17,7 +17,7 @@
 }
 
 // loadRatio returns the row's load as a fraction of its limit. Requests of this entry may be included in
-// the reported load or not, so that the larger of both counts.
+// the reported load or not, so the larger of the two numbers is used.
 func (ro *row) loadRatio() float64 {
 	limit := ro.load.Limit
 	if limit == 0 {
--- a/route/table.go
+++ b/route/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A Table holds the endpoints that an entry knows and picks one for each request. It is safe for
+// A Table holds the endpoints known to an entry and picks one for each request. It is safe for
 // concurrent use and reads no clock.
 type Table struct {
 	mu       sync.Mutex
