--- a/access/access.go
+++ b/access/access.go
@@ -10,7 +10,7 @@
 // A Verdict is the outcome of a check.
 type Verdict int
 
-// The outcomes.
+// The verdicts.
 const (
 	// Allowed requests run for the customer of the grant.
 	Allowed Verdict = iota
@@ -55,11 +55,11 @@
 const scheme = "Bearer"
 
 // Decide checks the credentials of a request, the values of the header with the key. Those of public
-// requests are ignored, so that an outdated key does no harm.
+// requests are ignored, so that an outdated key does not cause a rejection.
 //
-// Stale means that the configuration may be out of date. Known keys are accepted all the same, so
-// that a process without updates keeps serving its callers. Unknown keys may have been added since, so
-// that they are Undetermined and not Denied, which callers treat as final.
+// Stale means that the configuration may be out of date. Known keys are still accepted, so that
+// a process without updates keeps serving its callers. Unknown keys may have been added since, so they
+// are Undetermined and not Denied, which callers treat as final.
 func Decide(co *directory.Configuration, public bool, credentials []string, stale bool) Grant {
 	if co == nil {
 		return Grant{Outcome: Undetermined, Reason: NoConfiguration}
@@ -82,7 +82,7 @@
 	}
 }
 
-// parse returns the key in credentials, or the reason why there is none.
+// parseKey returns the key in credentials, or the reason why there is none.
 func parseKey(credentials []string) (string, Reason) {
 	switch {
 	case len(credentials) == 0:
