--- a/call/attempt.go
+++ b/call/attempt.go
@@ -64,7 +64,7 @@
 	echo := ex.answer.Header.Get(message.RequestIDHeader)
 	if echo != at.id && (echo != "" || !at.echoPerLine) {
 		ex.close()
-		crossed(at.call.policy.Service).Inc()
+		mismatched(at.call.policy.Service).Inc()
 		return nil, errors.Wrapf(errMismatchedResponse, "answer of %q", echo)
 	}
 	se.observe(at, ex.answer.Header)
@@ -134,7 +134,7 @@
 	case errors.As(err, &re):
 		se.Routes.Succeeded(now, id)
 	case errors.Is(err, errStalled):
-		silent(at.call.policy.Service).Inc()
+		stalled(at.call.policy.Service).Inc()
 		go se.diagnose(context.WithoutCancel(ctx), at)
 	default:
 		se.Routes.Failed(now, id)
--- a/call/call_test.go
+++ b/call/call_test.go
@@ -54,7 +54,7 @@
 	return map[string][]http.HandlerFunc{"a": handlers, "b": handlers, "c": handlers}
 }
 
-// Guards against truncated, crossed, missing or falsely refused answers, and against an order that
+// Guards against truncated, mismatched, missing or falsely refused answers, and against an order that
 // runs twice, when a connection or an attendant fails at any point of a call.
 func TestCalls(t *testing.T) {
 	repeatable := Policy{Repeatable: true}
--- a/call/metrics.go
+++ b/call/metrics.go
@@ -13,17 +13,17 @@
 	return metrics.GetOrCreateCounter(fmt.Sprintf("wisteriacroft_call_%s_total{service=%q}", name, service))
 }
 
-// answered counts calls with a whole answer.
+// answered counts calls with a complete answer.
 func answered(service string) *metrics.Counter { return counter("answered", service) }
 
 // attempts counts requests sent to attendants.
 func attempts(service string) *metrics.Counter { return counter("attempts", service) }
 
-// crossed counts dropped answers and chunks of other requests.
-func crossed(service string) *metrics.Counter { return counter("crossed", service) }
+// mismatched counts dropped answers and chunks of other requests.
+func mismatched(service string) *metrics.Counter { return counter("crossed", service) }
 
-// silent counts connections abandoned after their progress timeout.
-func silent(service string) *metrics.Counter { return counter("silent", service) }
+// stalled counts connections abandoned after their progress timeout.
+func stalled(service string) *metrics.Counter { return counter("silent", service) }
 
 // resumed counts streams resumed at another endpoint.
 func resumed(service string) *metrics.Counter { return counter("resumed", service) }
--- a/call/stream.go
+++ b/call/stream.go
@@ -164,7 +164,7 @@
 			return errors.Wrap(err, "stream broke off")
 		}
 		if ch.RequestID != at.id {
-			crossed(at.call.policy.Service).Inc()
+			mismatched(at.call.policy.Service).Inc()
 			continue
 		}
 		if err := st.forward(at, ch); err != nil {
