--- a/gate/policy.go
+++ b/gate/policy.go
@@ -8,7 +8,7 @@
 // A Discipline is the order in which waiting requests start.
 type Discipline string
 
-// The orders.
+// The disciplines.
 const (
 	// FirstInFirstOut starts requests in order of arrival, without classes, shares or a reserve.
 	FirstInFirstOut Discipline = "first-in-first-out"
--- a/gate/request.go
+++ b/gate/request.go
@@ -65,7 +65,7 @@
 // A Result is how a request ended.
 type Result int
 
-// The outcomes.
+// The results.
 const (
 	Broken   Result = iota // sent, but the answer is incomplete
 	Canceled               // sent, then canceled
