--- a/idempotency/check.go
+++ b/idempotency/check.go
@@ -16,7 +16,7 @@
 // Let s be the skew. A home runs a key minted at m only when its own clock shows m-s or later. So
 // all keys that a former home ran before it stopped, at time t by its clock, were minted at t+s or
 // earlier. When this home was notified of the stop, its clock showed t-s or later. A key minted
-// more than 2s after that cannot have run there. The same holds for this home before its restart,
+// more than twice s after that cannot have run there. The same holds for this home before its restart,
 // with Started in place of t. The clock of the minter is irrelevant.
 //
 // A key minted by an entry is sent only by that entry, so it has not run. But it may arrive after
--- a/idempotency/homes.go
+++ b/idempotency/homes.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// A yieldState tells when the former homes of a key yielded it.
+// A yieldState is the time at which the former homes of a key yielded it.
 type yieldState struct {
 	at        time.Time // latest time; zero if the key had no other home
 	unyielded string    // a former home that has not yielded
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -15,7 +15,8 @@
 )
 
 // ErrBadKey means that a key is not a UUID of version 7 in its standard form. Other keys have no
-// mint time, so they can't be told from keys that ran before the home started.
+// mint time, so they can't be distinguished from keys that ran before the home
+// started.
 var ErrBadKey = errors.New("idempotency key must be a UUID of version 7, such as 01976a5e-2f0b-7cc3-98c4-dc0c0c07398f")
 
 // A Key is an idempotency key, a UUID of version 7 that contains its mint time.
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestSetKeepLeavesExpiredKeysInvalid(t *testing.T) {
+func TestSetRetentionLeavesExpiredKeysInvalid(t *testing.T) {
 	// A longer retention time must not make a key that has already expired count as new.
 	ta := newHome(Options{Keep: time.Minute})
 	key := keyOf(at("1m"), "a", "a", "b")
