--- a/attendant/attempt.go
+++ b/attendant/attempt.go
@@ -65,9 +65,8 @@
 	if len(ch.Tokens) == 0 {
 		return nil
 	}
-	// The version of the last order does not tell which weights generated these tokens: a swap may
-	// have failed or happened in between. A guess could attribute the sample to the wrong weights,
-	// which could not be detected later.
+	// The version of the last order is no substitute: a swap may have failed or happened in between.
+	// The tokens could then be attributed to the wrong weights, which could not be detected later.
 	if ch.Version == 0 {
 		return errors.Wrapf(ErrNoVersion, "attempt %s: chunk at %d", at.id(), ch.First)
 	}
--- a/attendant/blob.go
+++ b/attendant/blob.go
@@ -28,15 +28,15 @@
 	Entries []blob.Entry
 }
 
-// depotCodes are the errors of a data folder that are encoded over RPC.
-var depotCodes = []peer.Code{
+// blobCodes are the errors of a data folder that are encoded over RPC.
+var blobCodes = []peer.Code{
 	{Err: blob.ErrFull, Name: "depot-full"},
 	{Err: blob.ErrMissing, Name: "depot-missing"},
 }
 
 // HandleBlobs registers the RPC methods of a data folder.
 func HandleBlobs(sv *peer.Server, st *blob.Store) {
-	sv.Codes = append(sv.Codes, depotCodes...)
+	sv.Codes = append(sv.Codes, blobCodes...)
 	handle := func(method string, fn func(req BlobRequest) (BlobResponse, error)) {
 		peer.Handle(sv, method, func(_ context.Context, _ message.Header, req BlobRequest) (BlobResponse, error) {
 			return fn(req)
@@ -60,7 +60,7 @@
 
 // NewBlobClient returns a client for the data folders of other processes.
 func NewBlobClient(po *peer.Pool) *blob.Client {
-	po.Codes = append(po.Codes, depotCodes...)
+	po.Codes = append(po.Codes, blobCodes...)
 	call := func(ctx context.Context, pl message.BlobLocation, method string, req BlobRequest) (BlobResponse, error) {
 		return peer.Call[BlobRequest, BlobResponse](ctx, po, pl.Address, method, req)
 	}
--- a/attendant/call_test.go
+++ b/attendant/call_test.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// Guards against running a request after its caller was told that it did not run.
+// Guards against running a request after its caller received a not-run refusal.
 func TestDisconnects(t *testing.T) {
 	run(t, func(se *session) {
 		fs := &fakeService{takes: 10 * time.Second}
--- a/attendant/execution.go
+++ b/attendant/execution.go
@@ -28,7 +28,7 @@
 	since  time.Time
 }
 
-// An executions holds the executions of one service, oldest first. The zero value is empty and
+// executions holds the executions of one service, oldest first. The zero value is empty and
 // ready to use.
 //
 // An execution continues without its caller, so that its answer can be recorded. If its connection
@@ -56,8 +56,8 @@
 }
 
 // review compares the executions with the number of requests in a report requested at asked. If the
-// report has fewer requests than there are executions older than executionAge, the oldest ones miss
-// it. Requests of other clients in the report only delay the detection.
+// report has fewer requests than there are executions older than executionAge, the oldest ones count as
+// missing. Requests of other clients in the report only delay the detection.
 func (es *executions) review(asked time.Time, held int) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
--- a/attendant/harness_test.go
+++ b/attendant/harness_test.go
@@ -27,7 +27,7 @@
 	"wisteriacroft/profile"
 )
 
-// A pipes connects the processes of a bubble by address over net.Pipe.
+// pipes connects the processes of a bubble by address over net.Pipe.
 type pipes struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
--- a/attendant/lines.go
+++ b/attendant/lines.go
@@ -10,7 +10,7 @@
 // engine.
 const writeTimeout = 10 * time.Second
 
-// A lines writes an answer as JSON lines and flushes each.
+// lines writes an answer as JSON lines and flushes each.
 type lines[T any] struct {
 	control *http.ResponseController
 	encoder *json.Encoder
--- a/attendant/membership.go
+++ b/attendant/membership.go
@@ -55,12 +55,12 @@
 func (at *Attendant) reportStates(time.Time) {
 	for _, en := range at.endpoints {
 		es, load := en.state(), en.gate.Load()
-		at.reporter.Set(en.name, at.rosterState(en, es), es.version, load.Running, load.Waiting)
+		at.reporter.Set(en.name, at.membershipState(en, es), es.version, load.Running, load.Waiting)
 	}
 }
 
-// rosterState returns the state reported to entries.
-func (at *Attendant) rosterState(en *endpoint, es endpointState) membership.State {
+// membershipState returns the state reported to entries.
+func (at *Attendant) membershipState(en *endpoint, es endpointState) membership.State {
 	switch {
 	case es.failed || es.seenAt.IsZero():
 		return membership.Unhealthy
--- a/attendant/membership_test.go
+++ b/attendant/membership_test.go
@@ -20,8 +20,8 @@
 	"wisteriacroft/tick"
 )
 
-// startEntry starts the parts of an entry that an attendant uses: its roster, its configuration and
-// its locate call.
+// startEntry starts the parts of an entry that an attendant uses: its membership table, its
+// configuration and its locate call.
 func (se *session) startEntry(address string, ho *profile.Replica) (stop func()) {
 	ta := &membership.Table{
 		Address:  address,
--- a/attendant/poll.go
+++ b/attendant/poll.go
@@ -36,7 +36,7 @@
 }
 
 // jitter returns a random time between 0.5 and 1.5 times every, so that the processes of a failure
-// domain that returns don't poll at the same time.
+// domain that recovers don't poll at the same time.
 func (at *Attendant) jitter(every time.Duration) time.Duration {
 	return every/2 + time.Duration(at.random.Int64N(int64(every)))
 }
--- a/attendant/sample_test.go
+++ b/attendant/sample_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-// Guards against accepting chunks that are lost, doubled, of another request, without a version or
+// Guards against accepting chunks that are lost, duplicated, of another request, without a version or
 // too old.
 func TestSpoiltAnswers(t *testing.T) {
 	spoil := func(change func(ch *engine.Chunk)) func(*engine.Chunk) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Guards against lost, doubled or wrongly attributed tokens in a sample that another engine
+// Guards against lost, duplicated or wrongly attributed tokens in a sample that another engine
 // resumes.
 func TestResume(t *testing.T) {
 	for _, tc := range []struct {
--- a/attendant/stream_test.go
+++ b/attendant/stream_test.go
@@ -45,7 +45,7 @@
 	return tokens
 }
 
-// Guards against truncated answers that look whole, and tokens lost or doubled on resume, when a
+// Guards against truncated answers that look whole, and tokens lost or duplicated on resume, when a
 // stream breaks.
 func TestStreams(t *testing.T) {
 	run(t, func(se *session) {
