--- a/batch/fresh.go
+++ b/batch/fresh.go
@@ -116,9 +116,9 @@
 }
 
 // expected returns the version that the trainer will probably have when it takes a step that is
-// ahead steps away. For a trainer that publishes, this follows its own pace; for any other, the
-// versions released to the engines. Without the latter its samples would be stale at hand-over and
-// be generated again.
+// ahead steps away. It is the higher of two estimates: one from the trainer's own pace, and
+// one from the versions released to the engines, for a trainer that does not publish them. Without
+// the second, samples of such a trainer would be stale at hand-over and be generated again.
 func (tr *trainer) expected(ahead int) engine.Version {
 	if ahead == 0 {
 		return tr.version
@@ -149,10 +149,10 @@
 	return versionsBefore(tr.expected(tr.stepsBefore(sp)), tr.policy.StalenessBound)
 }
 
-// allowedLag returns how many versions behind the next sample of sp may start. Bound times weight may
-// be fractional: the fraction allows one more version to that part of the step's samples that
-// starts first, which are the longest. These are then in progress when the trainer reaches the
-// step.
+// allowedLag returns how many versions behind the expected one the next sample of sp may start: the
+// staleness bound, reduced by the freshness weight. Its fractional part is the fraction of the step's
+// samples that may be one more version behind. These start first and are the longest, and so are
+// already in progress when the trainer reaches the step.
 func (po *Policy) allowedLag(sp *step) engine.Version {
 	soft := float64(po.StalenessBound) * (1 - min(max(po.FreshnessWeight, 0), 1))
 	whole := math.Floor(soft)
--- a/batch/machine_test.go
+++ b/batch/machine_test.go
@@ -216,7 +216,7 @@
 }
 
 func TestMachine(t *testing.T) {
-	// Guards against samples that are doubled, lost, stale or wrongly attributed, under random
+	// Guards against samples that are duplicated, lost, stale or wrongly attributed, under random
 	// faults.
 	setDefaultFlag(t, "rapid.checks", "300")
 	setDefaultFlag(t, "rapid.nofailfile", "true")
--- a/batch/policy.go
+++ b/batch/policy.go
@@ -19,7 +19,7 @@
 // A FreshnessRule decides which weights a sample may start on.
 type FreshnessRule int
 
-// The gates.
+// The freshness rules.
 const (
 	// FreshAtHandOver requires weights that will still be within the staleness bound when the
 	// trainer is expected to take the batch.
--- a/batch/session_test.go
+++ b/batch/session_test.go
@@ -21,7 +21,7 @@
 	steps  int // 0 means 2
 }
 
-// kill lets entry a die at a ledger write: 1 adopts, 2 accepts step 0, 3 seals it, 4 acknowledges
+// kill makes entry a crash at a ledger write: 1 adopts, 2 accepts step 0, 3 seals it, 4 acknowledges
 // it.
 func kill(write int, late bool) func(wo *world) {
 	return func(wo *world) { wo.nodes[0].killAt, wo.nodes[0].killLate = write, late }
@@ -41,7 +41,7 @@
 	wo.at(after+length, func() { wo.me.SetFaults(keyvalue.Faults{}); wo.note("key-value service has recovered") })
 }
 
-// sessions guard against samples that are doubled, lost, stale or wrongly attributed after the
+// sessions guard against samples that are duplicated, lost, stale or wrongly attributed after the
 // fault that the name states.
 var sessions = map[string]session{
 	"plain":                           {fault: func(*world) {}},
--- a/batch/submit.go
+++ b/batch/submit.go
@@ -79,7 +79,7 @@
 	case !tr.loaded || epoch != tr.epoch:
 		return submission{err: notOwned(name)}
 	case st == lease.Unconfirmed:
-		// A later owner may have rewound the trainer behind the step.
+		// A later owner may have rewound the trainer to before the step.
 		return submission{err: refuse(outcome.Refused, "the key-value service is away: step %d can't be recorded", number)}
 	case sp != nil && sp.digest != digest:
 		return submission{err: refuse(outcome.BadRequest, "step %d was submitted with other content", number)}
--- a/batch/trainer.go
+++ b/batch/trainer.go
@@ -37,7 +37,7 @@
 	writing      bool
 }
 
-// A garbage is a payload to be deleted once the ledger no longer refers to it.
+// garbage is a payload to be deleted once the ledger no longer refers to it.
 type garbage struct {
 	digest string
 	places []message.BlobLocation
--- a/batch/world_test.go
+++ b/batch/world_test.go
@@ -125,7 +125,7 @@
 		GoFunc:    func(job func(ctx context.Context)) { no.jobs = append(no.jobs, job) },
 		LeaseFunc: func(_ string, now time.Time) (uint64, lease.State) { return no.holder.State(now) },
 		ReplicateFunc: func(ctx context.Context, data []byte) ([]message.BlobLocation, error) {
-			return blob.Replicate(ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
+			return blob.Replicate(ctx, wo.blobClient(), []message.BlobLocation{storeOne, storeTwo}, data)
 		},
 		StartFunc: func(at Attempt) bool {
 			if wo.serving < at.MinVersion {
@@ -200,7 +200,7 @@
 	wo.lines = append(wo.lines, fmt.Sprintf("%6.1fs %s", at, fmt.Sprintf(format, args...)))
 }
 
-func (wo *world) depot() *blob.Client {
+func (wo *world) blobClient() *blob.Client {
 	return &blob.Client{
 		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
 			if wo.cutOff[digest] {
@@ -220,7 +220,7 @@
 }
 
 func (wo *world) fetch(ctx context.Context, pls []message.BlobLocation, digest string) ([]byte, error) {
-	return blob.Fetch(ctx, wo.depot(), pls, digest)
+	return blob.Fetch(ctx, wo.blobClient(), pls, digest)
 }
 
 func (wo *world) drop(pls []message.BlobLocation, digest string) {
@@ -324,7 +324,7 @@
 	data, _ := json.Marshal(pa)
 	digest := blob.Digest(data)
 	wo.generated[digest] = pa
-	pls, _ := blob.Replicate(wo.ctx, wo.depot(), []message.BlobLocation{storeOne, storeTwo}, data)
+	pls, _ := blob.Replicate(wo.ctx, wo.blobClient(), []message.BlobLocation{storeOne, storeTwo}, data)
 	if ru.node.dead || ru.node.paused {
 		return
 	}
