--- a/rollout/fence.go
+++ b/rollout/fence.go
@@ -124,10 +124,10 @@
 //   - an epoch below the highest seen;
 //   - an order for an earlier incarnation of this attendant, whose epochs are lost;
 //   - an order without the latest token. Each probe and each order generates a new one, so that a
-//     delayed order can't arrive after its owner has been told that the engine is idle;
+//     delayed order can't arrive after its owner has received the status Idle;
 //   - the first order of an epoch if its token is older than TokenLife. An owner with a fresh token
-//     has checked its lease since, so that a paused owner can't get past the rules above by
-//     learning the new incarnation;
+//     has checked its lease since, so that a paused owner can't evade the rules above with
+//     the new incarnation;
 //   - an order while another one is not settled: the engine could receive the two in the wrong
 //     order.
 func (fe *Fence) admit(rq Request, now time.Time) (Verdict, error) {
--- a/rollout/harness_test.go
+++ b/rollout/harness_test.go
@@ -30,7 +30,7 @@
 	version      engine.Version
 }
 
-// A site is a set of machines, the roster of an entry, and the owners of their rollout. It runs in
+// A site is a set of machines, the membership table of an entry, and the owners of their rollout. It runs in
 // a single goroutine. A lost message is lost in one direction only.
 type site struct {
 	pending  []delayed
@@ -47,7 +47,7 @@
 	onOrder  func(ma *machine) // called for each order that an engine accepts
 }
 
-// A delayed is a delayed message.
+// delayed is a delayed message.
 type delayed struct {
 	at time.Time
 	fn func()
@@ -191,8 +191,8 @@
 	}
 }
 
-// advance advances an engine. Its reports arrive half a second late, and the roster receives them
-// another second later.
+// advance advances an engine. Its reports arrive half a second late, and the membership
+// table receives them another second later.
 func (si *site) advance(ma *machine, i int) {
 	now := time.Now()
 	if ma.loading != 0 && !now.Before(ma.until) {
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -149,8 +149,9 @@
 
 // requiredSpare returns the least spare that an order to the engine requires.
 //
-// An engine that has just swapped serves before the roster shows it. It does not count as serving
-// yet, so its order requires a spare of 0. Only an engine without weights has no such requirement.
+// An engine with weights may be serving although the membership table does not show it yet, just after
+// a swap. It does not count as serving, so its order requires a spare of 0. Only an engine without
+// weights may be ordered below the floor.
 func (rw *row) requiredSpare() int {
 	switch {
 	case rw.serving():
@@ -201,7 +202,7 @@
 	case an.Verdict == Fenced:
 		ro.fencedEpoch = max(ro.fencedEpoch, rq.Order.Epoch)
 	case an.Verdict == WrongIncarnation:
-		rw.enter(Unknown, now) // the roster will report the new incarnation
+		rw.enter(Unknown, now) // the membership table will show the new incarnation
 		rw.nextProbeAt = now.Add(reprobeDelay)
 	case an.Verdict == NotSent, an.Verdict == EngineFenced:
 		ro.applyStatus(rw, an.Status, now)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -69,7 +69,7 @@
 	Updated   int // report the wanted version
 }
 
-// Observe adds or updates an endpoint from the roster.
+// Observe adds or updates an endpoint from the membership table.
 func (ro *Rollout) Observe(en membership.Endpoint) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -191,8 +191,8 @@
 	return rw.view.State() == membership.Ready && rw.phase.settled() && rw.version > 0
 }
 
-// incarnation returns the latest incarnation of the engine's attendant known from the roster or a
-// status.
+// incarnation returns the latest incarnation of the engine's attendant known from the membership
+// table or a status.
 func (rw *row) incarnation() uint64 { return max(rw.statusIncarnation, rw.view.Incarnation()) }
 
 // reachable reports whether an order may be sent to the engine.
