--- a/call/orders_test.go
+++ b/call/orders_test.go
@@ -22,16 +22,16 @@
 
 // A desk is an order service and its attendant, which can be killed.
 type desk struct {
-	fails bool // the connection breaks after the next order has run
-	place *fakeAttendant
-	runs  int
-	se    *session
-	stop  []func()
-	takes time.Duration
+	fails     bool // the connection breaks after the next order has run
+	attendant *fakeAttendant
+	runs      int
+	se        *session
+	stop      []func()
+	takes     time.Duration
 }
 
 // newDesk returns a desk that replaces fake attendant a.
-func newDesk(se *session) *desk { return &desk{place: se.attendants["a"], se: se} }
+func newDesk(se *session) *desk { return &desk{attendant: se.attendants["a"], se: se} }
 
 // call is the service: it runs an order and logs it.
 func (de *desk) call(_ context.Context, req plainservice.Request) (plainservice.Response, error) {
@@ -63,11 +63,11 @@
 		Profiles: profiles,
 	})
 	assert.NilError(t, err)
-	place := &fakeAttendant{closed: make(chan struct{}), conns: make(chan net.Conn), handlers: de.place.handlers, name: "a", net: de.se.fakeNet, server: &http.Server{}}
-	de.place.Close()
-	de.place = place
-	de.se.attendants["a"] = place
-	go at.Serve(place)
+	fake := &fakeAttendant{closed: make(chan struct{}), conns: make(chan net.Conn), handlers: de.attendant.handlers, name: "a", net: de.se.fakeNet, server: &http.Server{}}
+	de.attendant.Close()
+	de.attendant = fake
+	de.se.attendants["a"] = fake
+	go at.Serve(fake)
 	at.Start()
 	de.stop = append(de.stop, sync.OnceFunc(func() { at.Shutdown(context.Background()) }))
 	time.Sleep(5 * time.Second) // keys from before the attendant's start are refused
@@ -76,10 +76,10 @@
 
 // kill closes the attendant's listener and connections at once.
 func (de *desk) kill() {
-	de.place.Close()
+	de.attendant.Close()
 	de.se.mu.Lock()
 	defer de.se.mu.Unlock()
-	for _, co := range de.place.open {
+	for _, co := range de.attendant.open {
 		co.Close()
 	}
 }
