--- a/attendant/attendant.go
+++ b/attendant/attendant.go
@@ -113,7 +113,7 @@
 		engine:  eo.Engine,
 		gate:    gate.NewGate(gate.Policy{}),
 		name:    eo.Name,
-		once:    idempotency.NewTable(idempotency.Options{Endpoint: eo.Name, Started: at.startedAt}),
+		keys:    idempotency.NewTable(idempotency.Options{Endpoint: eo.Name, Started: at.startedAt}),
 		plain:   eo.Plain,
 		service: eo.Service,
 	}
@@ -214,7 +214,7 @@
 func (at *Attendant) runGates(now time.Time) {
 	for _, en := range at.endpoints {
 		en.gate.Tick(now)
-		en.once.Expire(now)
+		en.keys.Expire(now)
 	}
 }
 
--- a/attendant/callonce.go
+++ b/attendant/callonce.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return answer{refusal: outcome.NewRefusal(outcome.BadRequest, ca.id, err.Error())}
 	}
-	de := en.once.Begin(time.Now(), idempotency.Request{
+	de := en.keys.Begin(time.Now(), idempotency.Request{
 		Ask:      ca.query,
 		Digest:   digest(req),
 		ID:       ca.id,
@@ -35,7 +35,7 @@
 	case de.Answer != nil:
 		return answer{Response: *de.Answer}
 	case !at.inflight.enter():
-		en.once.Release(time.Now(), ke)
+		en.keys.Release(time.Now(), ke)
 		return answer{refusal: leaving(ca.id)}
 	}
 	started := make(chan struct{})
@@ -66,7 +66,7 @@
 ) answer {
 	ti, err := en.admit(ctx, at.liveRequest(ca))
 	if err != nil {
-		en.once.Release(time.Now(), ke)
+		en.keys.Release(time.Now(), ke)
 		return answer{refusal: refusal(ctx, ca.id, err)}
 	}
 	ti.Started()
@@ -83,12 +83,12 @@
 	ti.Release(gateResult(ctx, err))
 	switch {
 	case err == nil:
-		en.once.Finish(time.Now(), ke, &an)
+		en.keys.Finish(time.Now(), ke, &an)
 		return answer{Response: an}
 	case notSent(err):
-		en.once.Release(time.Now(), ke)
+		en.keys.Release(time.Now(), ke)
 	default:
-		en.once.MarkUnknown(time.Now(), ke)
+		en.keys.MarkUnknown(time.Now(), ke)
 	}
 	return answer{refusal: en.callRefusal(ctx, ca.id, err)}
 }
--- a/attendant/endpoint.go
+++ b/attendant/endpoint.go
@@ -26,7 +26,7 @@
 	gate       *gate.Gate
 	metrics    *endpointMetrics
 	name       string
-	once       *idempotency.Table
+	keys       *idempotency.Table
 	plain      *plainservice.Client // nil for an engine
 	executions executions
 	service    string
--- a/attendant/homes.go
+++ b/attendant/homes.go
@@ -41,7 +41,7 @@
 		// The endpoint may be at another attendant.
 		return YieldResponse{}, outcome.NewRefusal(outcome.BadRequest, req.Endpoint, "no such endpoint here")
 	}
-	en.once.Yield(req.Revision)
+	en.keys.Yield(req.Revision)
 	return YieldResponse{}, nil
 }
 
@@ -56,7 +56,7 @@
 	}
 	at.nextYieldAt = now.Add(at.jitter(yieldInterval))
 	for _, en := range at.endpoints {
-		for _, former := range en.once.PendingYields() {
+		for _, former := range en.keys.PendingYields() {
 			at.loop.Go(func() { at.settleHome(en, former) })
 		}
 	}
@@ -83,5 +83,5 @@
 		at.options.Log.WithField("endpoint", en.name).WithError(err).Debug("former home has not yielded")
 		return
 	}
-	en.once.RecordYield(time.Now(), former, revision)
+	en.keys.RecordYield(time.Now(), former, revision)
 }
--- a/attendant/metrics.go
+++ b/attendant/metrics.go
@@ -32,8 +32,8 @@
 	se.GetOrCreateGauge(em.name("requests_running", ""), func() float64 { return float64(en.gate.Load().Running) })
 	se.GetOrCreateGauge(em.name("requests_waiting", ""), func() float64 { return float64(en.gate.Load().Waiting) })
 	if en.plain != nil {
-		se.GetOrCreateGauge(em.name("keys", ""), func() float64 { return float64(en.once.Len()) })
-		se.GetOrCreateGauge(em.name("unsettled_homes", ""), func() float64 { return float64(len(en.once.PendingYields())) })
+		se.GetOrCreateGauge(em.name("keys", ""), func() float64 { return float64(en.keys.Len()) })
+		se.GetOrCreateGauge(em.name("unsettled_homes", ""), func() float64 { return float64(len(en.keys.PendingYields())) })
 	} else {
 		se.GetOrCreateGauge(em.name("version", ""), func() float64 { return float64(en.currentVersion()) })
 	}
--- a/attendant/policy.go
+++ b/attendant/policy.go
@@ -79,8 +79,8 @@
 		en.gate.SetPolicy(now, gatePolicy(do, en.service))
 		if en.plain != nil {
 			set, former := homes(do, en.service)
-			en.once.SetHomes(now, set, former)
-			en.once.SetRetention(answerRetention(do, en.service))
+			en.keys.SetHomes(now, set, former)
+			en.keys.SetRetention(answerRetention(do, en.service))
 		}
 	}
 	at.options.Log.WithField("revision", at.applied).Info("profiles applied")
