--- a/batch/fresh.go
+++ b/batch/fresh.go
@@ -8,13 +8,13 @@
 	"wisteriacroft/message"
 )
 
-// freshen cancels stale attempts, and reopens slots whose samples became stale before their batch
+// dropStale cancels stale attempts, and reopens slots whose samples became stale before their batch
 // was sealed.
-func (ow *Owner) freshen(time.Time) {
+func (ow *Owner) dropStale(time.Time) {
 	for _, tr := range ow.trainers {
 		ow.cancelStale(tr)
-		if tr.version != tr.freshened {
-			tr.freshened = tr.version
+		if tr.version != tr.checkedVersion {
+			tr.checkedVersion = tr.version
 			tr.reopenStale()
 		}
 	}
--- a/batch/launch.go
+++ b/batch/launch.go
@@ -118,8 +118,8 @@
 	return slices.Delete(ats, i, i+1)
 }
 
-// straggle starts additional attempts for those that stall or are much slower than the others.
-func (ow *Owner) straggle(now time.Time) {
+// replaceStragglers starts additional attempts for those that stall or are much slower than the others.
+func (ow *Owner) replaceStragglers(now time.Time) {
 	for _, tr := range ow.trainers {
 		ow.failSilent(tr, now)
 		if tr.policy.Straggling == KeepStragglers {
--- a/batch/own.go
+++ b/batch/own.go
@@ -15,9 +15,9 @@
 	ledgerBackoff    = time.Second
 )
 
-// own follows the leases: it adopts the ledger under a new epoch, and drops the state after
-// keepWithoutLease without it.
-func (ow *Owner) own(now time.Time) {
+// followLeases adopts the ledger of each trainer whose lease has a new epoch, and drops the state of
+// a trainer after keepWithoutLease without its lease.
+func (ow *Owner) followLeases(now time.Time) {
 	for _, tr := range ow.trainers {
 		epoch, st := ow.LeaseFunc(tr.name, now)
 		if st != tr.leaseState {
@@ -43,7 +43,7 @@
 func (ow *Owner) adopt(tr *trainer, epoch uint64) {
 	tr.adopting = true
 	ow.spawn(func(ctx context.Context) {
-		rec, unchanged, err := tr.book.Adopt(ctx, epoch)
+		rec, unchanged, err := tr.ledgerWriter.Adopt(ctx, epoch)
 		ow.locked(func() { ow.adopted(tr, epoch, rec, unchanged, err) })
 	})
 }
--- a/batch/owner.go
+++ b/batch/owner.go
@@ -68,10 +68,10 @@
 		return
 	}
 	tr := &trainer{
-		book:    &ledger.Writer{Client: ow.Client, Trainer: name},
-		changed: make(chan struct{}),
-		name:    name,
-		policy:  po,
+		ledgerWriter: &ledger.Writer{Client: ow.Client, Trainer: name},
+		changed:      make(chan struct{}),
+		name:         name,
+		policy:       po,
 	}
 	ow.trainers = append(ow.trainers, tr)
 	sort.Slice(ow.trainers, func(i, j int) bool { return ow.trainers[i].name < ow.trainers[j].name })
@@ -93,10 +93,10 @@
 // Systems returns the systems to run on each tick, in order.
 func (ow *Owner) Systems() []tick.System {
 	return []tick.System{
-		ow.system("own", ow.own),
+		ow.system("own", ow.followLeases),
 		ow.system("load", ow.load),
-		ow.system("freshen", ow.freshen),
-		ow.system("straggle", ow.straggle),
+		ow.system("freshen", ow.dropStale),
+		ow.system("straggle", ow.replaceStragglers),
 		ow.system("start", ow.start),
 		ow.system("seal", ow.seal),
 		ow.system("publish", ow.publish),
--- a/batch/publish.go
+++ b/batch/publish.go
@@ -20,7 +20,7 @@
 		tr.writing = true
 		rec, seq := tr.record(), tr.wanted
 		ow.spawn(func(ctx context.Context) {
-			err := tr.book.Write(ctx, rec)
+			err := tr.ledgerWriter.Write(ctx, rec)
 			ow.locked(func() { ow.written(tr, rec.Epoch, seq, err) })
 		})
 	}
--- a/batch/trainer.go
+++ b/batch/trainer.go
@@ -11,30 +11,30 @@
 
 // A trainer is the owner's state of a trainer.
 type trainer struct {
-	adopting     bool
-	book         *ledger.Writer
-	changed      chan struct{} // closed and replaced on each change that a call may wait for
-	counts       Counts
-	cursor       message.Cursor // latest
-	droppedBatch string         // id of the last batch that is no longer kept
-	epoch        uint64         // epoch under which the ledger was adopted
-	freshened    engine.Version // version against which filled slots were last checked
-	garbage      []garbage
-	loaded       bool // the steps are those of the ledger, or newer
-	name         string
-	lostSince    time.Time // when the lease was first seen lost, or zero
-	pace         pace
-	policy       Policy
-	published    uint64 // last sequence number in the ledger
-	releases     releases
-	retryAt      time.Time  // of the next ledger access
-	running      []*attempt // oldest first
-	seals        int        // number of seals
-	leaseState   lease.State
-	steps        []*step        // by number
-	version      engine.Version // latest version of the trainer
-	wanted       uint64         // last sequence number to be written to the ledger
-	writing      bool
+	adopting       bool
+	ledgerWriter   *ledger.Writer
+	changed        chan struct{} // closed and replaced on each change that a call may wait for
+	counts         Counts
+	cursor         message.Cursor // latest
+	droppedBatch   string         // id of the last batch that is no longer kept
+	epoch          uint64         // epoch under which the ledger was adopted
+	checkedVersion engine.Version // version against which filled slots were last checked
+	garbage        []garbage
+	loaded         bool // the steps are those of the ledger, or newer
+	name           string
+	lostSince      time.Time // when the lease was first seen lost, or zero
+	pace           pace
+	policy         Policy
+	published      uint64 // last sequence number in the ledger
+	releases       releases
+	retryAt        time.Time  // of the next ledger access
+	running        []*attempt // oldest first
+	seals          int        // number of seals
+	leaseState     lease.State
+	steps          []*step        // by number
+	version        engine.Version // latest version of the trainer
+	wanted         uint64         // last sequence number to be written to the ledger
+	writing        bool
 }
 
 // garbage is a payload to be deleted once the ledger no longer refers to it.
@@ -168,6 +168,6 @@
 			whole:   fo.Whole,
 		})
 	}
-	tr.wanted, tr.published, tr.freshened = 0, 0, 0
+	tr.wanted, tr.published, tr.checkedVersion = 0, 0, 0
 	tr.loaded = true
 }
