--- a/allocation/allocation_test.go
+++ b/allocation/allocation_test.go
@@ -24,7 +24,7 @@
 	allocator *Allocator
 	mu        sync.Mutex  // guards all fields: entries report in the background
 	ends      []time.Time // end times of running and queued requests
-	places    int
+	slots     int
 	rng       *rand.Rand
 }
 
@@ -44,9 +44,9 @@
 	return logrus.NewEntry(logger)
 }
 
-func newSimulation(t *testing.T, entries, places int) *simulation {
+func newSimulation(t *testing.T, entries, slots int) *simulation {
 	t.Helper()
-	si := &simulation{cut: map[int]bool{}, epoch: 1, held: true, places: places, rng: rand.New(rand.NewPCG(1, 2))}
+	si := &simulation{cut: map[int]bool{}, epoch: 1, held: true, slots: slots, rng: rand.New(rand.NewPCG(1, 2))}
 	weights := func() map[string]float64 { return nil }
 	si.newAllocator(weights)
 	for i := range entries {
@@ -80,7 +80,7 @@
 	return func(time.Time, time.Duration) map[string]fairshare.ServiceDemand {
 		si.mu.Lock()
 		defer si.mu.Unlock()
-		sd := fairshare.ServiceDemand{Customers: en.demands, Places: si.places, Short: en.short}
+		sd := fairshare.ServiceDemand{Customers: en.demands, Places: si.slots, Short: en.short}
 		en.demands, en.short = map[string]fairshare.Demand{}, false
 		return map[string]fairshare.ServiceDemand{"desk": sd}
 	}
@@ -110,13 +110,13 @@
 	dem.Met += len(running) + 1
 	en.demands[customer] = dem
 	si.ends = expire(si.ends, now)
-	if len(si.ends) >= (1+queuePerSlot)*si.places {
+	if len(si.ends) >= (1+queuePerSlot)*si.slots {
 		en.short = true
 		return false
 	}
 	begun := now
-	if len(si.ends) >= si.places {
-		begun = si.ends[len(si.ends)-si.places]
+	if len(si.ends) >= si.slots {
+		begun = si.ends[len(si.ends)-si.slots]
 	}
 	end := begun.Add(requestTime)
 	si.ends = append(si.ends, end)
@@ -165,7 +165,7 @@
 	return tallies
 }
 
-func (ta tally) part() float64 { return float64(ta.served) / float64(max(ta.asked, 1)) }
+func (ta tally) servedFraction() float64 { return float64(ta.served) / float64(max(ta.asked, 1)) }
 
 var allEntries = []int{0, 1, 2, 3, 4, 5}
 
@@ -179,15 +179,15 @@
 		before := si.play(rates, time.Second, allEntries)
 		si.play(rates, 2*time.Second, allEntries)
 		tallies := si.play(rates, 10*time.Second, allEntries)
-		t.Logf("small %.3f before limits, %.3f with them; large %.3f", before["small"].part(), tallies["small"].part(), tallies["large"].part())
-		assert.Assert(t, before["small"].part() < 0.3)
-		assert.Assert(t, tallies["small"].part() >= 0.9)
+		t.Logf("small %.3f before limits, %.3f with them; large %.3f", before["small"].servedFraction(), tallies["small"].servedFraction(), tallies["large"].servedFraction())
+		assert.Assert(t, before["small"].servedFraction() < 0.3)
+		assert.Assert(t, tallies["small"].servedFraction() >= 0.9)
 		served := float64(tallies["small"].served+tallies["large"].served) / 10
 		assert.Assert(t, served > 0.9*capacity, "%.0f of %.0f served a second", served, capacity)
 		// Limits end with the overload.
 		si.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 3*time.Second, allEntries)
 		tallies = si.play(map[string]float64{"large": capacity / 2, "small": capacity / 3}, 5*time.Second, allEntries)
-		assert.Assert(t, tallies["large"].part() > 0.99 && tallies["small"].part() > 0.99, "%v", tallies)
+		assert.Assert(t, tallies["large"].servedFraction() > 0.99 && tallies["small"].servedFraction() > 0.99, "%v", tallies)
 	})
 }
 
@@ -205,7 +205,7 @@
 		t.Logf("the entry limits the large customer to %d slots by itself", bound)
 		assert.Assert(t, bound >= 1 && bound <= 18)
 		tallies := si.play(rates, 10*time.Second, allEntries)
-		assert.Assert(t, tallies["small"].part() >= 0.9, "%v", tallies)
+		assert.Assert(t, tallies["small"].servedFraction() >= 0.9, "%v", tallies)
 	})
 }
 
@@ -222,7 +222,7 @@
 			si.newAllocator(func() map[string]float64 { return nil })
 		})
 		tallies := si.play(rates, 6*time.Second, allEntries)
-		assert.Assert(t, tallies["small"].part() >= 0.9, "%v", tallies)
+		assert.Assert(t, tallies["small"].servedFraction() >= 0.9, "%v", tallies)
 	})
 }
 
--- a/allocation/allocator.go
+++ b/allocation/allocator.go
@@ -57,8 +57,8 @@
 
 // handleReport records a report and returns the limits of the entry.
 //
-// A new holder does not divide before all entries have had the time to report. Divided among the first
-// few, slots would be assigned more than once.
+// A new holder does not divide before all entries have had the time to report. It would otherwise
+// divide all slots among the first few, and assign them again when the others report.
 func (al *Allocator) handleReport(rq DemandRequest, now time.Time) (DemandResponse, error) {
 	al.mu.Lock()
 	defer al.mu.Unlock()
@@ -120,7 +120,7 @@
 func (al *Allocator) Parts(now time.Time) map[string]float64 {
 	al.mu.Lock()
 	defer al.mu.Unlock()
-	held, places := map[string]map[string]int{}, map[string]int{}
+	inFlight, slots := map[string]map[string]int{}, map[string]int{}
 	short := map[string]bool{}
 	for _, re := range al.entries {
 		if now.Sub(re.at) >= reportTTL {
@@ -128,20 +128,20 @@
 		}
 		for service, sd := range re.demands {
 			short[service] = short[service] || sd.Short
-			places[service] = max(places[service], sd.Places)
-			if held[service] == nil {
-				held[service] = map[string]int{}
+			slots[service] = max(slots[service], sd.Places)
+			if inFlight[service] == nil {
+				inFlight[service] = map[string]int{}
 			}
 			for customer, de := range sd.Customers {
-				held[service][customer] += de.InFlight
+				inFlight[service][customer] += de.InFlight
 			}
 		}
 	}
 	parts := map[string]float64{}
 	for service := range short {
-		for customer, count := range held[service] {
+		for customer, count := range inFlight[service] {
 			if short[service] {
-				parts[customer] = max(parts[customer], min(float64(count)/float64(max(places[service], 1)), 1))
+				parts[customer] = max(parts[customer], min(float64(count)/float64(max(slots[service], 1)), 1))
 			}
 		}
 	}
