--- a/gate/profile.go
+++ b/gate/profile.go
@@ -8,23 +8,23 @@
 
 // counts returns the counts of a profile.
 func (ta *Table) counts(profile string) *profileCounts {
-	tl := ta.profiles[profile]
-	if tl == nil {
-		tl = &profileCounts{}
-		ta.profiles[profile] = tl
+	pc := ta.profiles[profile]
+	if pc == nil {
+		pc = &profileCounts{}
+		ta.profiles[profile] = pc
 	}
-	return tl
+	return pc
 }
 
 // uncount subtracts a request from the counts of its profile.
 func (ta *Table) uncount(ro *row) {
-	tl := ta.counts(ro.request.Profile)
+	pc := ta.counts(ro.request.Profile)
 	if ro.running {
-		tl.running--
+		pc.running--
 	} else {
-		tl.waiting--
+		pc.waiting--
 	}
-	if *tl == (profileCounts{}) {
+	if *pc == (profileCounts{}) {
 		delete(ta.profiles, ro.request.Profile)
 	}
 }
--- a/gate/table.go
+++ b/gate/table.go
@@ -211,9 +211,9 @@
 	ro.running = true
 	ro.since = now
 	ta.running[ro.request.Class]++
-	tl := ta.counts(ro.request.Profile)
-	tl.waiting--
-	tl.running++
+	pc := ta.counts(ro.request.Profile)
+	pc.waiting--
+	pc.running++
 }
 
 // Remove removes a waiting or running request.
