--- a/admission/queue.go
+++ b/admission/queue.go
@@ -219,7 +219,7 @@
 	return out
 }
 
-// updateStanding updates whether the queue is standing with the queueing delay of a request.
+// updateStanding updates from the queueing delay of a request whether the queue is standing.
 func (qu *Queue) updateStanding(wa Waiter, now time.Time) {
 	if wa.Late {
 		return
