--- a/batch/trainer_test.go
+++ b/batch/trainer_test.go
@@ -161,7 +161,7 @@
 		}
 		sl := SlotID{Trainer: pa.Trainer, Step: pa.Step, Group: pa.Group, Member: pa.Member}
 		if _, ok := tr.taken[sl]; ok || sl.Group != en.Group || sl.Member != en.Member {
-			tr.wo.fail("exactly-once", "%v is doubled or crossed in %s", sl, pu.Batch)
+			tr.wo.fail("exactly-once", "%v is duplicated or not in its place in %s", sl, pu.Batch)
 		}
 		tr.taken[sl] = en.Digest
 	}
