--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,7 +8,7 @@
 
 const (
 	// arrivalSpan and burstSpan are the time constants of the arrival rates: the short one detects
-	// the start of a burst quickly, the long one keeps it in view for a while.
+	// the start of a burst quickly, the long one falls slowly after its end.
 	arrivalSpan = time.Second
 	burstSpan   = 200 * time.Millisecond
 	// standingSpan is how long the minimum queueing delay must exceed its limit until the queue
@@ -219,7 +219,7 @@
 	return out
 }
 
-// updateStanding updates whether the queue is standing with the queueing delay of a request.
+// updateStanding updates from the queueing delay of a request whether the queue is standing.
 func (qu *Queue) updateStanding(wa Waiter, now time.Time) {
 	if wa.Late {
 		return
