--- a/profile/follower.go
+++ b/profile/follower.go
@@ -111,7 +111,7 @@
 	switch {
 	case ctx.Err() != nil:
 	case err != nil && !fo.failing:
-		fo.log().WithError(err).Warn("reading profiles from the key-value service failed")
+		fo.log().WithError(err).Warn("profiles not followed")
 	case err == nil && fo.failing:
 		fo.log().Info("reading profiles from the key-value service recovered")
 	}
--- a/runner/orders.go
+++ b/runner/orders.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if re.Versions[or.Model] >= or.Version && !re.Busy {
-		rn.finish(or, "engine serves the ordered version")
+		rn.finish(or, "order holds")
 		return
 	}
 	if re.Busy || !given.IsZero() && time.Since(given) < loadTimeout {
@@ -67,7 +67,7 @@
 	rn.Log.WithFields(logrus.Fields{
 		"endpoint": or.Endpoint, "error": err, "fence": or.Fence, "model": or.Model,
 		"sequence": re.Sequence, "state": int(state), "version": or.Version,
-	}).Info("order sent to engine")
+	}).Info("order given")
 	switch {
 	case err != nil, state == OrderBusy: // decide after the next report
 	case state == OrderRefused, state == OrderHolds:
--- a/runner/report.go
+++ b/runner/report.go
@@ -37,7 +37,7 @@
 func (rn *Runner) storeReport(re Report) {
 	current := rn.report.Incarnation
 	if current.Supersedes(re.Incarnation) {
-		rn.Log.WithFields(logrus.Fields{"born": int64(re.Incarnation), "newest": int64(current)}).Warn("report of an earlier engine start ignored")
+		rn.Log.WithFields(logrus.Fields{"born": int64(re.Incarnation), "newest": int64(current)}).Warn("report of an earlier start ignored")
 		return
 	}
 	if re.Incarnation.Supersedes(current) {
@@ -62,7 +62,7 @@
 	rn.pacer = pacer{}
 	rn.Log.WithFields(logrus.Fields{
 		"born": int64(current), "runs": canceled, "report-ms": time.Since(rn.reportAt).Milliseconds(),
-	}).Warn("engine restarted")
+	}).Warn("engine has started again")
 }
 
 func (rn *Runner) reachable() bool { return time.Since(rn.reportAt) < reportTTL }
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -171,7 +171,7 @@
 	if rq.Number <= rn.numbers[rq.Endpoint] {
 		rn.Log.WithFields(logrus.Fields{
 			"endpoint": rq.Endpoint, "epoch": rq.Epoch, "launches": len(rq.Launches), "newest": rn.numbers[rq.Endpoint], "number": rq.Number,
-		}).Warn("out-of-order request refused")
+		}).Warn("overtaken request refused")
 		return errors.Wrapf(errOutOfOrder, "number %d, not %d", rq.Number, rn.numbers[rq.Endpoint])
 	}
 	rn.numbers[rq.Endpoint] = rq.Number
