--- a/runner/engine.go
+++ b/runner/engine.go
@@ -38,5 +38,5 @@
 	// ReportFunc fetches the engine's report.
 	ReportFunc func(ctx context.Context) (Report, error)
 	// StartFunc starts a run.
-	StartFunc func(ctx context.Context, la RunRequest) Start
+	StartFunc func(ctx context.Context, rr RunRequest) Start
 }
--- a/runner/orders.go
+++ b/runner/orders.go
@@ -49,7 +49,7 @@
 func (rn *Runner) stepOrder(ctx context.Context) {
 	rn.mu.Lock()
 	or, re, fresh := rn.orderTracker.order, rn.report, rn.reachable()
-	given := rn.orderTracker.acceptedAt
+	acceptedAt := rn.orderTracker.acceptedAt
 	rn.mu.Unlock()
 	if or.Version == 0 || !fresh {
 		return
@@ -58,7 +58,7 @@
 		rn.finish(or, "order holds")
 		return
 	}
-	if re.Busy || !given.IsZero() && time.Since(given) < loadTimeout {
+	if re.Busy || !acceptedAt.IsZero() && time.Since(acceptedAt) < loadTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/runner/pace_test.go
+++ b/runner/pace_test.go
@@ -30,14 +30,14 @@
 					pa.observe(quick, now)
 				}
 			}
-			turned := now
+			slowedAt := now
 			for duration, _ := pa.median(now); duration < slow; duration, _ = pa.median(now) {
 				now = now.Add(slow)
 				for range tc.runs {
 					pa.observe(slow, now)
 				}
 			}
-			assert.Assert(t, now.Sub(turned) <= tc.most, "%s", now.Sub(turned))
+			assert.Assert(t, now.Sub(slowedAt) <= tc.most, "%s", now.Sub(slowedAt))
 			_, gaps := pa.median(now)
 			assert.Assert(t, gaps >= 4, "%d", gaps)
 		})
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -16,15 +16,14 @@
 const (
 	// reportInterval is the interval between reports while a scheduler is connected.
 	reportInterval = 150 * time.Millisecond
-	// reportTimeout bounds one report, which the engine answers without a slot.
+	// reportTimeout bounds one call for a report, which occupies no slot of the engine.
 	reportTimeout = 500 * time.Millisecond
 	// reportTTL is the maximum age of a report for the engine to count as reachable.
 	reportTTL = time.Second
 	// schedulerTimeout is the time without a scheduler's call after which the engine is
 	// not polled.
 	schedulerTimeout = 5 * time.Second
-	// maxResponse bounds the text in one response, in bytes. A message may have
-	// 2 MB.
+	// maxResponse bounds the text in one response, in bytes. A message is limited to 2 MB.
 	maxResponse = 1 << 20
 	// maxRuns bounds the runs that are kept while no scheduler forgets them.
 	maxRuns = 400
@@ -175,15 +174,15 @@
 		return errors.Wrapf(errOutOfOrder, "number %d, not %d", rq.Number, rn.numbers[rq.Endpoint])
 	}
 	rn.numbers[rq.Endpoint] = rq.Number
-	for _, se := range rq.Seen {
-		if ru, ok := rn.runs[se.Key]; ok {
-			ru.ackedEvents = min(max(ru.ackedEvents, se.Events), len(ru.events))
+	for _, ac := range rq.Seen {
+		if ru, ok := rn.runs[ac.Key]; ok {
+			ru.ackedEvents = min(max(ru.ackedEvents, ac.Events), len(ru.events))
 			ru.acked = true
-			if se.Ended {
+			if ac.Ended {
 				ru.ackedState = ru.state
 			}
-			if se.Score != "" && ru.state == Complete {
-				ru.score = se.Score
+			if ac.Score != "" && ru.state == Complete {
+				ru.score = ac.Score
 			}
 		}
 	}
@@ -194,8 +193,8 @@
 		rn.stop(key)
 		delete(rn.runs, key)
 	}
-	for _, la := range rq.Launches {
-		rn.launch(la)
+	for _, rr := range rq.Launches {
+		rn.launch(rr)
 	}
 	if rq.Order != nil {
 		rn.setOrder(*rq.Order)
@@ -229,15 +228,15 @@
 }
 
 // launch starts a run. A repeated request for the same key has no effect.
-func (rn *Runner) launch(la RunRequest) {
-	if _, ok := rn.runs[la.Key]; ok {
+func (rn *Runner) launch(rr RunRequest) {
+	if _, ok := rn.runs[rr.Key]; ok {
 		return
 	}
 	rn.dropOldest()
 	ctx, cancel := rn.newRunContext()
-	ru := &run{startedAt: time.Now(), cancel: cancel, endpoint: la.Endpoint, events: slices.Clone(la.Prior), key: la.Key, ackedEvents: len(la.Prior)}
-	rn.runs[la.Key] = ru
-	go rn.execute(ctx, ru, la)
+	ru := &run{startedAt: time.Now(), cancel: cancel, endpoint: rr.Endpoint, events: slices.Clone(rr.Prior), key: rr.Key, ackedEvents: len(rr.Prior)}
+	rn.runs[rr.Key] = ru
+	go rn.execute(ctx, ru, rr)
 }
 
 // dropOldest deletes the run that ended first if maxRuns is reached.
@@ -257,10 +256,10 @@
 }
 
 // execute runs an item until it ends.
-func (rn *Runner) execute(ctx context.Context, ru *run, la RunRequest) {
+func (rn *Runner) execute(ctx context.Context, ru *run, rr RunRequest) {
 	defer ru.cancel()
 	startedAt := time.Now()
-	st := rn.Engine.StartFunc(ctx, la)
+	st := rn.Engine.StartFunc(ctx, rr)
 	if st.State == Running {
 		st.State, st.Detail = rn.read(ru, st.Stream)
 		st.Stream.CloseFunc()
@@ -272,7 +271,7 @@
 	case st.Engine != "":
 		rn.engine = st.Engine
 	case st.State == Complete:
-		rn.engine = la.Endpoint
+		rn.engine = rr.Endpoint
 	}
 	if ru.stopped && st.State != Complete {
 		st.State = Stopped
@@ -283,9 +282,9 @@
 	rn.ended = make(chan struct{})
 	rn.Metrics.GetOrCreateHistogram(`wisteriacroft_run_seconds{state="` + st.State.String() + `"}`).UpdateDuration(startedAt)
 	rn.Log.WithFields(logrus.Fields{
-		"after": len(la.Prior), "attempt": la.Key.Attempt, "detail": st.Detail, "endpoint": la.Endpoint,
-		"engine-ended": ru.engineEnded, "events": len(ru.events), "item": la.Key.Item, "ms": time.Since(startedAt).Milliseconds(),
-		"state": st.State.String(), "step": la.Key.Step, "version": la.Version,
+		"after": len(rr.Prior), "attempt": rr.Key.Attempt, "detail": st.Detail, "endpoint": rr.Endpoint,
+		"engine-ended": ru.engineEnded, "events": len(ru.events), "item": rr.Key.Item, "ms": time.Since(startedAt).Milliseconds(),
+		"state": st.State.String(), "step": rr.Key.Step, "version": rr.Version,
 	}).Info("run ended")
 }
 
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -66,12 +66,12 @@
 	return fe.versions
 }
 
-func (fe *fakeEngine) start(ctx context.Context, la RunRequest) Start {
-	fe.starts = append(fe.starts, la)
+func (fe *fakeEngine) start(ctx context.Context, rr RunRequest) Start {
+	fe.starts = append(fe.starts, rr)
 	if fe.state != Running {
 		return Start{Detail: "configured", State: fe.state}
 	}
-	id := int64(len(la.Prior))
+	id := int64(len(rr.Prior))
 	return Start{Stream: Stream{
 		CloseFunc: func() {},
 		NextFunc: func() (Event, error) {
--- a/runner/start_test.go
+++ b/runner/start_test.go
@@ -46,10 +46,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		rn := newRunner(&fakeEngine{})
 		reports := 0
-		ask := rn.Engine.ReportFunc
+		report := rn.Engine.ReportFunc
 		rn.Engine.ReportFunc = func(ctx context.Context) (Report, error) {
 			reports++
-			return ask(ctx)
+			return report(ctx)
 		}
 		go rn.Run(ctx)
 		time.Sleep(2 * schedulerTimeout)
