--- a/directory/conflict.go
+++ b/directory/conflict.go
@@ -23,8 +23,8 @@
 	if di.configuration == nil || en.Service == other.Service {
 		return true
 	}
-	_, named := di.configuration.Service(en.Service)
-	return named
+	_, defined := di.configuration.Service(en.Service)
+	return defined
 }
 
 // displace keeps an endpoint that lost its address before the configuration was known, so
--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -34,7 +34,7 @@
 
 // Validation errors of endpoint entries in the key-value service.
 var (
-	errNoID      = errors.New("no id that a header can hold")
+	errNoID      = errors.New("id is empty or cannot be sent in a header")
 	errNoAddress = errors.New("address is not an IP address and port")
 	errNoDomain  = errors.New("failure domain is empty")
 	errNoService = errors.New("service is empty")
@@ -64,9 +64,9 @@
 
 // Version returns the version of a model's weights, or 0 if it isn't served.
 func (en *Endpoint) Version(model string) uint64 {
-	for _, se := range en.Models {
-		if se.Model == model {
-			return se.Version
+	for _, mv := range en.Models {
+		if mv.Model == model {
+			return mv.Version
 		}
 	}
 	return 0
--- a/directory/endpointset.go
+++ b/directory/endpointset.go
@@ -66,14 +66,14 @@
 }
 
 // list returns the endpoints of a service, or all for an empty name, ordered by ID and
-// transformed by asFunc. The list is cached until one of them changes or clearLists is called.
-func (es *endpointSet) list(service string, asFunc func(en Endpoint) Endpoint) []Endpoint {
+// transformed by transformFunc. The list is cached until one of them changes or clearLists is called.
+func (es *endpointSet) list(service string, transformFunc func(en Endpoint) Endpoint) []Endpoint {
 	if es.lists == nil {
 		es.lists = map[string][]Endpoint{}
 	}
 	ens := sortedEndpoints(es.byID, service)
 	for i := range ens {
-		ens[i] = asFunc(ens[i])
+		ens[i] = transformFunc(ens[i])
 	}
 	es.lists[service] = ens
 	return ens
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -216,8 +216,8 @@
 // configuration, the endpoints and the quarantined requests. They may be seconds old, until
 // the feeder sends its state.
 //
-// If all processes start at once, the feeder starts slightly later. Without it, entries would
-// reject requests of live callers meanwhile.
+// If all processes start at once, the feeder starts slightly later. Without this read, entries
+// would reject requests of live callers meanwhile.
 func (fo *Follower) readStale(ctx context.Context) {
 	if fo.Patience == 0 || fo.Directory.Ready() {
 		return
--- a/directory/holds.go
+++ b/directory/holds.go
@@ -112,7 +112,7 @@
 }
 
 func (fo *Follower) logUndecodable(err error) {
-	fo.Log.WithError(err).Error("holds do not decode, those known stay")
+	fo.Log.WithError(err).Error("cannot decode holds, keeping the current ones")
 }
 
 // setHolds puts holds in force if they are newer, and logs them.
