--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -189,8 +189,8 @@
 	if len(names) == 0 {
 		return
 	}
-	in := func(ro *row) bool { return ro.descriptor.FailureDomain == names[0] }
-	ta.sync(er, SyncRequest{Domains: names[:1], Known: ta.knownStates(in)})
+	include := func(ro *row) bool { return ro.descriptor.FailureDomain == names[0] }
+	ta.sync(er, SyncRequest{Domains: names[:1], Known: ta.knownStates(include)})
 }
 
 // sync queues a request for the states of attendants that differ at an entry.
@@ -204,11 +204,11 @@
 	})
 }
 
-// knownStates returns summaries of the attendants that match in.
-func (ta *Table) knownStates(in func(ro *row) bool) []KnownState {
+// knownStates returns summaries of the attendants for which include returns true.
+func (ta *Table) knownStates(include func(ro *row) bool) []KnownState {
 	var kns []KnownState
 	for _, ro := range ta.rows.values() {
-		if ro.state.Doubt != Gone && in(ro) {
+		if ro.state.Doubt != Gone && include(ro) {
 			kns = append(kns, KnownState{
 				Doubt:       ro.state.Doubt,
 				Incarnation: ro.state.Incarnation,
--- a/membership/rank.go
+++ b/membership/rank.go
@@ -15,14 +15,14 @@
 // Rendezvous hashing spreads attendants evenly without coordination, and an entry that joins or
 // leaves moves only its own share of them.
 func rankEntries(attendant, failureDomain string, entries []instancelist.Instance) []instancelist.Instance {
-	chosen := slices.Clone(entries)
-	slices.SortFunc(chosen, func(a, b instancelist.Instance) int {
+	ranked := slices.Clone(entries)
+	slices.SortFunc(ranked, func(a, b instancelist.Instance) int {
 		if near := cmp.Compare(distance(a, failureDomain), distance(b, failureDomain)); near != 0 {
 			return near
 		}
 		return cmp.Or(cmp.Compare(weight(attendant, b.ID), weight(attendant, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	return chosen
+	return ranked
 }
 
 // distance returns 0 for an entry in the failure domain, else 1.
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -158,10 +158,10 @@
 // sendLeaving queues reports to the entries in notifyLeaving other than the preferred one, which
 // gets a regular report.
 func (rp *Reporter) sendLeaving(ins []instancelist.Instance) {
-	spread := rp.notifyLeaving
+	ids := rp.notifyLeaving
 	rp.notifyLeaving = nil
 	for _, in := range ins {
-		for _, id := range spread {
+		for _, id := range ids {
 			if in.ID == id && id != ins[0].ID {
 				rp.send(in)
 			}
@@ -224,7 +224,7 @@
 func (rp *Reporter) handleResponse(entry string, re ReportResponse, err error) {
 	rp.mu.Lock()
 	rp.inFlight[entry] = false
-	warn := false
+	leaving := false
 	switch {
 	case err != nil:
 		rp.backOff(entry)
@@ -239,11 +239,11 @@
 		rp.changed = rp.changed || re.WantCard
 	}
 	if err == nil && re.Leaving && !rp.state.Leaving {
-		warn = true
+		leaving = true
 		rp.leave()
 	}
 	rp.mu.Unlock()
-	if warn && rp.LeavingFunc != nil {
+	if leaving && rp.LeavingFunc != nil {
 		rp.LeavingFunc()
 	}
 }
