--- a/lease/holder.go
+++ b/lease/holder.go
@@ -18,8 +18,8 @@
 // expire it.
 const renewals = 3
 
-// marginDivisor is the fraction of the time to live that a holder does not use, as a safety margin
-// for clock drift.
+// marginDivisor sets the safety margin for clock drift: a holder stops using a lease when
+// 1/marginDivisor of its time to live is left.
 const marginDivisor = 6
 
 // A State is the state of a lease at a point in time.
@@ -99,7 +99,7 @@
 // NotHeld.
 //
 // The expiry is compared with now so that a process that resumes after a pause does not act
-// besides the next holder; it counts from before a renewal was sent. Both clocks are compared,
+// alongside the next holder; it counts from before a renewal was sent. Both clocks are compared,
 // since the monotonic one stops while a machine is suspended and the wall clock can be set back.
 func (ho *Holder) State(now time.Time) (uint64, State) {
 	ho.mu.Lock()
--- a/lease/standby.go
+++ b/lease/standby.go
@@ -93,8 +93,8 @@
 	return ch, err
 }
 
-// phaseDivisor is the fraction of its phase that a standby waits once a lease is free, so that not
-// all try to acquire it at once.
+// phaseDivisor shortens the phase to the time that a standby waits once a lease is free, so that
+// not all try to acquire it at once.
 const phaseDivisor = 10
 
 // other returns the record of another holder, as last read, or the zero Record.
