--- a/scale/loadaggregator.go
+++ b/scale/loadaggregator.go
@@ -48,13 +48,13 @@
 
 // Report sets the report of an entry. Entries are identified by instance, which a restart keeps, so
 // that a restarted one isn't counted twice.
-func (la *LoadAggregator) Report(instance string, seen map[string]Observation, now time.Time) {
+func (la *LoadAggregator) Report(instance string, observations map[string]Observation, now time.Time) {
 	la.mu.Lock()
 	defer la.mu.Unlock()
 	if la.reports == nil {
 		la.reports = map[string]report{}
 	}
-	la.reports[instance] = report{at: now, observations: seen}
+	la.reports[instance] = report{at: now, observations: observations}
 }
 
 // EntryCount returns the number of known entries.
@@ -101,8 +101,8 @@
 	known = fresh > 0 && float64(fresh) >= minReporting*float64(all) && now.Sub(la.startedAt) >= freshTTL
 	loads = map[string]Load{}
 	for _, re := range la.reports {
-		for service, se := range re.observations {
-			loads[service] = loads[service].Add(se)
+		for service, ob := range re.observations {
+			loads[service] = loads[service].Add(ob)
 		}
 	}
 	return loads, known
--- a/scale/plain.go
+++ b/scale/plain.go
@@ -20,12 +20,12 @@
 }
 
 // Add returns the load plus one entry's observation.
-func (lo Load) Add(se Observation) Load {
-	lo.Waiting += se.Waiting
-	if span := se.Span.Seconds(); span > 0 {
-		lo.Begun += float64(se.Begun) / span
-		lo.Refused += float64(se.Refused) / span
-		lo.Used += se.Busy.Seconds() / span
+func (lo Load) Add(ob Observation) Load {
+	lo.Waiting += ob.Waiting
+	if span := ob.Span.Seconds(); span > 0 {
+		lo.Begun += float64(ob.Begun) / span
+		lo.Refused += float64(ob.Refused) / span
+		lo.Used += ob.Busy.Seconds() / span
 	}
 	return lo
 }
@@ -57,7 +57,7 @@
 	case lo.Begun == 0:
 		return most // the duration of a request is unknown
 	default:
-		each := lo.Used / lo.Begun // seconds that a request uses a slot
-		return min(most, each*(lo.Refused+float64(lo.Waiting)/minSpan.Seconds()))
+		perRequest := lo.Used / lo.Begun // seconds that a request uses a slot
+		return min(most, perRequest*(lo.Refused+float64(lo.Waiting)/minSpan.Seconds()))
 	}
 }
