--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A Verdict tells whether a request may be sent.
+// A Verdict states whether a request may be sent.
 type Verdict struct {
 	HeldFor time.Duration // how long it must not be sent; 0 means that it may be
 	Strikes int           // endpoints that crashed since its last success
