--- a/keyvalue/http.go
+++ b/keyvalue/http.go
@@ -79,9 +79,9 @@
 }
 
 // read sends a read-only call.
-func read[Answer any](ctx context.Context, ht httpClient, path string) (Answer, error) {
-	an, status, err := roundtrip.Call[Answer](ctx, ht.reads, http.MethodGet, "/key-value/"+path, nil)
-	return an, outcome(status, err, ErrUnavailable)
+func read[Resp any](ctx context.Context, ht httpClient, path string) (Resp, error) {
+	resp, status, err := roundtrip.Call[Resp](ctx, ht.reads, http.MethodGet, "/key-value/"+path, nil)
+	return resp, outcome(status, err, ErrUnavailable)
 }
 
 // outcome returns the error of a call; an unknown status yields other.
