--- a/peer/connection.go
+++ b/peer/connection.go
@@ -34,12 +34,12 @@
 	defer cancel()
 	ctx, sp := tracer().Start(ctx, method, trace.WithSpanKind(trace.SpanKindClient))
 	defer sp.End()
-	answer, err := po.exchange(ctx, address, method, payload)
+	response, err := po.exchange(ctx, address, method, payload)
 	if err != nil {
 		recordError(sp, err)
 		return nil, errors.Wrapf(err, "call %s at %s", method, address)
 	}
-	return answer, nil
+	return response, nil
 }
 
 // exchange sends a request over the pool's connection to address and returns the payload
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -55,11 +55,11 @@
 	if err != nil {
 		return resp, err
 	}
-	answer, err := po.call(ctx, address, method, payload)
+	response, err := po.call(ctx, address, method, payload)
 	if err != nil {
 		return resp, err
 	}
-	return resp, decodePayload(answer, &resp)
+	return resp, decodePayload(response, &resp)
 }
 
 // Sender returns a function that calls a method asynchronously. It calls done exactly
