--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -99,12 +99,12 @@
 	return true
 }
 
-// spansDomains reports whether the places span enough failure domains to replicate a payload.
+// spansDomains reports whether the locations span enough failure domains to replicate a payload.
 // Without them, the payload of an attempt could not be stored.
 func spansDomains(locations []message.BlobLocation) bool {
 	domains := map[string]bool{}
-	for _, pl := range locations {
-		domains[pl.FailureDomain] = true
+	for _, bl := range locations {
+		domains[bl.FailureDomain] = true
 	}
 	return len(domains) >= blob.ReplicaCount
 }
@@ -204,17 +204,17 @@
 	// would block until the step's deadline.
 	silence := time.AfterFunc(silenceTimeout, func() { cancel(errSilence) })
 	defer silence.Stop()
-	an, err := di.client.Do(out)
+	rs, err := di.client.Do(out)
 	if err != nil {
 		return nil, di.closeStalled(cause(ctx, err))
 	}
-	defer an.Body.Close()
-	if an.StatusCode != http.StatusOK {
-		return nil, readRefusal(an)
+	defer rs.Body.Close()
+	if rs.StatusCode != http.StatusOK {
+		return nil, readRefusal(rs)
 	}
-	res, err := di.read(ctx, an.Body, req.Attempt, silence)
+	res, err := di.read(ctx, rs.Body, req.Attempt, silence)
 	if err == nil {
-		roundtrip.Finish(an.Body, func() { cancel(nil) })
+		roundtrip.Finish(rs.Body, func() { cancel(nil) })
 	}
 	return res, di.closeStalled(err)
 }
@@ -264,10 +264,10 @@
 }
 
 // readRefusal returns the refusal in a response, or an error with its status.
-func readRefusal(an *http.Response) error {
+func readRefusal(rs *http.Response) error {
 	var re outcome.Refusal
-	if err := json.NewDecoder(io.LimitReader(an.Body, maxPullSize)).Decode(&re); err != nil || re.Code == "" {
-		return errors.Newf("attendant returned status %d without a refusal", an.StatusCode)
+	if err := json.NewDecoder(io.LimitReader(rs.Body, maxPullSize)).Decode(&re); err != nil || re.Code == "" {
+		return errors.Newf("attendant returned status %d without a refusal", rs.StatusCode)
 	}
 	return &re
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -177,11 +177,11 @@
 
 // dropPayload deletes a payload from all reachable data folders.
 func (en *Entry) dropPayload(ctx context.Context, locations []message.BlobLocation, digest string) {
-	for _, pl := range locations {
-		if err := en.blobs.DeleteFunc(ctx, pl, digest); err != nil {
+	for _, bl := range locations {
+		if err := en.blobs.DeleteFunc(ctx, bl, digest); err != nil {
 			en.log.WithError(err).WithFields(logrus.Fields{
 				"digest": digest,
-				"place":  pl.Instance,
+				"place":  bl.Instance,
 			}).Debug("payload deletion failed; payload will expire")
 		}
 	}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -30,14 +30,14 @@
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
-	an, err := fo.send(req.http.Context(), req, address)
+	rs, err := fo.send(req.http.Context(), req, address)
 	if err != nil {
 		re := outcome.NewRefusal(outcome.OutcomeUnknown, "", "owner at "+address+": "+err.Error())
 		re.RetryAfter = ownerRetryAfter.String()
 		return re
 	}
-	defer an.Body.Close()
-	return copyAnswer(rw, an)
+	defer rs.Body.Close()
+	return copyResponse(rw, rs)
 }
 
 // send sends the request to the entry at address, marked as forwarded.
@@ -52,16 +52,16 @@
 	return fo.client.Do(out)
 }
 
-// copyAnswer copies a response. If reading it fails, the connection is aborted, so that
+// copyResponse copies a response. If reading it fails, the connection is aborted, so that
 // the trainer doesn't take a truncated response for a complete one.
-func copyAnswer(rw http.ResponseWriter, an *http.Response) error {
+func copyResponse(rw http.ResponseWriter, rs *http.Response) error {
 	for _, name := range []string{"Content-Type", "Retry-After"} {
-		if value := an.Header.Get(name); value != "" {
+		if value := rs.Header.Get(name); value != "" {
 			rw.Header().Set(name, value)
 		}
 	}
-	rw.WriteHeader(an.StatusCode)
-	if _, err := io.Copy(rw, an.Body); err != nil {
+	rw.WriteHeader(rs.StatusCode)
+	if _, err := io.Copy(rw, rs.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	return nil
--- a/entry/members.go
+++ b/entry/members.go
@@ -73,27 +73,27 @@
 	return ins
 }
 
-func (en *Entry) upsertEndpoint(ro membership.Endpoint) {
-	en.members.upsert(ro)
+func (en *Entry) upsertEndpoint(ep membership.Endpoint) {
+	en.members.upsert(ep)
 	en.routes.Upsert(route.Endpoint{
-		Address:       ro.Address(),
-		FailureDomain: ro.FailureDomain(),
-		ID:            ro.ID(),
-		Service:       ro.Service(),
-		State:         routeState(ro.State()),
-		Version:       boundVersion(ro),
+		Address:       ep.Address(),
+		FailureDomain: ep.FailureDomain(),
+		ID:            ep.ID(),
+		Service:       ep.Service(),
+		State:         routeState(ep.State()),
+		Version:       boundVersion(ep),
 	})
-	en.routes.Observe(ro.ID(), route.Load{Running: ro.Running(), Waiting: ro.Waiting()})
-	en.rollouts.upsert(ro)
+	en.routes.Observe(ep.ID(), route.Load{Running: ep.Running(), Waiting: ep.Waiting()})
+	en.rollouts.upsert(ep)
 }
 
 // boundVersion returns the version for requests that require one. It is 0 while an
 // engine loads weights, since its attendant refuses such requests meanwhile.
-func boundVersion(ro membership.Endpoint) engine.Version {
-	if ro.State() == membership.Loading {
+func boundVersion(ep membership.Endpoint) engine.Version {
+	if ep.State() == membership.Loading {
 		return 0
 	}
-	return ro.Version()
+	return ep.Version()
 }
 
 // routeState returns the routing state of an endpoint. One that loads weights still
@@ -109,43 +109,43 @@
 	}
 }
 
-func (en *Entry) removeEndpoint(ro membership.Endpoint) {
-	en.members.forget(ro)
-	en.routes.Remove(ro.ID())
-	en.rollouts.remove(ro)
+func (en *Entry) removeEndpoint(ep membership.Endpoint) {
+	en.members.forget(ep)
+	en.routes.Remove(ep.ID())
+	en.rollouts.remove(ep)
 }
 
 // upsert adds or updates the attendant of an endpoint.
-func (me *members) upsert(ro membership.Endpoint) {
+func (me *members) upsert(ep membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	delete(me.removed, ro.ID())
-	me.attendants[ro.ID()] = ro.Attendant()
-	me.addresses[ro.Attendant()] = ro.Address()
-	if ro.DataFolder() && ro.State() != membership.Leaving {
-		me.locations[ro.Attendant()] = message.BlobLocation{
-			Address:       ro.Address(),
-			FailureDomain: ro.FailureDomain(),
-			Instance:      ro.Attendant(),
+	delete(me.removed, ep.ID())
+	me.attendants[ep.ID()] = ep.Attendant()
+	me.addresses[ep.Attendant()] = ep.Address()
+	if ep.DataFolder() && ep.State() != membership.Leaving {
+		me.locations[ep.Attendant()] = message.BlobLocation{
+			Address:       ep.Address(),
+			FailureDomain: ep.FailureDomain(),
+			Instance:      ep.Attendant(),
 		}
 		return
 	}
-	delete(me.locations, ro.Attendant())
+	delete(me.locations, ep.Attendant())
 }
 
 // forget drops the attendant of an endpoint that was removed.
-func (me *members) forget(ro membership.Endpoint) {
+func (me *members) forget(ep membership.Endpoint) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	me.removed[ro.ID()] = true
-	delete(me.attendants, ro.ID())
+	me.removed[ep.ID()] = true
+	delete(me.attendants, ep.ID())
 	for _, attendant := range me.attendants {
-		if attendant == ro.Attendant() {
+		if attendant == ep.Attendant() {
 			return // it still serves other endpoints and its data folder
 		}
 	}
-	delete(me.locations, ro.Attendant())
-	delete(me.addresses, ro.Attendant())
+	delete(me.locations, ep.Attendant())
+	delete(me.addresses, ep.Attendant())
 }
 
 // addressOf returns the address of an attendant.
@@ -167,30 +167,30 @@
 // make far larger.
 func (en *Entry) locations() []message.BlobLocation {
 	en.members.mu.Lock()
-	var pls []message.BlobLocation
-	for _, pl := range en.members.locations {
-		pls = append(pls, pl)
+	var bls []message.BlobLocation
+	for _, bl := range en.members.locations {
+		bls = append(bls, bl)
 	}
 	en.members.mu.Unlock()
-	sort.Slice(pls, func(i, j int) bool { return pls[i].Instance < pls[j].Instance })
-	rand.Shuffle(len(pls), func(i, j int) { pls[i], pls[j] = pls[j], pls[i] })
-	return chooseLocations(pls)
+	sort.Slice(bls, func(i, j int) bool { return bls[i].Instance < bls[j].Instance })
+	rand.Shuffle(len(bls), func(i, j int) { bls[i], bls[j] = bls[j], bls[i] })
+	return chooseLocations(bls)
 }
 
-// chooseLocations returns at most maxLocations of pls, taking the first of each failure domain
+// chooseLocations returns at most maxLocations of bls, taking the first of each failure domain
 // before the second of any, since replicas must lie in different ones.
-func chooseLocations(pls []message.BlobLocation) []message.BlobLocation {
+func chooseLocations(bls []message.BlobLocation) []message.BlobLocation {
 	seen := map[string]int{}
-	ranks := make([]int, len(pls))
-	for i, pl := range pls {
-		ranks[i] = seen[pl.FailureDomain]
-		seen[pl.FailureDomain]++
+	ranks := make([]int, len(bls))
+	for i, bl := range bls {
+		ranks[i] = seen[bl.FailureDomain]
+		seen[bl.FailureDomain]++
 	}
 	var selected []message.BlobLocation
-	for rank := 0; len(selected) < min(maxLocations, len(pls)); rank++ {
-		for i, pl := range pls {
+	for rank := 0; len(selected) < min(maxLocations, len(bls)); rank++ {
+		for i, bl := range bls {
 			if ranks[i] == rank && len(selected) < maxLocations {
-				selected = append(selected, pl)
+				selected = append(selected, bl)
 			}
 		}
 	}
@@ -199,8 +199,8 @@
 
 // locate returns the location of an endpoint's attendant.
 func (en *Entry) locate(endpoint string) (attendant.Location, error) {
-	if ro, ok := en.routes.Get(endpoint); ok {
-		return attendant.Location{Address: ro.Address}, nil
+	if ep, ok := en.routes.Get(endpoint); ok {
+		return attendant.Location{Address: ep.Address}, nil
 	}
 	en.members.mu.Lock()
 	defer en.members.mu.Unlock()
--- a/entry/members_test.go
+++ b/entry/members_test.go
@@ -19,14 +19,14 @@
 		"one far folder":     {near: 363, far: 1, want: maxLocations},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var pls []message.BlobLocation
+			var bls []message.BlobLocation
 			for i := range tc.near {
-				pls = append(pls, message.BlobLocation{FailureDomain: "near", Instance: fmt.Sprint(i)})
+				bls = append(bls, message.BlobLocation{FailureDomain: "near", Instance: fmt.Sprint(i)})
 			}
 			for i := range tc.far {
-				pls = append(pls, message.BlobLocation{FailureDomain: "far", Instance: fmt.Sprint("far-", i)})
+				bls = append(bls, message.BlobLocation{FailureDomain: "far", Instance: fmt.Sprint("far-", i)})
 			}
-			selected := chooseLocations(pls)
+			selected := chooseLocations(bls)
 			assert.Equal(t, len(selected), tc.want)
 			assert.Equal(t, spansDomains(selected), tc.far > 0)
 			if tc.far > 0 {
--- a/entry/status.go
+++ b/entry/status.go
@@ -24,8 +24,8 @@
 	}
 	configuration.FillStatus(&st, en.profiles.Status(), now)
 	for _, se := range en.profiles.Current().Services() {
-		for _, ro := range en.routes.Endpoints(se.Service()) {
-			st.Endpoints = append(st.Endpoints, endpointStatus(ro))
+		for _, ep := range en.routes.Endpoints(se.Service()) {
+			st.Endpoints = append(st.Endpoints, endpointStatus(ep))
 		}
 	}
 	for _, he := range en.ownership.held(now) {
@@ -40,13 +40,13 @@
 }
 
 // endpointStatus returns the status of an endpoint as routed by this entry.
-func endpointStatus(ro route.Endpoint) message.EndpointStatus {
+func endpointStatus(ep route.Endpoint) message.EndpointStatus {
 	return message.EndpointStatus{
-		Leaving: ro.State == route.Leaving,
-		Name:    ro.ID,
-		Service: ro.Service,
-		Serving: ro.State == route.Ready,
-		Version: ro.Version,
+		Leaving: ep.State == route.Leaving,
+		Name:    ep.ID,
+		Service: ep.Service,
+		Serving: ep.State == route.Ready,
+		Version: ep.Version,
 	}
 }
 
--- a/entry/trainers.go
+++ b/entry/trainers.go
@@ -57,7 +57,7 @@
 	return func(rw http.ResponseWriter, rq *http.Request) {
 		ctx, sp := telemetry.Start(telemetry.Extract(rq.Context(), rq.Header), span)
 		rq = rq.WithContext(ctx)
-		err := tr.answer(rw, rq, limit, handle)
+		err := tr.handleOrForward(rw, rq, limit, handle)
 		if err != nil {
 			tr.log.WithError(err).WithField("path", rq.URL.Path).Debug("trainer request refused")
 			writeRefusal(rw, err)
@@ -66,8 +66,8 @@
 	}
 }
 
-// answer handles a request here or forwards it to the owner of the trainer's batches.
-func (tr *trainers) answer(rw http.ResponseWriter, rq *http.Request, limit int64, handle ownerHandler) error {
+// handleOrForward handles a request here or forwards it to the owner of the trainer's batches.
+func (tr *trainers) handleOrForward(rw http.ResponseWriter, rq *http.Request, limit int64, handle ownerHandler) error {
 	body, refusal := readBody(rw, rq, limit)
 	if refusal != nil {
 		return refusal
@@ -114,11 +114,11 @@
 		return outcome.NewRefusal(outcome.UnknownProfile, "",
 			"profile: no samples profile "+strconv.Quote(sr.Profile)+" in force names trainer "+strconv.Quote(req.trainer))
 	}
-	an, err := tr.owner.Submit(req.http.Context(), req.trainer, step, sr)
+	resp, err := tr.owner.Submit(req.http.Context(), req.trainer, step, sr)
 	if err != nil {
 		return err
 	}
-	return writeJSON(rw, http.StatusOK, an)
+	return writeJSON(rw, http.StatusOK, resp)
 }
 
 // pull is the ownerHandler that returns the next batch.
@@ -127,11 +127,11 @@
 	if err != nil {
 		return badRequest(err)
 	}
-	an, err := tr.pullUntilShutdown(req, pr)
+	resp, err := tr.pullUntilShutdown(req, pr)
 	if err != nil {
 		return err
 	}
-	return writeJSON(rw, http.StatusOK, an)
+	return writeJSON(rw, http.StatusOK, resp)
 }
 
 // pullUntilShutdown pulls, and ends the wait with a retry delay as soon as the entry leaves.
@@ -150,11 +150,11 @@
 		case <-done:
 		}
 	}()
-	an, err := tr.owner.Pull(ctx, req.trainer, pr)
+	resp, err := tr.owner.Pull(ctx, req.trainer, pr)
 	if err != nil && ctx.Err() != nil && req.http.Context().Err() == nil {
 		return message.PullResponse{RetryAfter: ownerRetryAfter.String()}, nil
 	}
-	return an, err
+	return resp, err
 }
 
 // batch is the ownerHandler that sends a batch's payload.
