--- a/lateness/report.go
+++ b/lateness/report.go
@@ -194,7 +194,7 @@
 	return errors.Wrap(bw.Flush(), "write the report")
 }
 
-// duration returns the duration of a step until its end, or until its last item was complete if it
+// took returns the duration of a step until its end, or until its last item was complete if it
 // has not ended.
 func (st *step) took(last *item) time.Duration {
 	if st.ended.IsZero() {
