--- a/leader/callwindow_test.go
+++ b/leader/callwindow_test.go
@@ -24,7 +24,7 @@
 type modelProcess struct {
 	durable int // the count that is known to be saved, or 0
 	epoch   uint64
-	holds   bool // the lease, as far as the process can tell
+	holds   bool // the lease, by the process's own state
 	window  CallWindow
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -65,12 +65,12 @@
 	muted chan struct{}
 }
 
-func (li *mutableConn) Write(buf []byte) (int, error) {
+func (mc *mutableConn) Write(buf []byte) (int, error) {
 	select {
-	case <-li.muted:
+	case <-mc.muted:
 		return len(buf), nil
 	default:
-		return li.Conn.Write(buf)
+		return mc.Conn.Write(buf)
 	}
 }
 
--- a/scale/plain_test.go
+++ b/scale/plain_test.go
@@ -39,7 +39,7 @@
 // retried five times a second.
 type plainSimulation struct {
 	loads   LoadAggregator
-	cut     func(entry int, at time.Duration) bool // off from the holder
+	cutOff  func(entry int, at time.Duration) bool // whether an entry is cut off from the holder
 	entries int
 	load    func(at time.Duration) float64 // mean demand in slots
 	orders  []int                          // total target after each change
@@ -70,17 +70,17 @@
 		if ps.change > 0 && at == ps.change {
 			ps.replaceHolder(now)
 		}
-		asked := ps.load(at)
-		used := min(asked, float64(ps.serving*10))
-		ps.missing += (asked - used) / 2
+		demand := ps.load(at)
+		used := min(demand, float64(ps.serving*10))
+		ps.missing += (demand - used) / 2
 		for entry := range ps.entries {
-			if ps.cut != nil && ps.cut(entry, at) {
+			if ps.cutOff != nil && ps.cutOff(entry, at) {
 				continue
 			}
 			part := (0.9 + 0.2*rng.Float64()) / float64(ps.entries)
 			ps.loads.Report(fmt.Sprint("entry-", entry), map[string]Observation{"desk": {
 				Begun: int(math.Round(used * part * 10 / 2)), Busy: time.Duration(used * part * float64(second) / 2),
-				Refused: int(math.Round((asked - used) * part * 10 * 5 / 2)), Span: second / 2,
+				Refused: int(math.Round((demand - used) * part * 10 * 5 / 2)), Span: second / 2,
 			}}, now)
 		}
 		changed := ps.decide(now)
@@ -193,7 +193,7 @@
 		t.Run(name, func(t *testing.T) {
 			ps := &plainSimulation{
 				entries: 6, change: tc.change, span: 100 * second, load: func(time.Duration) float64 { return 44 },
-				cut: func(entry int, at time.Duration) bool { return entry < tc.cut && at >= 30*second && at < 70*second },
+				cutOff: func(entry int, at time.Duration) bool { return entry < tc.cut && at >= 30*second && at < 70*second },
 			}
 			ps.run(t, 6)
 			assert.Equal(t, len(ps.orders), 0, "%v", ps.orders)
@@ -206,7 +206,7 @@
 func TestRemovedEntries(t *testing.T) {
 	ps := &plainSimulation{
 		entries: 6, change: 30 * second, span: 130 * second,
-		cut: func(entry int, at time.Duration) bool { return entry < 3 && at >= 30*second },
+		cutOff: func(entry int, at time.Duration) bool { return entry < 3 && at >= 30*second },
 		load: func(at time.Duration) float64 {
 			if at < 30*second {
 				return 44
--- a/usage/simulation_test.go
+++ b/usage/simulation_test.go
@@ -30,9 +30,9 @@
 	violations []string
 	delay      time.Duration // of responses
 	calls      []testCall
-	lose       bool // responses, after the report was accepted
+	lose       bool // drop responses, after the report was accepted
 	mu         sync.Mutex
-	refuse     bool // reports
+	refuse     bool // reject reports
 	taken      map[Window]Report
 	takenAt    map[Window]time.Time
 }
@@ -96,7 +96,7 @@
 // A process is a potential holder of the lease.
 type process struct {
 	cancel     context.CancelFunc
-	cut        bool // from the key-value service
+	cutOff     bool // from the key-value service
 	frozen     bool
 	collector  *Collector
 	lease      *lease.Holder
@@ -158,7 +158,7 @@
 		pr.waitFrozen()
 		pr.mu.Lock()
 		defer pr.mu.Unlock()
-		if pr.cut {
+		if pr.cutOff {
 			return errors.Wrap(keyvalue.ErrUnavailable, "cut off")
 		}
 		return nil
@@ -215,7 +215,7 @@
 func (pr *process) set(frozen, cut bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.frozen, pr.cut = frozen, cut
+	pr.frozen, pr.cutOff = frozen, cut
 }
 
 func (si *simulation) startProcess(ctx context.Context, name string) *process {
