--- a/blob/blob_test.go
+++ b/blob/blob_test.go
@@ -18,7 +18,7 @@
 	stores map[string]*Store
 }
 
-var places = []message.BlobLocation{
+var locations = []message.BlobLocation{
 	{FailureDomain: "alm-medeu", Instance: "store-1"},
 	{FailureDomain: "alm-medeu", Instance: "store-2"},
 	{FailureDomain: "alm-alatau", Instance: "store-3"},
@@ -28,33 +28,33 @@
 func newTestStores(t *testing.T) (*testStores, *Client) {
 	t.Helper()
 	ts := &testStores{down: map[string]bool{}, stores: map[string]*Store{}}
-	for _, pl := range places {
-		ts.stores[pl.Instance] = &Store{Folder: t.TempDir()}
+	for _, bl := range locations {
+		ts.stores[bl.Instance] = &Store{Folder: t.TempDir()}
 	}
 	errDown := errors.New("no route")
 	return ts, &Client{
-		DeleteFunc: func(_ context.Context, pl message.BlobLocation, digest string) error {
-			return ts.stores[pl.Instance].Delete(digest)
+		DeleteFunc: func(_ context.Context, bl message.BlobLocation, digest string) error {
+			return ts.stores[bl.Instance].Delete(digest)
 		},
-		GetFunc: func(_ context.Context, pl message.BlobLocation, digest string) ([]byte, error) {
-			if ts.down[pl.Instance] {
+		GetFunc: func(_ context.Context, bl message.BlobLocation, digest string) ([]byte, error) {
+			if ts.down[bl.Instance] {
 				return nil, errDown
 			}
-			return ts.stores[pl.Instance].Get(digest)
+			return ts.stores[bl.Instance].Get(digest)
 		},
-		PutFunc: func(_ context.Context, pl message.BlobLocation, digest string, data []byte) error {
-			if ts.down[pl.Instance] {
+		PutFunc: func(_ context.Context, bl message.BlobLocation, digest string, data []byte) error {
+			if ts.down[bl.Instance] {
 				return errDown
 			}
-			return ts.stores[pl.Instance].Put(digest, data)
+			return ts.stores[bl.Instance].Put(digest, data)
 		},
 	}
 }
 
-func instances(pls []message.BlobLocation) []string {
+func instances(bls []message.BlobLocation) []string {
 	var names []string
-	for _, pl := range pls {
-		names = append(names, pl.Instance)
+	for _, bl := range bls {
+		names = append(names, bl.Instance)
 	}
 	return names
 }
@@ -77,7 +77,7 @@
 			for _, in := range tc.down {
 				ts.down[in] = true
 			}
-			got, err := Replicate(t.Context(), cl, places, []byte("payload"))
+			got, err := Replicate(t.Context(), cl, locations, []byte("payload"))
 			assert.Equal(t, errors.Is(err, ErrTooFewCopies), tc.err != nil)
 			assert.DeepEqual(t, instances(got), tc.want)
 		})
@@ -107,10 +107,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ts, cl := newTestStores(t)
-			pls, err := Replicate(t.Context(), cl, places, data)
+			bls, err := Replicate(t.Context(), cl, locations, data)
 			assert.NilError(t, err)
 			tc.fault(ts)
-			got, err := Fetch(t.Context(), cl, pls, digest)
+			got, err := Fetch(t.Context(), cl, bls, digest)
 			assert.Equal(t, err == nil, tc.ok)
 			assert.Equal(t, errors.Is(err, ErrMissing), tc.missing)
 			if !tc.ok || ts.down["store-1"] {
