--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -19,9 +19,9 @@
 	"wisteriacroft/route"
 )
 
-// answerOnce reads the first request of a connection, responds once arrived returns, and
+// respondOnce reads the first request of a connection, responds once arrived returns, and
 // ignores the next request.
-func answerOnce(co net.Conn, arrived func()) {
+func respondOnce(co net.Conn, arrived func()) {
 	rd := bufio.NewReader(co)
 	rq, err := http.ReadRequest(rd)
 	if err != nil {
@@ -51,7 +51,7 @@
 		di := &dispatcher{client: &http.Client{Transport: &http.Transport{
 			DialContext: func(context.Context, string, string) (net.Conn, error) {
 				here, there := net.Pipe()
-				go answerOnce(there, arrived)
+				go respondOnce(there, arrived)
 				return here, nil
 			},
 		}}}
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -22,13 +22,13 @@
 	pr, fis := profile.Parse("marking", "marking.toml",
 		"kind = \"samples\"\nservice = \"marker-llm\"\ntrainers = [\"marking-trainer\"]\n")
 	assert.Equal(t, len(fis), 0, fis)
-	ho := &profile.Replica{}
-	ho.Offer(profile.NewDocument(1, pr), profile.FromService)
+	rep := &profile.Replica{}
+	rep.Offer(profile.NewDocument(1, pr), profile.FromService)
 	return New(Options{
 		Address:  address,
 		Instance: address,
 		KeyValue: me.Client(),
-		Profiles: ho,
+		Profiles: rep,
 	})
 }
 
