--- a/leader/callwindow_test.go
+++ b/leader/callwindow_test.go
@@ -88,8 +88,8 @@
 
 // acquire gives the lease to a process, which reads the record.
 func (ex *explorer) acquire(mo model, i int) {
-	first := mo.epoch == 0 && i > 0 // the processes are symmetric
-	if first || mo.epoch >= modelAcquisitions || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
+	redundant := mo.epoch == 0 && i > 0 // the processes are symmetric
+	if redundant || mo.epoch >= modelAcquisitions || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
 		return
 	}
 	for _, ca := range mo.inFlight {
--- a/lease/standby_test.go
+++ b/lease/standby_test.go
@@ -46,10 +46,10 @@
 		first, second := newHolder(me.Client(), "a"), newHolder(me.Client(), "b")
 		first.Step(t.Context())
 		second.Follow = true
-		asked := 0
+		calls := 0
 		second.SuspectFunc = func(owner string) bool {
-			asked++
-			return owner == "a" && asked > 2
+			calls++
+			return owner == "a" && calls > 2
 		}
 		go second.Run(ctx)
 		time.Sleep(second.phase() + 2*ttl/renewals + 100*time.Millisecond)
