--- a/membership/harness_test.go
+++ b/membership/harness_test.go
@@ -113,7 +113,7 @@
 	at.incarnation = max(at.incarnation, 1764696000) + 1
 	rp := &membership.Reporter{
 		Address: at.id, FailureDomain: domainName(domain), Incarnation: at.incarnation, Instance: at.id,
-		LeavingFunc: func() { cl.say("%s is notified that it is leaving", at.id) },
+		LeavingFunc: func() { cl.logf("%s is notified that it is leaving", at.id) },
 		SendFunc: func(to string, rq membership.ReportRequest, done func(membership.ReportResponse, error)) {
 			call(cl, at.id, to, membership.ReportMethod, rq, done, func(en *entry) membership.ReportResponse {
 				return en.table.Report(message.Header{Sender: at.id}, rq)
@@ -174,8 +174,8 @@
 	}
 }
 
-// deliver ends the calls that have timed out.
-func (cl *cluster) deliver() {
+// expireCalls ends the calls that have timed out.
+func (cl *cluster) expireCalls() {
 	for len(cl.timeouts) > 0 && !time.Now().Before(cl.timeouts[0].at) {
 		fn := cl.timeouts[0].fn
 		cl.timeouts = cl.timeouts[1:]
@@ -187,7 +187,7 @@
 func (cl *cluster) run(d time.Duration, check func()) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
-		cl.deliver()
+		cl.expireCalls()
 		for _, at := range cl.attendants {
 			if !at.dead {
 				for _, sy := range at.reporter.Systems() {
@@ -208,7 +208,7 @@
 	}
 }
 
-func (cl *cluster) say(format string, args ...any) {
+func (cl *cluster) logf(format string, args ...any) {
 	fmt.Fprintf(&cl.log, "%6.1fs ", time.Since(cl.start).Seconds())
 	fmt.Fprintf(&cl.log, format+"\n", args...)
 }
@@ -218,12 +218,12 @@
 	for _, en := range cl.entries {
 		en.table.UpsertFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
-				cl.say("%s sees %s %v, incarnation %d, version %d", en.id, ep.ID(), ep.State(), ep.Incarnation()-1764696000, ep.Version())
+				cl.logf("%s sees %s %v, incarnation %d, version %d", en.id, ep.ID(), ep.State(), ep.Incarnation()-1764696000, ep.Version())
 			}
 		}
 		en.table.RemoveFunc = func(ep membership.Endpoint) {
 			if ep.ID() == endpoint {
-				cl.say("%s sees %s removed", en.id, ep.ID())
+				cl.logf("%s sees %s removed", en.id, ep.ID())
 			}
 		}
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -44,7 +44,7 @@
 			cl.lose = func(from, to, _ string) bool {
 				return (from == "entry-02" || to == "entry-02") && time.Since(cl.start) < time.Second
 			}
-			cl.say("attendant-001 leaves; all messages of entry-02 are lost for a second")
+			cl.logf("attendant-001 leaves; all messages of entry-02 are lost for a second")
 			cl.attendants[1].reporter.Leave()
 			cl.run(10*time.Second, leftBy(t, cl, 3*time.Second))
 		})
@@ -55,7 +55,7 @@
 			cl.lose = func(from, to, method string) bool {
 				return method != membership.ReportMethod && from != "entry-00" && to != "entry-00"
 			}
-			cl.say("attendant-001 leaves; the entries that it reports to update only entry-00, and die")
+			cl.logf("attendant-001 leaves; the entries that it reports to update only entry-00, and die")
 			at := cl.attendants[1]
 			at.reporter.Leave()
 			cl.run(300*time.Millisecond, nil)
@@ -70,7 +70,7 @@
 	t.Run("platform list", func(t *testing.T) {
 		session(t, 5, 9, 9, func(t *testing.T, cl *cluster) {
 			cl.watch(watched)
-			cl.say("entry-00 reads from the list that attendant-001 is leaving")
+			cl.logf("entry-00 reads from the list that attendant-001 is leaving")
 			leaving := append([]instancelist.Instance(nil), cl.list...)
 			for i := range leaving {
 				if leaving[i].ID == "attendant-001" {
@@ -79,7 +79,7 @@
 			}
 			cl.entries[0].table.ObserveList(leaving)
 			cl.run(5*time.Second, leftBy(t, cl, 3*time.Second))
-			cl.say("the list reverts to an older state")
+			cl.logf("the list reverts to an older state")
 			cl.poll()
 			cl.run(10*time.Second, leftBy(t, cl, 0))
 		})
@@ -100,10 +100,10 @@
 		old.Leave()
 		old.Set(watched, membership.Ready, 99, 0, 0)
 		cl.run(300*time.Millisecond, nil)
-		cl.say("attendant-001 restarts")
+		cl.logf("attendant-001 restarts")
 		cl.restart(at, 1, 1)
 		cl.run(5*time.Second, nil)
-		cl.say("%d messages of its previous incarnation arrive late", len(late))
+		cl.logf("%d messages of its previous incarnation arrive late", len(late))
 		for _, send := range late {
 			send()
 		}
@@ -119,13 +119,13 @@
 func TestSilence(t *testing.T) {
 	session(t, 3, 12, 12, func(t *testing.T, cl *cluster) {
 		cl.watch(watched)
-		cl.say("attendant-001 dies")
+		cl.logf("attendant-001 dies")
 		cl.attendants[1].dead = true
 		cl.run(15*time.Second, nil)
 		for _, en := range cl.entries {
 			assert.Equal(t, en.count(membership.Suspect), 1, en.id)
 		}
-		cl.say("entry-00 is cut off from all")
+		cl.logf("entry-00 is cut off from all")
 		cl.lose = func(from, to, _ string) bool { return from == "entry-00" || to == "entry-00" }
 		cl.run(30*time.Second, nil)
 		_, cutOff := cl.entries[0].table.CutOff()
@@ -133,7 +133,7 @@
 		for _, en := range cl.entries {
 			assert.Equal(t, en.count(membership.Ready), 11, en.id)
 		}
-		cl.say("entry-00 is back; the list drops attendant-001")
+		cl.logf("entry-00 is back; the list drops attendant-001")
 		cl.lose = func(string, string, string) bool { return false }
 		for i, in := range cl.list {
 			if in.ID == "attendant-001" {
@@ -155,11 +155,11 @@
 func TestEntryDies(t *testing.T) {
 	session(t, 3, 9, 9, func(t *testing.T, cl *cluster) {
 		cl.watch(watched)
-		cl.say("entry-01, to which attendant-001 reports, dies")
+		cl.logf("entry-01, to which attendant-001 reports, dies")
 		assert.Equal(t, cl.attendants[1].reporter.EntryID(), "entry-01")
 		cl.entries[1].dead = true
 		cl.run(time.Minute, nil)
-		cl.say("version 7")
+		cl.logf("version 7")
 		cl.attendants[1].reporter.Set(watched, membership.Ready, 7, 0, 0)
 		cl.run(5*time.Second, nil)
 		for _, en := range []*entry{cl.entries[0], cl.entries[2]} {
@@ -177,7 +177,7 @@
 		en.table.ObserveList(cl.list)
 		for en.count(membership.Ready) < 96 {
 			cl.run(time.Second, nil)
-			cl.say("%s sees %d endpoints", en.id, en.count(membership.Ready))
+			cl.logf("%s sees %d endpoints", en.id, en.count(membership.Ready))
 			assert.Assert(t, time.Since(cl.start) < 5*time.Second)
 		}
 	})
@@ -190,10 +190,10 @@
 		t.Run(fmt.Sprintf("late=%v", late), func(t *testing.T) {
 			session(t, 3, 9, 9, func(t *testing.T, cl *cluster) {
 				cl.watch(watched)
-				cl.say("entry-01 dies")
+				cl.logf("entry-01 dies")
 				cl.entries[1].dead = true
 				cl.run(time.Minute, nil)
-				cl.say("entry-01 restarts")
+				cl.logf("entry-01 restarts")
 				cl.entries[1].dead = false
 				cl.restartEntry(cl.entries[1])
 				cl.watch(watched)
@@ -226,13 +226,13 @@
 				cl.attendants[i].dead = dead
 			}
 		}
-		cl.say("derby-hall fails")
+		cl.logf("derby-hall fails")
 		set(true)
 		cl.run(time.Minute, nil)
 		for _, en := range cl.entries {
 			assert.Assert(t, en.dead || en.count(membership.Suspect) == 4 && en.count(membership.Ready) == 8, en.id)
 		}
-		cl.say("derby-hall recovers")
+		cl.logf("derby-hall recovers")
 		set(false)
 		cl.run(time.Minute, nil)
 		for _, en := range cl.entries {
