--- a/usage/collector_test.go
+++ b/usage/collector_test.go
@@ -148,9 +148,9 @@
 					time.Sleep(12 * time.Second)
 					cancel()
 					time.Sleep(2 * time.Second) // all goroutines end
-					right, of := si.correct()
-					assert.Assert(t, of >= 7)
-					assert.Assert(t, right >= of-tc.wrong, "%d of %d", right, of)
+					correct, total := si.correct()
+					assert.Assert(t, total >= 7)
+					assert.Assert(t, correct >= total-tc.wrong, "%d of %d", correct, total)
 					assert.DeepEqual(t, si.server.violations, []string(nil))
 				})
 			})
--- a/usage/simulation_test.go
+++ b/usage/simulation_test.go
@@ -212,10 +212,10 @@
 	}
 }
 
-func (pr *process) set(frozen, cut bool) {
+func (pr *process) set(frozen, cutOff bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.frozen, pr.cutOff = frozen, cut
+	pr.frozen, pr.cutOff = frozen, cutOff
 }
 
 func (si *simulation) startProcess(ctx context.Context, name string) *process {
@@ -373,14 +373,14 @@
 
 // correct returns how many windows were reported in time and within 5% of each customer's count,
 // and how many there were.
-func (si *simulation) correct() (right, of int) {
+func (si *simulation) correct() (correct, total int) {
 	si.server.mu.Lock()
 	defer si.server.mu.Unlock()
 	for wi, expected := range si.expected {
 		if time.Since(wi.End(testWindow)) < testDue {
 			continue
 		}
-		of++
+		total++
 		re, ok := si.server.taken[wi]
 		good := ok && si.server.takenAt[wi].Sub(wi.End(testWindow)) <= testDue
 		for customer, count := range expected {
@@ -388,10 +388,10 @@
 			good = good && off <= 0.05*float64(count) && -off <= 0.05*float64(count)
 		}
 		if good {
-			right++
+			correct++
 		} else {
 			si.t.Logf("window %d: %v reported after %s, expected %v", wi, re.Counts, si.server.takenAt[wi].Sub(wi.End(testWindow)), expected)
 		}
 	}
-	return right, of
+	return correct, total
 }
