--- a/membership/benchmark_test.go
+++ b/membership/benchmark_test.go
@@ -59,12 +59,12 @@
 
 func report(i int, beat uint64) membership.ReportRequest {
 	id := fmt.Sprintf("attendant-%03d", i)
-	ne := membership.StateUpdate{Beat: beat, Incarnation: 1, Instance: id, Card: &membership.Descriptor{Address: id, FailureDomain: "derby-hall"}}
+	up := membership.StateUpdate{Beat: beat, Incarnation: 1, Instance: id, Card: &membership.Descriptor{Address: id, FailureDomain: "derby-hall"}}
 	for e := range 3 {
-		ne.Card.Endpoints = append(ne.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "marker-llm"})
-		ne.Endpoints = append(ne.Endpoints, membership.EndpointUpdate{Version: 6, Running: int(beat % 16)})
+		up.Card.Endpoints = append(up.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "marker-llm"})
+		up.Endpoints = append(up.Endpoints, membership.EndpointUpdate{Version: 6, Running: int(beat % 16)})
 	}
-	return membership.ReportRequest{News: ne}
+	return membership.ReportRequest{News: up}
 }
 
 func BenchmarkMemory(b *testing.B) {
--- a/scale/decide_test.go
+++ b/scale/decide_test.go
@@ -138,7 +138,7 @@
 	assert.Equal(t, len(si.orders), 0, "%v", si.orders)
 }
 
-// A long burst must cause one scale-up, and one scale-down well after its end.
+// A long burst must cause at most four orders, of which the last restores the initial number.
 func TestLongBurst(t *testing.T) {
 	si := simulation{span: 60 * second, load: func(at time.Duration) float64 {
 		if at >= 10*second && at < 25*second {
--- a/usage/clock_test.go
+++ b/usage/clock_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (cl *Clock) off(at time.Duration) time.Duration {
+func (cl *Clock) deviation(at time.Duration) time.Duration {
 	return cl.Time(at).Sub(time.Unix(1000, 0).Add(at)).Abs()
 }
 
@@ -30,10 +30,10 @@
 	assert.Assert(t, !cl.Settled(0))
 	sampleAll(&cl, 0, 3*time.Second, 10, 3, time.Minute)
 	assert.Assert(t, cl.Settled(3*time.Second))
-	assert.Assert(t, cl.off(3*time.Second) < time.Millisecond)
+	assert.Assert(t, cl.deviation(3*time.Second) < time.Millisecond)
 	// Most wall clocks are a minute ahead for eight seconds.
 	sampleAll(&cl, 3*time.Second, 11*time.Second, 10, 6, time.Minute)
-	assert.Assert(t, cl.off(11*time.Second) < 3*time.Millisecond, "%s", cl.off(11*time.Second))
+	assert.Assert(t, cl.deviation(11*time.Second) < 3*time.Millisecond, "%s", cl.deviation(11*time.Second))
 }
 
 // Guards against a new holder adopting a wrong time if most wall clocks are wrong, although entries
@@ -46,7 +46,7 @@
 	cl.Seed(time.Unix(1000, 0).Add(3*time.Second), 3*time.Second)
 	assert.Assert(t, cl.Settled(3*time.Second))
 	sampleAll(&cl, 3*time.Second, 5*time.Second, 10, 6, time.Minute)
-	assert.Assert(t, cl.off(5*time.Second) < time.Millisecond)
+	assert.Assert(t, cl.deviation(5*time.Second) < time.Millisecond)
 
 	var alone Clock
 	alone.expectSeed(true)
