--- a/leader/callwindow_test.go
+++ b/leader/callwindow_test.go
@@ -24,7 +24,7 @@
 type modelProcess struct {
 	durable int // the count that is known to be saved, or 0
 	epoch   uint64
-	holds   bool // the lease, as far as the process can tell
+	holds   bool // the lease, by the process's own state
 	window  CallWindow
 }
 
@@ -88,8 +88,8 @@
 
 // acquire gives the lease to a process, which reads the record.
 func (ex *explorer) acquire(mo model, i int) {
-	first := mo.epoch == 0 && i > 0 // the processes are symmetric
-	if first || mo.epoch >= modelAcquisitions || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
+	redundant := mo.epoch == 0 && i > 0 // the processes are symmetric
+	if redundant || mo.epoch >= modelAcquisitions || mo.processes[i].holds && mo.processes[i].epoch == mo.epoch {
 		return
 	}
 	for _, ca := range mo.inFlight {
--- a/runner/orders.go
+++ b/runner/orders.go
@@ -49,16 +49,16 @@
 func (rn *Runner) stepOrder(ctx context.Context) {
 	rn.mu.Lock()
 	or, re, fresh := rn.orderTracker.order, rn.report, rn.reachable()
-	given := rn.orderTracker.acceptedAt
+	acceptedAt := rn.orderTracker.acceptedAt
 	rn.mu.Unlock()
 	if or.Version == 0 || !fresh {
 		return
 	}
 	if re.Versions[or.Model] >= or.Version && !re.Busy {
-		rn.finish(or, "engine serves the ordered version")
+		rn.finish(or, "order holds")
 		return
 	}
-	if re.Busy || !given.IsZero() && time.Since(given) < loadTimeout {
+	if re.Busy || !acceptedAt.IsZero() && time.Since(acceptedAt) < loadTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -67,7 +67,7 @@
 	rn.Log.WithFields(logrus.Fields{
 		"endpoint": or.Endpoint, "error": err, "fence": or.Fence, "model": or.Model,
 		"sequence": re.Sequence, "state": int(state), "version": or.Version,
-	}).Info("order sent to engine")
+	}).Info("order given")
 	switch {
 	case err != nil, state == OrderBusy: // decide after the next report
 	case state == OrderRefused, state == OrderHolds:
