--- a/directory/endpoint.go
+++ b/directory/endpoint.go
@@ -34,7 +34,7 @@
 
 // Validation errors of endpoint entries in the key-value service.
 var (
-	errNoID      = errors.New("id is empty or cannot be sent in a header")
+	errNoID      = errors.New("no id that a header can hold")
 	errNoAddress = errors.New("address is not an IP address and port")
 	errNoDomain  = errors.New("failure domain is empty")
 	errNoService = errors.New("service is empty")
