--- a/profile/apply.go
+++ b/profile/apply.go
@@ -116,13 +116,13 @@
 func (ar *applier) confirmed(vd VersionedDocument, ch Change) (ApplyResult, bool, error) {
 	res := ApplyResult{ChangeID: ar.ChangeID, Document: vd.Document, Settled: true}
 	base := ar.Base
-	for _, to := range ch.changed {
-		if digestIn(ar.Wanted, to.Name) != to.After {
+	for _, cp := range ch.changed {
+		if digestIn(ar.Wanted, cp.Name) != cp.After {
 			return ApplyResult{}, true, errors.Wrap(ErrChangeIDUsed, ar.ChangeID)
 		}
-		base = base.with(to.Name, to.After)
-		pr, _ := find(ar.Wanted, to.Name)
-		res.Wishes = append(res.Wishes, Difference{Name: to.Name, Wanted: pr.source})
+		base = base.with(cp.Name, cp.After)
+		pr, _ := find(ar.Wanted, cp.Name)
+		res.Wishes = append(res.Wishes, Difference{Name: cp.Name, Wanted: pr.source})
 	}
 	me := threeWayMerge(base, vd.Document, ar.Wanted)
 	if len(me.Wishes) > 0 {
@@ -162,11 +162,11 @@
 	return res, done, err
 }
 
-// write writes the next document if the key is at version over.
-func (ar *applier) write(ctx context.Context, next Document, over int64) (bool, error) {
+// write writes the next document if the key is at the expected version.
+func (ar *applier) write(ctx context.Context, next Document, expected int64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := ar.store.put(ctx, next, over)
+	err := ar.store.put(ctx, next, expected)
 	ar.cause = err
 	switch {
 	case err == nil:
@@ -178,15 +178,15 @@
 	case errors.Is(err, keyvalue.ErrUnavailable):
 		return ar.pending == noPendingWrite, err
 	default:
-		ar.pending = over // may have taken effect, or may take effect later
+		ar.pending = expected // may have taken effect, or may take effect later
 		return false, nil
 	}
 }
 
 // readWithin reads with a timeout: a connection that hangs must not block an
 // operator's command forever.
-func (st *Store) readWithin(ctx context.Context, within time.Duration) (VersionedDocument, error) {
-	limited, cancel := context.WithTimeout(ctx, within)
+func (st *Store) readWithin(ctx context.Context, timeout time.Duration) (VersionedDocument, error) {
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	vd, err := st.Read(limited)
 	if err != nil && limited.Err() != nil {
--- a/profile/base.go
+++ b/profile/base.go
@@ -59,8 +59,8 @@
 		if ch.revision <= revision || len(ch.changed) == 0 {
 			break
 		}
-		for _, to := range ch.changed {
-			digests[to.Name] = to.Before
+		for _, cp := range ch.changed {
+			digests[cp.Name] = cp.Before
 		}
 		reached = ch.revision - 1
 	}
--- a/profile/codec.go
+++ b/profile/codec.go
@@ -13,9 +13,9 @@
 	"wisteriacroft/keyvalue"
 )
 
-// maxChanges bounds the recorded changes. Their ids distinguish a write of
-// unknown outcome, or a process that was cut off, from a restored backup, so the
-// record must cover several hours of changes.
+// maxChanges bounds the recorded changes. Their ids show whether a write of unknown
+// outcome took effect and whether the service lost a change, so the record must
+// cover several hours of changes.
 const maxChanges = 128
 
 // formatVersion is the version of the encoding. Decoding rejects other versions.
--- a/profile/key.go
+++ b/profile/key.go
@@ -72,11 +72,11 @@
 )
 
 var (
-	allKinds  = []Kind{Calls, Samples, Service}
-	callKinds = []Kind{Calls}
-	runKinds  = []Kind{Service}
-	stepKinds = []Kind{Samples}
-	workKinds = []Kind{Calls, Samples}
+	allKinds     = []Kind{Calls, Samples, Service}
+	callKinds    = []Kind{Calls}
+	serviceKinds = []Kind{Service}
+	sampleKinds  = []Kind{Samples}
+	workKinds    = []Kind{Calls, Samples}
 )
 
 // Keys returns all keys, in the order of the reference. A name can occur
@@ -176,72 +176,72 @@
 func sampleKeys() []Key {
 	return []Key{
 		{
-			name: trainersKey, kinds: stepKinds,
+			name: trainersKey, kinds: sampleKinds,
 			doc:   "The trainers whose samples the profile covers.",
 			value: namesValue(func(pr *Profile) *[]string { return &pr.trainers }),
 		},
 		{
-			name: sharesKey, kinds: stepKinds, fallback: map[string]any{},
+			name: sharesKey, kinds: sampleKinds, fallback: map[string]any{},
 			doc:   "The weight of each trainer when several want the same engines; a trainer that is not named weighs 1.",
 			value: sharesValue(func(pr *Profile) *[]Share { return &pr.shares }),
 		},
 		{
-			name: stalenessBoundKey, kinds: stepKinds, fallback: int64(1),
+			name: stalenessBoundKey, kinds: sampleKinds, fallback: int64(1),
 			doc:   "How many versions the oldest segment of a sample may lie behind its trainer at hand-over.",
 			value: intValue(func(pr *Profile) *int { return &pr.stalenessBound }, 0, math.MaxInt16),
 		},
 		{
-			name: "freshness-weight", kinds: stepKinds, fallback: 0.5,
+			name: "freshness-weight", kinds: sampleKinds, fallback: 0.5,
 			doc:   "The weighing of staleness against trainer idle time: 1 counts staleness only, 0 idle time only.",
 			value: fractionValue(func(pr *Profile) *float64 { return &pr.freshnessWeight }),
 		},
 		{
-			name: "delivery", kinds: stepKinds, fallback: string(WholeSteps),
+			name: "delivery", kinds: sampleKinds, fallback: string(WholeSteps),
 			doc:   "Whether samples are handed over as whole steps or as groups complete.",
 			value: choiceValue(func(pr *Profile) *Delivery { return &pr.delivery }, WholeSteps, Groups),
 		},
 		{
-			name: deadlineKey, kinds: stepKinds, fallback: "10m",
+			name: deadlineKey, kinds: sampleKinds, fallback: "10m",
 			doc:   "How long a step may take until its samples are whole.",
 			value: durationValue(func(pr *Profile) *time.Duration { return &pr.deadline }),
 		},
 		{
-			name: attemptTimeoutKey, kinds: stepKinds, fallback: "5m",
+			name: attemptTimeoutKey, kinds: sampleKinds, fallback: "5m",
 			doc:   "How long one attempt at a sample may run.",
 			value: durationValue(func(pr *Profile) *time.Duration { return &pr.attemptTimeout }),
 		},
 		{
-			name: "max-attempts", kinds: stepKinds, fallback: int64(2),
+			name: "max-attempts", kinds: sampleKinds, fallback: int64(2),
 			doc:   "How many attempts at one sample may run side by side.",
 			value: intValue(func(pr *Profile) *int { return &pr.maxAttempts }, 1, maxAttempts),
 		},
 		{
-			name: "straggler-rule", kinds: stepKinds, fallback: string(Move),
+			name: "straggler-rule", kinds: sampleKinds, fallback: string(Move),
 			doc:   "What is done about a straggler: wait for it, move it to another engine, which goes on from the tokens made so far, or race a second attempt from the prompt against it.",
 			value: choiceValue(func(pr *Profile) *StragglerRule { return &pr.stragglerRule }, Wait, Move, Race),
 		},
 		{
-			name: "straggler-after", kinds: stepKinds, fallback: "30s",
+			name: "straggler-after", kinds: sampleKinds, fallback: "30s",
 			doc:   "How long an attempt may make no progress before it counts as a straggler.",
 			value: durationValue(func(pr *Profile) *time.Duration { return &pr.stragglerAfter }),
 		},
 		{
-			name: "straggler-rate", kinds: stepKinds, fallback: 0.25,
+			name: "straggler-rate", kinds: sampleKinds, fallback: 0.25,
 			doc:   "The part of the median rate of progress below which an attempt counts as a straggler; a long sample that makes progress is none.",
 			value: fractionValue(func(pr *Profile) *float64 { return &pr.stragglerRate }),
 		},
 		{
-			name: maxRunningKey, kinds: stepKinds, fallback: int64(8),
+			name: maxRunningKey, kinds: sampleKinds, fallback: int64(8),
 			doc:   "How many samples of the profile one endpoint runs at once.",
 			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, maxRequests),
 		},
 		{
-			name: "max-waiting", kinds: stepKinds, fallback: int64(8),
+			name: "max-waiting", kinds: sampleKinds, fallback: int64(8),
 			doc:   "How many samples of the profile wait at one endpoint; the others wait at the entry.",
 			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, maxRequests),
 		},
 		{
-			name: "priority", kinds: stepKinds, fallback: int64(2),
+			name: "priority", kinds: sampleKinds, fallback: int64(2),
 			doc:   "Which work goes first at an endpoint, 0 to 9; the higher goes first.",
 			value: intValue(func(pr *Profile) *int { return &pr.priority }, 0, maxPriority),
 		},
@@ -252,42 +252,42 @@
 func serviceKeys() []Key {
 	return []Key{
 		{
-			name: "type", kinds: runKinds,
+			name: "type", kinds: serviceKinds,
 			doc:   "What stands behind the service's endpoints.",
 			value: choiceValue(func(pr *Profile) *ServiceType { return &pr.serviceType }, Engine, Plain),
 		},
 		{
-			name: endpointsKey, kinds: runKinds,
+			name: endpointsKey, kinds: serviceKinds,
 			doc:   "The names of the service's endpoints; the one that may run a call that may not be repeated is picked among them.",
 			value: namesValue(func(pr *Profile) *[]string { return &pr.endpoints }),
 		},
 		{
-			name: servingFloorKey, kinds: runKinds, fallback: 0.75,
+			name: servingFloorKey, kinds: serviceKinds, fallback: 0.75,
 			doc:   "The part of the service's endpoints, rounded down to whole ones, that go on serving while weights change.",
 			value: fractionValue(func(pr *Profile) *float64 { return &pr.servingFloor }),
 		},
 		{
-			name: "leave-timeout", kinds: runKinds, fallback: "30s",
+			name: "leave-timeout", kinds: serviceKinds, fallback: "30s",
 			doc:   "How long a leaving endpoint may finish what it runs.",
 			value: durationValue(func(pr *Profile) *time.Duration { return &pr.leaveTimeout }),
 		},
 		{
-			name: "failure-domain-preference", kinds: runKinds, fallback: string(Nearest),
+			name: "failure-domain-preference", kinds: serviceKinds, fallback: string(Nearest),
 			doc:   "Whether endpoints in the entry's own failure domain are tried first.",
 			value: choiceValue(func(pr *Profile) *Preference { return &pr.preference }, Nearest, None),
 		},
 		{
-			name: "version-interval", kinds: runKinds, fallback: "6m",
+			name: "version-interval", kinds: serviceKinds, fallback: "6m",
 			doc:   "The usual time between two versions of the weights; staleness bounds are checked against it.",
 			value: durationValue(func(pr *Profile) *time.Duration { return &pr.versionInterval }),
 		},
 		{
-			name: maxRunningKey, kinds: runKinds, fallback: int64(16),
+			name: maxRunningKey, kinds: serviceKinds, fallback: int64(16),
 			doc:   "How many requests one endpoint runs at once, all profiles together.",
 			value: intValue(func(pr *Profile) *int { return &pr.maxRunning }, 1, maxRequests),
 		},
 		{
-			name: "max-waiting", kinds: runKinds, fallback: int64(64),
+			name: "max-waiting", kinds: serviceKinds, fallback: int64(64),
 			doc:   "How many requests wait at one endpoint, all profiles together.",
 			value: intValue(func(pr *Profile) *int { return &pr.maxWaiting }, 0, maxRequests),
 		},
--- a/profile/profile.go
+++ b/profile/profile.go
@@ -40,7 +40,7 @@
 	versionInterval time.Duration
 }
 
-// A Share is a trainer's weight when several trainers want the same engines.
+// A Share is a trainer's weight when several trainers compete for the same engines.
 type Share struct {
 	Trainer string
 	Weight  float64
--- a/profile/random_test.go
+++ b/profile/random_test.go
@@ -175,14 +175,14 @@
 	last := map[string]string{}
 	for _, ch := range do.changes {
 		counts[ch.id]++
-		for _, to := range ch.changed {
-			last[to.Name] = to.After
+		for _, cp := range ch.changed {
+			last[cp.Name] = cp.After
 		}
 	}
-	expect := func(ids []string, least, most int, told string) {
+	expect := func(ids []string, least, most int, outcome string) {
 		for _, id := range ids {
 			if counts[id] < least || counts[id] > most {
-				ma.failf("change %s, reported as %s, is %d times in force", id, told, counts[id])
+				ma.failf("change %s, reported as %s, is %d times in force", id, outcome, counts[id])
 			}
 		}
 	}
--- a/profile/reader_test.go
+++ b/profile/reader_test.go
@@ -123,8 +123,8 @@
 	}
 	do := NewDocument(1, profiles...)
 	for i := range 2 * maxChanges {
-		touched := []ChangedProfile{{After: digestOf("a"), Before: digestOf("b"), Name: "service-1"}}
-		do = do.next(profiles, Change{by: "operator", id: fmt.Sprintf("%036d", i), message: "raise a limit", changed: touched})
+		changed := []ChangedProfile{{After: digestOf("a"), Before: digestOf("b"), Name: "service-1"}}
+		do = do.next(profiles, Change{by: "operator", id: fmt.Sprintf("%036d", i), message: "raise a limit", changed: changed})
 	}
 	assert.NilError(t, Check(do.Profiles()))
 	data, err := do.MarshalBinary()
--- a/profile/reconcile.go
+++ b/profile/reconcile.go
@@ -66,22 +66,22 @@
 }
 
 // replay adds one change of a branch. It uses the branch's latest text of each
-// profile, unless a later change to it is in both; so no text comes into force
-// that the branch has replaced.
+// profile, since a later change may have replaced the text of ch. If the trunk also
+// has that later change, it keeps the trunk's text.
 func (do Document) replay(ch Change, trunk, branch Document) Document {
 	profiles := slices.Clone(do.profiles)
 	var touched []ChangedProfile
-	for _, to := range ch.changed {
-		if _, shared := trunk.Change(branch.lastChange(to.Name).id); !shared {
-			profiles = slices.DeleteFunc(profiles, func(pr Profile) bool { return pr.name == to.Name })
-			if pr, ok := branch.Profile(to.Name); ok {
+	for _, cp := range ch.changed {
+		if _, shared := trunk.Change(branch.lastChange(cp.Name).id); !shared {
+			profiles = slices.DeleteFunc(profiles, func(pr Profile) bool { return pr.name == cp.Name })
+			if pr, ok := branch.Profile(cp.Name); ok {
 				profiles = append(profiles, pr)
 			}
 		}
 		touched = append(touched, ChangedProfile{
-			After:  digestIn(profiles, to.Name),
-			Before: digestIn(do.profiles, to.Name),
-			Name:   to.Name,
+			After:  digestIn(profiles, cp.Name),
+			Before: digestIn(do.profiles, cp.Name),
+			Name:   cp.Name,
 		})
 	}
 	ch.changed = touched
@@ -91,8 +91,8 @@
 // lastChange returns the latest recorded change to a profile.
 func (do Document) lastChange(name string) Change {
 	for _, ch := range slices.Backward(do.changes) {
-		for _, to := range ch.changed {
-			if to.Name == name {
+		for _, cp := range ch.changed {
+			if cp.Name == name {
 				return ch
 			}
 		}
--- a/profile/replica_test.go
+++ b/profile/replica_test.go
@@ -13,16 +13,16 @@
 )
 
 func TestReplicaAdoptsOnlyHigherRevisions(t *testing.T) {
-	var ho Replica
-	assert.Equal(t, ho.Status().Source, FromNone)
-	changed := ho.Changed()
-	assert.Assert(t, !ho.Offer(Document{}, FromPeer))
-	assert.Assert(t, ho.Offer(NewDocument(5), FromPeer))
+	var re Replica
+	assert.Equal(t, re.Status().Source, FromNone)
+	changed := re.Changed()
+	assert.Assert(t, !re.Offer(Document{}, FromPeer))
+	assert.Assert(t, re.Offer(NewDocument(5), FromPeer))
 	<-changed
-	assert.Assert(t, !ho.Offer(NewDocument(5), FromService))
-	assert.Assert(t, !ho.Offer(NewDocument(4), FromService))
-	assert.Equal(t, ho.Revision(), uint64(5))
-	assert.Equal(t, ho.Status().Source, FromPeer)
+	assert.Assert(t, !re.Offer(NewDocument(5), FromService))
+	assert.Assert(t, !re.Offer(NewDocument(4), FromService))
+	assert.Equal(t, re.Revision(), uint64(5))
+	assert.Equal(t, re.Status().Source, FromPeer)
 }
 
 func TestEntryRejectsBranchFromPeer(t *testing.T) {
@@ -50,10 +50,10 @@
 		var me keyvalue.Memory
 		me.SetFaults(keyvalue.Faults{Outage: true})
 		ctx, cancel := context.WithCancel(t.Context())
-		var ho Replica
-		fo := Follower{Holder: &ho, Store: &Store{Client: me.Client()}}
+		var re Replica
+		fo := Follower{Holder: &re, Store: &Store{Client: me.Client()}}
 		go fo.Run(ctx)
-		sp := Syncer{Holder: &ho, FetchFunc: func(ctx context.Context, peer string) (Document, error) {
+		sy := Syncer{Holder: &re, FetchFunc: func(ctx context.Context, peer string) (Document, error) {
 			switch peer {
 			case "silent":
 				<-ctx.Done()
@@ -64,23 +64,23 @@
 				return NewDocument(7, plainService(t, "a", "1s")), nil
 			}
 		}}
-		sp.Observe("silent", 7)
-		sp.Observe("old", 5)
-		sp.Observe("good", 7)
+		sy.Observe("silent", 7)
+		sy.Observe("old", 5)
+		sy.Observe("good", 7)
 		started := time.Now()
-		for ho.Revision() < 7 && time.Since(started) < time.Minute {
+		for re.Revision() < 7 && time.Since(started) < time.Minute {
 			time.Sleep(tickEvery)
-			sp.Run(time.Now())
+			sy.Run(time.Now())
 			synctest.Wait()
 		}
-		st := ho.Status()
+		st := re.Status()
 		assert.Equal(t, st.Revision, uint64(7))
 		assert.Assert(t, time.Since(started) < 3*time.Second)
 		assert.Equal(t, st.Source, FromPeer)
 		_, silent := st.Stale(FromService, time.Now(), 10*time.Second)
 		assert.Assert(t, silent, "the service never answered")
 		time.Sleep(20 * time.Second)
-		since, cut := ho.Status().CutOff(time.Now(), 10*time.Second)
+		since, cut := re.Status().CutOff(time.Now(), 10*time.Second)
 		assert.Assert(t, cut && since.Equal(started), "%v", since)
 
 		data, err := NewDocument(8).MarshalBinary()
@@ -89,9 +89,9 @@
 		_, err = me.Client().Put(ctx, DefaultKey, data, 0, 0)
 		assert.NilError(t, err)
 		time.Sleep(maxFollowBackoff)
-		assert.Equal(t, ho.Revision(), uint64(8))
-		assert.Equal(t, ho.Status().Source, FromService)
-		_, cut = ho.Status().CutOff(time.Now(), 10*time.Second)
+		assert.Equal(t, re.Revision(), uint64(8))
+		assert.Equal(t, re.Status().Source, FromService)
+		_, cut = re.Status().CutOff(time.Now(), 10*time.Second)
 		assert.Assert(t, !cut)
 		cancel()
 	})
@@ -157,9 +157,9 @@
 					}
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				var holders [2]Replica
-				for i := range holders {
-					fo := Follower{Holder: &holders[i], Store: &Store{Client: me.Client()}}
+				var replicas [2]Replica
+				for i := range replicas {
+					fo := Follower{Holder: &replicas[i], Store: &Store{Client: me.Client()}}
 					go fo.Run(ctx)
 				}
 				synctest.Wait()
@@ -169,9 +169,9 @@
 				vd, err := ana.store.Read(t.Context())
 				assert.NilError(t, err)
 				assert.Equal(t, vd.Document.Revision(), tt.revision)
-				for i := range holders {
-					assert.Equal(t, holders[i].Revision(), tt.revision)
-					assert.Assert(t, holders[i].rejectsBranches)
+				for i := range replicas {
+					assert.Equal(t, replicas[i].Revision(), tt.revision)
+					assert.Assert(t, replicas[i].rejectsBranches)
 				}
 				a, _ := vd.Document.Profile("a")
 				b, _ := vd.Document.Profile("b")
--- a/profile/spread_test.go
+++ b/profile/spread_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// follow starts the entries' followers; the watches of the first silent entries
-// never return.
+// follow starts the entries' followers. silent is the number of entries, from the
+// first, whose watches never return.
 func (fl *fleet) follow(ctx context.Context, silent int) {
 	for i, no := range fl.nodes[:fl.entries] {
 		cl := fl.me.Client()
