--- a/roundtrip/client.go
+++ b/roundtrip/client.go
@@ -44,13 +44,13 @@
 	if hc == nil {
 		hc = NewHTTPClient()
 	}
-	once := *hc
-	once.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	noRedirect := *hc
+	noRedirect.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return Client{
 		BaseURL: strings.TrimSuffix(baseURL, "/"),
 		Broken:  err,
 		Crossed: err,
-		HTTP:    &once,
+		HTTP:    &noRedirect,
 		NotSent: err,
 	}
 }
--- a/roundtrip/conn.go
+++ b/roundtrip/conn.go
@@ -85,7 +85,7 @@
 	_ = co.Close()
 }
 
-// A use is a connection that was assigned to a request, and its writes until then.
+// A use is a connection that was assigned to a request, and the number of its writes before.
 type use struct {
 	conn    *countingConn // nil if the connection doesn't count its writes
 	written int64
