--- a/plainservice/http.go
+++ b/plainservice/http.go
@@ -11,8 +11,8 @@
 
 // NewHTTP returns a Client of the service with HTTP at baseURL. If hc is nil, it creates an
 // http.Client. A response that doesn't echo the request's ID fails with
-// ErrMismatchedResponse. One without a length fails with ErrBroken, since truncation can't
-// be detected.
+// ErrMismatchedResponse. Reading a body without a length fails with ErrBroken, since
+// truncation can't be detected.
 func NewHTTP(baseURL string, hc *http.Client) *Client {
 	cl := roundtrip.New(baseURL, hc, ErrBroken)
 	cl.Crossed = ErrMismatchedResponse
