--- a/events/events.go
+++ b/events/events.go
@@ -49,7 +49,7 @@
 		}
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			if len(bytes.TrimSpace(ev.Raw)) == 0 {
-				continue // an empty line between events belongs to the next
+				continue // empty lines before an event are part of its Raw
 			}
 			ev.parse()
 			return ev, nil
