--- a/engine/http.go
+++ b/engine/http.go
@@ -56,19 +56,19 @@
 	return an, errors.Wrap(err, path)
 }
 
-// cacheEvents is CacheEventsFunc.
+// cacheEvents implements Client.CacheEventsFunc.
 func (ht httpClient) cacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	path := "/cache-events?after=" + strconv.FormatUint(after, 10)
 	return call[[]CacheEvent](ctx, ht, http.MethodGet, path, nil)
 }
 
-// cancel is CancelFunc.
+// cancel implements Client.CancelFunc.
 func (ht httpClient) cancel(ctx context.Context, requestID string) error {
 	_, err := call[struct{}](ctx, ht, http.MethodPost, "/cancel", CallID{requestID})
 	return err
 }
 
-// exportCache is ExportCacheFunc.
+// exportCache implements Client.ExportCacheFunc.
 func (ht httpClient) exportCache(ctx context.Context, requestID string) (CacheSnapshot, error) {
 	cs, err := call[CacheSnapshot](ctx, ht, http.MethodPost, "/export-cache", CallID{requestID})
 	if err == nil && cs.RequestID != requestID {
@@ -77,24 +77,24 @@
 	return cs, err
 }
 
-// importCache is ImportCacheFunc.
+// importCache implements Client.ImportCacheFunc.
 func (ht httpClient) importCache(ctx context.Context, cs CacheSnapshot) error {
 	_, err := call[struct{}](ctx, ht, http.MethodPost, "/import-cache", cs)
 	return err
 }
 
-// order is OrderFunc.
+// order implements Client.OrderFunc.
 func (ht httpClient) order(ctx context.Context, or Order) error {
 	_, err := call[struct{}](ctx, ht, http.MethodPost, "/orders", or)
 	return err
 }
 
-// report is ReportFunc.
+// report implements Client.ReportFunc.
 func (ht httpClient) report(ctx context.Context) (Report, error) {
 	return call[Report](ctx, ht, http.MethodGet, "/report", nil)
 }
 
-// generate is GenerateFunc.
+// generate implements Client.GenerateFunc.
 func (ht httpClient) generate(ctx context.Context, req GenerateRequest, emit func(Chunk) error) error {
 	body, err := json.Marshal(req)
 	if err != nil {
