--- a/unit/unit_test.go
+++ b/unit/unit_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUnmarshalText parses texts and formats the values again.
+// TestUnmarshalText guards against accepting a duration without a unit.
 func TestUnmarshalText(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
