--- a/soak/crash.go
+++ b/soak/crash.go
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			if rn.opts.Crashes && no.ID == crashItem {
 				items = append(items, no.At)
 			}
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -177,7 +177,7 @@
 		rn.checkIdentity(no.ID, no.Identity)
 	}
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			rn.checkIdentity(no.ID, no.Identity)
 		}
 	}
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -64,7 +64,7 @@
 func (rn *run) firstRuns() firstTimes {
 	begun := firstTimes{}
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			begun.note(no.ID, no.At)
 		}
 	}
@@ -92,7 +92,7 @@
 // checkDrainedEngine checks that nothing began at an engine while it drained.
 func (rn *run) checkDrainedEngine(ht holdPeriod) {
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			if en.ID == ht.target.Name && ht.covers(no.At) {
 				rn.addViolation("%s began at %s, which drains", no.ID, en.ID)
 			}
--- a/soak/reward.go
+++ b/soak/reward.go
@@ -26,7 +26,7 @@
 func (rn *run) plainRuns() []standin.PlainRun {
 	var notes []standin.PlainRun
 	for _, de := range rn.world.plainEndpoints {
-		notes = append(notes, de.Notes()...)
+		notes = append(notes, de.Runs()...)
 	}
 	return notes
 }
--- a/soak/trainer.go
+++ b/soak/trainer.go
@@ -236,7 +236,7 @@
 // checkEnd checks that no item or reward call of a step began more than endSlack after its end.
 func (rn *run) checkEnd(id string, ended time.Time) {
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			if strings.HasPrefix(no.ID, id+"-") && no.At.After(ended.Add(endSlack)) {
 				rn.addViolation("%s began %s after the end of its step", no.ID, no.At.Sub(ended))
 			}
