--- a/cmd/platformhost.go
+++ b/cmd/platformhost.go
@@ -147,7 +147,7 @@
 		setMemoryLimit(se)
 		ho.memoryLimit.Store(se.MemoryLimit)
 		ho.limitHeldMemory()
-		ho.log.WithField("memory", se.MemoryLimit).Info("settings reloaded")
+		ho.log.WithField("memory", se.MemoryLimit).Info("settings read again")
 	}
 }
 
