--- a/message/status.go
+++ b/message/status.go
@@ -31,7 +31,7 @@
 // reporting process's clock.
 type Status struct {
 	Batches        []BatchStatus    `json:"batches"`
-	CutOffSince    time.Time        `json:"cut-off-since,omitzero"` // start of a key-value outage; zero without one
+	CutOffSince    time.Time        `json:"cut-off-since,omitzero"` // last contact with a configuration source; zero unless cut off
 	DataFolder     bool             `json:"data-folder"`            // stores payloads
 	Endpoints      []EndpointStatus `json:"endpoints"`
 	FailureDomain  string           `json:"failure-domain"`
