--- a/document/document.go
+++ b/document/document.go
@@ -17,8 +17,8 @@
 // MaxSize is the largest document that is read, in bytes.
 const MaxSize = 1 << 20
 
-// maxRounds bounds the errors that the decoder finds one by one: each costs a decoding of
-// the whole document.
+// maxRounds is the maximum number of decoding passes over a document. Each pass finds one
+// error.
 const maxRounds = 50
 
 // A Document holds the lines of a TOML document's keys. Keys are dotted, with an index
@@ -43,7 +43,7 @@
 	}
 	if len(data) > MaxSize {
 		do.broken = true
-		li.Add(file, 0, "", "is %d bytes long, more than the %d that are read", len(data), MaxSize)
+		li.Add(file, 0, "", "is %d bytes long, more than the maximum of %d", len(data), MaxSize)
 		return do
 	}
 	exprs := do.scan(data, reflect.TypeOf(into).Elem())
@@ -136,7 +136,7 @@
 		blank(data, exprs, at)
 	}
 	do.broken = true
-	do.findings.Add(do.file, 0, "", "holds more faults, which are shown once these are mended")
+	do.findings.Add(do.file, 0, "", "has more errors, which are reported once these are fixed")
 }
 
 // addUnknown adds a finding for each key without a field in the target.
@@ -158,7 +158,7 @@
 func cleanMessage(err error) string {
 	message := strings.TrimPrefix(err.Error(), "toml: ")
 	if value, _, ok := strings.Cut(message, " into struct field "); ok {
-		return strings.TrimPrefix(value, "cannot decode ") + " cannot stand here"
+		return strings.TrimPrefix(value, "cannot decode ") + " is not allowed here"
 	}
 	return message
 }
--- a/document/expression.go
+++ b/document/expression.go
@@ -20,7 +20,7 @@
 }
 
 // scan records the line of each key and returns the document's expressions in order. It
-// reports texts that their types in target reject. A syntax error marks the document as
+// adds a finding for each value that its type in target rejects. A syntax error marks the document as
 // broken.
 func (do *Document) scan(data []byte, target reflect.Type) []expression {
 	var pa unstable.Parser
--- a/document/text.go
+++ b/document/text.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// check reports each value below a node that its type's UnmarshalText rejects. The decoder
+// check adds a finding for each value below a node that its type's UnmarshalText rejects. The decoder
 // alone would accept a bare number for any numeric type, such as 30 as a duration of
 // 30 ns, and reports some errors without a line.
 func (sc *scanner) check(ex expression, no *unstable.Node, ty reflect.Type) {
@@ -31,7 +31,7 @@
 		err := text.UnmarshalText(no.Data)
 		if err == nil && no.Kind != unstable.String {
 			// A bare true or 3 must not pass as a name.
-			err = errors.Newf("%s is no text: write it in quotes", no.Data)
+			err = errors.Newf("%s is not a string: write it in quotes", no.Data)
 		}
 		if err != nil {
 			sc.do.faulty[ex.key] = true
--- a/settings/endpoint.go
+++ b/settings/endpoint.go
@@ -34,7 +34,7 @@
 // endpoints checks the endpoints for duplicates and converts them.
 func (re *reader) endpoints(ras []rawEndpoint) []Endpoint {
 	if len(ras) == 0 && !re.do.Faulty(endpointTable) {
-		re.do.Add(endpointTable, "is missing: an attendant runs beside one endpoint at least")
+		re.do.Add(endpointTable, "is missing: an attendant needs at least one endpoint")
 	}
 	names := map[string]int{}
 	addresses := map[string]int{}
--- a/settings/key.go
+++ b/settings/key.go
@@ -77,7 +77,7 @@
 	},
 	{
 		name: "shutdown-grace", typ: durationType, fallback: `"30s"`,
-		doc: "How long a graceful shutdown may take before what still runs is cut off. Longer than the longest request, and shorter than the platform waits before it kills the process.",
+		doc: "How long a graceful shutdown may take before running requests are aborted. Longer than the longest request, and shorter than the platform waits before it kills the process.",
 	},
 	{
 		name: "tick-interval", typ: durationType, fallback: `"20ms"`,
@@ -85,11 +85,11 @@
 	},
 	{
 		name: "peers", typ: ipPortsType, fallback: `[]`, role: EntryRole,
-		doc: "Other entries to ask while the instance list is away.",
+		doc: "Other entries to contact while the instance list is unavailable.",
 	},
 	{
 		name: "entries", typ: ipPortsType, fallback: `[]`, role: AttendantRole,
-		doc: "Entries to report to while the instance list is away.",
+		doc: "Entries to report to while the instance list is unavailable.",
 	},
 	{
 		name: "platform.key-value", typ: urlType, required: true,
@@ -105,27 +105,27 @@
 	},
 	{
 		name: "lease.ttl", typ: durationType, fallback: `"10s"`,
-		doc: "Time to live of the leases of batch owners and rollout owners. Shorter replaces a dead owner sooner; longer rides out slowness of the key-value service. At least 8s, and ten ticks.",
+		doc: "Time to live of the leases of batch owners and rollout owners. Shorter replaces a dead owner sooner; longer tolerates a slower key-value service. At least 8s, and ten ticks.",
 	},
 	{
 		name: "log.level", typ: choiceType, fallback: `"info"`,
-		doc: "Least level that is logged: `error`, `warning`, `info` or `debug`.",
+		doc: "Minimum level that is logged: `error`, `warning`, `info` or `debug`.",
 	},
 	{
 		name: "log.format", typ: choiceType, fallback: `"json"`,
-		doc: "Form of log lines on standard error: `json` or `text`.",
+		doc: "Format of log lines on standard error: `json` or `text`.",
 	},
 	{
 		name: "trace.otlp-address", typ: urlType,
-		doc: "OTLP/HTTP collector that takes the spans. Without it and `trace.file`, tracing is off.",
+		doc: "OTLP/HTTP collector that receives the spans. Without it and `trace.file`, tracing is off.",
 	},
 	{
 		name: "trace.file", typ: pathType, fallback: `""`,
-		doc: "File that takes the spans as lines of JSON. Not together with `trace.otlp-address`.",
+		doc: "File to which spans are appended as lines of JSON. It cannot be combined with `trace.otlp-address`.",
 	},
 	{
 		name: "trace.ratio", typ: numberType, fallback: `1.0`,
-		doc: "Share of the traces that is kept, from 0 to 1. A trace that a caller started keeps the caller's choice.",
+		doc: "Fraction of traces that are sampled, from 0 to 1. A trace that a caller started keeps the caller's sampling decision.",
 	},
 	{
 		name: endpointTable + ".name", typ: nameType, required: true, role: AttendantRole,
--- a/settings/reader.go
+++ b/settings/reader.go
@@ -89,7 +89,7 @@
 			ra.Lease.TTL, minTicksPerLease, ra.TickInterval)
 	}
 	if ra.Lease.TTL > 0 && ra.Lease.TTL < minLeaseTTL {
-		re.do.Add("lease.ttl", "is %s, less than %s: an order of a former owner could still be taken after it",
+		re.do.Add("lease.ttl", "is %s, less than %s: a former owner's command could still be accepted after the lease expires",
 			ra.Lease.TTL, minLeaseTTL)
 	}
 	re.requireAbsolute("data-folder", ra.DataFolder)
@@ -114,7 +114,7 @@
 // checkTrace checks the settings of tracing.
 func (re *reader) checkTrace(ra rawTrace) {
 	if ra.File != "" && ra.OTLPAddress.text != "" {
-		re.do.Add("trace.file", "stands together with trace.otlp-address: spans go to one of them")
+		re.do.Add("trace.file", "is set together with trace.otlp-address: only one of them may be set")
 	}
 	if !(ra.Ratio >= 0 && ra.Ratio <= 1) { // also true for NaN
 		re.do.Add("trace.ratio", "is %v, not from 0 to 1", ra.Ratio)
@@ -131,7 +131,7 @@
 // requireAbsolute reports a path that is not absolute.
 func (re *reader) requireAbsolute(key, path string) {
 	if path != "" && !filepath.IsAbs(path) {
-		re.do.Add(key, "%q is no absolute path", path)
+		re.do.Add(key, "%q is not an absolute path", path)
 	}
 }
 
@@ -150,7 +150,7 @@
 		case ip.Addr().IsUnspecified() || ip.Port() == 0:
 			re.do.Add(place, "is %s, which no process can reach", ip)
 		case slices.Contains(addresses, ip.AddrPort):
-			re.do.Add(place, "is %s, which stands in the list already", ip)
+			re.do.Add(place, "is %s, which is already in the list", ip)
 		default:
 			addresses = append(addresses, ip.AddrPort)
 		}
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -12,8 +12,8 @@
 line and key, and exits without starting. Unknown keys are findings. A duration carries its unit,
 such as "250ms"; a bare number is a finding.
 
-This page is made from the table of keys in package settings, and a test compares them:
-` + "`go test ./settings -update`" + ` renews it.
+This page is generated from the table of keys in package settings, and a test compares them:
+` + "`go test ./settings -update`" + ` updates it.
 `
 
 // Reference returns the reference of all keys for operators, in Markdown.
--- a/settings/text.go
+++ b/settings/text.go
@@ -25,7 +25,7 @@
 func (na *name) UnmarshalText(text []byte) error {
 	if len(text) > maxNameLength || !namePattern.Match(text) {
 		return errors.Newf(
-			"%q is no name: write up to %d lower-case letters, digits, dots, dashes and underscores",
+			"%q is not a name: write up to %d lower-case letters, digits, dots, dashes and underscores",
 			text, maxNameLength)
 	}
 	na.text = string(text)
@@ -39,7 +39,7 @@
 func (ip *ipPort) UnmarshalText(text []byte) error {
 	parsed, err := netip.ParseAddrPort(string(text))
 	if err != nil {
-		return errors.Newf("%q is no IP:port: write an IP number and a port, such as \"10.0.0.5:7100\"", text)
+		return errors.Newf("%q is not an IP:port: write an IP number and a port, such as \"10.0.0.5:7100\"", text)
 	}
 	ip.AddrPort = parsed
 	return nil
@@ -63,7 +63,7 @@
 
 // badURL returns the error for an invalid base URL.
 func badURL(text []byte) error {
-	return errors.Newf("%q is no base URL: write http or https, an IP number and a port, such as \"http://10.0.0.5:2379\"", text)
+	return errors.Newf("%q is not a base URL: write http or https, an IP number and a port, such as \"http://10.0.0.5:2379\"", text)
 }
 
 // A logLevel is the name of a logrus level.
@@ -72,7 +72,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (lo *logLevel) UnmarshalText(text []byte) error {
 	if _, err := logrus.ParseLevel(string(text)); err != nil {
-		return errors.Newf("%q is no log level: write error, warning, info or debug", text)
+		return errors.Newf("%q is not a log level: write error, warning, info or debug", text)
 	}
 	lo.text = string(text)
 	return nil
