--- a/cmd/exitcode.go
+++ b/cmd/exitcode.go
@@ -27,9 +27,9 @@
 // exitMeanings are the descriptions in the reference for operators.
 var exitMeanings = [...]string{
 	ExitOK:          "Done.",
-	ExitFailure:     "Failed. `profile diff`: there is a difference. `status`: a process is unreachable. `try`: a promise was broken.",
+	ExitFailure:     "Failed. `profile diff`: there is a difference. `status`: a process is unreachable. `try`: a violation was found.",
 	ExitBadInput:    "Wrong flags, or findings in an input. Nothing was done.",
-	ExitUnavailable: "A service that the command needs is away or behind. Nothing was done.",
+	ExitUnavailable: "A service that the command needs is unavailable or out of date. Nothing was done.",
 	ExitConflict:    "Someone else changed the same profile. Nothing was done.",
 	ExitUnknown:     "The change may or may not have taken effect: look before repeating it.",
 }
--- a/cmd/holdcmd.go
+++ b/cmd/holdcmd.go
@@ -48,23 +48,23 @@
 
 // run applies and prints a change; with DryRun it only prints it.
 func (hf HoldFlags) run(ctx context.Context, ac hold.Action, out io.Writer) error {
-	ke := &hold.Store{Client: hf.client()}
+	st := &hold.Store{Client: hf.client()}
 	ch := hf.change(ac)
-	sh, err := ke.Read(ctx)
+	se, err := st.Read(ctx)
 	if err != nil {
 		return err
 	}
-	_, changed, err := sh.Apply(ch)
+	_, changed, err := se.Apply(ch)
 	if err != nil {
 		return NewExitError(ExitBadInput, errors.Wrapf(err, "%s", ch.Target))
 	}
 	if changed && !hf.DryRun {
-		if changed, err = ke.Change(ctx, ch); err != nil {
+		if changed, err = st.Change(ctx, ch); err != nil {
 			return err
 		}
 	}
 	pr := printer{out: out}
-	pr.holdChange(hf, sh, ch, changed)
+	pr.holdChange(hf, se, ch, changed)
 	return pr.err
 }
 
@@ -162,20 +162,20 @@
 func (hc *HoldsCmd) Run(ctx context.Context, out Output) error {
 	ctx, cancel := context.WithTimeout(ctx, hc.Timeout)
 	defer cancel()
-	sh, err := (&hold.Store{Client: hc.client()}).Read(ctx)
+	se, err := (&hold.Store{Client: hc.client()}).Read(ctx)
 	if err != nil {
 		return err
 	}
 	pr := printer{out: out.Stdout}
 	switch {
 	case hc.Output == outputJSON && hc.History:
-		pr.json(sh.Changes())
+		pr.json(se.Changes())
 	case hc.Output == outputJSON:
-		pr.json(sh.Records())
+		pr.json(se.Records())
 	case hc.History:
-		pr.holdHistory(sh.Changes())
+		pr.holdHistory(se.Changes())
 	default:
-		pr.holds(sh.Records())
+		pr.holds(se.Records())
 	}
 	return pr.err
 }
--- a/cmd/loadcmd.go
+++ b/cmd/loadcmd.go
@@ -18,7 +18,7 @@
 
 // Errors of the load command.
 var (
-	errBadRows     = errors.New("--rows must lie between 1 and 1500")
+	errBadRows     = errors.New("--rows must be between 1 and 1500")
 	errNoScheduler = errors.New("no process runs the steps")
 )
 
--- a/cmd/loadcmd_test.go
+++ b/cmd/loadcmd_test.go
@@ -101,11 +101,11 @@
 		session += os.run(args...) + "\n"
 	}
 	golden.Assert(t, session, "holds.golden")
-	sh, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
+	se, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, len(sh.Records()), 2)
+	assert.Equal(t, len(se.Records()), 2)
 	for i, want := range []string{"held customer bakery", "held customer mill & sons", "held endpoint 10.0.0.1:80", "released customer mill & sons"} {
-		ch := sh.Changes()[i]
+		ch := se.Changes()[i]
 		assert.Equal(t, string(ch.Action)+" "+ch.String(), want)
 		assert.Assert(t, !ch.At.IsZero() && ch.ID != "")
 	}
@@ -139,9 +139,9 @@
 		session += strings.ReplaceAll(said, strings.Repeat("w", 301), "WWW") + "\n"
 	}
 	golden.Assert(t, session, "holds-bad.golden")
-	sh, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
+	se, err := (&hold.Store{Client: platform.NewStore(os.address, nil)}).Read(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, sh.Version(), int64(0))
+	assert.Equal(t, se.Version(), int64(0))
 }
 
 func TestExitCodeWithoutSchedulerOrService(t *testing.T) {
--- a/cmd/platformentrycmd.go
+++ b/cmd/platformentrycmd.go
@@ -40,10 +40,10 @@
 func (ho *host) startEntry(lc fx.Lifecycle) {
 	fo := ho.forwarder()
 	ho.recordUsage(lc, fo)
-	te := ho.demandReporter(fo)
-	fo.CustomerBound, fo.QuotaFunc = te.CustomerBound, ho.rateLimiter().Allow
-	background(lc, te.Run)
-	su := &platform.StepHandler{
+	dr := ho.demandReporter(fo)
+	fo.CustomerBound, fo.QuotaFunc = dr.CustomerBound, ho.rateLimiter().Allow
+	background(lc, dr.Run)
+	sh := &platform.StepHandler{
 		Access: fo.Access, Directory: ho.directory,
 		Door: &step.Frontend{
 			CutOffFunc: func() bool { return ho.directory.CutOff(time.Now()) },
@@ -52,7 +52,7 @@
 		Live:       fo,
 		RetryAfter: stepRetryDelay,
 	}
-	ga := &gateway{handler: su.Handler()}
+	ga := &gateway{handler: sh.Handler()}
 	background(lc, ho.follower(func() bool { return false }).Run)
 	background(lc, expire(fo))
 	background(lc, ho.saveQuarantine())
--- a/cmd/platformload.go
+++ b/cmd/platformload.go
@@ -19,8 +19,7 @@
 }
 
 // services returns the services that can be scaled, with their load. It returns none
-// without a configuration, nor while only engines can be scaled and the open steps are not
-// known.
+// without a configuration, or if only engines can be scaled and the open steps are unknown.
 func (lv *loadView) services(now time.Time) []scale.Service {
 	co := lv.directory.Configuration()
 	if co == nil {
@@ -51,8 +50,8 @@
 // this process's own calls to that reported by entries.
 func (lv *loadView) loads(now time.Time) (map[string]scale.Load, bool) {
 	loads, known := lv.aggregator.Loads(now)
-	for service, se := range lv.forwarder.Loads(now) {
-		loads[service] = loads[service].Add(se)
+	for service, lo := range lv.forwarder.Loads(now) {
+		loads[service] = loads[service].Add(lo)
 	}
 	return loads, known
 }
--- a/cmd/platformschedulercmd.go
+++ b/cmd/platformschedulercmd.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// leaseTTL is the TTL of the scheduler's lease. It is twice the service's minimum, so
+	// leaseTTL is the TTL of the scheduler's lease. It is twice the minimum of the key-value service, so
 	// that one renewal may fail.
 	leaseTTL = 2 * time.Second
 	// probeInterval is how often a scheduler retries the key-value service during an outage. It
@@ -58,15 +58,15 @@
 	var ps peer.Server
 	sc.Register(&ps)
 	ho.reportUsage(lc, sc, &ps)
-	ce := &scale.LoadAggregator{}
-	al := &allocation.Allocator{Census: ce, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
+	la := &scale.LoadAggregator{}
+	al := &allocation.Allocator{Census: la, Log: ho.log, Metrics: ho.metrics, StandingFunc: sc.Holder.Held, WeightsFunc: ho.directory.Weights}
 	al.Register(&ps)
 	sc.LiveFunc = al.Parts
-	gr := &allocation.TokenServer{
+	ts := &allocation.TokenServer{
 		Metrics: ho.metrics, Overshoot: ho.settings.QuotaOvershoot, QuotaFunc: ho.directory.Quota, StandingFunc: sc.Holder.Held,
 	}
-	gr.Register(&ps)
-	ho.orderEndpoints(lc, &ps, &loadView{aggregator: ce, directory: ho.directory, forwarder: fw, scheduler: sc})
+	ts.Register(&ps)
+	ho.scaleEndpoints(lc, &ps, &loadView{aggregator: la, directory: ho.directory, forwarder: fw, scheduler: sc})
 	fo := ho.follower(sc.IsLeader)
 	fo.Own = platform.RetireKey(ho.settings.Instance)
 	directory.RegisterFeed(&ps, fo, uuid.NewString())
@@ -95,23 +95,23 @@
 	if ho.settings.UsageAddress == "" {
 		return
 	}
-	uh := &usage.Collector{
+	co := &usage.Collector{
 		Client: ho.store, FenceFunc: sc.Holder.Fence, Log: ho.log, Metrics: ho.metrics, Overlap: ho.settings.UsageOverlap,
 		Owner: ho.settings.PeerAddress, SendFunc: platform.NewUsageSender(ho.settings.UsageAddress, ho.settings.Instance),
 		StandingFunc: sc.Holder.Held, Window: ho.settings.UsageWindow,
 	}
-	sc.WallFunc = uh.AddClockSample
-	uh.Register(ps)
-	background(lc, uh.Run)
+	sc.WallFunc = co.AddClockSample
+	co.Register(ps)
+	background(lc, co.Run)
 }
 
-// orderEndpoints sends scaling orders by the load of steps and entries while the process
+// scaleEndpoints sends scaling orders by the load of steps and entries while the process
 // holds the scheduler's lease.
-func (ho *host) orderEndpoints(lc fx.Lifecycle, ps *peer.Server, lv *loadView) {
+func (ho *host) scaleEndpoints(lc fx.Lifecycle, ps *peer.Server, lv *loadView) {
 	if ho.settings.ScaleAddress == "" {
 		return
 	}
-	so := &scale.Scaler{
+	sc := &scale.Scaler{
 		Census: lv.aggregator,
 		HeldFunc: func(service string) bool {
 			_, held := ho.directory.Holds().Service(service)
@@ -124,8 +124,8 @@
 			StandingFunc: lv.scheduler.Holder.Held,
 		},
 	}
-	so.Register(ps)
-	background(lc, so.Run)
+	sc.Register(ps)
+	background(lc, sc.Run)
 }
 
 // release releases the lease, so that another scheduler can acquire it at once.
--- a/cmd/profilecmd.go
+++ b/cmd/profilecmd.go
@@ -26,9 +26,9 @@
 	exitUnknown     = int(ExitUnknown)     // the change may or may not have taken effect
 )
 
-// errBaseNotKept means that the profiles are in force but the base file was not written,
+// errBaseNotWritten means that the profiles are in force but the base file was not written,
 // so that the next apply lacks its merge base.
-var errBaseNotKept = errors.New("the profiles are in force, but their base was not kept")
+var errBaseNotWritten = errors.New("the profiles are in force, but the base file was not written")
 
 // errDifferent is the error of diff for a difference.
 var errDifferent = errors.New("the directory and the profiles in force differ")
@@ -89,7 +89,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errDifferent), errors.Is(err, errBaseNotKept):
+	case errors.Is(err, errDifferent), errors.Is(err, errBaseNotWritten):
 		return exitFailure
 	case errors.As(err, &unknown):
 		return exitUnknown
@@ -206,7 +206,7 @@
 		return err
 	}
 	if err := base.Advance(res.Document, wanted).Write(pa.Dir); err != nil {
-		return errors.Mark(errors.Wrap(err, errBaseNotKept.Error()), errBaseNotKept)
+		return errors.Mark(errors.Wrap(err, errBaseNotWritten.Error()), errBaseNotWritten)
 	}
 	return nil
 }
--- a/cmd/quarantinecmd.go
+++ b/cmd/quarantinecmd.go
@@ -35,19 +35,19 @@
 func (qf QuarantineFlags) openStore(env *ProfileEnv) (*quarantine.Store, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard) // the command returns errors instead
-	ke := &quarantine.Store{Log: logrus.NewEntry(log), Table: &quarantine.Table{}}
+	st := &quarantine.Store{Log: logrus.NewEntry(log), Table: &quarantine.Table{}}
 	switch {
 	case qf.Store != "":
-		ke.Client = platform.NewStore(qf.Store, forward.NewHTTPClient())
+		st.Client = platform.NewStore(qf.Store, forward.NewHTTPClient())
 	case qf.Platform != "":
 		var err error
-		if ke.Client, err = env.OpenFunc(qf.Platform); err != nil {
+		if st.Client, err = env.OpenFunc(qf.Platform); err != nil {
 			return nil, err
 		}
 	default:
 		return nil, NewExitError(ExitBadInput, errNoStore)
 	}
-	return ke, nil
+	return st, nil
 }
 
 // A QuarantineListCmd lists quarantined requests and items.
@@ -58,16 +58,16 @@
 
 // Run prints the requests and items, those with the most crashes first.
 func (qc *QuarantineListCmd) Run(ctx context.Context, env *ProfileEnv) error {
-	ke, err := qc.openStore(env)
+	st, err := qc.openStore(env)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, qc.Timeout)
 	defer cancel()
-	if err := ke.Read(ctx); err != nil {
+	if err := st.Read(ctx); err != nil {
 		return err
 	}
-	ens := ke.Table.Entries(time.Now())
+	ens := st.Table.Entries(time.Now())
 	pr := printer{out: env.Stdout}
 	if qc.Output == outputJSON {
 		pr.json(ens)
@@ -94,7 +94,7 @@
 
 // Run lifts the quarantine. It fails if the request or item is not quarantined.
 func (qc *QuarantineLiftCmd) Run(ctx context.Context, env *ProfileEnv) error {
-	ke, err := qc.openStore(env)
+	st, err := qc.openStore(env)
 	if err != nil {
 		return err
 	}
@@ -102,10 +102,10 @@
 	defer cancel()
 	di := quarantine.Digest(qc.Digest)
 	if qc.DryRun {
-		if err := ke.Read(ctx); err != nil {
+		if err := st.Read(ctx); err != nil {
 			return err
 		}
-		for _, en := range ke.Table.Entries(time.Now()) {
+		for _, en := range st.Table.Entries(time.Now()) {
 			if en.Digest == di {
 				_, err := fmt.Fprintf(env.Stdout, "would lift %s, %d endpoints ended under it\n", di, en.Strikes)
 				return err
@@ -113,7 +113,7 @@
 		}
 		return errors.Wrapf(quarantine.ErrNotQuarantined, "%s", di)
 	}
-	if err := ke.Lift(ctx, di); err != nil {
+	if err := st.Lift(ctx, di); err != nil {
 		if errors.Is(err, keyvalue.ErrOutcomeUnknown) {
 			return NewExitError(ExitUnknown, err)
 		}
--- a/cmd/reference.go
+++ b/cmd/reference.go
@@ -12,8 +12,8 @@
 Every command takes ` + "`--help`" + `. Results go to standard output; log lines, findings and errors go to
 standard error. SIGINT and SIGTERM end ` + "`entry`, `attendant` and `stand-in`" + ` gracefully.
 
-This page is made from the commands themselves, and a test compares them:
-` + "`go test ./cmd -run TestReference -update`" + ` renews it.
+This page is generated from the commands, and a test compares them:
+` + "`go test ./cmd -run TestReference -update`" + ` updates it.
 
 ## Exit codes
 
--- a/cmd/rolecmd.go
+++ b/cmd/rolecmd.go
@@ -12,8 +12,8 @@
 	"wisteriacroft/telemetry"
 )
 
-// errEndedItself means that a role shut its process down with an exit code other than 0.
-var errEndedItself = errors.New("the process ended itself; see its log")
+// errShutItselfDown means that a role shut its process down with an exit code other than 0.
+var errShutItselfDown = errors.New("the process shut itself down; see its log")
 
 // serveRole runs a role until ctx is done and then stops it within the shutdown grace of
 // its settings. Requests that still run after it are aborted.
@@ -36,7 +36,7 @@
 	case <-ctx.Done():
 	case si := <-app.Wait(): // fx also handles the process's signals
 		if si.ExitCode != 0 {
-			ended = errEndedItself
+			ended = errShutItselfDown
 		}
 	}
 	return errors.CombineErrors(stop(ctx, app, pr.ShutdownGrace()), ended)
--- a/cmd/sessionfaults_test.go
+++ b/cmd/sessionfaults_test.go
@@ -79,10 +79,10 @@
 		other = "entry2"
 	}
 	de.signal(frozen, syscall.SIGSTOP)
-	asker := http.Client{Timeout: time.Second}
+	client := http.Client{Timeout: time.Second}
 	de.waitFor("another owner", func() bool {
 		// An entry acquires the lease only on a request for the trainer.
-		an, err := asker.Get("http://" + de.addresses[other] + "/v1/trainers/drafting-trainer/batches/none")
+		an, err := client.Get("http://" + de.addresses[other] + "/v1/trainers/drafting-trainer/batches/none")
 		if err == nil {
 			an.Body.Close()
 		}
--- a/cmd/soakcmd.go
+++ b/cmd/soakcmd.go
@@ -15,8 +15,8 @@
 	"wisteriacroft/soak"
 )
 
-// errSoak means that a soak found violations.
-var errSoak = errors.New("a promise was broken; see the report and the logs")
+// errSoakViolations means that a soak found violations.
+var errSoakViolations = errors.New("violations found; see the report and the logs")
 
 // A SoakCmd runs the roles as processes against stand-ins, with injected faults.
 type SoakCmd struct {
@@ -64,7 +64,7 @@
 		broken = broken || len(re.Violations) > 0
 	}
 	if broken {
-		return errSoak
+		return errSoakViolations
 	}
 	return nil
 }
--- a/cmd/standincmd.go
+++ b/cmd/standincmd.go
@@ -29,7 +29,7 @@
 // A StandInEndpointsCmd is the command `stand-in endpoints`.
 type StandInEndpointsCmd struct{ StandInFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (co *StandInEndpointsCmd) Run(ctx context.Context, stdout io.Writer) error {
 	se, err := readSettings(co.Settings, standin.ReadEndpointsSettings)
 	if err != nil || co.Check {
@@ -41,7 +41,7 @@
 // A StandInPlatformCmd is the command `stand-in platform`.
 type StandInPlatformCmd struct{ StandInFlags }
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (co *StandInPlatformCmd) Run(ctx context.Context, stdout io.Writer) error {
 	se, err := readSettings(co.Settings, standin.ReadPlatformSettings)
 	if err != nil || co.Check {
--- a/cmd/trycmd.go
+++ b/cmd/trycmd.go
@@ -17,8 +17,8 @@
 // bothDeployments is the value of --deployment for all example deployments.
 const bothDeployments = "both"
 
-// errBroken means that a trial found violations.
-var errBroken = errors.New("promises were broken")
+// errViolations means that a trial found violations.
+var errViolations = errors.New("violations found")
 
 // A TryCmd runs a trial of all roles in one process.
 type TryCmd struct {
@@ -75,7 +75,7 @@
 		return err
 	}
 	if len(sum.Broken()) > 0 {
-		return errors.Wrap(errBroken, strings.Join(sum.Broken(), "; "))
+		return errors.Wrap(errViolations, strings.Join(sum.Broken(), "; "))
 	}
 	return nil
 }
