--- a/process/guard.go
+++ b/process/guard.go
@@ -17,7 +17,7 @@
 }
 
 // maxGuardedHeader is the maximum header size of a guarded server regardless of its
-// limits, in bytes. It bounds the memory of a few hundred connections.
+// limits, in bytes. It bounds the memory of a connection.
 const maxGuardedHeader = 256 << 10
 
 // A Guard enforces limits on a server's connections that can change while it serves. Set
--- a/telemetry/bounded_test.go
+++ b/telemetry/bounded_test.go
@@ -12,8 +12,8 @@
 // A blockedWriter blocks all writes until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
-func (sw blockedWriter) Write(line []byte) (int, error) {
-	<-sw.release
+func (bl blockedWriter) Write(line []byte) (int, error) {
+	<-bl.release
 	return len(line), nil
 }
 
@@ -21,8 +21,8 @@
 	// Guards against requests that block on a log line while nobody reads the process's
 	// output.
 	synctest.Test(t, func(t *testing.T) {
-		sw := blockedWriter{release: make(chan struct{})}
-		bw := NewBoundedWriter(sw)
+		bl := blockedWriter{release: make(chan struct{})}
+		bw := NewBoundedWriter(bl)
 		begun := time.Now()
 		const lines = maxQueuedLines + 500
 		for range lines {
@@ -31,7 +31,7 @@
 			assert.Equal(t, n, 5)
 		}
 		assert.Equal(t, time.Since(begun), time.Duration(0))
-		close(sw.release)
+		close(bl.release)
 		synctest.Wait()
 		assert.Equal(t, bw.Dropped()+bw.Written(), uint64(lines), "each line is counted")
 		assert.Assert(t, bw.Dropped() > 0)
