--- a/standin/caller.go
+++ b/standin/caller.go
@@ -34,7 +34,7 @@
 	Broken                int                  `json:"broken"`              // connections cut, responses truncated
 	BrokenBy              string               `json:"broken-by,omitempty"` // id, duration and error of the first of them
 	Calls                 int                  `json:"calls"`
-	Crossed               int                  `json:"crossed"`
+	Crossed               int                  `json:"crossed"` // responses that belong to another request
 	Name                  string               `json:"name"`
 	NotRepeatableRunTwice int                  `json:"not-repeatable-run-twice"`
 	NotRunButRan          int                  `json:"not-run-but-ran"`
@@ -42,7 +42,7 @@
 	P99                   unit.Duration        `json:"p99"`
 	Refused               map[outcome.Code]int `json:"refused"`
 	Unsent                int                  `json:"unsent"` // maxInFlight was reached
-	Whole                 int                  `json:"whole"`
+	Whole                 int                  `json:"whole"`  // complete responses
 }
 
 // errMismatchedResponse means that a caller got the response of another request.
@@ -61,7 +61,7 @@
 // maxDials is how many entries an attempt may dial.
 const maxDials = 3
 
-// A Caller sends live calls at a rate.
+// A Caller sends live calls at a constant rate.
 type Caller struct {
 	endpoints []string
 	entries   entries
--- a/standin/clients.go
+++ b/standin/clients.go
@@ -102,7 +102,7 @@
 	return sum, err
 }
 
-// An entries is a client's list of entries and the one currently in use.
+// entries is a client's list of entries and the one currently in use.
 type entries struct {
 	mu        sync.Mutex
 	addresses []string
@@ -133,7 +133,7 @@
 	return re
 }
 
-// A weights publishes the versions of one model.
+// weights reads and publishes the versions of one model.
 type weights struct {
 	client roundtrip.Client
 	model  string
--- a/standin/endpoints.go
+++ b/standin/endpoints.go
@@ -43,7 +43,7 @@
 	Time       unit.Duration `toml:"time"` // of an engine's step or of a plain service's call
 
 	Adapter           string         `toml:"adapter"`
-	CacheEventGap     int            `toml:"cache-event-gap"` // every so many events one is lost; 0: none
+	CacheEventGap     int            `toml:"cache-event-gap"` // every n-th event is lost; 0: none
 	CacheEventLag     unit.Duration  `toml:"cache-event-lag"`
 	CacheMemory       int            `toml:"cache-memory"` // in prefixes
 	Fencing           bool           `toml:"fencing"`
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -54,7 +54,7 @@
 	remaining int       // requests or orders; 0: unlimited
 }
 
-// A faults holds the active faults of one target. The zero value has none.
+// faults holds the active faults of one target. The zero value has none.
 type faults struct {
 	mu       sync.Mutex
 	active   map[FaultName]activeFault
--- a/standin/instancelist.go
+++ b/standin/instancelist.go
@@ -12,7 +12,7 @@
 	"wisteriacroft/instancelist"
 )
 
-// A listing is the content of the list from a point in time.
+// A listing is the content of the list from a point in time until the next listing.
 type listing struct {
 	rows  []instancelist.Instance
 	since time.Time
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -14,7 +14,7 @@
 	"wisteriacroft/plainservice"
 )
 
-// A Counts is how often calls ran, the response to GET /counts.
+// Counts holds how often calls ran. It is the response to GET /counts.
 type Counts struct {
 	Keys    map[string]int `json:"keys"`    // by idempotency key, or by request id without one
 	Paths   map[string]int `json:"paths"`   // by path
@@ -116,8 +116,8 @@
 	pn.waiting += waiting
 }
 
-// run counts a call and returns its response with the id echo. If that is the id
-// of another request, the response also has the path of the previous call.
+// run counts a call and returns its response. echo is the request id to return; if
+// it is not the call's own, the response also has the path of the previous call.
 func (pn *Plain) run(r *http.Request, echo string) PlainAnswer {
 	id := r.Header.Get(plainservice.RequestIDHeader)
 	key := r.Header.Get(message.IdempotencyKeyHeader)
--- a/standin/server.go
+++ b/standin/server.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// A checker adds findings to a settings file.
+// A checker adds findings about a settings file.
 type checker struct {
 	*document.Document
 }
