--- a/trial/deployment.go
+++ b/trial/deployment.go
@@ -114,7 +114,7 @@
 // listenFreePort listens on a free port of a loopback address that is unique to
 // this process and deployment, or of 127.0.0.1 if that fails. On 127.0.0.1, an
 // outgoing connection or another trial could take the port of a killed process
-// before its successor, and a concurrent trial in the same process could take a
+// before its successor binds it, and a concurrent trial in the same process could take a
 // port that was picked here but isn't bound yet.
 func listenFreePort(number uint32) (net.Listener, error) {
 	var lc net.ListenConfig
--- a/trial/operators.go
+++ b/trial/operators.go
@@ -11,19 +11,19 @@
 	"wisteriacroft/profile"
 )
 
-// maxWaiting matches the key of a profile that racing operators change.
+// maxWaiting matches the line of a profile that concurrent operators change.
 var maxWaiting = regexp.MustCompile(`(?m)^max-waiting = (\d+)$`)
 
 // raceOperators lets two operators concurrently change two different profiles;
 // both changes must be accepted. Then both change the same profile: one change
 // must be accepted and the other rejected as a conflict.
 func raceOperators(ctx context.Context, ru *run) error {
-	sd, err := ru.world.read(ctx)
+	vd, err := ru.world.read(ctx)
 	if err != nil {
 		return err
 	}
 	var names []string
-	for _, pr := range sd.Document.Profiles() {
+	for _, pr := range vd.Document.Profiles() {
 		if maxWaiting.MatchString(pr.Source()) {
 			names = append(names, pr.Name())
 		}
@@ -31,17 +31,17 @@
 	if len(names) < 2 {
 		return errors.Wrap(errNoTarget, "profiles with max-waiting")
 	}
-	errs := ru.race(ctx, sd.Document, names[0], names[1])
+	errs := ru.race(ctx, vd.Document, names[0], names[1])
 	if errs[0] != nil || errs[1] != nil {
 		ru.verdict.add("changes to different profiles were refused: %v, %v", errs[0], errs[1])
 	}
-	if sd, err = ru.world.read(ctx); err != nil {
+	if vd, err = ru.world.read(ctx); err != nil {
 		return err
 	}
-	errs = ru.race(ctx, sd.Document, names[0], names[0])
+	errs = ru.race(ctx, vd.Document, names[0], names[0])
 	var conflict *profile.Conflict
 	if (errs[0] == nil) == (errs[1] == nil) || !errors.As(errors.CombineErrors(errs[0], errs[1]), &conflict) {
-		ru.verdict.add("of two changes to one profile not exactly one was accepted: %v, %v", errs[0], errs[1])
+		ru.verdict.add("two changes to one profile: not exactly one was accepted: %v, %v", errs[0], errs[1])
 	}
 	return ru.checkChanges(ctx, names[0], names[1])
 }
@@ -85,12 +85,12 @@
 // checkChanges checks the stored profiles after the races: the first profile is
 // changed twice, the second once.
 func (ru *run) checkChanges(ctx context.Context, first, second string) error {
-	sd, err := ru.world.read(ctx)
+	vd, err := ru.world.read(ctx)
 	if err != nil {
 		return err
 	}
 	for _, pr := range ru.world.deployment.profiles {
-		now, _ := sd.Document.Profile(pr.Name())
+		now, _ := vd.Document.Profile(pr.Name())
 		raised := now.MaxWaiting() - pr.MaxWaiting()
 		switch pr.Name() {
 		case first:
--- a/trial/process.go
+++ b/trial/process.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// detach marks the process as not running and returns what ran, nil if nothing did.
-// The caller has to end it.
+// detach marks the process as not running and returns its operations, or nil if it
+// wasn't running, and its network. The caller must end the process.
 func (pr *process) detach() (*running, *network) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -28,7 +28,7 @@
 // Options configures a trial.
 type Options struct {
 	Deployments []string      // run one after another; see Deployments
-	Faults      []FaultName   // each is injected during a step; a repeated one again a step later
+	Faults      []FaultName   // each is injected during a step; a repeated one, one step later than before
 	Log         io.Writer     // for the processes' log lines; nil: none
 	Progress    io.Writer     // for a progress line that is overwritten; nil: none
 	Seed        int           // of the prompts, and so of the samples' lengths
@@ -163,13 +163,13 @@
 			}
 			ru.world.log.WithField("fault", fa.name).Info("injecting fault")
 			if err := fa.inject(ctx, ru); err != nil {
-				ru.verdict.add("fault %s did not take its course: %v", fa.name, err)
+				ru.verdict.add("fault %s failed: %v", fa.name, err)
 			}
 		})
 	}
 	counted, err := ru.world.clients.Run(bounded)
 	if ctx.Err() == nil && bounded.Err() != nil {
-		ru.verdict.add("the trainers did not get their steps within %s", ru.options.timeout())
+		ru.verdict.add("the trainers did not complete their steps within %s", ru.options.timeout())
 		err = nil
 	}
 	faults.Wait()
--- a/trial/verdict.go
+++ b/trial/verdict.go
@@ -10,7 +10,7 @@
 // An expectation is how calls may end under a fault.
 type expectation int
 
-// How calls may end, from the best on.
+// How calls may end, from best to worst.
 const (
 	allWhole    expectation = iota // every call gets its complete response
 	allAnswered                    // every call gets its complete response or a typed refusal
--- a/trial/watch.go
+++ b/trial/watch.go
@@ -161,19 +161,19 @@
 // waitInForce waits until the stored profiles are in force everywhere, and returns
 // them.
 func (ru *run) waitInForce(ctx context.Context) (profile.Document, error) {
-	sd, err := ru.world.read(ctx)
+	vd, err := ru.world.read(ctx)
 	if err != nil {
 		return profile.Document{}, errors.Wrap(err, "read the profiles")
 	}
 	bounded, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	for _, pr := range ru.world.processes() {
-		if !pr.waitFor(bounded, sd.Document.Revision()) {
+		if !pr.waitFor(bounded, vd.Document.Revision()) {
 			ru.verdict.add("revision %d is not in force at %s within %s",
-				sd.Document.Revision(), pr.instance.ID, propagationTimeout)
+				vd.Document.Revision(), pr.instance.ID, propagationTimeout)
 		}
 	}
-	return sd.Document, nil
+	return vd.Document, nil
 }
 
 // read reads the stored profiles, with retries while the platform is unavailable.
@@ -181,9 +181,9 @@
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
-		sd, err := wo.store.Read(ctx)
+		vd, err := wo.store.Read(ctx)
 		if err == nil || !sleep(ctx, pollEvery) {
-			return sd, err
+			return vd, err
 		}
 	}
 }
