--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -17,8 +17,8 @@
 // newCheckedRun returns a run in which endpoints ran some requests, ready to be checked.
 func newCheckedRun(t *testing.T, opts Options, ids ...string) *run {
 	t.Helper()
-	de := &standin.PlainEndpoint{ID: "desk"}
-	sv := httptest.NewServer(de)
+	pe := &standin.PlainEndpoint{ID: "desk"}
+	sv := httptest.NewServer(pe)
 	defer sv.Close()
 	cl := standin.Client{Base: sv.URL, HTTP: sv.Client()}
 	for _, id := range ids {
@@ -26,7 +26,7 @@
 		assert.NilError(t, err)
 	}
 	pa := &parts{bounds: opts.Bounds, names: []string{quotaPart, rivalsPart}}
-	return &run{begun: time.Now(), opts: opts, parts: pa, world: &world{plainEndpoints: []*standin.PlainEndpoint{de}}}
+	return &run{begun: time.Now(), opts: opts, parts: pa, world: &world{plainEndpoints: []*standin.PlainEndpoint{pe}}}
 }
 
 func metered(count int) (ids []string) {
@@ -111,8 +111,8 @@
 }
 
 func TestPlainEndpointAtCapacity(t *testing.T) {
-	de := &standin.PlainEndpoint{ID: "desk", Places: 1, Work: 50 * time.Millisecond}
-	sv := httptest.NewServer(de)
+	pe := &standin.PlainEndpoint{ID: "desk", Places: 1, Work: 50 * time.Millisecond}
+	sv := httptest.NewServer(pe)
 	defer sv.Close()
 	statuses := make(chan int, 3)
 	for range 3 {
--- a/soak/crowd.go
+++ b/soak/crowd.go
@@ -23,7 +23,7 @@
 	// this trainer's items has crowdEvents events, and occupies a slot for the product of both.
 	crowdGap    = 40 * time.Millisecond
 	crowdEvents = 60
-	// crowdDue is when the trainer's steps are due, and crowdPatience when it stops reading.
+	// crowdDue is when the trainer's steps are due, and crowdTimeout how long it reads a step.
 	crowdDue     = 4 * time.Second
 	crowdTimeout = 6 * time.Second
 	// crowdGroups is the number of groups in a step for each engine. The open steps together
@@ -42,7 +42,7 @@
 	lossAt := from + between(rng, to-from, 0.3, 0.6)
 	sleep(ctx, from)
 	begun := time.Now()
-	rn.recordEvent("steps beyond the room")
+	rn.recordEvent("steps beyond capacity")
 	ctx, cancel := context.WithTimeout(ctx, to-from)
 	defer cancel()
 	var lanes sync.WaitGroup
@@ -51,10 +51,10 @@
 	}
 	sleep(ctx, lossAt-from)
 	if ctx.Err() == nil {
-		rn.loseScheduler(ctx, "beside steps beyond the room")
+		rn.loseScheduler(ctx, "during steps beyond capacity")
 	}
 	lanes.Wait()
-	rn.recordEvent("no more steps beyond the room")
+	rn.recordEvent("no more steps beyond capacity")
 	rn.crowdTime = [2]time.Time{begun, time.Now()}
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// inTime returns which part of the first customer's groups were in time: of the steps that
+// inTime returns the fraction of the first customer's groups that were in time: of the steps that
 // it submitted during the overload, or of all others. Steps near a loss of the scheduler
 // don't count; some reports whether any step counts.
 func (rn *run) inTime(beside bool) (part float64, some bool) {
--- a/soak/customer.go
+++ b/soak/customer.go
@@ -145,7 +145,7 @@
 		sleep(ctx, applyTime)
 		rn.world.keys.sendNewest(customer)
 		sleep(ctx, callTime)
-		rn.recordEvent("old key taken from " + customer)
+		rn.recordEvent("old key removed from " + customer)
 		rn.world.keys.removeOld(customer)
 		_ = rn.world.configure(ctx) // ends with ctx
 	}
@@ -154,16 +154,16 @@
 // faultUsageServer makes the usage server slow, lose responses and refuse reports.
 func (rn *run) faultUsageServer(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, usageStream)
-	au := rn.world.usageServer
+	us := rn.world.usageServer
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
-		how, name := &au.Slow, "slow"
+		how, name := &us.Slow, "slow"
 		switch rng.IntN(3) {
 		case 0:
-			how, name = &au.Lose, "loses answers"
+			how, name = &us.Lose, "loses answers"
 		case 1:
-			how, name = &au.Refuse, "refuses"
+			how, name = &us.Refuse, "refuses"
 		}
-		rn.recordEvent("who takes reports " + name)
+		rn.recordEvent("usage server " + name)
 		how.Store(true)
 		sleep(ctx, time.Duration(1000+rng.IntN(4000))*time.Millisecond)
 		how.Store(false)
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -46,11 +46,11 @@
 func (rn *run) faultPlainEndpoints(ctx context.Context, length time.Duration) {
 	rng := newStream(rn.opts.Seed, plainStream)
 	for end := time.Now().Add(length); !rn.opts.Quiet && time.Now().Before(end) && ctx.Err() == nil; {
-		de, tr := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)], standin.Fault(1+rng.IntN(int(standin.FaultCount)-1))
-		rn.recordEvent(fmt.Sprint(tr, " ", de.ID))
-		de.SetFault(tr)
+		pe, fa := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)], standin.Fault(1+rng.IntN(int(standin.FaultCount)-1))
+		rn.recordEvent(fmt.Sprint(fa, " ", pe.ID))
+		pe.SetFault(fa)
 		sleep(ctx, time.Duration(200+rng.IntN(2000))*time.Millisecond)
-		de.SetFault(standin.NoFault)
+		pe.SetFault(standin.NoFault)
 		sleep(ctx, time.Duration(rng.IntN(1000))*time.Millisecond)
 	}
 }
@@ -68,9 +68,9 @@
 			en.Restart()
 			continue
 		case 1:
-			de := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)]
-			rn.recordEvent("restart " + de.ID)
-			de.Restart()
+			pe := rn.world.plainEndpoints[rng.IntN(plainEndpointCount)]
+			rn.recordEvent("restart " + pe.ID)
+			pe.Restart()
 			continue
 		}
 		entry := malformedEntries[rng.IntN(len(malformedEntries))]
@@ -149,5 +149,5 @@
 	if rn.rng.IntN(2) == 0 {
 		return fault{name: "store slow", do: set(keyvalue.Faults{Delay: 200 * time.Millisecond}), undo: set(keyvalue.Faults{})}
 	}
-	return fault{name: "store away", do: set(keyvalue.Faults{Outage: true}), undo: set(keyvalue.Faults{})}
+	return fault{name: "store unavailable", do: set(keyvalue.Faults{Outage: true}), undo: set(keyvalue.Faults{})}
 }
--- a/soak/operator.go
+++ b/soak/operator.go
@@ -24,13 +24,13 @@
 		}
 		rn.recordEvent("operator holds " + ta.String())
 		rn.operate(ctx, hold.Held, ta)
-		ht := holdPeriod{from: time.Now().Add(applyTime), target: ta}
+		hp := holdPeriod{from: time.Now().Add(applyTime), target: ta}
 		if calm {
 			sleep(ctx, applyTime)
 		}
 		sleep(ctx, time.Duration(500+rng.IntN(2500))*time.Millisecond)
-		ht.to = time.Now()
-		rn.holds = append(rn.holds, ht)
+		hp.to = time.Now()
+		rn.holds = append(rn.holds, hp)
 		rn.operate(ctx, hold.Released, ta)
 	}
 }
@@ -41,7 +41,7 @@
 	target   hold.Target
 }
 
-func (ht holdPeriod) covers(at time.Time) bool { return at.After(ht.from) && at.Before(ht.to) }
+func (hp holdPeriod) covers(at time.Time) bool { return at.After(hp.from) && at.Before(hp.to) }
 
 // checkHolds checks that in a quiet run nothing of a held customer began, and nothing at a
 // draining engine.
@@ -50,12 +50,12 @@
 		return
 	}
 	begun := rn.firstRuns()
-	for _, ht := range rn.holds {
-		switch ht.target.Kind {
+	for _, hp := range rn.holds {
+		switch hp.target.Kind {
 		case hold.Customer:
-			rn.checkHeldCustomer(ht, begun)
+			rn.checkHeldCustomer(hp, begun)
 		case hold.Endpoint:
-			rn.checkDrainedEngine(ht)
+			rn.checkDrainedEngine(hp)
 		}
 	}
 }
@@ -81,19 +81,19 @@
 }
 
 // checkHeldCustomer checks that no item of a customer began while the customer was on hold.
-func (rn *run) checkHeldCustomer(ht holdPeriod, begun firstTimes) {
+func (rn *run) checkHeldCustomer(hp holdPeriod, begun firstTimes) {
 	for id, at := range begun {
-		if customerOf(id) == ht.target.Name && ht.covers(at) {
-			rn.addViolation("%s began %s before its customer was released", id, ht.to.Sub(at))
+		if customerOf(id) == hp.target.Name && hp.covers(at) {
+			rn.addViolation("%s began %s before its customer was released", id, hp.to.Sub(at))
 		}
 	}
 }
 
 // checkDrainedEngine checks that nothing began at an engine while it drained.
-func (rn *run) checkDrainedEngine(ht holdPeriod) {
+func (rn *run) checkDrainedEngine(hp holdPeriod) {
 	for _, en := range rn.world.engines {
 		for _, no := range en.Notes() {
-			if en.ID == ht.target.Name && ht.covers(no.At) {
+			if en.ID == hp.target.Name && hp.covers(no.At) {
 				rn.addViolation("%s began at %s, which drains", no.ID, en.ID)
 			}
 		}
@@ -102,13 +102,13 @@
 
 // operate makes a change of holds, with retries until it succeeds or ctx ends.
 func (rn *run) operate(ctx context.Context, ac hold.Action, ta hold.Target) {
-	ke := hold.Store{Client: rn.world.store.Memory.Client()}
+	st := hold.Store{Client: rn.world.store.Memory.Client()}
 	ch := hold.Change{
 		Action: ac, ID: fmt.Sprintf("%s %s at %s", ac, ta, time.Since(rn.begun)),
 		Record: hold.Record{At: time.Now().UTC(), By: "operator", Target: ta, Why: "soak"},
 	}
 	for ctx.Err() == nil {
-		if _, err := ke.Change(ctx, ch); err == nil {
+		if _, err := st.Change(ctx, ch); err == nil {
 			return
 		}
 		sleep(ctx, storeRetry)
--- a/soak/quota.go
+++ b/soak/quota.go
@@ -60,7 +60,7 @@
 }
 
 // changeQuota raises the quota, cuts an entry off, kills the scheduler, which grants quota,
-// and lowers the quota far.
+// and lowers the quota sharply.
 func (rn *run) changeQuota(ctx context.Context, length time.Duration) {
 	if !rn.parts.has(quotaPart) {
 		return
@@ -73,7 +73,7 @@
 	until(0.25, 0.35)
 	rn.cutOff(rng.IntN(rn.opts.Entries))
 	sleep(ctx, time.Duration(rng.IntN(500))*time.Millisecond)
-	rn.loseScheduler(ctx, "beside a quota")
+	rn.loseScheduler(ctx, "under a quota")
 	until(0.6, 0.7)
 	rn.writeQuota(ctx, float64(2+rng.IntN(3)))
 }
@@ -95,7 +95,7 @@
 		if pg.name != name {
 			continue
 		}
-		rn.recordEvent("silence store of " + name + ", beside a quota")
+		rn.recordEvent("silence store of " + name + ", under a quota")
 		pg.store.set(silence)
 		time.AfterFunc(cutTime, func() {
 			pg.store.set(pass)
--- a/soak/reward.go
+++ b/soak/reward.go
@@ -25,8 +25,8 @@
 // plainRuns returns the runs of all plain endpoints.
 func (rn *run) plainRuns() []standin.PlainRun {
 	var notes []standin.PlainRun
-	for _, de := range rn.world.plainEndpoints {
-		notes = append(notes, de.Notes()...)
+	for _, pe := range rn.world.plainEndpoints {
+		notes = append(notes, pe.Notes()...)
 	}
 	return notes
 }
--- a/soak/rivals.go
+++ b/soak/rivals.go
@@ -48,9 +48,9 @@
 		if !wo.parts.has(rivalsPart) {
 			return nil
 		}
-		de := &standin.PlainEndpoint{ID: fmt.Sprint("counter-", i), Places: rivalSlots, Work: rivalWork}
-		wo.plainEndpoints = append(wo.plainEndpoints, de)
-		if err := wo.register(ctx, de.ID, rivalService, wo.ip(5, i), de, de.StartedAt, nil); err != nil {
+		pe := &standin.PlainEndpoint{ID: fmt.Sprint("counter-", i), Places: rivalSlots, Work: rivalWork}
+		wo.plainEndpoints = append(wo.plainEndpoints, pe)
+		if err := wo.register(ctx, pe.ID, rivalService, wo.ip(5, i), pe, pe.StartedAt, nil); err != nil {
 			return err
 		}
 	}
--- a/soak/trainer.go
+++ b/soak/trainer.go
@@ -19,7 +19,7 @@
 	stepDue = 8 * time.Second
 	// stepTime is how long the trainer waits for a step.
 	stepTime = 15 * time.Second
-	// maxItemTokens is an upper bound of the tokens of an item, at 30 an event.
+	// maxItemTokens is an upper bound of the tokens of an item, at 30 tokens an event.
 	maxItemTokens = 4000
 	// readWait is how long a read waits for results.
 	readWait = 500 * time.Millisecond
--- a/soak/world.go
+++ b/soak/world.go
@@ -116,12 +116,12 @@
 
 func (wo *world) buildPlainEndpoints(ctx context.Context) error {
 	for i := range plainEndpointCount {
-		de := &standin.PlainEndpoint{ID: fmt.Sprint("desk-", i)}
-		wo.plainEndpoints = append(wo.plainEndpoints, de)
-		if err := wo.register(ctx, de.ID, plainService, wo.ip(1, i), de, de.StartedAt, nil); err != nil {
+		pe := &standin.PlainEndpoint{ID: fmt.Sprint("desk-", i)}
+		wo.plainEndpoints = append(wo.plainEndpoints, pe)
+		if err := wo.register(ctx, pe.ID, plainService, wo.ip(1, i), pe, pe.StartedAt, nil); err != nil {
 			return err
 		}
-		de.CrashFunc = crashFunc(de.Restart, wo.proxies[i])
+		pe.CrashFunc = crashFunc(pe.Restart, wo.proxies[i])
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 }
 
 // register serves an endpoint behind a proxy, and renews its entry in the store.
-func (wo *world) register(ctx context.Context, id, service, ip string, ha http.Handler, born func() int64, en *standin.Engine) error {
+func (wo *world) register(ctx context.Context, id, service, ip string, ha http.Handler, startedAt func() int64, en *standin.Engine) error {
 	target, err := wo.serve(ip+":0", ha)
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 	wo.heartbeats.Go(func() {
 		for ctx.Err() == nil {
 			if _, hidden := wo.unregistered.Load(id); !hidden {
-				wo.sendHeartbeat(ctx, id, service, pr.address(), born(), en)
+				wo.sendHeartbeat(ctx, id, service, pr.address(), startedAt(), en)
 			}
 			sleep(ctx, heartbeat)
 		}
@@ -205,9 +205,9 @@
 	return nil
 }
 
-func (wo *world) sendHeartbeat(ctx context.Context, id, service, address string, born int64, en *standin.Engine) {
+func (wo *world) sendHeartbeat(ctx context.Context, id, service, address string, startedAt int64, en *standin.Engine) {
 	endpoint := directory.Endpoint{
-		Address: address, Domain: domain, ID: id, Incarnation: incarnation.Number(born), Service: service, Slots: slots,
+		Address: address, Domain: domain, ID: id, Incarnation: incarnation.Number(startedAt), Service: service, Slots: slots,
 	}
 	if service == rivalService {
 		endpoint.Slots = rivalSlots
