--- a/capacity/document_test.go
+++ b/capacity/document_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	changes      = 128 // retained by a document
-	classes      = 3   // calls profiles for each service
-	serviceSize  = 100 // endpoints for each service
-	documentSize = 1100
+	changes      = 128  // retained by a document
+	classes      = 3    // calls profiles for each service
+	serviceSize  = 100  // endpoints for each service
+	documentSize = 1100 // endpoints of the largest document
 )
 
 // declareAll returns profiles for a number of endpoints, with comments as in a real
@@ -59,13 +59,13 @@
 			})
 			assert.NilError(b, err)
 		}
-		sd, err := st.Read(b.Context())
+		vd, err := st.Read(b.Context())
 		assert.NilError(b, err)
-		data, err := sd.Document.MarshalBinary()
+		data, err := vd.Document.MarshalBinary()
 		assert.NilError(b, err)
 		b.Run(fmt.Sprintf("encode/endpoints=%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
-				_, err := sd.Document.MarshalBinary()
+				_, err := vd.Document.MarshalBinary()
 				assert.NilError(b, err)
 			}
 			b.ReportMetric(float64(len(data)), "B")
--- a/capacity/entry_test.go
+++ b/capacity/entry_test.go
@@ -73,12 +73,12 @@
 func newSite(b *testing.B, endpoints int) *site {
 	si := &site{}
 	si.serve(b)
-	holder := &profile.Replica{}
-	holder.Offer(profile.NewDocument(1, declare(b, 1)...), profile.FromService)
+	replica := &profile.Replica{}
+	replica.Offer(profile.NewDocument(1, declare(b, 1)...), profile.FromService)
 	var me keyvalue.Memory
 	si.entry = entry.New(entry.Options{
 		Address: entryName(0), DialFunc: si.dial, FailureDomain: "fd-0", Incarnation: 1, Instance: entryName(0),
-		KeyValue: me.Client(), Profiles: holder,
+		KeyValue: me.Client(), Profiles: replica,
 		Weights: &weightstore.Client{
 			LatestFunc: func(context.Context, string) (engine.Version, error) { return 7, nil },
 			RateFunc:   func(context.Context) (int, error) { return fetchLimit, nil },
@@ -175,15 +175,15 @@
 	defer po.Close()
 	for i := range (endpoints + 2) / 3 {
 		id := fmt.Sprintf("attendant-%03d", i)
-		ne := membership.StateUpdate{Beat: 1, Incarnation: 1, Instance: id, Card: &membership.Descriptor{
+		su := membership.StateUpdate{Beat: 1, Incarnation: 1, Instance: id, Card: &membership.Descriptor{
 			Address: fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250), DataFolder: true, FailureDomain: fmt.Sprint("fd-", i%9),
 		}}
 		for e := range min(3, endpoints-3*i) {
-			ne.Card.Endpoints = append(ne.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
-			ne.Endpoints = append(ne.Endpoints, membership.EndpointUpdate{Running: 15, State: membership.Ready, Version: 7})
+			su.Card.Endpoints = append(su.Card.Endpoints, membership.EndpointDescriptor{ID: fmt.Sprintf("%s-%d", id, e), Service: "llm-00"})
+			su.Endpoints = append(su.Endpoints, membership.EndpointUpdate{Running: 15, State: membership.Ready, Version: 7})
 		}
 		_, err := peer.Call[membership.ReportRequest, membership.ReportResponse](
-			b.Context(), po, entryName(0), membership.ReportMethod, membership.ReportRequest{News: ne})
+			b.Context(), po, entryName(0), membership.ReportMethod, membership.ReportRequest{News: su})
 		assert.NilError(b, err)
 	}
 }
@@ -271,8 +271,8 @@
 	}
 }
 
-// BenchmarkEntryRoster measures the memory that an entry uses for endpoints.
-func BenchmarkEntryRoster(b *testing.B) {
+// BenchmarkEntryMembership measures the memory that an entry uses for endpoints.
+func BenchmarkEntryMembership(b *testing.B) {
 	for _, endpoints := range []int{30, 300, 1100} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
@@ -304,11 +304,11 @@
 				si := newSite(b, 1100)
 				before := memory()
 				si.submit(b, 1, samples)
-				held, asked := memory()-before, si.sent.Load()
+				held, sent := memory()-before, si.sent.Load()
 				cpu, received := si.progress(b)
 				si.close()
 				b.ReportMetric(float64(held-fake)/float64(samples), "B/attempt")
-				b.ReportMetric(float64(asked)/float64(samples), "sent-B/attempt")
+				b.ReportMetric(float64(sent)/float64(samples), "sent-B/attempt")
 				b.ReportMetric(received, "received-B/line")
 				b.ReportMetric(float64((cpu - fakeCPU).Nanoseconds()), "cpu-ns/line")
 			}
--- a/capacity/fleet_test.go
+++ b/capacity/fleet_test.go
@@ -97,7 +97,7 @@
 	fl.work.Go(func() { _ = en.Serve(li) })
 }
 
-// list is the platform's list of instances.
+// list returns the platform's list of instances.
 func (fl *fleet) list(context.Context) ([]instancelist.Instance, error) {
 	var ins []instancelist.Instance
 	for i := range fl.entries {
--- a/capacity/ledger_test.go
+++ b/capacity/ledger_test.go
@@ -196,10 +196,10 @@
 // write stores a record in a key-value service and returns its size there.
 func write(t *testing.T, rec ledger.Record) (int, error) {
 	var me keyvalue.Memory
-	bo := &ledger.Writer{Client: me.Client(), Trainer: "a"}
-	_, _, err := bo.Adopt(t.Context(), 1)
+	wr := &ledger.Writer{Client: me.Client(), Trainer: "a"}
+	_, _, err := wr.Adopt(t.Context(), 1)
 	assert.NilError(t, err)
-	if err := bo.Write(t.Context(), rec); err != nil {
+	if err := wr.Write(t.Context(), rec); err != nil {
 		return 0, err
 	}
 	its, err := me.Client().List(t.Context(), "")
