--- a/measure/answer_test.go
+++ b/measure/answer_test.go
@@ -12,23 +12,23 @@
 // startCall runs a call in a new goroutine, and returns when it has ended or blocks.
 // So calls run one after another, and runs with the same seed are identical.
 func startCall[T any](call func() (T, error)) *asyncCall[T] {
-	an := &asyncCall[T]{ready: make(chan struct{})}
+	ac := &asyncCall[T]{ready: make(chan struct{})}
 	go func() {
-		defer close(an.ready)
-		an.value, an.err = call()
+		defer close(ac.ready)
+		ac.value, ac.err = call()
 	}()
 	synctest.Wait()
-	return an
+	return ac
 }
 
 // ended reports whether the call has ended, after all goroutines have blocked.
-func (an *asyncCall[T]) ended() bool {
-	if an == nil {
+func (ac *asyncCall[T]) ended() bool {
+	if ac == nil {
 		return false
 	}
 	synctest.Wait()
 	select {
-	case <-an.ready:
+	case <-ac.ready:
 		return true
 	default:
 		return false
--- a/measure/case_test.go
+++ b/measure/case_test.go
@@ -36,7 +36,7 @@
 	MaxRunning     int           `toml:"max-running"`
 	PrefillPerStep int           `toml:"prefill-per-step"` // tokens
 	ReportLag      unit.Duration `toml:"report-lag"`
-	ServingFloor   float64       `toml:"serving-floor"` // part of the engines that must serve while others load
+	ServingFloor   float64       `toml:"serving-floor"` // fraction of the engines that must serve while others load
 	StepGrowth     float64       `toml:"step-growth"`   // relative growth of the step time for each further running request
 	StepTime       unit.Duration `toml:"step-time"`
 	TokensPerStep  int           `toml:"tokens-per-step"` // for each running request
--- a/measure/engine_test.go
+++ b/measure/engine_test.go
@@ -34,23 +34,23 @@
 // An Engine is a fake model engine. It admits requests in arrival order, batches
 // them continuously and caches a limited number of prompts.
 type Engine struct {
-	credit  float64    // fraction of a step that has passed
-	cache   *list.List // prompts, most recently used first
-	down    time.Time  // crashed until then
-	id      string
-	loading engine.Version // 0 means none
-	loaded  time.Time      // when the loading ends
-	row     EndpointView
-	running []*Work
-	se      EngineRow
-	stalled time.Time // generates nothing until then
-	tally   EngineTally
-	version engine.Version
-	waiting []*Work
+	credit   float64    // fraction of a step that has passed
+	cache    *list.List // prompts, most recently used first
+	down     time.Time  // crashed until then
+	id       string
+	loading  engine.Version // 0 means none
+	loaded   time.Time      // when the loading ends
+	reported LoadReport
+	running  []*Work
+	se       EngineRow
+	stalled  time.Time // generates nothing until then
+	tally    EngineTally
+	version  engine.Version
+	waiting  []*Work
 }
 
-// An EndpointView is the last report of an engine's load.
-type EndpointView struct {
+// A LoadReport is an engine's load at the time of its last report.
+type LoadReport struct {
 	at      time.Time
 	running int
 	waiting int
@@ -176,7 +176,7 @@
 
 // report updates the reported load, once each report lag.
 func (en *Engine) report(now time.Time) {
-	if now.Sub(en.row.at) >= time.Duration(en.se.ReportLag) {
-		en.row = EndpointView{at: now, running: len(en.running), waiting: len(en.waiting)}
+	if now.Sub(en.reported.at) >= time.Duration(en.se.ReportLag) {
+		en.reported = LoadReport{at: now, running: len(en.running), waiting: len(en.waiting)}
 	}
 }
--- a/measure/ledger_test.go
+++ b/measure/ledger_test.go
@@ -115,7 +115,7 @@
 	wanted    int // tokens
 }
 
-// Wasted returns the part of the generated tokens that no trainer received.
+// Wasted returns the fraction of the generated tokens that no trainer received.
 func (to Totals) Wasted() float64 {
 	if to.made == 0 {
 		return 0
--- a/measure/live_test.go
+++ b/measure/live_test.go
@@ -24,7 +24,7 @@
 	tried    []string
 }
 
-// A Caller makes live calls at a rate and records the responses.
+// A Caller makes live calls at a mean rate and records the responses.
 type Caller struct {
 	answered int
 	answers  *hdrhistogram.Histogram // milliseconds
@@ -96,10 +96,10 @@
 }
 
 // retryCall retries a call if the retry budget allows it, or drops it.
-func (cr *Caller) retryCall(wo *World, now time.Time, lc *LiveCall, fa outcome.Outcome) {
+func (cr *Caller) retryCall(wo *World, now time.Time, lc *LiveCall, ou outcome.Outcome) {
 	wait, ok := cr.budget.Retry(now, retry.Attempt{
 		Deadline:   lc.deadline,
-		Fate:       fa,
+		Fate:       ou,
 		Number:     lc.number,
 		Repeatable: true,
 	})
@@ -126,7 +126,7 @@
 	}
 }
 
-// Goodput returns the part of the calls that completed within their deadline.
+// Goodput returns the fraction of the calls that completed within their deadline.
 func (cr *Caller) Goodput() float64 {
 	ended := cr.made - len(cr.calls)
 	if ended == 0 {
--- a/measure/result_test.go
+++ b/measure/result_test.go
@@ -20,7 +20,7 @@
 
 // The columns of a table.
 const (
-	idle        column = iota // part of their time that trainers wait, mean over trainers
+	idle        column = iota // fraction of their time that trainers wait, mean over trainers
 	idleWorst                 // maximum over trainers
 	stalenessOf               // versions at delivery, mean
 	stalenessP99
@@ -28,8 +28,8 @@
 	batchP99
 	liveP50
 	liveP99
-	goodput // part of the live calls that completed in time
-	wasted  // part of the generated tokens that no trainer received
+	goodput // fraction of the live calls that completed in time
+	wasted  // fraction of the generated tokens that no trainer received
 	prefixHits
 	lengthBias // ratio of the mean delivered to the mean wanted length
 	samples    // delivered
--- a/measure/sample_test.go
+++ b/measure/sample_test.go
@@ -100,9 +100,9 @@
 		return
 	}
 	ba := at.attempt
-	ten := sa.world.attendants[at.endpoint]
+	ad := sa.world.attendants[at.endpoint]
 	sa.world.owner.Started(ba.ID, at.endpoint, at.endpoint)
-	if ten.engine.version < ba.MinVersion {
+	if ad.engine.version < ba.MinVersion {
 		sa.HandleRefusal(now, at, outcome.NewRefusal(outcome.Refused, ba.ID, "weights are too old"))
 		return
 	}
@@ -113,7 +113,7 @@
 		Profile:  ba.Profile,
 		Trainer:  ba.Slot.Trainer,
 	}
-	if re := ten.Enqueue(now, req, at.work); re != nil {
+	if re := ad.Enqueue(now, req, at.work); re != nil {
 		sa.HandleRefusal(now, at, re)
 	}
 }
@@ -125,9 +125,9 @@
 		return
 	}
 	at.ended = true
-	ten := sa.world.attendants[at.endpoint]
-	ten.engine.Cancel(id)
-	ten.Remove(time.Now(), id, gate.Canceled)
+	ad := sa.world.attendants[at.endpoint]
+	ad.engine.Cancel(id)
+	ad.Remove(time.Now(), id, gate.Canceled)
 	sa.world.routes.Succeeded(time.Now(), at.endpoint)
 }
 
--- a/measure/trainer_test.go
+++ b/measure/trainer_test.go
@@ -28,7 +28,7 @@
 	row        TrainerRow
 	step       int // being pulled
 	trained    time.Duration
-	training   time.Time // until then
+	training   time.Time // end of the current training
 	whole      bool      // the batch in training completes its step
 }
 
@@ -132,8 +132,8 @@
 	tr.trained += Tick
 }
 
-// IdleRatio returns the part of the time since its first batch that the
-// trainer waited for the next.
+// IdleRatio returns the fraction of the time since its first batch that the
+// trainer waited for the next one.
 func (tr *Trainer) IdleRatio() float64 {
 	if tr.idle+tr.trained == 0 {
 		return 1
--- a/measure/world_test.go
+++ b/measure/world_test.go
@@ -240,7 +240,7 @@
 		wo.routes.Upsert(en)
 		lo := at.table.Load()
 		wo.routes.Observe(en.ID, route.Load{Limit: lo.Limit, Running: lo.Running, Waiting: lo.Waiting})
-		at.table.Observe(now, gate.Load{Running: at.engine.row.running, Waiting: at.engine.row.waiting})
+		at.table.Observe(now, gate.Load{Running: at.engine.reported.running, Waiting: at.engine.reported.waiting})
 	}
 	wo.sampler.Progress()
 }
