--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -155,7 +155,7 @@
 	})
 }
 
-// A measurement holds the measurements of either the direct or the system's path.
+// A measurement sums up the calls of one path, direct or through the system.
 type measurement struct {
 	*tally
 	allocs uint64
@@ -206,7 +206,7 @@
 }
 
 // BenchmarkPath measures the overhead of entry and attendant over a direct call of
-// the same endpoint in the same run. An operation is one call each way.
+// the same endpoint in the same run. An operation is one direct call and one call through the system.
 //
 // Everything runs in this process, so the processor time of the system is that of
 // calls through it minus that of direct calls.
