--- a/soak/operator.go
+++ b/soak/operator.go
@@ -92,7 +92,7 @@
 // checkDrainedEngine checks that nothing began at an engine while it drained.
 func (rn *run) checkDrainedEngine(hp holdPeriod) {
 	for _, en := range rn.world.engines {
-		for _, no := range en.Notes() {
+		for _, no := range en.Runs() {
 			if en.ID == hp.target.Name && hp.covers(no.At) {
 				rn.addViolation("%s began at %s, which drains", no.ID, en.ID)
 			}
--- a/soak/reward.go
+++ b/soak/reward.go
@@ -26,7 +26,7 @@
 func (rn *run) plainRuns() []standin.PlainRun {
 	var notes []standin.PlainRun
 	for _, pe := range rn.world.plainEndpoints {
-		notes = append(notes, pe.Notes()...)
+		notes = append(notes, pe.Runs()...)
 	}
 	return notes
 }
