--- a/cmd/holdsession_test.go
+++ b/cmd/holdsession_test.go
@@ -254,7 +254,7 @@
 
 // ran reports whether the engine has started an item of a step.
 func (hd *holdDeployment) ran(id string) bool {
-	return slices.ContainsFunc(hd.engine.Notes(), func(no standin.EngineRun) bool { return strings.HasPrefix(no.ID, id) })
+	return slices.ContainsFunc(hd.engine.Runs(), func(no standin.EngineRun) bool { return strings.HasPrefix(no.ID, id) })
 }
 
 // killLeader kills the active scheduler with SIGKILL.
