--- a/scale/scaler.go
+++ b/scale/scaler.go
@@ -23,7 +23,7 @@
 const OverviewMethod = "scale.Overview"
 
 // ErrNotHolder means that the process does not send scaling orders now.
-var ErrNotHolder = errors.New("process is not the scaler")
+var ErrNotHolder = errors.New("does not give orders for endpoints")
 
 // Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-scale-holder"}} }
--- a/step/store.go
+++ b/step/store.go
@@ -32,7 +32,7 @@
 	// ErrUnknownStep means that no such step was accepted.
 	ErrUnknownStep = errors.New("no such step")
 	// ErrUndetermined means that it is currently unknown whether the step exists.
-	ErrUndetermined = errors.New("state of the step can't be determined now")
+	ErrUndetermined = errors.New("can't be told now")
 	// ErrTooManyParts means that a step is too large to be stored in one transaction.
 	ErrTooManyParts = errors.New("step is too large")
 )
--- a/usage/collector.go
+++ b/usage/collector.go
@@ -35,7 +35,7 @@
 )
 
 // ErrNotHolder means that the process accepts no pushes now.
-var ErrNotHolder = errors.New("process is not the usage collector")
+var ErrNotHolder = errors.New("does not hold the reports of use")
 
 // Codes returns the errors of this package that are sent between processes.
 func Codes() []peer.Code { return []peer.Code{{Err: ErrNotHolder, Name: "not-usage-holder"}} }
